--- a/bench/soak.py
+++ b/bench/soak.py
@@ -167,7 +167,7 @@
         self.words.note_answer(entry_ip, answer)
         return self.check(service, request_id, answer)
 
-    def check(self, service: str, request_id: str, answer: http_messages.Answer) -> bool:
+    def check(self, service: str, request_id: str, answer: http_messages.Response) -> bool:
         """Check one whole answer against what the workers ran."""
         if answer.status in NOT_RUN:
             self.tally.refused += 1
--- a/bench/soak_words.py
+++ b/bench/soak_words.py
@@ -39,7 +39,7 @@
         """Note that a client sends a request to an entry."""
         self.sent[request_id] = Sent(entry_ip, time.monotonic())
 
-    def note_answer(self, entry_ip: str, answer: http_messages.Answer) -> None:
+    def note_answer(self, entry_ip: str, answer: http_messages.Response) -> None:
         """Note what an answer says of the worker that gave it."""
         stamp = http_messages.header(answer.headers, STAMP)
         if stamp is None or http_messages.header(answer.headers, LEAVING) is None:
--- a/src/merlinthread/nodes/answer_relay.py
+++ b/src/merlinthread/nodes/answer_relay.py
@@ -24,13 +24,13 @@
         self.last_event_id = ""
         self.first_at: float | None = None
 
-    async def give(self, answer: http_messages.Answer) -> None:
+    async def give(self, answer: http_messages.Response) -> None:
         """Send a back end's whole answer on."""
         headers = without_length(http_messages.forwarded_headers(answer.headers))
         self.on_answered(answer.status)
-        await self.exchange.respond(http_messages.Answer(answer.status, headers, answer.body))
+        await self.exchange.respond(http_messages.Response(answer.status, headers, answer.body))
 
-    async def give_event(self, item: event_bytes.RawEvent, head: http_messages.Answer) -> None:
+    async def give_event(self, item: event_bytes.RawEvent, head: http_messages.Response) -> None:
         """Send one event on, unless the client has it already."""
         if item.event_id and not event_bytes.is_after(item.event_id, self.last_event_id):
             return
@@ -38,7 +38,7 @@
         await self.exchange.send(item.data)
         self.last_event_id = item.event_id or self.last_event_id
 
-    def start_stream(self, head: http_messages.Answer) -> None:
+    def start_stream(self, head: http_messages.Response) -> None:
         """Send the head of the first back end that gave an event; later ones keep it."""
         if self.exchange.is_started:
             return
@@ -47,7 +47,7 @@
         metrics.first_token_seconds.observe(self.first_at - self.arrived)
         self.exchange.start(head.status, headers)
 
-    async def finish(self, head: http_messages.Answer) -> None:
+    async def finish(self, head: http_messages.Response) -> None:
         """End a stream that is whole."""
         self.start_stream(head)
         self.on_answered(head.status)
--- a/src/merlinthread/nodes/attempts.py
+++ b/src/merlinthread/nodes/attempts.py
@@ -60,7 +60,7 @@
 
     state: State
     reason: str
-    answer: http_messages.Answer | None = None
+    answer: http_messages.Response | None = None
 
 
 class Attempt:
@@ -214,10 +214,10 @@
         if is_success and (not facts.is_signed or facts.is_encoded):
             raise errors.ProtocolError("a success without a signature, or encoded")
         if is_success and self.facts.route.kind == fleet.STREAMING:
-            answer = http_messages.Answer(head.status_code, headers)
+            answer = http_messages.Response(head.status_code, headers)
             return await self.relay_stream(connection, answer), headers
         body = await self.read_body(connection)
-        answer = http_messages.Answer(head.status_code, headers, body)
+        answer = http_messages.Response(head.status_code, headers, body)
         if facts.is_not_run:
             return Outcome(State.NOT_RUN, f"{head.status_code} not run", answer), headers
         if not is_success:
@@ -312,7 +312,7 @@
     async def relay_stream(
         self,
         connection: stream_client.ClientConnection,
-        head: http_messages.Answer,
+        head: http_messages.Response,
     ) -> Outcome:
         """Send events on as they come, whole ones only; go on after a break elsewhere."""
         splitter = event_bytes.EventSplitter()
--- a/src/merlinthread/nodes/control_calls.py
+++ b/src/merlinthread/nodes/control_calls.py
@@ -58,7 +58,7 @@
             )
         await exchange.respond(answer)
 
-    async def handle(self, call: dialects.ControlCall) -> http_messages.Answer:
+    async def handle(self, call: dialects.ControlCall) -> http_messages.Response:
         """Do what a call asks for; return its answer."""
         if isinstance(call, dialects.TakeHeartbeat):
             return await self.on_heartbeat(call.heartbeat)
@@ -73,7 +73,7 @@
             return ok()
         return await self.on_get()
 
-    async def on_heartbeat(self, heartbeat: fleet.Heartbeat) -> http_messages.Answer:
+    async def on_heartbeat(self, heartbeat: fleet.Heartbeat) -> http_messages.Response:
         """Take a heartbeat; that it drains is acknowledged once a majority holds it."""
         self.take(heartbeat)
         if heartbeat.state == fleet.DRAINING:
@@ -87,7 +87,7 @@
             return
         await self.submit(fleet_state.Depart(instance, state))
 
-    async def on_put(self, call: dialects.PutConfiguration) -> http_messages.Answer:
+    async def on_put(self, call: dialects.PutConfiguration) -> http_messages.Response:
         """Commit a configuration, or acknowledge one that was overtaken."""
         version = call.configuration.version
         if version > self.member.state.version:
@@ -95,13 +95,13 @@
             await self.submit(fleet_state.Configure(version, body))
         return ok()
 
-    async def on_get(self) -> http_messages.Answer:
+    async def on_get(self) -> http_messages.Response:
         """Answer with the newest configuration, if that is sure."""
         reply = await self.read()
         if not reply.version:
             raise errors.ControlError("no configuration was put yet", retry_after_s=0.5)
         body = zlib.decompress(reply.body)
-        return http_messages.Answer(200, [(b"content-type", b"application/json")], body)
+        return http_messages.Response(200, [(b"content-type", b"application/json")], body)
 
     async def read(self) -> node_messages.ReadReply:
         """Return the newest configuration, from the leader."""
@@ -119,17 +119,17 @@
         return node_messages.ReadReply(self.member.state.version, self.member.state.body)
 
 
-def ok() -> http_messages.Answer:
+def ok() -> http_messages.Response:
     """Return an acknowledgement."""
-    return http_messages.Answer(200, [(b"content-type", b"application/json")], b"{}")
+    return http_messages.Response(200, [(b"content-type", b"application/json")], b"{}")
 
 
-def refusal(error: errors.MerlinthreadError) -> http_messages.Answer:
+def refusal(error: errors.MerlinthreadError) -> http_messages.Response:
     """Return the answer that tells `error`."""
     body = answers.body_of(error)
     headers = [(b"content-type", b"application/json")]
     if body.retry_after_s is not None:
         headers.append((b"retry-after", b"%g" % body.retry_after_s))
-    return http_messages.Answer(
+    return http_messages.Response(
         answers.TABLE[error.kind].status, headers, msgspec.json.encode(body)
     )
--- a/src/merlinthread/nodes/engine_client.py
+++ b/src/merlinthread/nodes/engine_client.py
@@ -90,7 +90,7 @@
         return answer.status
 
 
-def whole(answer: http_messages.Answer) -> http_messages.Answer:
+def whole(answer: http_messages.Response) -> http_messages.Response:
     """Return an answer that is a success; raise ProtocolError otherwise.
 
     The error says when the server wants to be asked again, if the answer does.
--- a/src/merlinthread/nodes/entry_node.py
+++ b/src/merlinthread/nodes/entry_node.py
@@ -129,7 +129,7 @@
         """Answer whether this entry is ready."""
         is_known = self.dialect.is_ready_call(exchange.request)
         status = 404 if not is_known else 200 if self.is_ready() else 503
-        await exchange.respond(http_messages.Answer(status, []))
+        await exchange.respond(http_messages.Response(status, []))
 
     async def serve(self, exchange: stream_server.Exchange) -> None:
         """Serve one client's request."""
--- a/src/merlinthread/nodes/node_daemon.py
+++ b/src/merlinthread/nodes/node_daemon.py
@@ -97,10 +97,10 @@
 async def serve_metrics(exchange: stream_server.Exchange) -> None:
     """Answer with the process's figures as text."""
     if exchange.request.target != METRICS_PATH:
-        await exchange.respond(http_messages.Answer(404, []))
+        await exchange.respond(http_messages.Response(404, []))
         return
     headers = [(b"content-type", b"text/plain; version=0.0.4")]
-    await exchange.respond(http_messages.Answer(200, headers, metrics.expose()))
+    await exchange.respond(http_messages.Response(200, headers, metrics.expose()))
 
 
 def run(
--- a/src/merlinthread/nodes/request_task.py
+++ b/src/merlinthread/nodes/request_task.py
@@ -365,7 +365,7 @@
         self.reasons.append(error.message)
         metrics.refusals_total.labels(str(error.kind)).inc()
         self.log(str(error.kind), entry.status)
-        await self.exchange.respond(http_messages.Answer(entry.status, headers))
+        await self.exchange.respond(http_messages.Response(entry.status, headers))
 
     def on_answered(self, status: int) -> None:
         """Note that a back end's whole answer goes to the client."""
--- a/src/merlinthread/transport/http_messages.py
+++ b/src/merlinthread/transport/http_messages.py
@@ -43,7 +43,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Answer:
+class Response:
     """A whole answer."""
 
     status: int
--- a/src/merlinthread/transport/node_bus.py
+++ b/src/merlinthread/transport/node_bus.py
@@ -96,7 +96,7 @@
         frame = self.codec.encode(reply)
         rate = self.bulk_bytes_per_s()
         if len(frame) <= PART_BYTES or rate == math.inf:
-            await exchange.respond(http_messages.Answer(200, headers, frame))
+            await exchange.respond(http_messages.Response(200, headers, frame))
         else:
             await self.send_in_parts(exchange, headers, frame, rate)
 
--- a/src/merlinthread/transport/stream_client.py
+++ b/src/merlinthread/transport/stream_client.py
@@ -101,7 +101,7 @@
         self.waiter = asyncio.get_running_loop().create_future()
         await self.waiter
 
-    async def receive(self) -> http_messages.Answer:
+    async def receive(self) -> http_messages.Response:
         """Return the whole answer; raises as `next_event` does."""
         head = await self.next_event()
         while isinstance(head, h11.InformationalResponse):
@@ -111,7 +111,7 @@
         parts = []
         while isinstance(event := await self.next_event(), h11.Data):
             parts.append(bytes(event.data))
-        return http_messages.Answer(
+        return http_messages.Response(
             head.status_code, list(head.headers.raw_items()), b"".join(parts)
         )
 
@@ -247,7 +247,7 @@
 
     async def call(
         self, address: str, request: http_messages.Request, timeout_s: float
-    ) -> http_messages.Answer:
+    ) -> http_messages.Response:
         """Send a request that may be repeated and return its answer.
 
         Raises UnreachableError (nothing came in time) or ProtocolError (no whole answer).
--- a/src/merlinthread/transport/stream_server.py
+++ b/src/merlinthread/transport/stream_server.py
@@ -49,7 +49,7 @@
         self.is_started = False
         self.is_finished = False
 
-    async def respond(self, answer: http_messages.Answer) -> None:
+    async def respond(self, answer: http_messages.Response) -> None:
         """Send a whole answer with its length."""
         headers = [*answer.headers, (b"content-length", b"%d" % len(answer.body))]
         self.start(answer.status, headers)
@@ -282,7 +282,7 @@
             if exchange.is_started:
                 self.abort()
                 return
-            await exchange.respond(http_messages.Answer(500, []))
+            await exchange.respond(http_messages.Response(500, []))
         self.next_request(exchange)
 
     def next_request(self, exchange: Exchange) -> None:
--- a/stand_ins/fleet_worker.py
+++ b/stand_ins/fleet_worker.py
@@ -164,7 +164,7 @@
             await self.stream(exchange, answer_headers, headers)
             return
         body = f"answer of {self.instance} to {request_id}".encode()
-        await exchange.respond(http_messages.Answer(self.behaviour.status, answer_headers, body))
+        await exchange.respond(http_messages.Response(self.behaviour.status, answer_headers, body))
 
     async def stream(
         self,
@@ -203,7 +203,7 @@
             headers.append((b"X-Merlinthread-Request-Id", request_id or b""))
         if self.behaviour.rest is not None and status == 503:
             headers.append((b"Retry-After", self.behaviour.rest.encode()))
-        await exchange.respond(http_messages.Answer(status, headers))
+        await exchange.respond(http_messages.Response(status, headers))
 
     async def report(self, exchange: stream_server.Exchange) -> None:
         """Tell the load and the weights."""
@@ -219,18 +219,18 @@
             "queued": 0,
             "running": self.running,
         }
-        await exchange.respond(http_messages.Answer(200, [], json.dumps(body).encode()))
+        await exchange.respond(http_messages.Response(200, [], json.dumps(body).encode()))
 
     async def stage(self, exchange: stream_server.Exchange, path: str) -> None:
         """Take or give a staged piece."""
         index = int(exchange.request.target.split(b"sample_count=")[1].split(b"&")[0])
         if path.startswith("/stage-put/"):
             self.staged[index] = exchange.request.body
-            await exchange.respond(http_messages.Answer(200, []))
+            await exchange.respond(http_messages.Response(200, []))
         elif index in self.staged:
-            await exchange.respond(http_messages.Answer(200, [], self.staged[index]))
+            await exchange.respond(http_messages.Response(200, [], self.staged[index]))
         else:
-            await exchange.respond(http_messages.Answer(404, []))
+            await exchange.respond(http_messages.Response(404, []))
 
     async def order(self, exchange: stream_server.Exchange) -> None:
         """Take an order; it is carried out at once or, if the behaviour says so, later."""
@@ -240,7 +240,7 @@
             self.is_busy = True
             delay_s = self.behaviour.order_delay_s
             asyncio.get_running_loop().call_later(delay_s, self.carry_out, order)
-        await exchange.respond(http_messages.Answer(self.behaviour.order_status, []))
+        await exchange.respond(http_messages.Response(self.behaviour.order_status, []))
 
     def carry_out(self, order: dict) -> None:
         """Hold what lies there now."""
@@ -294,13 +294,13 @@
         if self.rest is not None:
             self.turned_away.append(asyncio.get_running_loop().time())
             headers = [(b"Retry-After", self.rest.encode())]
-            await exchange.respond(http_messages.Answer(503, headers))
+            await exchange.respond(http_messages.Response(503, headers))
             return
         path, _, query = exchange.request.target.decode().partition("?")
         fields = dict(part.split("=") for part in query.split("&") if part)
         version = int(fields.get("version", max(self.pieces)))
         if version not in self.pieces:
-            await exchange.respond(http_messages.Answer(410, []))
+            await exchange.respond(http_messages.Response(410, []))
             return
         pieces = self.pieces[version]
         if path.startswith("/manifest/"):
@@ -311,12 +311,12 @@
                 "layers": LAYERS,
                 "digests": [hashlib.sha256(piece).hexdigest() for piece in pieces],
             }
-            await exchange.respond(http_messages.Answer(200, [], json.dumps(body).encode()))
+            await exchange.respond(http_messages.Response(200, [], json.dumps(body).encode()))
             return
         index = int(fields["sample_count"])
         if (version, index) in self.withheld:
-            await exchange.respond(http_messages.Answer(503, []))
+            await exchange.respond(http_messages.Response(503, []))
             return
         self.given.append((version, index))
         data = b"x" * len(pieces[index]) if index in self.corrupt else pieces[index]
-        await exchange.respond(http_messages.Answer(200, [], data))
+        await exchange.respond(http_messages.Response(200, [], data))
--- a/tests/crashing_fleet.py
+++ b/tests/crashing_fleet.py
@@ -89,7 +89,7 @@
         ip = next(iter(self.controls.nodes))
         await self.controls.call(ip, "PUT", f"/instances/{worker.instance}", body)
 
-    async def ask(self, entry: int, body: bytes, path: str = "") -> http_messages.Answer:
+    async def ask(self, entry: int, body: bytes, path: str = "") -> http_messages.Response:
         """Send a request to one entry, under an id of its own; return its answer."""
         self.asked += 1
         headers = {"X_Merlinthread_Model": self.model} if self.model else {}
@@ -109,7 +109,7 @@
         bound = self.ends()[2] + CONTACT_S
         return sum(at > bound for at in self.arrivals())
 
-    async def send_until_late(self, seconds: float, comings: int) -> list[http_messages.Answer]:
+    async def send_until_late(self, seconds: float, comings: int) -> list[http_messages.Response]:
         """Let the deadly request come at each entry in turn; return the answers.
 
         It comes every 50 ms until `seconds` after the third end, then `comings` times more.
@@ -127,7 +127,7 @@
             await self.ask_any(number % len(self.entries), DEADLY)
         return [answer for answer in await asyncio.gather(*tasks) if answer is not None]
 
-    async def ask_any(self, entry: int, body: bytes) -> http_messages.Answer | None:
+    async def ask_any(self, entry: int, body: bytes) -> http_messages.Response | None:
         """Send a request; return its answer, None if it was broken off."""
         with contextlib.suppress(Exception):
             return await self.ask(entry, body)
--- a/tests/fed_fleet.py
+++ b/tests/fed_fleet.py
@@ -33,7 +33,7 @@
         body = fleet_nodes.configuration(1, services, self.service if self.model else "")
         self.entry.feed(body, {worker: self.service for worker in workers})
 
-    async def ask(self) -> http_messages.Answer:
+    async def ask(self) -> http_messages.Response:
         """Send one client's request; return its answer."""
         self.asked += 1
         headers = STREAM if self.model else {}
--- a/tests/fleet_nodes.py
+++ b/tests/fleet_nodes.py
@@ -132,7 +132,7 @@
 
     async def call(
         self, ip: str, method: str, path: str, body: dict | None = None
-    ) -> http_messages.Answer:
+    ) -> http_messages.Response:
         """Make one call of an operator or worker."""
         data = json.dumps(body).encode() if body is not None else b""
         headers = [(b"host", b"c"), (b"content-length", b"%d" % len(data))]
@@ -142,7 +142,7 @@
 
     async def until_acknowledged(
         self, method: str, path: str, body: dict | None = None
-    ) -> http_messages.Answer:
+    ) -> http_messages.Response:
         """Make a call again, at any VM, until it is acknowledged."""
         for attempt in range(400):
             ips = list(self.nodes)
@@ -283,7 +283,7 @@
 
     async def ask(
         self, path: str, request_id: str, body: bytes = b"", **headers
-    ) -> http_messages.Answer:
+    ) -> http_messages.Response:
         """Send one client's request and return its answer."""
         connection = await self.send(path, request_id, body, **headers)
         try:
--- a/tests/limited_fleet.py
+++ b/tests/limited_fleet.py
@@ -16,7 +16,7 @@
 
     at: float
     took_s: float
-    answer: http_messages.Answer | None
+    answer: http_messages.Response | None
     key: str = ""
 
     def is_served(self) -> bool:
--- a/tests/test_stream_connections.py
+++ b/tests/test_stream_connections.py
@@ -42,7 +42,7 @@
     return http_messages.Request(b"GET", path, [(b"host", b"a")])
 
 
-async def call(address: str) -> http_messages.Answer:
+async def call(address: str) -> http_messages.Response:
     pool = stream_client.Pool(5.0, 1.0, 2.0)
     return await pool.call(address, get(), 2.0)
 
@@ -53,7 +53,7 @@
 
         async def handler(exchange):
             peers.append(id(exchange.connection))
-            await exchange.respond(http_messages.Answer(200, [], b"hello"))
+            await exchange.respond(http_messages.Response(200, [], b"hello"))
 
         _, address = await serve(handler)
         pool = stream_client.Pool(5.0, 1.0, 2.0)
@@ -197,7 +197,7 @@
 
         async def handler(exchange):
             await release.wait()
-            await exchange.respond(http_messages.Answer(200, [], b"late"))
+            await exchange.respond(http_messages.Response(200, [], b"late"))
 
         server, address = await serve(handler)
         task = asyncio.create_task(call(address))
@@ -215,7 +215,7 @@
 def test_a_leaving_server_still_answers_a_request_that_is_half_read():
     async def scenario():
         async def handler(exchange):
-            await exchange.respond(http_messages.Answer(200, [], exchange.request.body))
+            await exchange.respond(http_messages.Response(200, [], exchange.request.body))
 
         server, address = await serve(handler)
         host, port = address.split(":")
