--- a/bench/soak_words.py
+++ b/bench/soak_words.py
@@ -41,8 +41,8 @@
 
     def note_answer(self, entry_ip: str, answer: http_messages.Response) -> None:
         """Note what an answer says of the worker that gave it."""
-        stamp = http_messages.header(answer.headers, STAMP)
-        if stamp is None or http_messages.header(answer.headers, LEAVING) is None:
+        stamp = http_messages.get_header(answer.headers, STAMP)
+        if stamp is None or http_messages.get_header(answer.headers, LEAVING) is None:
             return
         instance = stamp.decode("ascii").partition(".")[0]
         self.farewells.setdefault((instance, entry_ip), time.monotonic())
--- a/src/merlinthread/nodes/engine_client.py
+++ b/src/merlinthread/nodes/engine_client.py
@@ -97,8 +97,8 @@
     """
     if 200 <= answer.status < 300:
         return answer
-    value = http_messages.header(answer.headers, retry_after.FIELD)
-    date = http_messages.header(answer.headers, retry_after.DATE)
+    value = http_messages.get_header(answer.headers, retry_after.FIELD)
+    date = http_messages.get_header(answer.headers, retry_after.DATE)
     rest_s = retry_after.parse(value, date).seconds
     raise errors.ProtocolError(f"HTTP status {answer.status}", retry_after_s=rest_s)
 
--- a/src/merlinthread/platform/dialect.py
+++ b/src/merlinthread/platform/dialect.py
@@ -111,18 +111,19 @@
 
     def answer_facts(self, status: int, headers: http_messages.Headers) -> fleet.AnswerFacts:
         """Read the head of a worker's answer."""
-        request_id = http_messages.header(headers, names.REQUEST_ID)
-        not_run = http_messages.header(headers, names.NOT_RUN) is not None
-        instance = http_messages.header(headers, names.INSTANCE) or b""
+        request_id = http_messages.get_header(headers, names.REQUEST_ID)
+        not_run = http_messages.get_header(headers, names.NOT_RUN) is not None
+        instance = http_messages.get_header(headers, names.INSTANCE) or b""
         rest = rest_asked_for(status, headers)
-        limit = rate_limit.parse(http_messages.header(headers, names.LIMIT))
+        limit = rate_limit.parse(http_messages.get_header(headers, names.LIMIT))
         return fleet.AnswerFacts(
             request_id.decode("latin-1") if request_id is not None else None,
             not_run or status == names.STATUS_MISDIRECTED,
-            http_messages.header(headers, names.STAMP) is not None,
-            http_messages.header(headers, names.CONTENT_ENCODING) is not None,
+            http_messages.get_header(headers, names.STAMP) is not None,
+            http_messages.get_header(headers, names.CONTENT_ENCODING) is not None,
             instance.decode("latin-1"),
-            (http_messages.header(headers, names.LEAVING) or b"").strip() == names.LEAVING_VALUE,
+            (http_messages.get_header(headers, names.LEAVING) or b"").strip()
+            == names.LEAVING_VALUE,
             rest.seconds,
             rest.problem,
             status == names.STATUS_MISDIRECTED,
@@ -190,8 +191,8 @@
     """Return what a worker that turns a request away says of when to ask it again."""
     if status not in names.STATUS_TURNED_AWAY:
         return retry_after.RetryAfter()
-    value = http_messages.header(headers, retry_after.FIELD)
-    return retry_after.parse(value, http_messages.header(headers, retry_after.DATE))
+    value = http_messages.get_header(headers, retry_after.FIELD)
+    return retry_after.parse(value, http_messages.get_header(headers, retry_after.DATE))
 
 
 def unread_names(headers: http_messages.Headers) -> frozenset[str]:
--- a/src/merlinthread/transport/http_messages.py
+++ b/src/merlinthread/transport/http_messages.py
@@ -51,7 +51,7 @@
     body: bytes = b""
 
 
-def header(headers: Headers, name: bytes) -> bytes | None:
+def get_header(headers: Headers, name: bytes) -> bytes | None:
     """Return the first value of `name` (lower case), or None."""
     for key, value in headers:
         if key.lower() == name:
@@ -61,6 +61,6 @@
 
 def forwarded_headers(headers: Headers) -> Headers:
     """Return the headers that concern more than one connection (RFC 9110, section 7.6.1)."""
-    named = header(headers, b"connection") or b""
+    named = get_header(headers, b"connection") or b""
     dropped = CONNECTION_HEADERS | {part.strip().lower() for part in named.split(b",")}
     return [(key, value) for key, value in headers if key.lower() not in dropped]
--- a/src/merlinthread/transport/stream_client.py
+++ b/src/merlinthread/transport/stream_client.py
@@ -278,7 +278,7 @@
 
 def kept_for(headers: http_messages.Headers, default_s: float) -> float:
     """Return how long a server keeps an idle connection, with a second to spare."""
-    value = http_messages.header(headers, b"keep-alive") or b""
+    value = http_messages.get_header(headers, b"keep-alive") or b""
     for part in value.split(b","):
         name, _, number = part.strip().partition(b"=")
         if name.lower() == b"timeout" and number.isdigit():
--- a/src/merlinthread/transport/stream_server.py
+++ b/src/merlinthread/transport/stream_server.py
@@ -239,7 +239,7 @@
         )
         self.parts = []
         self.size = 0
-        length = http_messages.header(self.request.headers, b"content-length")
+        length = http_messages.get_header(self.request.headers, b"content-length")
         if length is not None and int(length) > self.server.limits.body_bytes:
             self.refuse(413)
             return False
--- a/stand_ins/fleet_worker.py
+++ b/stand_ins/fleet_worker.py
@@ -197,7 +197,7 @@
         """Say that a request was not run."""
         headers = [(b"X-Merlinthread-Not-Run", b"1"), *self.told()]
         if self.behaviour.repeats_id:
-            request_id = http_messages.header(
+            request_id = http_messages.get_header(
                 exchange.request.headers, b"x-merlinthread-request-id"
             )
             headers.append((b"X-Merlinthread-Request-Id", request_id or b""))
--- a/tests/limited_fleet.py
+++ b/tests/limited_fleet.py
@@ -26,7 +26,7 @@
     def back_after_s(self) -> float:
         """Return what a refused client is told of when to come back."""
         assert self.answer is not None
-        value = http_messages.header(self.answer.headers, b"retry-after")
+        value = http_messages.get_header(self.answer.headers, b"retry-after")
         assert value is not None, self.answer.status
         return float(value)
 
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -65,7 +65,7 @@
             await fleet_nodes.until(held)
             answer = await fleet.ask(entry, crashing_fleet.DEADLY)
             assert answer.status == 503
-            assert float(http_messages.header(answer.headers, b"retry-after")) >= 60
+            assert float(http_messages.get_header(answer.headers, b"retry-after")) >= 60
         assert len(fleet.ends()) == ends
         await fleet.until_known()
         # Only this request: another body, and another path, are served.
--- a/tests/test_entry_node.py
+++ b/tests/test_entry_node.py
@@ -74,7 +74,7 @@
             worker.behaviour.is_full = True
         answer = await entry.ask(f"/{service}/", "id-1")
         assert (answer.status, runs(workers)) == (503, 0)
-        assert float(http_messages.header(answer.headers, b"retry-after")) > 0
+        assert float(http_messages.get_header(answer.headers, b"retry-after")) > 0
 
     asyncio.run(scenario())
 
@@ -105,7 +105,7 @@
         workers[0].behaviour.status = 500
         answer = await entry.ask("/unsafe/", "id-1")
         assert answer.status == 500
-        assert http_messages.header(answer.headers, b"x-merlinthread-response-stamp")
+        assert http_messages.get_header(answer.headers, b"x-merlinthread-response-stamp")
 
     asyncio.run(scenario())
 
@@ -123,7 +123,7 @@
             backend.unread_tokens = unread
             answer = await entry.ask("/model/", f"id-{number}", **STREAM)
             assert (answer.status, runs([worker])) == (503, 0)
-            waits.append(float(http_messages.header(answer.headers, b"retry-after")))
+            waits.append(float(http_messages.get_header(answer.headers, b"retry-after")))
         assert min(waits) >= 0.4 and max(waits) <= 2.5 / 3 and len(set(waits)) > 1
         backend.take_report(report, entry.node.clock())
         late = STREAM | {"X_Merlinthread_Deadline_Ms": "2000"}
@@ -156,7 +156,7 @@
         for path, key in (("/nowhere/", "key-1"), ("/safe/", "wrong")):
             answer = await entry.ask(path, "id-1", Api_Key=key)
             assert answer.status == 503
-            assert float(http_messages.header(answer.headers, b"retry-after")) > 0
+            assert float(http_messages.get_header(answer.headers, b"retry-after")) > 0
         entry.feed(body, {})
         assert (await entry.ask("/nowhere/", "id-2")).status == 404
         entry.node.watcher.lose("its control VM is silent")
@@ -181,7 +181,7 @@
         await entry.start()
         answer = await entry.ask("/safe/", "id-1")
         assert answer.status == 503
-        told = float(http_messages.header(answer.headers, b"retry-after"))
+        told = float(http_messages.get_header(answer.headers, b"retry-after"))
         assert told > entry.node.settings.heartbeat_s, "back ends are known by their heartbeats"
 
     asyncio.run(scenario())
--- a/tests/test_rest.py
+++ b/tests/test_rest.py
@@ -116,7 +116,7 @@
             assert answer.status == 503
             # A request waits up to 0.05 s for a place where one may come free.
             assert fleet.now() - asked_at < 0.04
-            told_s = float(http_messages.header(answer.headers, b"retry-after"))
+            told_s = float(http_messages.get_header(answer.headers, b"retry-after"))
             back_at = fleet.now() + told_s
             assert first + rest_s - 0.1 <= back_at <= first + rest_s + 1.0
         assert refused(fleet.workers) == before
--- a/tests/test_stream_connections.py
+++ b/tests/test_stream_connections.py
@@ -207,7 +207,7 @@
         release.set()
         answer = await task
         assert answer.body == b"late"
-        assert http_messages.header(answer.headers, b"connection") == b"close"
+        assert http_messages.get_header(answer.headers, b"connection") == b"close"
 
     asyncio.run(scenario())
 
