--- a/src/merlinthread/nodes/answer_relay.py
+++ b/src/merlinthread/nodes/answer_relay.py
@@ -26,7 +26,7 @@
 
     async def give(self, answer: http_messages.Response) -> None:
         """Send a back end's whole answer on."""
-        headers = without_length(http_messages.forwarded_headers(answer.headers))
+        headers = without_length(http_messages.end_to_end_headers(answer.headers))
         self.on_answered(answer.status)
         await self.exchange.respond(http_messages.Response(answer.status, headers, answer.body))
 
@@ -42,7 +42,7 @@
         """Send the head of the first back end that gave an event; later ones keep it."""
         if self.exchange.is_started:
             return
-        headers = without_length(http_messages.forwarded_headers(head.headers))
+        headers = without_length(http_messages.end_to_end_headers(head.headers))
         self.first_at = self.clock()
         metrics.first_token_seconds.observe(self.first_at - self.arrived)
         self.exchange.start(head.status, headers)
--- a/src/merlinthread/platform/dialect.py
+++ b/src/merlinthread/platform/dialect.py
@@ -86,7 +86,7 @@
         self, request: http_messages.Request, target: fleet.Target
     ) -> http_messages.Request:
         """Return the request as a worker gets it."""
-        kept = http_messages.forwarded_headers(request.headers)
+        kept = http_messages.end_to_end_headers(request.headers)
         headers = [
             (key, value)
             for key, value in kept
--- a/src/merlinthread/transport/http_messages.py
+++ b/src/merlinthread/transport/http_messages.py
@@ -59,7 +59,7 @@
     return None
 
 
-def forwarded_headers(headers: Headers) -> Headers:
+def end_to_end_headers(headers: Headers) -> Headers:
     """Return the headers that concern more than one connection (RFC 9110, section 7.6.1)."""
     named = get_header(headers, b"connection") or b""
     dropped = CONNECTION_HEADERS | {part.strip().lower() for part in named.split(b",")}
