--- a/bench/soak_fleet.py
+++ b/bench/soak_fleet.py
@@ -29,7 +29,7 @@
             for number, service in enumerate(SERVICES)
         }
         self.links: dict[fleet_worker.Worker, proxy.Link] = {}
-        self.pool = stream_client.Pool(0.0, 0.5, 1.0)
+        self.pool = stream_client.ConnectionPool(0.0, 0.5, 1.0)
 
     async def start(self) -> None:
         """Start all workers and nodes."""
--- a/bench/upgrade_balancer.py
+++ b/bench/upgrade_balancer.py
@@ -16,7 +16,7 @@
 class Balancer:
     """Asks the entries again and again whether they are ready."""
 
-    def __init__(self, pool: stream_client.Pool) -> None:
+    def __init__(self, pool: stream_client.ConnectionPool) -> None:
         self.pool = pool
         # How often in a row an entry was not ready when it was asked, by its IP.
         self.misses = dict.fromkeys(soak_nodes.ENTRY_IPS, MISSES_MAX)
--- a/src/merlinthread/nodes/backend_connections.py
+++ b/src/merlinthread/nodes/backend_connections.py
@@ -22,7 +22,7 @@
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self.clock = clock
-        self.kept = stream_client.Pool(KEEP_S, CONNECT_TIMEOUT_S, USER_TIMEOUT_S)
+        self.kept = stream_client.ConnectionPool(KEEP_S, CONNECT_TIMEOUT_S, USER_TIMEOUT_S)
 
     async def connect(
         self, backend: backend_record.Backend, may_repeat: bool
--- a/src/merlinthread/nodes/engine_client.py
+++ b/src/merlinthread/nodes/engine_client.py
@@ -33,7 +33,7 @@
     def __init__(self, dialect: dialects.Dialect, engine: str) -> None:
         self.dialect = dialect
         self.engine = engine
-        self.pool = stream_client.Pool(KEEP_S, CONNECT_TIMEOUT_S, USER_TIMEOUT_S)
+        self.pool = stream_client.ConnectionPool(KEEP_S, CONNECT_TIMEOUT_S, USER_TIMEOUT_S)
 
     async def report(self) -> fleet.EngineReport:
         """Return the engine's report."""
--- a/src/merlinthread/transport/node_bus.py
+++ b/src/merlinthread/transport/node_bus.py
@@ -32,7 +32,7 @@
 
     def __init__(self, codec: codecs.Codec) -> None:
         self.codec = codec
-        self.pool = stream_client.Pool(KEEP_S, CONNECT_TIMEOUT_S, USER_TIMEOUT_S)
+        self.pool = stream_client.ConnectionPool(KEEP_S, CONNECT_TIMEOUT_S, USER_TIMEOUT_S)
 
     async def call(self, address: str, message: Any, timeout_s: float) -> Any:
         """Return the answer of the node at `address`.
--- a/src/merlinthread/transport/stream_client.py
+++ b/src/merlinthread/transport/stream_client.py
@@ -206,7 +206,7 @@
         task.result().close()
 
 
-class Pool:
+class ConnectionPool:
     """Idle connections to servers, by address."""
 
     def __init__(self, keep_s: float, connect_timeout_s: float, user_timeout_s: float) -> None:
--- a/tests/fleet_nodes.py
+++ b/tests/fleet_nodes.py
@@ -137,7 +137,7 @@
         data = json.dumps(body).encode() if body is not None else b""
         headers = [(b"host", b"c"), (b"content-length", b"%d" % len(data))]
         request = http_messages.Request(method.encode(), path.encode(), headers, data)
-        pool = stream_client.Pool(1.0, 1.0, 2.0)
+        pool = stream_client.ConnectionPool(1.0, 1.0, 2.0)
         return await pool.call(f"{ip}:{self.public_port}", request, 3.0)
 
     async def until_acknowledged(
--- a/tests/test_stream_connections.py
+++ b/tests/test_stream_connections.py
@@ -43,7 +43,7 @@
 
 
 async def call(address: str) -> http_messages.Response:
-    pool = stream_client.Pool(5.0, 1.0, 2.0)
+    pool = stream_client.ConnectionPool(5.0, 1.0, 2.0)
     return await pool.call(address, get(), 2.0)
 
 
@@ -56,7 +56,7 @@
             await exchange.respond(http_messages.Response(200, [], b"hello"))
 
         _, address = await serve(handler)
-        pool = stream_client.Pool(5.0, 1.0, 2.0)
+        pool = stream_client.ConnectionPool(5.0, 1.0, 2.0)
         bodies = [(await pool.call(address, get(), 2.0)).body for _ in range(3)]
         assert bodies == [b"hello"] * 3
         assert len(set(peers)) == 1
@@ -313,7 +313,7 @@
     async def scenario():
         server = SilenceableServer()
         address = await server.start()
-        pool = stream_client.Pool(60.0, 1.0, 2.0)
+        pool = stream_client.ConnectionPool(60.0, 1.0, 2.0)
         await asyncio.gather(*(pool.call(address, get(), 5.0) for _ in range(3)))
         assert server.connections == 3
         server.generation += 1
