--- a/src/merlinthread/nodes/backend_connections.py
+++ b/src/merlinthread/nodes/backend_connections.py
@@ -36,7 +36,7 @@
         kept = self.kept.take(backend.instance, self.clock(), idle_s)
         if kept is not None:
             return kept
-        return await stream_client.connect_twice(
+        return await stream_client.connect_hedged(
             backend.address, CONNECT_AGAIN_S, CONNECT_TIMEOUT_S, USER_TIMEOUT_S
         )
 
--- a/src/merlinthread/transport/stream_client.py
+++ b/src/merlinthread/transport/stream_client.py
@@ -165,7 +165,7 @@
     return connection
 
 
-async def connect_twice(
+async def connect_hedged(
     address: str, again_after_s: float, timeout_s: float, user_timeout_s: float
 ) -> ClientConnection:
     """Return the first of two connections, the second begun `again_after_s` after the first.
--- a/tests/test_stream_connections.py
+++ b/tests/test_stream_connections.py
@@ -420,7 +420,7 @@
 
     async def scenario():
         async with asyncio.timeout(0.5):
-            return await stream_client.connect_twice("127.0.0.1:1", 0.01, 0.3, 2.0)
+            return await stream_client.connect_hedged("127.0.0.1:1", 0.01, 0.3, 2.0)
 
     if made:
         assert asyncio.run(scenario()) is opening.made[0]
@@ -444,7 +444,7 @@
 
     async def scenario():
         asyncio.get_running_loop().call_later(0.05, gate.set)
-        taken = await stream_client.connect_twice("127.0.0.1:1", 0.01, 0.3, 2.0)
+        taken = await stream_client.connect_hedged("127.0.0.1:1", 0.01, 0.3, 2.0)
         await fleet_nodes.until(lambda: len(closed) == 1)
         assert taken not in closed
 
