--- a/src/merlinthread/nodes/backend_connections.py
+++ b/src/merlinthread/nodes/backend_connections.py
@@ -47,7 +47,7 @@
         headers: http_messages.Headers,
     ) -> None:
         """Keep a connection for the next request."""
-        keep_s = stream_client.kept_for(headers, KEEP_S)
+        keep_s = stream_client.keep_alive_timeout_s(headers, KEEP_S)
         self.kept.give_back(backend.instance, connection, self.clock(), keep_s)
 
     def note_silence(self, instance: str, connection: stream_client.ClientConnection) -> None:
--- a/src/merlinthread/transport/stream_client.py
+++ b/src/merlinthread/transport/stream_client.py
@@ -267,7 +267,9 @@
         except BaseException:
             self.discard(connection)
             raise
-        self.give_back(address, connection, clocks.now(), kept_for(answer.headers, self.keep_s))
+        self.give_back(
+            address, connection, clocks.now(), keep_alive_timeout_s(answer.headers, self.keep_s)
+        )
         return answer
 
     def discard(self, connection: ClientConnection | None) -> None:
@@ -276,7 +278,7 @@
             connection.close()
 
 
-def kept_for(headers: http_messages.Headers, default_s: float) -> float:
+def keep_alive_timeout_s(headers: http_messages.Headers, default_s: float) -> float:
     """Return how long a server keeps an idle connection, with a second to spare."""
     value = http_messages.get_header(headers, b"keep-alive") or b""
     for part in value.split(b","):
