--- a/src/merlinthread/nodes/backend_connections.py
+++ b/src/merlinthread/nodes/backend_connections.py
@@ -33,7 +33,7 @@
         may be closing it just now.
         """
         idle_s = SAFE_IDLE_S_MAX if may_repeat else UNSAFE_IDLE_S_MAX
-        kept = self.kept.take(backend.instance, self.clock(), idle_s)
+        kept = self.kept.acquire(backend.instance, self.clock(), idle_s)
         if kept is not None:
             return kept
         return await stream_client.connect_hedged(
--- a/src/merlinthread/transport/stream_client.py
+++ b/src/merlinthread/transport/stream_client.py
@@ -215,7 +215,7 @@
         self.user_timeout_s = user_timeout_s
         self.idle: dict[str, list[ClientConnection]] = {}
 
-    def take(self, key: str, now: float, idle_s_max: float) -> ClientConnection | None:
+    def acquire(self, key: str, now: float, idle_s_max: float) -> ClientConnection | None:
         """Return an idle connection that was used within `idle_s_max`, or None."""
         kept = self.idle.get(key, [])
         while kept:
@@ -252,7 +252,7 @@
 
         Raises UnreachableError (nothing came in time) or ProtocolError (no whole answer).
         """
-        connection = self.take(address, clocks.now(), self.keep_s)
+        connection = self.acquire(address, clocks.now(), self.keep_s)
         try:
             async with asyncio.timeout(timeout_s):
                 if connection is None:
