--- a/src/merlinthread/nodes/backend_connections.py
+++ b/src/merlinthread/nodes/backend_connections.py
@@ -48,7 +48,7 @@
     ) -> None:
         """Keep a connection for the next request."""
         keep_s = stream_client.keep_alive_timeout_s(headers, KEEP_S)
-        self.kept.give_back(backend.instance, connection, self.clock(), keep_s)
+        self.kept.release(backend.instance, connection, self.clock(), keep_s)
 
     def note_silence(self, instance: str, connection: stream_client.ClientConnection) -> None:
         """Note that nothing came over a connection in time."""
--- a/src/merlinthread/transport/stream_client.py
+++ b/src/merlinthread/transport/stream_client.py
@@ -226,7 +226,7 @@
             connection.close()
         return None
 
-    def give_back(self, key: str, connection: ClientConnection, now: float, keep_s: float) -> None:
+    def release(self, key: str, connection: ClientConnection, now: float, keep_s: float) -> None:
         """Keep a connection whose answer was taken whole, or close it."""
         if connection.finish(now, min(keep_s, self.keep_s)):
             self.idle.setdefault(key, []).append(connection)
@@ -267,7 +267,7 @@
         except BaseException:
             self.discard(connection)
             raise
-        self.give_back(
+        self.release(
             address, connection, clocks.now(), keep_alive_timeout_s(answer.headers, self.keep_s)
         )
         return answer
