--- a/src/merlinthread/nodes/backend_connections.py
+++ b/src/merlinthread/nodes/backend_connections.py
@@ -52,7 +52,7 @@
 
     def note_silence(self, instance: str, connection: stream_client.ClientConnection) -> None:
         """Note that nothing came over a connection in time."""
-        self.kept.note_silence(instance, connection)
+        self.kept.handle_timeout(instance, connection)
 
     def drop(self, instance: str) -> None:
         """Close the connections to a back end that rest."""
--- a/src/merlinthread/transport/stream_client.py
+++ b/src/merlinthread/transport/stream_client.py
@@ -231,7 +231,7 @@
         if connection.finish(now, min(keep_s, self.keep_s)):
             self.idle.setdefault(key, []).append(connection)
 
-    def note_silence(self, key: str, connection: ClientConnection) -> None:
+    def handle_timeout(self, key: str, connection: ClientConnection) -> None:
         """Note that nothing came over a connection in time.
 
         Connections may fall silent for good, all those to a server at the same moment, while new
@@ -261,7 +261,7 @@
                 answer = await connection.receive()
         except TimeoutError:
             if connection is not None:
-                self.note_silence(address, connection)
+                self.handle_timeout(address, connection)
             self.discard(connection)
             raise errors.UnreachableError(f"{address}: no answer within {timeout_s:.2f} s")
         except BaseException:
