--- a/src/merlinthread/nodes/backend_connections.py
+++ b/src/merlinthread/nodes/backend_connections.py
@@ -56,4 +56,4 @@
 
     def drop(self, instance: str) -> None:
         """Close the connections to a back end that rest."""
-        self.kept.drop(instance)
+        self.kept.close_idle(instance)
--- a/src/merlinthread/nodes/engine_client.py
+++ b/src/merlinthread/nodes/engine_client.py
@@ -54,7 +54,7 @@
 
     def leave_origin(self, origin: str) -> None:
         """Close idle connections to the origin: it bears few, and counts those of lost machines."""
-        self.pool.drop(origin)
+        self.pool.close_idle(origin)
 
     async def piece(self, origin: str, manifest: fleet.Manifest, index: int) -> bytes:
         """Return a piece from the origin, checked."""
--- a/src/merlinthread/transport/stream_client.py
+++ b/src/merlinthread/transport/stream_client.py
@@ -238,9 +238,9 @@
         ones work: if this one had been kept, the others that were kept are not trusted either.
         """
         if connection.was_kept:
-            self.drop(key)
+            self.close_idle(key)
 
-    def drop(self, key: str) -> None:
+    def close_idle(self, key: str) -> None:
         """Close the idle connections of one server."""
         for connection in self.idle.pop(key, []):
             connection.close()
