--- a/src/merlinthread/nodes/entry_node.py
+++ b/src/merlinthread/nodes/entry_node.py
@@ -143,7 +143,7 @@
         deadline = self.clock() + self.settings.bounds.grace_s - LEAVE_MARGIN_S
         self.is_leaving = True
         self.is_ready()
-        self.server.begin_leaving()
+        self.server.begin_draining()
         await asyncio.sleep(UNREADY_BEFORE_CLOSE_S)
         self.server.stop_accepting()
         # Also connections whose last answer has not left yet are waited for.
--- a/src/merlinthread/transport/stream_server.py
+++ b/src/merlinthread/transport/stream_server.py
@@ -59,7 +59,7 @@
 
     def start(self, status: int, headers: http_messages.Headers) -> None:
         """Send the head; without a content length the body goes out in chunks."""
-        if self.connection.is_leaving:
+        if self.connection.is_draining:
             headers = [*headers, (b"connection", b"close")]
         self.is_started = True
         self.connection.write(h11.Response(status_code=status, headers=headers))
@@ -91,7 +91,7 @@
         self.handler = handler
         self.limits = limits or http_messages.Limits()
         self.connections: set[ServerConnection] = set()
-        self.is_leaving = False
+        self.is_draining = False
         self.has_stopped = False
         self.listener: asyncio.Server | None = None
         self.buffered_bytes = 0
@@ -103,13 +103,13 @@
             lambda: ServerConnection(self), host, port, backlog=BACKLOG, reuse_address=True
         )
 
-    def begin_leaving(self) -> None:
+    def begin_draining(self) -> None:
         """Ask clients, with every answer from now on, to use another connection."""
-        self.is_leaving = True
+        self.is_draining = True
 
     def stop_accepting(self) -> None:
         """Accept no more connections, close the idle ones, and the others after their answer."""
-        self.begin_leaving()
+        self.begin_draining()
         self.has_stopped = True
         if self.listener is not None:
             self.listener.close()
@@ -142,9 +142,9 @@
         self.unread_bytes = 0
 
     @property
-    def is_leaving(self) -> bool:
+    def is_draining(self) -> bool:
         """Return whether the server asks its clients to leave."""
-        return self.server.is_leaving
+        return self.server.is_draining
 
     def is_between_requests(self) -> bool:
         """Return whether nothing of a request has come that is not answered."""
