--- a/src/merlinthread/nodes/control_node.py
+++ b/src/merlinthread/nodes/control_node.py
@@ -94,7 +94,7 @@
         """Stop to accept calls and wait for those in progress."""
         self.server.stop_accepting()
         for _ in range(20):
-            if not self.server.count_busy():
+            if not self.server.count_active_requests():
                 break
             await asyncio.sleep(0.05)
         await self.member.members.resign()
--- a/src/merlinthread/nodes/entry_node.py
+++ b/src/merlinthread/nodes/entry_node.py
@@ -149,8 +149,8 @@
         # Also connections whose last answer has not left yet are waited for.
         while self.server.connections and self.clock() < deadline:
             await asyncio.sleep(0.05)
-        if self.server.count_busy():
-            logs.warn("cut_off", requests=self.server.count_busy())
+        if self.server.count_active_requests():
+            logs.warn("cut_off", requests=self.server.count_active_requests())
 
 
 @node_roles.NODES.add("entry")
--- a/src/merlinthread/transport/stream_server.py
+++ b/src/merlinthread/transport/stream_server.py
@@ -117,7 +117,7 @@
             if connection.is_between_requests():
                 connection.close()
 
-    def count_busy(self) -> int:
+    def count_active_requests(self) -> int:
         """Return how many requests are in progress."""
         return sum(1 for connection in self.connections if connection.task is not None)
 
--- a/tests/test_stream_connections.py
+++ b/tests/test_stream_connections.py
@@ -201,7 +201,7 @@
 
         server, address = await serve(handler)
         task = asyncio.create_task(call(address))
-        while not server.count_busy():
+        while not server.count_active_requests():
             await asyncio.sleep(0)
         server.stop_accepting()
         release.set()
