--- a/src/merlinthread/nodes/answer_relay.py
+++ b/src/merlinthread/nodes/answer_relay.py
@@ -45,7 +45,7 @@
         headers = without_length(http_messages.end_to_end_headers(head.headers))
         self.first_at = self.clock()
         metrics.first_token_seconds.observe(self.first_at - self.arrived)
-        self.exchange.start(head.status, headers)
+        self.exchange.start_response(head.status, headers)
 
     async def finish(self, head: http_messages.Response) -> None:
         """End a stream that is whole."""
--- a/src/merlinthread/transport/node_bus.py
+++ b/src/merlinthread/transport/node_bus.py
@@ -109,7 +109,7 @@
     ) -> None:
         """Send a long answer in parts, each when the link is through with the one before."""
         loop = asyncio.get_running_loop()
-        exchange.start(200, [*headers, (b"content-length", b"%d" % len(frame))])
+        exchange.start_response(200, [*headers, (b"content-length", b"%d" % len(frame))])
         began = loop.time()
         for offset in range(0, len(frame), PART_BYTES):
             await asyncio.sleep(began + offset / rate - loop.time())
--- a/src/merlinthread/transport/stream_server.py
+++ b/src/merlinthread/transport/stream_server.py
@@ -52,12 +52,12 @@
     async def respond(self, answer: http_messages.Response) -> None:
         """Send a whole answer with its length."""
         headers = [*answer.headers, (b"content-length", b"%d" % len(answer.body))]
-        self.start(answer.status, headers)
+        self.start_response(answer.status, headers)
         if answer.body and self.request.method != b"HEAD":
             self.connection.write(h11.Data(data=answer.body))
         await self.finish()
 
-    def start(self, status: int, headers: http_messages.Headers) -> None:
+    def start_response(self, status: int, headers: http_messages.Headers) -> None:
         """Send the head; without a content length the body goes out in chunks."""
         if self.connection.is_draining:
             headers = [*headers, (b"connection", b"close")]
--- a/stand_ins/fleet_worker.py
+++ b/stand_ins/fleet_worker.py
@@ -176,7 +176,7 @@
         first = int(headers.get("last-event-id", "0")) + 1
         if self.behaviour.ignores_last_event_id:
             first = 1
-        exchange.start(200, [*answer_headers, (b"Content-Type", b"text/event-stream")])
+        exchange.start_response(200, [*answer_headers, (b"Content-Type", b"text/event-stream")])
         for given, number in enumerate(range(first, self.behaviour.events + 1)):
             if given == self.behaviour.cut_after_events:
                 exchange.connection.write_raw(b"10\r\nid: 9")
--- a/tests/test_stream_connections.py
+++ b/tests/test_stream_connections.py
@@ -180,7 +180,7 @@
 def test_a_broken_off_answer_does_not_look_complete():
     async def scenario():
         async def handler(exchange):
-            exchange.start(200, [])
+            exchange.start_response(200, [])
             await exchange.send(b"part")
             exchange.abort()
 
@@ -237,7 +237,7 @@
         release = asyncio.Event()
 
         async def handler(exchange):
-            exchange.start(200, [])
+            exchange.start_response(200, [])
             await exchange.send(b"first")
             await release.wait()
             await exchange.finish()
@@ -331,7 +331,7 @@
         stuck = asyncio.Event()
 
         async def handler(exchange):
-            exchange.start(200, [])
+            exchange.start_response(200, [])
             try:
                 while True:
                     stuck.set()
