--- a/src/merlinthread/transport/stream_client.py
+++ b/src/merlinthread/transport/stream_client.py
@@ -115,7 +115,7 @@
             head.status_code, list(head.headers.raw_items()), b"".join(parts)
         )
 
-    def finish(self, now: float, keep_s: float) -> bool:
+    def prepare_reuse(self, now: float, keep_s: float) -> bool:
         """Make ready for another request; return whether the connection can take one."""
         is_clean = (
             not self.is_lost
@@ -228,7 +228,7 @@
 
     def release(self, key: str, connection: ClientConnection, now: float, keep_s: float) -> None:
         """Keep a connection whose answer was taken whole, or close it."""
-        if connection.finish(now, min(keep_s, self.keep_s)):
+        if connection.prepare_reuse(now, min(keep_s, self.keep_s)):
             self.idle.setdefault(key, []).append(connection)
 
     def handle_timeout(self, key: str, connection: ClientConnection) -> None:
--- a/tests/test_stream_connections.py
+++ b/tests/test_stream_connections.py
@@ -100,7 +100,7 @@
         connection = await stream_client.connect(address, 1.0, 2.0)
         connection.send(get())
         assert (await connection.receive()).body == b"a"
-        assert not connection.finish(0.0, 5.0)
+        assert not connection.prepare_reuse(0.0, 5.0)
 
     asyncio.run(scenario())
 
