--- a/src/merlinthread/roles/service_call.py
+++ b/src/merlinthread/roles/service_call.py
@@ -85,7 +85,7 @@
             return self.to_response(self.try_targets())
         return self.run_once()
 
-    def try_targets(self) -> http_client.Reply:
+    def try_targets(self) -> http_client.Response:
         """Try targets until one answers; one that may not be repeated goes on only if not run."""
         failure: errors.MerlinthreadError | None = None
         for _ in range(self.path.config.attempts_max):
@@ -127,7 +127,7 @@
         assert failure is not None
         raise failure
 
-    def try_at(self, report: agents.AgentReport) -> http_client.Reply:
+    def try_at(self, report: agents.AgentReport) -> http_client.Response:
         """Send the call to one target and return its whole answer."""
         self.path.outstanding.add(report.name, 1)
         try:
@@ -141,11 +141,11 @@
             )
             data = stream.read(self.path.config.answer_bytes_max)
             stream.release()
-            return http_client.Reply(stream.status, stream.headers, data)
+            return http_client.Response(stream.status, stream.headers, data)
         finally:
             self.path.outstanding.add(report.name, -1)
 
-    def to_response(self, reply: http_client.Reply) -> http_server.Response:
+    def to_response(self, reply: http_client.Response) -> http_server.Response:
         """Return the service's answer as ours."""
         kind = reply.headers.get("content-type", "application/json")
         return http_server.Response(
--- a/src/merlinthread/roles/target.py
+++ b/src/merlinthread/roles/target.py
@@ -371,7 +371,7 @@
 
     def call_target(
         self, request: http_server.Request, attempt: attempts.Attempt, deadline: float
-    ) -> http_client.Reply:
+    ) -> http_client.Response:
         """Send a call to the service; not_run only if it was not reached."""
         left = max(0.05, deadline - self.parts.clock())
         headers = {
--- a/src/merlinthread/transport/http_client.py
+++ b/src/merlinthread/transport/http_client.py
@@ -21,7 +21,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Reply:
+class Response:
     """A whole answer."""
 
     status: int
@@ -138,12 +138,12 @@
         headers: dict[str, str] | None = None,
         timeout_s: float = 10.0,
         limit_bytes: int = 64 * 1024 * 1024,
-    ) -> Reply:
+    ) -> Response:
         """Send a request and return the whole answer, whatever its status; see `open`."""
         stream = self.open(method, url, body, headers, timeout_s)
         data = stream.read(limit_bytes)
         stream.release()
-        return Reply(stream.status, stream.headers, data)
+        return Response(stream.status, stream.headers, data)
 
     def request_ok(
         self,
@@ -152,7 +152,7 @@
         body: bytes = b"",
         headers: dict[str, str] | None = None,
         timeout_s: float = 10.0,
-    ) -> Reply:
+    ) -> Response:
         """Like `request`, but raise the error that a refusal's body tells."""
         reply = self.request(method, url, body, headers, timeout_s)
         if reply.status >= 400:
