--- a/src/merlinthread/roles/completion.py
+++ b/src/merlinthread/roles/completion.py
@@ -46,7 +46,7 @@
             )
         self.wanted = routing.Wanted(bundles.GENERATE, self.body.model, self.body.adapter)
         self.target: agents.AgentReport | None = None
-        self.upstream: http_client.Stream | None = None
+        self.upstream: http_client.StreamingResponse | None = None
         self.digest = ""
         self.relayed = 0
         self.tries = 0
--- a/src/merlinthread/roles/forwarding.py
+++ b/src/merlinthread/roles/forwarding.py
@@ -52,7 +52,7 @@
 
     def open_at(
         self, report: agents.AgentReport, request: http_server.Request, attempt: attempts.Attempt
-    ) -> http_client.Stream:
+    ) -> http_client.StreamingResponse:
         """Send the attempt to the chosen agent."""
         attempt.incarnation = report.incarnation
         self.path.outstanding.add(report.name, 1)
@@ -70,7 +70,9 @@
             self.path.outstanding.add(report.name, -1)
             raise
 
-    def relay(self, stream: http_client.Stream, report: agents.AgentReport) -> Iterator[bytes]:
+    def relay(
+        self, stream: http_client.StreamingResponse, report: agents.AgentReport
+    ) -> Iterator[bytes]:
         """Give the answer on as it comes; a broken one ends without its closing event."""
         try:
             yield from stream.pieces()
--- a/src/merlinthread/roles/request_path.py
+++ b/src/merlinthread/roles/request_path.py
@@ -183,7 +183,7 @@
         body: bytes,
         digest: str = "",
         service: str = "",
-    ) -> http_client.Stream:
+    ) -> http_client.StreamingResponse:
         """Send one attempt to a target's agent and return its answer's beginning.
 
         Raises NotSentError and the agent's own refusals.
@@ -206,7 +206,7 @@
         path: str,
         body: bytes,
         attempt: attempts.Attempt,
-    ) -> http_client.Stream:
+    ) -> http_client.StreamingResponse:
         """Send an attempt and return its answer's beginning; see `send`."""
         headers = attempt.headers()
         headers.update(attempts.tag_headers(self.parts.codec, attempt, path, body))
--- a/src/merlinthread/roles/target.py
+++ b/src/merlinthread/roles/target.py
@@ -290,7 +290,7 @@
 
     def open_engine(
         self, body: bytes, attempt: attempts.Attempt, deadline: float
-    ) -> http_client.Stream:
+    ) -> http_client.StreamingResponse:
         """Send a completion to the engine; raise its refusal, or not_run if it was not reached."""
         left = max(0.05, deadline - self.parts.clock())
         headers = {
@@ -318,7 +318,9 @@
             )
         return stream
 
-    def relay(self, stream: http_client.Stream, ticket: fair_queue.Ticket) -> Iterator[bytes]:
+    def relay(
+        self, stream: http_client.StreamingResponse, ticket: fair_queue.Ticket
+    ) -> Iterator[bytes]:
         """Give the engine's events on and charge its tokens."""
         is_whole = False
         try:
--- a/src/merlinthread/transport/http_client.py
+++ b/src/merlinthread/transport/http_client.py
@@ -29,7 +29,7 @@
     body: bytes
 
 
-class Stream:
+class StreamingResponse:
     """An answer whose body is read piece by piece; `close` gives the rest up."""
 
     def __init__(self, response: urllib3.BaseHTTPResponse, url: str) -> None:
@@ -103,7 +103,7 @@
         body: bytes = b"",
         headers: dict[str, str] | None = None,
         timeout_s: float = 10.0,
-    ) -> Stream:
+    ) -> StreamingResponse:
         """Send a request and return once the answer's headers are here.
 
         `timeout_s` bounds each read. Raises NotSentError if the peer was not reached, and
@@ -128,7 +128,7 @@
             raise NotSentError(f"{url}: {error}")
         except (urllib3.exceptions.HTTPError, OSError) as error:
             raise errors.UnreachableError(f"{url}: {error!r}")
-        return Stream(response, url)
+        return StreamingResponse(response, url)
 
     def request(
         self,
