--- a/src/merlinthread/roles/forwarding.py
+++ b/src/merlinthread/roles/forwarding.py
@@ -75,7 +75,7 @@
     ) -> Iterator[bytes]:
         """Give the answer on as it comes; a broken one ends without its closing event."""
         try:
-            yield from stream.pieces()
+            yield from stream.iter_chunks()
             stream.release()
         except errors.UnreachableError as error:
             logs.event("forwarded_broke_off", target=report.name, reason=error.message)
--- a/src/merlinthread/transport/http_client.py
+++ b/src/merlinthread/transport/http_client.py
@@ -38,7 +38,7 @@
         self.status = response.status
         self.headers = {name.lower(): value for name, value in response.headers.items()}
 
-    def pieces(self) -> Iterator[bytes]:
+    def iter_chunks(self) -> Iterator[bytes]:
         """Give the body as it comes; raise UnreachableError if it breaks off."""
         try:
             while piece := self.response.read1(READ_PIECE_BYTES):
@@ -49,7 +49,7 @@
     def lines(self) -> Iterator[bytes]:
         """Give the body line by line without line ends; raise UnreachableError if it ends early."""
         rest = b""
-        for piece in self.pieces():
+        for piece in self.iter_chunks():
             *whole, rest = (rest + piece).split(b"\n")
             yield from whole
         if rest:
@@ -59,7 +59,7 @@
         """Return the rest of the body; raise MerlinthreadError (too_large) over the limit."""
         parts = []
         size = 0
-        for piece in self.pieces():
+        for piece in self.iter_chunks():
             size += len(piece)
             if size > limit_bytes:
                 self.close()
--- a/stand_ins/engine.py
+++ b/stand_ins/engine.py
@@ -283,7 +283,7 @@
         content = blake3.blake3()
         rest = bytearray()
         index = 0
-        for piece in stream.pieces():
+        for piece in stream.iter_chunks():
             content.update(piece)
             rest += piece
             while index < len(layout.chunks) and len(rest) >= layout.chunk_size(index):
--- a/tests/test_http_client.py
+++ b/tests/test_http_client.py
@@ -28,7 +28,7 @@
     url = f"http://127.0.0.1:{listener.getsockname()[1]}/"
     client = http_client.Client()
     stream = client.open("GET", url)
-    assert next(stream.pieces()) == b"first"
+    assert next(stream.iter_chunks()) == b"first"
     gate.set()
     stream.release()
     assert client.request("GET", url).body == b"second"
--- a/tests/test_request_failures.py
+++ b/tests/test_request_failures.py
@@ -104,7 +104,7 @@
     stream = calls.CLIENT.open(
         "POST", f"http://{fleet.entries()[0].http}/v1/completions", body, {"X-Account": "a1"}
     )
-    next(stream.pieces())
+    next(stream.iter_chunks())
     stream.close()
     processes.wait_for(
         "the run to be cancelled",
