--- a/bench/requests.py
+++ b/bench/requests.py
@@ -80,7 +80,7 @@
             outcomes.add(f"refused_{body.get('error', stream.status)}")
             return
         previous = 0.0
-        for event in events.decode(stream.lines()):
+        for event in events.decode(stream.iter_lines()):
             now = time.monotonic()
             if event.kind == events.TOKEN:
                 texts.append(msgspec.json.decode(event.data, type=events.Token).text)
--- a/src/merlinthread/roles/completion.py
+++ b/src/merlinthread/roles/completion.py
@@ -138,7 +138,7 @@
     def relay_once(self) -> Iterator[bytes]:
         """Give one target's events on until the answer is whole; raise if it breaks off."""
         assert self.upstream is not None
-        for event in events.decode(self.upstream.lines()):
+        for event in events.decode(self.upstream.iter_lines()):
             if event.kind == events.TOKEN:
                 token = msgspec.json.decode(event.data, type=events.Token)
                 if token.index != self.relayed:
--- a/src/merlinthread/roles/target.py
+++ b/src/merlinthread/roles/target.py
@@ -324,7 +324,7 @@
         """Give the engine's events on and charge its tokens."""
         is_whole = False
         try:
-            for event in events.decode(stream.lines()):
+            for event in events.decode(stream.iter_lines()):
                 if event.kind == events.TOKEN:
                     self.line.charge(ticket.id, 1)
                 is_whole = event.kind in (events.DONE, events.ERROR)
--- a/src/merlinthread/transport/http_client.py
+++ b/src/merlinthread/transport/http_client.py
@@ -46,7 +46,7 @@
         except (urllib3.exceptions.HTTPError, OSError, ValueError) as error:
             raise errors.UnreachableError(f"{self.url}: the answer broke off: {error!r}")
 
-    def lines(self) -> Iterator[bytes]:
+    def iter_lines(self) -> Iterator[bytes]:
         """Give the body line by line without line ends; raise UnreachableError if it ends early."""
         rest = b""
         for piece in self.iter_chunks():
