--- a/src/merlinthread/roles/agent.py
+++ b/src/merlinthread/roles/agent.py
@@ -54,7 +54,7 @@
             workers=config.upload_slots + 2,
         )
         self.entries = self.choose_entries()
-        self.callers = {address: bus.Callers(parts.codec) for address in self.entries}
+        self.callers = {address: bus.RpcClients(parts.codec) for address in self.entries}
         self.home = self.entries[0]
         self.told: dict[str, tuple[object, ...]] = {}
         self.beats = [self.make_beat(address) for address in self.entries]
--- a/src/merlinthread/roles/entry.py
+++ b/src/merlinthread/roles/entry.py
@@ -180,7 +180,7 @@
         self.parts = parts
         self.config = config
         self.zone = zone
-        self.callers = bus.Callers(parts.codec)
+        self.callers = bus.RpcClients(parts.codec)
         self.position = 0
         self.names: dict[str, str] = {}
         self.leader = ""
@@ -189,7 +189,7 @@
         self.listener = ""
         self.leader_address = ""
         self.told_at = float("-inf")
-        self.tell_callers = bus.Callers(parts.codec)
+        self.tell_callers = bus.RpcClients(parts.codec)
 
     def poll(self) -> None:
         """Ask one control VM; turn to the next if it does not answer or has lost its leader."""
@@ -273,7 +273,7 @@
         name = self.parts.codec.names[type(command)]
         message = messages.Submit(msgspec.msgpack.encode((name, command)))
         if not hasattr(self.local, "callers"):
-            self.local.callers = bus.Callers(self.parts.codec)
+            self.local.callers = bus.RpcClients(self.parts.codec)
         may_have_committed = False
         for address in self.link.addresses():
             left = deadline - self.parts.clock()
@@ -303,7 +303,7 @@
         self.zone = ZoneTask(parts, config)
         self.link = ControlLink(parts, config, self.zone)
         self.responder = bus.Responder(parts.settings.bus, parts.codec, self.zone.handle, workers=4)
-        self.exchange_callers = bus.Callers(parts.codec)
+        self.exchange_callers = bus.RpcClients(parts.codec)
         self.rng = random.Random()
         self.client = http_client.Client()
         self.tasks = [
--- a/src/merlinthread/roles/weights.py
+++ b/src/merlinthread/roles/weights.py
@@ -146,7 +146,7 @@
 
     def work(self) -> None:
         """Carry out one action after another."""
-        callers = bus.Callers(self.parts.codec)
+        callers = bus.RpcClients(self.parts.codec)
         while True:
             with self.lock:
                 if self.stopping:
@@ -185,7 +185,7 @@
         self.idle_until = now + IDLE_WAIT_S
         return None
 
-    def carry_out(self, job: tuple[Download, fetch.Action | None], callers: bus.Callers) -> None:
+    def carry_out(self, job: tuple[Download, fetch.Action | None], callers: bus.RpcClients) -> None:
         """Do one job."""
         download, action = job
         if action is None:
@@ -203,7 +203,7 @@
                 self.idle_until = 0.0
                 self.lock.notify()
 
-    def fetch_manifest(self, download: Download, callers: bus.Callers) -> None:
+    def fetch_manifest(self, download: Download, callers: bus.RpcClients) -> None:
         """Get the manifest from here, a peer or the weight store, and make the plan."""
         manifest = self.manifests.get(download.digest) or self.find_manifest(download, callers)
         if manifest is None:
@@ -232,7 +232,9 @@
             policy=self.config.fetch_policy,
         )
 
-    def find_manifest(self, download: Download, callers: bus.Callers) -> manifests.Manifest | None:
+    def find_manifest(
+        self, download: Download, callers: bus.RpcClients
+    ) -> manifests.Manifest | None:
         """Ask the weight store, then a few peers."""
         stored = self.store.read(download.digest)
         if stored is not None:
@@ -246,7 +248,7 @@
         self.store.add(download.digest, data)
         return manifest
 
-    def read_manifest(self, digest: str, callers: bus.Callers) -> bytes:
+    def read_manifest(self, digest: str, callers: bus.RpcClients) -> bytes:
         """Return the manifest's bytes from a peer, else from the weight store."""
         with self.lock:
             peers = list(self.peers.get(digest, {}).values())
@@ -311,7 +313,7 @@
         if download.trouble:
             logs.warn("origin_changed", manifest=download.digest, index=index)
 
-    def ask_peer(self, download: Download, action: fetch.FromPeer, callers: bus.Callers) -> None:
+    def ask_peer(self, download: Download, action: fetch.FromPeer, callers: bus.RpcClients) -> None:
         """Ask another agent for a chunk."""
         manifest, plan = download.manifest_and_plan(self.manifests)
         count = len(manifest.chunks)
--- a/src/merlinthread/transport/bus.py
+++ b/src/merlinthread/transport/bus.py
@@ -79,7 +79,7 @@
         self.socket.close()
 
 
-class Callers:
+class RpcClients:
     """One `Caller` for each address that a task talks to; owned by one thread."""
 
     def __init__(self, codec: codecs.Codec) -> None:
