--- a/bench/control.py
+++ b/bench/control.py
@@ -164,7 +164,7 @@
     stop_at = time.monotonic() + seconds
 
     def work(number: int) -> None:
-        caller = bus.Caller(leader.bus, mesh)
+        caller = bus.RpcClient(leader.bus, mesh)
         while time.monotonic() < stop_at:
             key = f"bench {number} {counts[number]}"
             claim = commands.Claim(key, "0" * 64, "attempt", time.time())
--- a/src/merlinthread/transport/bus.py
+++ b/src/merlinthread/transport/bus.py
@@ -1,7 +1,7 @@
 """Messages between our own processes over pynng.
 
 A call may reach the receiver twice (the library sends again after a lost connection), so every
-call must be safe to repeat. Receivers of calls name a handler; senders own one `Caller` a peer and
+call must be safe to repeat. Receivers of calls name a handler; senders own one `RpcClient` a peer and
 task. One-way messages (`Mailbox`, `Sender`) may be lost.
 """
 
@@ -32,7 +32,7 @@
     return f"tcp://{address}"
 
 
-class Caller:
+class RpcClient:
     """Calls to one peer; owned by one thread."""
 
     def __init__(self, address: str, codec: codecs.Codec) -> None:
@@ -80,16 +80,16 @@
 
 
 class RpcClients:
-    """One `Caller` for each address that a task talks to; owned by one thread."""
+    """One `RpcClient` for each address that a task talks to; owned by one thread."""
 
     def __init__(self, codec: codecs.Codec) -> None:
         self.codec = codec
-        self.open: dict[str, Caller] = {}
+        self.open: dict[str, RpcClient] = {}
 
     def call(self, address: str, message: Any, timeout_s: float) -> Any:
-        """Call the peer at `address`; see `Caller.call`."""
+        """Call the peer at `address`; see `RpcClient.call`."""
         if address not in self.open:
-            self.open[address] = Caller(address, self.codec)
+            self.open[address] = RpcClient(address, self.codec)
         return self.open[address].call(message, timeout_s)
 
     def keep(self, addresses: set[str]) -> None:
--- a/tests/test_bus.py
+++ b/tests/test_bus.py
@@ -47,7 +47,7 @@
 
 def test_a_caller_whose_connection_stalled_at_its_start_gets_through_later():
     stalling = Stalling()
-    caller = bus.Caller(stalling.address, CODEC)
+    caller = bus.RpcClient(stalling.address, CODEC)
     stalling.hold_one()
     responder = bus.Responder(stalling.address, CODEC, lambda message: message, workers=1)
     responder.start()
@@ -75,7 +75,7 @@
 
     responder = bus.Responder(address, CODEC, handle, workers=2)
     responder.start()
-    caller = bus.Caller(address, CODEC)
+    caller = bus.RpcClient(address, CODEC)
     with futures.ThreadPoolExecutor(2) as pool:
         answer = pool.submit(caller.call, WANTED, 5.0)
         assert begun.wait(5)
