--- a/bench/swarm.py
+++ b/bench/swarm.py
@@ -55,7 +55,7 @@
         self.weights = weights.Weights(parts, checked.agent, store)
         self.giver = CorruptingGiver(self.weights)
         self.giver.corrupt_share = config.get("corrupt_share", 0.0)
-        self.responder = bus.Responder(
+        self.responder = bus.RpcServer(
             checked.bus, parts.codec, self.giver.handle, workers=RESPONDERS
         )
         self.responder.start()
--- a/src/merlinthread/roles/agent.py
+++ b/src/merlinthread/roles/agent.py
@@ -47,7 +47,7 @@
         self.weights = weights.Weights(parts, config, chunks.ChunkStore(folder, config.store_bytes))
         self.giver = chunk_giver.ChunkGiver(self.weights)
         self.target = target.Target(parts, config, self.incarnation)
-        self.responder = bus.Responder(
+        self.responder = bus.RpcServer(
             parts.settings.bus,
             parts.codec,
             self.giver.handle,
--- a/src/merlinthread/roles/control.py
+++ b/src/merlinthread/roles/control.py
@@ -30,7 +30,7 @@
                 field="control.members",
             )
         self.mailbox = bus.Mailbox(me.log_bus, parts.codec, self.task.inbox.put)
-        self.responder = bus.Responder(me.bus, parts.codec, self.handle, workers=8)
+        self.responder = bus.RpcServer(me.bus, parts.codec, self.handle, workers=8)
         self.joining = base.Task("join", JOIN_EVERY_S, self.ask_to_join)
         self.me = me
         operators_api.add(parts.http.routes, self)
--- a/src/merlinthread/roles/entry.py
+++ b/src/merlinthread/roles/entry.py
@@ -302,7 +302,7 @@
         self.config = config
         self.zone = ZoneTask(parts, config)
         self.link = ControlLink(parts, config, self.zone)
-        self.responder = bus.Responder(parts.settings.bus, parts.codec, self.zone.handle, workers=4)
+        self.responder = bus.RpcServer(parts.settings.bus, parts.codec, self.zone.handle, workers=4)
         self.exchange_callers = bus.RpcClients(parts.codec)
         self.rng = random.Random()
         self.client = http_client.Client()
--- a/src/merlinthread/transport/bus.py
+++ b/src/merlinthread/transport/bus.py
@@ -102,7 +102,7 @@
         self.keep(set())
 
 
-class Responder:
+class RpcServer:
     """Answers calls on `address` in `workers` threads with what `handler` returns."""
 
     def __init__(
--- a/tests/test_bus.py
+++ b/tests/test_bus.py
@@ -49,7 +49,7 @@
     stalling = Stalling()
     caller = bus.RpcClient(stalling.address, CODEC)
     stalling.hold_one()
-    responder = bus.Responder(stalling.address, CODEC, lambda message: message, workers=1)
+    responder = bus.RpcServer(stalling.address, CODEC, lambda message: message, workers=1)
     responder.start()
 
     def call() -> bool:
@@ -73,7 +73,7 @@
         may_end.wait(5)
         return message
 
-    responder = bus.Responder(address, CODEC, handle, workers=2)
+    responder = bus.RpcServer(address, CODEC, handle, workers=2)
     responder.start()
     caller = bus.RpcClient(address, CODEC)
     with futures.ThreadPoolExecutor(2) as pool:
