--- a/src/merlinthread/roles/control.py
+++ b/src/merlinthread/roles/control.py
@@ -29,7 +29,7 @@
                 f"control.members: {parts.settings.name!r} (name) is not among them; add it",
                 field="control.members",
             )
-        self.mailbox = bus.Mailbox(me.log_bus, parts.codec, self.task.inbox.put)
+        self.mailbox = bus.Receiver(me.log_bus, parts.codec, self.task.inbox.put)
         self.responder = bus.RpcServer(me.bus, parts.codec, self.handle, workers=8)
         self.joining = base.Task("join", JOIN_EVERY_S, self.ask_to_join)
         self.me = me
--- a/src/merlinthread/transport/bus.py
+++ b/src/merlinthread/transport/bus.py
@@ -2,7 +2,7 @@
 
 A call may reach the receiver twice (the library sends again after a lost connection), so every
 call must be safe to repeat. Receivers of calls name a handler; senders own one `RpcClient` a peer and
-task. One-way messages (`Mailbox`, `Sender`) may be lost.
+task. One-way messages (`Receiver`, `Sender`) may be lost.
 """
 
 import threading
@@ -174,7 +174,7 @@
         self.socket.close()
 
 
-class Mailbox:
+class Receiver:
     """Receives one-way messages on `address` and hands them to `deliver` in a thread of its own."""
 
     def __init__(self, address: str, codec: codecs.Codec, deliver: Callable[[Any], None]) -> None:
--- a/tests/test_bus.py
+++ b/tests/test_bus.py
@@ -32,7 +32,7 @@
     sender = bus.Sender(stalling.address, CODEC)
     stalling.hold_one()
     received: list[object] = []
-    mailbox = bus.Mailbox(stalling.address, CODEC, received.append)
+    mailbox = bus.Receiver(stalling.address, CODEC, received.append)
     mailbox.start()
 
     def send() -> bool:
