--- a/src/merlinthread/nodes/agent_node.py
+++ b/src/merlinthread/nodes/agent_node.py
@@ -32,7 +32,7 @@
     ) -> None:
         self.settings = settings
         self.clock = clock
-        self.caller = node_bus.Caller(codec)
+        self.caller = node_bus.RpcClient(codec)
         self.watcher = news_watcher.NewsWatcher(settings, dialect, self.caller, clock, lambda: None)
         self.engine = engine_client.EngineClient(dialect, settings.engine)
         self.datagrams = node_bus.Datagrams(codec, self.on_datagram)
--- a/src/merlinthread/nodes/control_calls.py
+++ b/src/merlinthread/nodes/control_calls.py
@@ -27,7 +27,7 @@
         dialect: dialects.Dialect,
         member: log_member.LogMember,
         registry: instances.Instances,
-        caller: node_bus.Caller,
+        caller: node_bus.RpcClient,
         submit: Submit,
         take: Callable[[fleet.Heartbeat], None],
     ) -> None:
--- a/src/merlinthread/nodes/control_node.py
+++ b/src/merlinthread/nodes/control_node.py
@@ -47,7 +47,7 @@
     ) -> None:
         self.settings = settings
         self.clock = clock
-        self.caller = node_bus.Caller(codec)
+        self.caller = node_bus.RpcClient(codec)
         self.registry = instances.Instances(settings.heartbeat_s)
         self.named_at: dict[str, float] = {}
         self.feed = secrets.token_hex(8)
--- a/src/merlinthread/nodes/crash_registry.py
+++ b/src/merlinthread/nodes/crash_registry.py
@@ -31,7 +31,7 @@
         self,
         settings: node_settings.NodeSettings,
         clock: Callable[[], float],
-        caller: node_bus.Caller,
+        caller: node_bus.RpcClient,
         member: log_member.LogMember,
         submit: Submit,
         tell: Callable[[], None],
--- a/src/merlinthread/nodes/crash_watch.py
+++ b/src/merlinthread/nodes/crash_watch.py
@@ -56,7 +56,7 @@
         name: str,
         watcher: news_watcher.NewsWatcher,
         ledger: crash_ledger.CrashLedger,
-        caller: node_bus.Caller,
+        caller: node_bus.RpcClient,
         clock: Callable[[], float],
     ) -> None:
         self.name = name
--- a/src/merlinthread/nodes/entry_node.py
+++ b/src/merlinthread/nodes/entry_node.py
@@ -43,7 +43,7 @@
         self.settings = settings
         self.dialect = dialect
         self.clock = clock
-        self.caller = node_bus.Caller(codec)
+        self.caller = node_bus.RpcClient(codec)
         suspects = crash_ledger.CrashLedger()
         signals = backend_signals.BackendSignals()
         self.watcher = news_watcher.NewsWatcher(
--- a/src/merlinthread/nodes/limit_teller.py
+++ b/src/merlinthread/nodes/limit_teller.py
@@ -15,7 +15,7 @@
     """One entry's reports; `name` is the entry's."""
 
     def __init__(
-        self, name: str, watcher: news_watcher.NewsWatcher, caller: node_bus.Caller
+        self, name: str, watcher: news_watcher.NewsWatcher, caller: node_bus.RpcClient
     ) -> None:
         self.name = name
         self.watcher = watcher
--- a/src/merlinthread/nodes/log_member.py
+++ b/src/merlinthread/nodes/log_member.py
@@ -53,7 +53,7 @@
         self,
         settings: node_settings.NodeSettings,
         codec: codecs.Codec,
-        caller: node_bus.Caller,
+        caller: node_bus.RpcClient,
         clock: Callable[[], float],
         on_applied: Callable[[fleet_state.Command, float], None],
         on_restored: Callable[[], None],
--- a/src/merlinthread/nodes/log_sender.py
+++ b/src/merlinthread/nodes/log_sender.py
@@ -25,7 +25,7 @@
     """One queue and one task for each member; the log bears that messages are lost."""
 
     def __init__(
-        self, codec: codecs.Codec, caller: node_bus.Caller, known: levels.MemberLevels
+        self, codec: codecs.Codec, caller: node_bus.RpcClient, known: levels.MemberLevels
     ) -> None:
         self.codec = codec
         self.caller = caller
--- a/src/merlinthread/nodes/manifest_finder.py
+++ b/src/merlinthread/nodes/manifest_finder.py
@@ -49,7 +49,7 @@
         self,
         me: str,
         engine: engine_client.EngineClient,
-        caller: node_bus.Caller,
+        caller: node_bus.RpcClient,
         clock: Callable[[], float],
         rng: random.Random,
     ) -> None:
--- a/src/merlinthread/nodes/member_changes.py
+++ b/src/merlinthread/nodes/member_changes.py
@@ -40,7 +40,7 @@
     def __init__(
         self,
         settings: node_settings.NodeSettings,
-        caller: node_bus.Caller,
+        caller: node_bus.RpcClient,
         clock: Callable[[], float],
         current: Callable[[], raft.Raft],
         wake: Callable[[], None],
--- a/src/merlinthread/nodes/news_watcher.py
+++ b/src/merlinthread/nodes/news_watcher.py
@@ -59,7 +59,7 @@
         self,
         settings: node_settings.NodeSettings,
         dialect: dialects.Dialect,
-        caller: node_bus.Caller,
+        caller: node_bus.RpcClient,
         clock: Callable[[], float],
         on_news: Callable[[], None],
         suspects: crash_ledger.CrashLedger | None = None,
--- a/src/merlinthread/nodes/piece_fetcher.py
+++ b/src/merlinthread/nodes/piece_fetcher.py
@@ -48,7 +48,7 @@
         facts: weights_facts.WeightsFacts,
         engine: engine_client.EngineClient,
         store: piece_store.PieceStore,
-        caller: node_bus.Caller,
+        caller: node_bus.RpcClient,
         clock: Callable[[], float],
         send: Send,
     ) -> None:
--- a/src/merlinthread/nodes/weights_task.py
+++ b/src/merlinthread/nodes/weights_task.py
@@ -40,7 +40,7 @@
         settings: node_settings.NodeSettings,
         watcher: news_watcher.NewsWatcher,
         engine: engine_client.EngineClient,
-        caller: node_bus.Caller,
+        caller: node_bus.RpcClient,
         clock: Callable[[], float],
         rng: random.Random,
         on_change: Callable[[fleet.EngineReport], None],
--- a/src/merlinthread/transport/node_bus.py
+++ b/src/merlinthread/transport/node_bus.py
@@ -27,7 +27,7 @@
 Handler = Callable[[Any], Awaitable[Any]]
 
 
-class Caller:
+class RpcClient:
     """Calls to other nodes over pooled connections."""
 
     def __init__(self, codec: codecs.Codec) -> None:
--- a/tests/fleet_nodes.py
+++ b/tests/fleet_nodes.py
@@ -61,7 +61,7 @@
     return news_watcher.NewsWatcher(
         settings,
         dialect.PlatformDialect(),
-        node_bus.Caller(make_codec()),
+        node_bus.RpcClient(make_codec()),
         clocks.now,
         lambda: None,
     )
--- a/tests/test_control_nodes.py
+++ b/tests/test_control_nodes.py
@@ -272,7 +272,7 @@
 
 def test_messages_that_do_not_belong_to_a_control_vm_are_refused(tmp_path):
     async def scenario(controls):
-        caller = node_bus.Caller(fleet_nodes.make_codec())
+        caller = node_bus.RpcClient(fleet_nodes.make_codec())
         address = f"{controls.ips[0]}:{controls.port}"
         with pytest.raises(errors.MerlinthreadError):
             await caller.call(address, node_messages.Subscribe("x"), 1.0)
@@ -506,7 +506,7 @@
         port = fleet_nodes.free_port()
         await listener.listen("127.0.0.1", port)
         with pytest.raises(errors.MerlinthreadError) as found:
-            await node_bus.Caller(codec).call(f"127.0.0.1:{port}", node_messages.Ok(), 1.0)
+            await node_bus.RpcClient(codec).call(f"127.0.0.1:{port}", node_messages.Ok(), 1.0)
         assert (found.value.kind, found.value.message) == (errors.ErrorKind.INTERNAL, "no")
         listener.server.listener.close()
 
--- a/tests/test_stream_connections.py
+++ b/tests/test_stream_connections.py
@@ -259,7 +259,7 @@
 def test_a_node_that_ends_while_it_answers_is_unreachable_not_a_bad_request():
     async def scenario():
         address = await raw_server(b"")
-        caller = node_bus.Caller(fleet_nodes.make_codec())
+        caller = node_bus.RpcClient(fleet_nodes.make_codec())
         with pytest.raises(errors.MerlinthreadError) as raised:
             await caller.call(address, node_messages.Read(), 2.0)
         assert raised.value.kind is errors.ErrorKind.UNREACHABLE
@@ -376,7 +376,7 @@
 
         monkeypatch.setattr(stream_server.ServerConnection, "write", note)
         request = node_messages.PieceRequest("m", 1, b"\xff")
-        answer = await node_bus.Caller(codec).call(f"127.0.0.1:{port}", request, 5.0)
+        answer = await node_bus.RpcClient(codec).call(f"127.0.0.1:{port}", request, 5.0)
         assert answer == piece
         assert max(size for _, size in sent) <= node_bus.PART_BYTES
         began, total = sent[0][0], 0
