--- a/src/merlinthread/nodes/agent_node.py
+++ b/src/merlinthread/nodes/agent_node.py
@@ -46,7 +46,7 @@
             self.tell,
             self.datagrams.send,
         )
-        self.listener = node_bus.Listener(
+        self.listener = node_bus.RpcServer(
             codec, self.on_message, lambda: self.weights.giver.outgoing.bytes_per_s
         )
         self.ledger = load_ledger.LoadLedger()
--- a/src/merlinthread/nodes/control_node.py
+++ b/src/merlinthread/nodes/control_node.py
@@ -60,7 +60,7 @@
         self.crashes = crash_registry.CrashRegistry(
             settings, clock, self.caller, self.member, self.submit, self.tell
         )
-        self.listener = node_bus.Listener(codec, self.on_message)
+        self.listener = node_bus.RpcServer(codec, self.on_message)
         self.datagrams = node_bus.Datagrams(codec, self.on_datagram)
         self.permits = permit_office.PermitOffice(self.member, clock)
         limits = http_messages.Limits(body_bytes=BODY_BYTES_MAX, idle_timeout_s=60.0)
--- a/src/merlinthread/transport/node_bus.py
+++ b/src/merlinthread/transport/node_bus.py
@@ -67,7 +67,7 @@
         return errors.ErrorKind.INTERNAL
 
 
-class Listener:
+class RpcServer:
     """Answers calls of other nodes with what `handler` returns.
 
     The parts of a long answer leave evenly at the rate that `bulk_bytes_per_s` returns.
--- a/tests/test_control_nodes.py
+++ b/tests/test_control_nodes.py
@@ -502,7 +502,7 @@
         async def refuse(message):
             return node_messages.Failed("of_tomorrow", "no")
 
-        listener = node_bus.Listener(codec, refuse)
+        listener = node_bus.RpcServer(codec, refuse)
         port = fleet_nodes.free_port()
         await listener.listen("127.0.0.1", port)
         with pytest.raises(errors.MerlinthreadError) as found:
