--- a/src/merlinthread/nodes/agent_node.py
+++ b/src/merlinthread/nodes/agent_node.py
@@ -35,7 +35,7 @@
         self.caller = node_bus.RpcClient(codec)
         self.watcher = news_watcher.NewsWatcher(settings, dialect, self.caller, clock, lambda: None)
         self.engine = engine_client.EngineClient(dialect, settings.engine)
-        self.datagrams = node_bus.Datagrams(codec, self.on_datagram)
+        self.datagrams = node_bus.DatagramEndpoint(codec, self.on_datagram)
         self.weights = weights_task.WeightsTask(
             settings,
             self.watcher,
--- a/src/merlinthread/nodes/control_node.py
+++ b/src/merlinthread/nodes/control_node.py
@@ -61,7 +61,7 @@
             settings, clock, self.caller, self.member, self.submit, self.tell
         )
         self.listener = node_bus.RpcServer(codec, self.on_message)
-        self.datagrams = node_bus.Datagrams(codec, self.on_datagram)
+        self.datagrams = node_bus.DatagramEndpoint(codec, self.on_datagram)
         self.permits = permit_office.PermitOffice(self.member, clock)
         limits = http_messages.Limits(body_bytes=BODY_BYTES_MAX, idle_timeout_s=60.0)
         self.calls = control_calls.ControlCalls(
--- a/src/merlinthread/nodes/entry_node.py
+++ b/src/merlinthread/nodes/entry_node.py
@@ -53,7 +53,7 @@
             settings.name, self.watcher, suspects, self.caller, clock
         )
         self.address = f"{settings.ip}:{settings.entry_port}"
-        self.datagrams = node_bus.Datagrams(codec, self.on_datagram)
+        self.datagrams = node_bus.DatagramEndpoint(codec, self.on_datagram)
         self.prober = load_prober.LoadProber(self.address, self.datagrams.send)
         self.permits = permits.Permits(self.address, self.watcher, self.datagrams.send, clock, rng)
         self.teller = limit_teller.LimitTeller(settings.name, self.watcher, self.caller)
--- a/src/merlinthread/transport/node_bus.py
+++ b/src/merlinthread/transport/node_bus.py
@@ -129,7 +129,7 @@
             return node_messages.Failed(str(errors.ErrorKind.INTERNAL), repr(error))
 
 
-class Datagrams(asyncio.DatagramProtocol):
+class DatagramEndpoint(asyncio.DatagramProtocol):
     """Sends and receives single messages that may be lost."""
 
     def __init__(self, codec: codecs.Codec, deliver: Callable[[Any], None]) -> None:
