--- a/bench/transfer.py
+++ b/bench/transfer.py
@@ -26,7 +26,7 @@
 # One way: within a zone, between regions (large site).
 DELAY_S = (0.0005, 0.0005, 0.001)
 # What a TCP connection sends at a time before another one has its turn.
-QUANTUM_BYTES = node_bus.PART_BYTES
+QUANTUM_BYTES = node_bus.SEND_CHUNK_BYTES
 LIMIT_S = 120.0
 # A question for a piece and an answer without one, with the heads of HTTP, TCP and IP.
 ASK_BYTES = 400
--- a/src/merlinthread/transport/node_bus.py
+++ b/src/merlinthread/transport/node_bus.py
@@ -20,7 +20,7 @@
 KEEP_S = 10.0
 # A long answer leaves in parts of this size: what else is sent over the link waits for one part at
 # most (9 ms at 3.65 Mbit/s), not for a whole piece of weights (54 ms for 24 KB).
-PART_BYTES = 4096
+SEND_CHUNK_BYTES = 4096
 CONNECT_TIMEOUT_S = 0.5
 USER_TIMEOUT_S = 1.5
 
@@ -95,7 +95,7 @@
         headers = [(b"content-type", MEDIA_TYPE)]
         frame = self.codec.encode(reply)
         rate = self.bulk_bytes_per_s()
-        if len(frame) <= PART_BYTES or rate == math.inf:
+        if len(frame) <= SEND_CHUNK_BYTES or rate == math.inf:
             await exchange.respond(http_messages.Response(200, headers, frame))
         else:
             await self.send_in_parts(exchange, headers, frame, rate)
@@ -111,9 +111,9 @@
         loop = asyncio.get_running_loop()
         exchange.start_response(200, [*headers, (b"content-length", b"%d" % len(frame))])
         began = loop.time()
-        for offset in range(0, len(frame), PART_BYTES):
+        for offset in range(0, len(frame), SEND_CHUNK_BYTES):
             await asyncio.sleep(began + offset / rate - loop.time())
-            await exchange.send(frame[offset : offset + PART_BYTES])
+            await exchange.send(frame[offset : offset + SEND_CHUNK_BYTES])
         await exchange.finish()
 
     async def answer(self, body: bytes) -> Any:
--- a/tests/test_stream_connections.py
+++ b/tests/test_stream_connections.py
@@ -378,7 +378,7 @@
         request = node_messages.PieceRequest("m", 1, b"\xff")
         answer = await node_bus.RpcClient(codec).call(f"127.0.0.1:{port}", request, 5.0)
         assert answer == piece
-        assert max(size for _, size in sent) <= node_bus.PART_BYTES
+        assert max(size for _, size in sent) <= node_bus.SEND_CHUNK_BYTES
         began, total = sent[0][0], 0
         for at, size in sent:
             assert at - began >= total / 200_000.0 - 0.002, "a part left before its time"
