--- a/src/merlinthread/transport/node_bus.py
+++ b/src/merlinthread/transport/node_bus.py
@@ -70,18 +70,18 @@
 class RpcServer:
     """Answers calls of other nodes with what `handler` returns.
 
-    The parts of a long answer leave evenly at the rate that `bulk_bytes_per_s` returns.
+    The parts of a long answer leave evenly at the rate that `pacing_bytes_per_s` returns.
     """
 
     def __init__(
         self,
         codec: codecs.Codec,
         handler: Handler,
-        bulk_bytes_per_s: Callable[[], float] = lambda: math.inf,
+        pacing_bytes_per_s: Callable[[], float] = lambda: math.inf,
     ) -> None:
         self.codec = codec
         self.handler = handler
-        self.bulk_bytes_per_s = bulk_bytes_per_s
+        self.pacing_bytes_per_s = pacing_bytes_per_s
         limits = http_messages.Limits(body_bytes=MESSAGE_BYTES_MAX, idle_timeout_s=2 * KEEP_S)
         self.server = stream_server.Server(self.serve, limits)
 
@@ -94,7 +94,7 @@
         reply = await self.answer(exchange.request.body)
         headers = [(b"content-type", MEDIA_TYPE)]
         frame = self.codec.encode(reply)
-        rate = self.bulk_bytes_per_s()
+        rate = self.pacing_bytes_per_s()
         if len(frame) <= SEND_CHUNK_BYTES or rate == math.inf:
             await exchange.respond(http_messages.Response(200, headers, frame))
         else:
--- a/tests/test_stream_connections.py
+++ b/tests/test_stream_connections.py
@@ -363,7 +363,7 @@
             return piece
 
         codec = fleet_nodes.make_codec()
-        listener = node_bus.RpcServer(codec, handler, bulk_bytes_per_s=lambda: 200_000.0)
+        listener = node_bus.RpcServer(codec, handler, pacing_bytes_per_s=lambda: 200_000.0)
         await listener.listen("127.0.0.1", 0)
         port = listener.server.listener.sockets[0].getsockname()[1]
         sent = []
