--- a/src/merlinthread/roles/agent.py
+++ b/src/merlinthread/roles/agent.py
@@ -277,7 +277,7 @@
 
     def give_weights(self, request: http_server.Request) -> http_server.Response:
         """Give a whole manifest's bytes to the engine."""
-        pieces = self.giver.read_all(request.rest)
+        pieces = self.giver.read_all(request.subpath)
         return http_server.Response(200, pieces, content_type="application/octet-stream")
 
     # Life
--- a/src/merlinthread/roles/forwarding.py
+++ b/src/merlinthread/roles/forwarding.py
@@ -42,7 +42,7 @@
 
     def choose(self, request: http_server.Request, attempt: attempts.Attempt) -> agents.AgentReport:
         """Choose one of this entry's own targets."""
-        if request.rest == "v1/completions":
+        if request.subpath == "v1/completions":
             body = msgspec.json.decode(request.body, type=completion.CompletionCall)
             wanted = routing.Wanted(bundles.GENERATE, body.model, body.adapter)
         else:
--- a/src/merlinthread/roles/operators_api.py
+++ b/src/merlinthread/roles/operators_api.py
@@ -75,7 +75,7 @@
 
     def show(self, request: http_server.Request) -> http_server.Response:
         """Return one bundle whole."""
-        version = int(request.rest) if request.rest.isdigit() else -1
+        version = int(request.subpath) if request.subpath.isdigit() else -1
         return http_server.json_response(
             self.role.ask(lambda task: show_bundle(task.state, version, self.role))
         )
--- a/src/merlinthread/roles/service_call.py
+++ b/src/merlinthread/roles/service_call.py
@@ -68,7 +68,7 @@
         self.path = path
         self.request = request
         self.call = path.admit(request)
-        name, _, rest = request.rest.partition("/")
+        name, _, rest = request.subpath.partition("/")
         self.service_path = "/" + rest
         service = path.bundle().service(name)
         if service is None:
--- a/src/merlinthread/roles/target.py
+++ b/src/merlinthread/roles/target.py
@@ -238,7 +238,7 @@
         """Answer one attempt of an entry."""
         self.parts.in_flight.enter()
         try:
-            if request.rest == "v1/completions" and self.config.target_kind == bundles.GENERATE:
+            if request.subpath == "v1/completions" and self.config.target_kind == bundles.GENERATE:
                 return self.generate(request)
             return self.call_service(request)
         except BaseException:
@@ -381,7 +381,7 @@
             attempts.ATTEMPT: attempt.id,
             attempts.ACCOUNT: attempt.account,
         }
-        url = f"{self.config.target_url}/{request.rest}"
+        url = f"{self.config.target_url}/{request.subpath}"
         try:
             return self.client.request(request.method, url, request.body, headers, left)
         except http_client.NotSentError as error:
--- a/src/merlinthread/transport/http_server.py
+++ b/src/merlinthread/transport/http_server.py
@@ -17,11 +17,11 @@
 
 @dataclasses.dataclass(slots=True)
 class Request:
-    """A request as handlers see it; header names are lower case, `rest` is the path's last part."""
+    """A request as handlers see it; header names are lower case, `subpath` the path below the route's prefix."""
 
     method: str
     path: str
-    rest: str
+    subpath: str
     query: dict[str, str]
     headers: dict[str, str]
     body: bytes
@@ -83,7 +83,7 @@
         if found is None:
             error = errors.RequestError(f"there is no {request.method} {request.path}")
             return Response(404, msgspec.json.encode(answers.body_of(error)))
-        handler, request.rest = found
+        handler, request.subpath = found
         try:
             return handler(request)
         except errors.MerlinthreadError as error:
--- a/stand_ins/engine.py
+++ b/stand_ins/engine.py
@@ -322,12 +322,12 @@
 
     def kv_export(self, request: http_server.Request) -> http_server.Response:
         """Export the cache of a prefix; it is only good for the same weights."""
-        if request.rest not in {
+        if request.subpath not in {
             blake3.blake3(prefix.encode()).hexdigest()[:16] for prefix in self.cache
         }:
             raise errors.RequestError("no such prefix", kind=errors.ErrorKind.UNKNOWN_MODEL)
         digests = {name: loaded.digest for name, loaded in self.models.items()}
-        return http_server.json_response({"prefix": request.rest, "digests": digests})
+        return http_server.json_response({"prefix": request.subpath, "digests": digests})
 
     def kv_import(self, request: http_server.Request) -> http_server.Response:
         """Import an exported cache, if it comes from the weights that are loaded."""
--- a/stand_ins/origin.py
+++ b/stand_ins/origin.py
@@ -31,7 +31,7 @@
         """Give a range of an object."""
         if self.is_refusing:
             raise errors.MerlinthreadError("not now", kind=errors.ErrorKind.OVERLOADED)
-        path = self.path_of("objects", request.rest)
+        path = self.path_of("objects", request.subpath)
         size = path.stat().st_size
         first, last = range_of(request.headers.get("range", ""), size)
         with open(path, "rb") as file:
@@ -43,14 +43,14 @@
                 data = damage(data, self.corrupt_next)
         return http_server.Response(
             206,
-            self.pieces(request.rest, data),
+            self.pieces(request.subpath, data),
             {"Content-Range": f"bytes {first}-{last}/{size}", "Content-Length": str(len(data))},
             "application/octet-stream",
         )
 
     def give_manifest(self, request: http_server.Request) -> http_server.Response:
         """Give a manifest."""
-        return http_server.Response(200, self.path_of("manifests", request.rest).read_bytes())
+        return http_server.Response(200, self.path_of("manifests", request.subpath).read_bytes())
 
     def path_of(self, kind: str, name: str) -> pathlib.Path:
         """Return the file of an object or manifest."""
--- a/stand_ins/service.py
+++ b/stand_ins/service.py
@@ -28,7 +28,7 @@
         return http_server.json_response(
             {
                 "ticket": number,
-                "path": request.rest,
+                "path": request.subpath,
                 "account": request.headers.get(attempts.ACCOUNT, ""),
                 "echo": request.body.decode("utf-8", "replace"),
             }
