--- a/bench/swarm.py
+++ b/bench/swarm.py
@@ -47,7 +47,7 @@
             checked,
             messages.make_codec([]),
             http_server.Server("127.0.0.1", 1, 2),
-            http_server.InFlight(),
+            http_server.InFlightRequests(),
         )
         assert checked.agent is not None
         folder = pathlib.Path(config["folder"]) if config.get("folder") else None
--- a/src/merlinthread/daemon.py
+++ b/src/merlinthread/daemon.py
@@ -26,7 +26,9 @@
         server = http_server.Server(
             config.http.address, config.http.port, config.http.threads, config.http.body_bytes_max
         )
-        self.parts = base.Parts(config, messages.make_codec(keys), server, http_server.InFlight())
+        self.parts = base.Parts(
+            config, messages.make_codec(keys), server, http_server.InFlightRequests()
+        )
         http_server.add_health(server.routes, self.not_ready_because)
         self.roles = [base.ROLES.get(name)(self.parts) for name in config.roles]
         self.stop_asked = threading.Event()
--- a/src/merlinthread/roles/base.py
+++ b/src/merlinthread/roles/base.py
@@ -19,7 +19,7 @@
     settings: settings.Settings
     codec: codec.Codec
     http: http_server.Server
-    in_flight: http_server.InFlight
+    in_flight: http_server.InFlightRequests
     clock: Clock = time.monotonic
     wall_clock: Clock = time.time
 
--- a/src/merlinthread/transport/http_server.py
+++ b/src/merlinthread/transport/http_server.py
@@ -188,7 +188,7 @@
         cherrypy.engine.exit()
 
 
-class InFlight:
+class InFlightRequests:
     """Counts requests in progress, so that a planned stop can wait for them."""
 
     def __init__(self) -> None:
