--- a/src/merlinthread/daemon.py
+++ b/src/merlinthread/daemon.py
@@ -79,7 +79,7 @@
     def leave(self) -> None:
         """Take no new work, let others learn of it, wait for what is in progress, then stop."""
         logs.event("leaving", in_flight=self.parts.in_flight.count)
-        self.parts.in_flight.is_leaving = True
+        self.parts.in_flight.is_draining = True
         for role in self.roles:
             role.begin_leaving()
         if set(self.config.roles) != {"control"}:
--- a/src/merlinthread/roles/agent.py
+++ b/src/merlinthread/roles/agent.py
@@ -125,7 +125,7 @@
 
     def is_leaving(self) -> bool:
         """Return whether the target takes no new work."""
-        return self.parts.in_flight.is_leaving or self.target.is_leaving or self.is_replaced
+        return self.parts.in_flight.is_draining or self.target.is_leaving or self.is_replaced
 
     def beat(self, address: str) -> None:
         """Report to one entry and take over what it says."""
--- a/src/merlinthread/roles/entry.py
+++ b/src/merlinthread/roles/entry.py
@@ -115,7 +115,7 @@
             own.region,
             f"http://{own.http.address}:{own.http.port}",
         )
-        if not self.parts.in_flight.is_leaving:
+        if not self.parts.in_flight.is_draining:
             live = [report for report in known.live if report.name not in known.leaving]
             summaries.fill(summary, live)
         return [summary, *known.others]
@@ -359,7 +359,7 @@
 
     def not_ready_because(self) -> str:
         """Return why callers can't be served, or nothing."""
-        if self.parts.in_flight.is_leaving:
+        if self.parts.in_flight.is_draining:
             return "leaving"
         if self.zone.known.directive.bundle is None:
             return "no bundle in force is known yet"
--- a/src/merlinthread/transport/http_server.py
+++ b/src/merlinthread/transport/http_server.py
@@ -194,7 +194,7 @@
     def __init__(self) -> None:
         self.condition = threading.Condition()
         self.count = 0
-        self.is_leaving = False
+        self.is_draining = False
         self.is_closed = False
 
     def enter(self) -> None:
@@ -218,7 +218,7 @@
     def drain(self, timeout_s: float) -> bool:
         """Take no more requests and wait for those in progress; return whether all finished."""
         with self.condition:
-            self.is_leaving = True
+            self.is_draining = True
             self.is_closed = True
             return self.condition.wait_for(lambda: self.count == 0, timeout_s)
 
