--- a/src/merlinthread/daemon.py
+++ b/src/merlinthread/daemon.py
@@ -29,7 +29,7 @@
         self.parts = base.Parts(
             config, messages.make_codec(keys), server, http_server.InFlightRequests()
         )
-        http_server.add_health(server.routes, self.not_ready_because)
+        http_server.add_health_routes(server.routes, self.not_ready_because)
         self.roles = [base.ROLES.get(name)(self.parts) for name in config.roles]
         self.stop_asked = threading.Event()
         self.reload_asked = threading.Event()
--- a/src/merlinthread/transport/http_server.py
+++ b/src/merlinthread/transport/http_server.py
@@ -223,7 +223,7 @@
             return self.condition.wait_for(lambda: self.count == 0, timeout_s)
 
 
-def add_health(routes: Routes, is_ready: Callable[[], str]) -> None:
+def add_health_routes(routes: Routes, is_ready: Callable[[], str]) -> None:
     """Add `/metrics`, `/healthz` and `/readyz`; `is_ready` returns why not, or nothing."""
 
     def ready(request: Request) -> Response:
