--- a/src/merlinthread/transport/__init__.py
+++ b/src/merlinthread/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets: pynng between our own processes, cherrypy and urllib3 towards everybody else."""
+"""Network transports: pynng sockets, CherryPy and urllib3 HTTP, and HTTP/1.1 over asyncio."""
--- a/src/merlinthread/transport/bus.py
+++ b/src/merlinthread/transport/bus.py
@@ -1,8 +1,8 @@
-"""Messages between our own processes over pynng.
+"""Messaging between the processes of a deployment over pynng.
 
-A call may reach the receiver twice (the library sends again after a lost connection), so every
-call must be safe to repeat. Receivers of calls name a handler; senders own one `RpcClient` a peer and
-task. One-way messages (`Receiver`, `Sender`) may be lost.
+`RpcClient` and `RpcServer` exchange requests and replies. pynng resends a request after a lost
+connection, so every request must be idempotent. `Sender` and `Receiver` transfer one-way messages,
+which may be lost.
 """
 
 import threading
@@ -16,15 +16,14 @@
 from merlinthread.protocol import codec as codecs
 from merlinthread.protocol import messages
 
-RECEIVE_BYTES_MAX = 64 * 1024 * 1024
+MESSAGE_BYTES_MAX = 64 * 1024 * 1024
 RECONNECT_MIN_MS = 50
 RECONNECT_MAX_MS = 500
-SENDER_QUEUE = 64
-REOPEN_AFTER_S = 1.0
-# How long a responder's thread waits for a call before it looks whether it is to end.
-STOP_NOTICED_MS = 250
-SENT = metrics.bus_bytes_total.labels("sent")
-RECEIVED = metrics.bus_bytes_total.labels("received")
+SEND_QUEUE_MESSAGES = 64
+RECONNECT_AFTER_S = 1.0
+STOP_POLL_MS = 250
+BYTES_SENT = metrics.bus_bytes_total.labels("sent")
+BYTES_RECEIVED = metrics.bus_bytes_total.labels("received")
 
 
 def address_url(address: str) -> str:
@@ -33,17 +32,17 @@
 
 
 class RpcClient:
-    """Calls to one peer; owned by one thread."""
+    """A client for calls to one peer; not thread-safe."""
 
     def __init__(self, address: str, codec: codecs.Codec) -> None:
         self.address = address
         self.codec = codec
-        self.socket = self.open()
+        self.socket = self.open_socket()
 
-    def open(self) -> pynng.Req0:
-        """Return a socket that connects in the background."""
+    def open_socket(self) -> pynng.Req0:
+        """Return a new socket that connects in the background."""
         socket = pynng.Req0(
-            recv_max_size=RECEIVE_BYTES_MAX,
+            recv_max_size=MESSAGE_BYTES_MAX,
             reconnect_time_min=RECONNECT_MIN_MS,
             reconnect_time_max=RECONNECT_MAX_MS,
         )
@@ -51,9 +50,10 @@
         return socket
 
     def call(self, message: Any, timeout_s: float) -> Any:
-        """Return the peer's answer.
+        """Send a message and return the reply.
 
-        Raises UnreachableError if none came in time, and what the peer refused with otherwise.
+        `timeout_s` limits the send and the receive separately. Raises UnreachableError if either
+        fails, and MerlinthreadError of the kind given by the peer if it refuses the call.
         """
         milliseconds = max(1, int(timeout_s * 1000))
         self.socket.send_timeout = milliseconds
@@ -61,18 +61,18 @@
         try:
             frame = self.codec.encode(message)
             self.socket.send(frame)
-            SENT.inc(len(frame))
+            BYTES_SENT.inc(len(frame))
             frame = self.socket.recv()
-            RECEIVED.inc(len(frame))
-            answer = self.codec.decode(frame)
+            BYTES_RECEIVED.inc(len(frame))
+            reply = self.codec.decode(frame)
         except pynng.exceptions.NNGException as error:
-            # A connection that stalled while it was set up would never come: begin anew.
+            # pynng does not retry a connection that stalls while it is established.
             self.socket.close()
-            self.socket = self.open()
+            self.socket = self.open_socket()
             raise errors.UnreachableError(f"{self.address}: {error}")
-        if isinstance(answer, messages.Refused):
-            raise errors.MerlinthreadError(answer.message, kind=errors.ErrorKind(answer.kind))
-        return answer
+        if isinstance(reply, messages.Refused):
+            raise errors.MerlinthreadError(reply.message, kind=errors.ErrorKind(reply.kind))
+        return reply
 
     def close(self) -> None:
         """Close the socket."""
@@ -80,30 +80,33 @@
 
 
 class RpcClients:
-    """One `RpcClient` for each address that a task talks to; owned by one thread."""
+    """A cache of one `RpcClient` per address; not thread-safe."""
 
     def __init__(self, codec: codecs.Codec) -> None:
         self.codec = codec
-        self.open: dict[str, RpcClient] = {}
+        self.clients: dict[str, RpcClient] = {}
 
     def call(self, address: str, message: Any, timeout_s: float) -> Any:
         """Call the peer at `address`; see `RpcClient.call`."""
-        if address not in self.open:
-            self.open[address] = RpcClient(address, self.codec)
-        return self.open[address].call(message, timeout_s)
+        if address not in self.clients:
+            self.clients[address] = RpcClient(address, self.codec)
+        return self.clients[address].call(message, timeout_s)
 
-    def keep(self, addresses: set[str]) -> None:
-        """Close the sockets to all other addresses."""
-        for address in set(self.open) - addresses:
-            self.open.pop(address).close()
+    def retain(self, addresses: set[str]) -> None:
+        """Close the sockets to all addresses that are not in `addresses`."""
+        for address in set(self.clients) - addresses:
+            self.clients.pop(address).close()
 
     def close(self) -> None:
         """Close all sockets."""
-        self.keep(set())
+        self.retain(set())
 
 
 class RpcServer:
-    """Answers calls on `address` in `workers` threads with what `handler` returns."""
+    """A server that replies to calls on `address` with the results of `handler`.
+
+    `handler` runs in `workers` threads.
+    """
 
     def __init__(
         self,
@@ -115,7 +118,7 @@
         self.codec = codec
         self.handler = handler
         self.stopping = threading.Event()
-        self.socket = pynng.Rep0(recv_max_size=RECEIVE_BYTES_MAX, recv_timeout=STOP_NOTICED_MS)
+        self.socket = pynng.Rep0(recv_max_size=MESSAGE_BYTES_MAX, recv_timeout=STOP_POLL_MS)
         self.socket.listen(address_url(address))
         self.threads = [
             threading.Thread(target=self.serve, name=f"responder-{number}", daemon=True)
@@ -123,12 +126,12 @@
         ]
 
     def start(self) -> None:
-        """Start answering."""
+        """Start the worker threads."""
         for thread in self.threads:
             thread.start()
 
     def serve(self) -> None:
-        """Answer one call after another until the responder stops."""
+        """Handle calls until the server stops."""
         try:
             with self.socket.new_context() as context:
                 while not self.stopping.is_set():
@@ -137,13 +140,13 @@
             return
 
     def serve_one(self, context: pynng.Context) -> None:
-        """Answer one call, if one comes soon; raise Closed once the socket is closed."""
+        """Handle one call, or return after `STOP_POLL_MS`; raise Closed if the socket is closed."""
         try:
             frame = context.recv()
-            RECEIVED.inc(len(frame))
-            frame = self.answer(frame)
+            BYTES_RECEIVED.inc(len(frame))
+            frame = self.handle(frame)
             context.send(frame)
-            SENT.inc(len(frame))
+            BYTES_SENT.inc(len(frame))
         except pynng.exceptions.Closed:
             raise
         except pynng.exceptions.Timeout:
@@ -151,21 +154,24 @@
         except pynng.exceptions.NNGException as error:
             logs.detail("bus_answer_failed", error=str(error))
 
-    def answer(self, frame: bytes) -> bytes:
-        """Return the encoded answer; an error becomes a refusal."""
+    def handle(self, frame: bytes) -> bytes:
+        """Decode a call, run the handler and return the encoded reply.
+
+        An exception of the handler is returned as `Refused`.
+        """
         try:
-            answer = self.handler(self.codec.decode(frame))
+            reply = self.handler(self.codec.decode(frame))
         except errors.MerlinthreadError as error:
-            answer = messages.Refused(str(error.kind), error.message)
+            reply = messages.Refused(str(error.kind), error.message)
         except Exception as error:
             logs.failure("bus_handler_failed")
-            answer = messages.Refused(str(errors.ErrorKind.INTERNAL), repr(error))
-        return self.codec.encode(answer)
+            reply = messages.Refused(str(errors.ErrorKind.INTERNAL), repr(error))
+        return self.codec.encode(reply)
 
     def stop(self) -> None:
-        """Let the threads end, then close the socket.
+        """Wait for the worker threads to finish, then close the socket.
 
-        The library aborts the process if the socket is closed under a thread that sends.
+        pynng aborts the process if the socket is closed while a thread is sending.
         """
         self.stopping.set()
         for thread in self.threads:
@@ -175,25 +181,25 @@
 
 
 class Receiver:
-    """Receives one-way messages on `address` and hands them to `deliver` in a thread of its own."""
+    """Receives one-way messages on `address` and passes them to `deliver` in a separate thread."""
 
     def __init__(self, address: str, codec: codecs.Codec, deliver: Callable[[Any], None]) -> None:
         self.codec = codec
         self.deliver = deliver
-        self.socket = pynng.Pull0(recv_max_size=RECEIVE_BYTES_MAX)
+        self.socket = pynng.Pull0(recv_max_size=MESSAGE_BYTES_MAX)
         self.socket.listen(address_url(address))
         self.thread = threading.Thread(target=self.receive, name="mailbox", daemon=True)
 
     def start(self) -> None:
-        """Start receiving."""
+        """Start the receiving thread."""
         self.thread.start()
 
     def receive(self) -> None:
-        """Deliver one message after another until the socket is closed."""
+        """Pass on messages until the socket is closed; drop those that can't be decoded."""
         while True:
             try:
                 frame = self.socket.recv()
-                RECEIVED.inc(len(frame))
+                BYTES_RECEIVED.inc(len(frame))
                 self.deliver(self.codec.decode(frame))
             except pynng.exceptions.Closed:
                 return
@@ -203,17 +209,17 @@
                 logs.warn("message_refused", reason=error.message)
 
     def stop(self) -> None:
-        """Close the socket and wait for the thread."""
+        """Close the socket and wait for the receiving thread to end."""
         self.socket.close()
         if self.thread.ident is not None:
             self.thread.join()
 
 
 class Sender:
-    """Sends one-way messages to one peer; a message that finds no room is dropped.
+    """Sends one-way messages to one peer; drops a message if the send queue is full.
 
-    The library waits 10 s for a connection that stalls while it is set up. A sender that has had
-    none for `REOPEN_AFTER_S` begins anew.
+    pynng waits 10 s for a connection that stalls while it is established. The socket is reopened
+    earlier, if there has been no connection for `RECONNECT_AFTER_S`.
     """
 
     def __init__(self, address: str, codec: codecs.Codec) -> None:
@@ -221,36 +227,36 @@
         self.address = address
         self.dropped = 0
         self.reopened = 0
-        self.connected_at = time.monotonic()
-        self.socket = self.open()
+        self.last_connected_at = time.monotonic()
+        self.socket = self.open_socket()
 
-    def open(self) -> pynng.Push0:
-        """Return a socket that connects in the background."""
+    def open_socket(self) -> pynng.Push0:
+        """Return a new socket that connects in the background."""
         socket = pynng.Push0(
-            send_buffer_size=SENDER_QUEUE,
+            send_buffer_size=SEND_QUEUE_MESSAGES,
             reconnect_time_min=RECONNECT_MIN_MS,
             reconnect_time_max=RECONNECT_MAX_MS,
         )
         socket.dial(address_url(self.address), block=False)
         return socket
 
-    def revive(self, now: float) -> None:
-        """Begin anew if there has been no connection for long."""
+    def reconnect_if_stalled(self, now: float) -> None:
+        """Reopen the socket if it has had no connection for `RECONNECT_AFTER_S`."""
         if self.socket.pipes:
-            self.connected_at = now
-        elif now - self.connected_at > REOPEN_AFTER_S:
+            self.last_connected_at = now
+        elif now - self.last_connected_at > RECONNECT_AFTER_S:
             self.socket.close()
-            self.socket = self.open()
-            self.connected_at = now
+            self.socket = self.open_socket()
+            self.last_connected_at = now
             self.reopened += 1
 
     def send(self, message: Any) -> bool:
-        """Send without waiting; return whether there was room."""
-        self.revive(time.monotonic())
+        """Queue a message without blocking; return False if the send queue is full."""
+        self.reconnect_if_stalled(time.monotonic())
         try:
             frame = self.codec.encode(message)
             self.socket.send(frame, block=False)
-            SENT.inc(len(frame))
+            BYTES_SENT.inc(len(frame))
         except pynng.exceptions.NNGException:
             self.dropped += 1
             return False
--- a/src/merlinthread/transport/http_client.py
+++ b/src/merlinthread/transport/http_client.py
@@ -1,4 +1,4 @@
-"""HTTP calls with urllib3, with a clear word on whether a failed call may have run."""
+"""An HTTP client on urllib3 that tells whether a failed request may have been processed."""
 
 import dataclasses
 from collections.abc import Iterator
@@ -9,20 +9,20 @@
 from merlinthread.protocol import answers
 
 CONNECT_TIMEOUT_S = 1.0
-READ_PIECE_BYTES = 65536
+READ_CHUNK_BYTES = 65536
 
 
 class NotSentError(errors.UnreachableError):
-    """The peer was not reached at all, so the call surely did not run."""
+    """No connection could be established, so the request was not processed."""
 
 
 class ClosedByCallerError(errors.MerlinthreadError):
-    """The answer was given up by the side that asked for it."""
+    """The caller closed the response before its end."""
 
 
 @dataclasses.dataclass(slots=True)
 class Response:
-    """A whole answer."""
+    """A complete response; header names are lower case."""
 
     status: int
     headers: dict[str, str]
@@ -30,7 +30,10 @@
 
 
 class StreamingResponse:
-    """An answer whose body is read piece by piece; `close` gives the rest up."""
+    """A response whose body is read incrementally; header names are lower case.
+
+    Call `release` once the body is read, or `close` to abandon the rest.
+    """
 
     def __init__(self, response: urllib3.BaseHTTPResponse, url: str) -> None:
         self.response = response
@@ -39,46 +42,50 @@
         self.headers = {name.lower(): value for name, value in response.headers.items()}
 
     def iter_chunks(self) -> Iterator[bytes]:
-        """Give the body as it comes; raise UnreachableError if it breaks off."""
+        """Yield chunks of the body as they arrive; raise UnreachableError if it ends early."""
         try:
-            while piece := self.response.read1(READ_PIECE_BYTES):
-                yield piece
+            while chunk := self.response.read1(READ_CHUNK_BYTES):
+                yield chunk
         except (urllib3.exceptions.HTTPError, OSError, ValueError) as error:
-            raise errors.UnreachableError(f"{self.url}: the answer broke off: {error!r}")
+            raise errors.UnreachableError(f"{self.url}: response body ended early: {error!r}")
 
     def iter_lines(self) -> Iterator[bytes]:
-        """Give the body line by line without line ends; raise UnreachableError if it ends early."""
-        rest = b""
-        for piece in self.iter_chunks():
-            *whole, rest = (rest + piece).split(b"\n")
-            yield from whole
-        if rest:
-            yield rest
+        """Yield lines of the body without line endings; raise UnreachableError if it ends early."""
+        buffer = b""
+        for chunk in self.iter_chunks():
+            *lines, buffer = (buffer + chunk).split(b"\n")
+            yield from lines
+        if buffer:
+            yield buffer
 
     def read(self, limit_bytes: int) -> bytes:
-        """Return the rest of the body; raise MerlinthreadError (too_large) over the limit."""
-        parts = []
+        """Return the rest of the body.
+
+        Raises MerlinthreadError (too_large) if it is longer than `limit_bytes`, and
+        UnreachableError if it ends early.
+        """
+        chunks = []
         size = 0
-        for piece in self.iter_chunks():
-            size += len(piece)
+        for chunk in self.iter_chunks():
+            size += len(chunk)
             if size > limit_bytes:
                 self.close()
                 raise errors.MerlinthreadError(
-                    f"{self.url}: the answer is over {limit_bytes} bytes",
+                    f"{self.url}: response body exceeds {limit_bytes} bytes",
                     kind=errors.ErrorKind.TOO_LARGE,
                 )
-            parts.append(piece)
-        return b"".join(parts)
+            chunks.append(chunk)
+        return b"".join(chunks)
 
     def close(self) -> None:
-        """Close the connection, so that the peer notices."""
+        """Close the connection without reading the rest of the body."""
         self.response.close()
 
     def release(self) -> None:
-        """Give the connection back for the next call, once what matters of the body is read.
+        """Drain the body and return the connection to the pool.
 
-        What is left (the closing chunk at least) is read first: it would be taken for the beginning
-        of the next answer.
+        Bytes left unread, such as the last chunk, would be parsed as the start of the next response
+        on that connection.
         """
         try:
             self.response.drain_conn()
@@ -89,7 +96,7 @@
 
 
 class Client:
-    """A pool of connections; safe to use from several threads."""
+    """An HTTP client with a connection pool; thread-safe."""
 
     def __init__(self, connections: int = 16) -> None:
         self.pool = urllib3.PoolManager(
@@ -104,10 +111,11 @@
         headers: dict[str, str] | None = None,
         timeout_s: float = 10.0,
     ) -> StreamingResponse:
-        """Send a request and return once the answer's headers are here.
+        """Send a request and return its response as soon as the headers are received.
 
-        `timeout_s` bounds each read. Raises NotSentError if the peer was not reached, and
-        UnreachableError if it was but no answer came.
+        `timeout_s` applies to the connect and to each read. Raises NotSentError if no connection
+        could be established, and UnreachableError if the request may have been sent but no response
+        was received.
         """
         timeout = urllib3.Timeout(connect=min(CONNECT_TIMEOUT_S, timeout_s), read=timeout_s)
         try:
@@ -139,7 +147,10 @@
         timeout_s: float = 10.0,
         limit_bytes: int = 64 * 1024 * 1024,
     ) -> Response:
-        """Send a request and return the whole answer, whatever its status; see `open`."""
+        """Send a request and return the complete response, whatever its status.
+
+        Raises as `open` and `StreamingResponse.read` do.
+        """
         stream = self.open(method, url, body, headers, timeout_s)
         data = stream.read(limit_bytes)
         stream.release()
@@ -153,8 +164,8 @@
         headers: dict[str, str] | None = None,
         timeout_s: float = 10.0,
     ) -> Response:
-        """Like `request`, but raise the error that a refusal's body tells."""
-        reply = self.request(method, url, body, headers, timeout_s)
-        if reply.status >= 400:
-            raise answers.error_from(reply.body, reply.status)
-        return reply
+        """Like `request`, but raise the error described by a response of status 400 or above."""
+        response = self.request(method, url, body, headers, timeout_s)
+        if response.status >= 400:
+            raise answers.error_from(response.body, response.status)
+        return response
--- a/src/merlinthread/transport/http_messages.py
+++ b/src/merlinthread/transport/http_messages.py
@@ -1,4 +1,4 @@
-"""HTTP requests and answers as values, and what their headers say of connections."""
+"""HTTP requests and responses as data classes, and helpers for their headers."""
 
 import dataclasses
 
@@ -6,7 +6,7 @@
 
 HEADER_BYTES_DEFAULT = 16 * 1024
 BODY_BYTES_DEFAULT = 4 * 1024 * 1024
-CONNECTION_HEADERS = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     {
         b"connection",
         b"keep-alive",
@@ -24,7 +24,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Limits:
-    """What a client may send and how long it may take; bytes and seconds."""
+    """Size limits, in bytes, and timeouts, in seconds, that a server enforces on its clients."""
 
     header_bytes: int = HEADER_BYTES_DEFAULT
     body_bytes: int = BODY_BYTES_DEFAULT
@@ -34,7 +34,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Request:
-    """A whole request; `target` is the path with its query as it was sent."""
+    """A complete request; `target` is the request target as sent: path and query string."""
 
     method: bytes
     target: bytes
@@ -44,7 +44,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Response:
-    """A whole answer."""
+    """A complete response."""
 
     status: int
     headers: Headers
@@ -52,7 +52,7 @@
 
 
 def get_header(headers: Headers, name: bytes) -> bytes | None:
-    """Return the first value of `name` (lower case), or None."""
+    """Return the first value of the header `name`, or None; `name` must be lower case."""
     for key, value in headers:
         if key.lower() == name:
             return value
@@ -60,7 +60,9 @@
 
 
 def end_to_end_headers(headers: Headers) -> Headers:
-    """Return the headers that concern more than one connection (RFC 9110, section 7.6.1)."""
-    named = get_header(headers, b"connection") or b""
-    dropped = CONNECTION_HEADERS | {part.strip().lower() for part in named.split(b",")}
-    return [(key, value) for key, value in headers if key.lower() not in dropped]
+    """Return `headers` without the hop-by-hop ones (RFC 9110, section 7.6.1)."""
+    connection_options = get_header(headers, b"connection") or b""
+    hop_by_hop = HOP_BY_HOP_HEADERS | {
+        option.strip().lower() for option in connection_options.split(b",")
+    }
+    return [(key, value) for key, value in headers if key.lower() not in hop_by_hop]
--- a/src/merlinthread/transport/http_server.py
+++ b/src/merlinthread/transport/http_server.py
@@ -1,4 +1,4 @@
-"""The HTTP listener: cherrypy in front of a table of typed handlers."""
+"""An HTTP server on CherryPy that dispatches requests to handlers by method and path."""
 
 import dataclasses
 import threading
@@ -12,12 +12,15 @@
 from merlinthread.protocol import answers
 
 DEFAULT_BODY_BYTES_MAX = 8 * 1024 * 1024
-STOP_GRACE_S = 2
+SHUTDOWN_TIMEOUT_S = 2
 
 
 @dataclasses.dataclass(slots=True)
 class Request:
-    """A request as handlers see it; header names are lower case, `subpath` the path below the route's prefix."""
+    """A request passed to a handler.
+
+    Header names are lower case; `subpath` is the part of the path below the route's prefix.
+    """
 
     method: str
     path: str
@@ -29,7 +32,10 @@
 
 @dataclasses.dataclass(slots=True)
 class Response:
-    """An answer; an iterator as body is sent piece by piece and closed if the caller leaves."""
+    """A response of a handler.
+
+    An iterator as `body` is streamed, and closed if the client disconnects.
+    """
 
     status: int = 200
     body: bytes | Iterator[bytes] = b""
@@ -41,12 +47,12 @@
 
 
 def json_response(data: Any, status: int = 200) -> Response:
-    """Return `data` as a JSON answer."""
+    """Return a response with `data` encoded as JSON."""
     return Response(status, msgspec.json.encode(data))
 
 
 def error_response(error: errors.MerlinthreadError, detail: str = "") -> Response:
-    """Return the answer that tells `error`."""
+    """Return the response for `error`, with `detail` in its body."""
     body = answers.body_of(error)
     body.detail = detail
     status = answers.TABLE[error.kind].status
@@ -54,36 +60,39 @@
 
 
 class Routes:
-    """Handlers by method and path; a path that ends in "/" takes all paths below it too."""
+    """A routing table from method and path to handler.
+
+    A path that ends in "/" also matches all paths below it.
+    """
 
     def __init__(self) -> None:
         self.exact: dict[tuple[str, str], Handler] = {}
-        self.below: dict[tuple[str, str], Handler] = {}
+        self.prefixes: dict[tuple[str, str], Handler] = {}
 
     def add(self, method: str, path: str, handler: Handler) -> None:
-        """File `handler`; raise ValueError if the place is taken."""
-        table = self.below if path.endswith("/") else self.exact
+        """Register `handler`; raise ValueError if the route already has one."""
+        table = self.prefixes if path.endswith("/") else self.exact
         if (method, path) in table:
-            raise ValueError(f"{method} {path} has a handler already")
+            raise ValueError(f"{method} {path} already has a handler")
         table[(method, path)] = handler
 
     def find(self, method: str, path: str) -> tuple[Handler, str] | None:
-        """Return the handler and the rest of the path below it."""
+        """Return the matching handler and the path below its prefix, or None."""
         handler = self.exact.get((method, path))
         if handler:
             return handler, ""
-        for (wanted, prefix), below in self.below.items():
-            if wanted == method and path.startswith(prefix):
-                return below, path[len(prefix) :]
+        for (route_method, prefix), prefix_handler in self.prefixes.items():
+            if route_method == method and path.startswith(prefix):
+                return prefix_handler, path[len(prefix) :]
         return None
 
     def handle(self, request: Request) -> Response:
-        """Return the answer to `request`; errors become refusals."""
-        found = self.find(request.method, request.path)
-        if found is None:
-            error = errors.RequestError(f"there is no {request.method} {request.path}")
+        """Call the matching handler; turn its exceptions into error responses."""
+        match = self.find(request.method, request.path)
+        if match is None:
+            error = errors.RequestError(f"no route for {request.method} {request.path}")
             return Response(404, msgspec.json.encode(answers.body_of(error)))
-        handler, request.subpath = found
+        handler, request.subpath = match
         try:
             return handler(request)
         except errors.MerlinthreadError as error:
@@ -95,7 +104,7 @@
 
 
 class Application:
-    """The object that cherrypy calls."""
+    """The CherryPy application; passes all requests to `routes`."""
 
     def __init__(self, routes: Routes, body_bytes_max: int) -> None:
         self.routes = routes
@@ -103,7 +112,7 @@
 
     @cherrypy.expose
     def default(self, *path: str, **query: str) -> Any:
-        """Answer every path."""
+        """Handle requests to all paths."""
         response = self.respond(cherrypy.request, query)
         cherrypy.response.status = response.status
         cherrypy.response.headers["Content-Type"] = response.content_type
@@ -115,13 +124,13 @@
     index = default
 
     def respond(self, raw: Any, query: dict[str, str]) -> Response:
-        """Read the request within the bound and hand it on."""
+        """Read the request and dispatch it; reject a body over `body_bytes_max`."""
         length = int(raw.headers.get("Content-Length") or 0)
         if length > self.body_bytes_max:
             raw.close_connection = True
             return error_response(
                 errors.RequestError(
-                    f"the body has {length} bytes, over {self.body_bytes_max}; send less",
+                    f"request body has {length} bytes, over {self.body_bytes_max}; send less",
                     kind=errors.ErrorKind.TOO_LARGE,
                 )
             )
@@ -133,7 +142,7 @@
 
 
 class Server:
-    """One HTTP listener a process (cherrypy's engine is global)."""
+    """An HTTP server; at most one per process, as CherryPy's engine is global."""
 
     def __init__(
         self,
@@ -149,14 +158,14 @@
         self.body_bytes_max = body_bytes_max
 
     def start(self) -> None:
-        """Start listening; raise SettingsError if the address can't be had."""
+        """Start listening; raise SettingsError if the address can't be bound."""
         cherrypy.config.update(
             {
                 "server.socket_host": self.address,
                 "server.socket_port": self.port,
                 "server.thread_pool": self.threads,
                 "server.socket_queue_size": 256,
-                "server.shutdown_timeout": STOP_GRACE_S,
+                "server.shutdown_timeout": SHUTDOWN_TIMEOUT_S,
                 "server.max_request_body_size": self.body_bytes_max,
                 "engine.autoreload.on": False,
                 "checker.on": False,
@@ -165,7 +174,7 @@
                 "log.error_file": "",
             }
         )
-        # The daemon logs its own lines; cherrypy's would double them.
+        # The daemon logs requests and errors itself.
         cherrypy.log.access_log.disabled = True
         cherrypy.log.error_log.disabled = True
         cherrypy.tree.mount(
@@ -179,17 +188,17 @@
             cherrypy.engine.exit()
             raise errors.SettingsError(
                 f"http: can't listen on {self.address}:{self.port}: {error}; "
-                "choose another port or stop what holds it",
+                "choose another port or stop the process that uses it",
                 field="http.port",
             )
 
     def stop(self) -> None:
-        """Stop listening."""
+        """Stop the server."""
         cherrypy.engine.exit()
 
 
 class InFlightRequests:
-    """Counts requests in progress, so that a planned stop can wait for them."""
+    """A count of the requests in progress, which a graceful shutdown waits for."""
 
     def __init__(self) -> None:
         self.condition = threading.Condition()
@@ -198,36 +207,42 @@
         self.is_closed = False
 
     def enter(self) -> None:
-        """Count one request; raise RequestError (leaving) once draining began."""
+        """Add one request; raise RequestError (leaving) once draining has begun."""
         with self.condition:
             if self.is_closed:
                 raise errors.RequestError(
-                    "this VM is stopping and did not run the request; ask another entry",
+                    "this VM is shutting down and did not run the request; try another entry",
                     kind=errors.ErrorKind.LEAVING,
                 )
             self.count += 1
             metrics.in_flight.set(self.count)
 
     def leave(self) -> None:
-        """Count one request less."""
+        """Remove one request."""
         with self.condition:
             self.count -= 1
             metrics.in_flight.set(self.count)
             self.condition.notify_all()
 
     def drain(self, timeout_s: float) -> bool:
-        """Take no more requests and wait for those in progress; return whether all finished."""
+        """Reject new requests and wait for those in progress.
+
+        Return whether all of them ended within `timeout_s`.
+        """
         with self.condition:
             self.is_draining = True
             self.is_closed = True
             return self.condition.wait_for(lambda: self.count == 0, timeout_s)
 
 
-def add_health_routes(routes: Routes, is_ready: Callable[[], str]) -> None:
-    """Add `/metrics`, `/healthz` and `/readyz`; `is_ready` returns why not, or nothing."""
+def add_health_routes(routes: Routes, not_ready_reason: Callable[[], str]) -> None:
+    """Add `/metrics`, `/healthz` and `/readyz`.
+
+    `not_ready_reason` returns why the process is not ready, or an empty string if it is.
+    """
 
     def ready(request: Request) -> Response:
-        reason = is_ready()
+        reason = not_ready_reason()
         return json_response({"ready": not reason, "reason": reason}, 503 if reason else 200)
 
     routes.add(
--- a/src/merlinthread/transport/node_bus.py
+++ b/src/merlinthread/transport/node_bus.py
@@ -1,7 +1,7 @@
-"""Calls between nodes: one message and its answer by HTTP POST, encoded by the product's codec.
+"""Messaging between nodes: calls over HTTP POST and one-way messages over UDP.
 
-A call may reach the receiver twice when its answer was lost, so every message must be safe to
-repeat. Calls to a node that is cut off without a reset end by their own time limit.
+Messages are encoded by the codec. A caller may repeat a call whose reply was lost, so every message
+must be idempotent. A call to a node that is partitioned off without a reset ends with its timeout.
 """
 
 import asyncio
@@ -17,27 +17,29 @@
 PATH = b"/node"
 MEDIA_TYPE = b"application/msgpack"
 MESSAGE_BYTES_MAX = 16 * 1024 * 1024
-KEEP_S = 10.0
-# A long answer leaves in parts of this size: what else is sent over the link waits for one part at
-# most (9 ms at 3.65 Mbit/s), not for a whole piece of weights (54 ms for 24 KB).
+KEEP_ALIVE_S = 10.0
+# Long replies are sent in chunks, so that other traffic on the link waits for one chunk at most.
 SEND_CHUNK_BYTES = 4096
 CONNECT_TIMEOUT_S = 0.5
-USER_TIMEOUT_S = 1.5
+TCP_USER_TIMEOUT_S = 1.5
 
 Handler = Callable[[Any], Awaitable[Any]]
 
 
 class RpcClient:
-    """Calls to other nodes over pooled connections."""
+    """A client for calls to other nodes over pooled connections."""
 
     def __init__(self, codec: codecs.Codec) -> None:
         self.codec = codec
-        self.pool = stream_client.ConnectionPool(KEEP_S, CONNECT_TIMEOUT_S, USER_TIMEOUT_S)
+        self.pool = stream_client.ConnectionPool(
+            KEEP_ALIVE_S, CONNECT_TIMEOUT_S, TCP_USER_TIMEOUT_S
+        )
 
     async def call(self, address: str, message: Any, timeout_s: float) -> Any:
-        """Return the answer of the node at `address`.
+        """Send a message to the node at `address` ("IP:port") and return its reply.
 
-        Raises UnreachableError, and what the node refused the call with.
+        Raises UnreachableError if there is no valid reply within `timeout_s`, and MerlinthreadError
+        of the kind given by the node if it refuses the call.
         """
         body = self.codec.encode(message)
         headers = [
@@ -47,20 +49,20 @@
         ]
         request = http_messages.Request(b"POST", PATH, headers, body)
         try:
-            answer = await self.pool.call(address, request, timeout_s)
+            response = await self.pool.call(address, request, timeout_s)
         except errors.ProtocolError as error:
-            # A node that ends while it answers; nothing is wrong with what was asked.
+            # The node was terminated while it replied; the request itself is valid.
             raise errors.UnreachableError(f"{address}: {error.message}")
-        if answer.status != 200:
-            raise errors.UnreachableError(f"{address}: HTTP status {answer.status}")
-        reply = self.codec.decode(answer.body)
+        if response.status != 200:
+            raise errors.UnreachableError(f"{address}: HTTP status {response.status}")
+        reply = self.codec.decode(response.body)
         if isinstance(reply, node_messages.Failed):
-            raise errors.MerlinthreadError(reply.message, kind=kind_of(reply.kind))
+            raise errors.MerlinthreadError(reply.message, kind=parse_error_kind(reply.kind))
         return reply
 
 
-def kind_of(name: str) -> errors.ErrorKind:
-    """Return the kind of error of that name, or that of no known cause: newer builds have more."""
+def parse_error_kind(name: str) -> errors.ErrorKind:
+    """Return the error kind `name`, or INTERNAL for one that only newer versions know."""
     try:
         return errors.ErrorKind(name)
     except ValueError:
@@ -68,9 +70,9 @@
 
 
 class RpcServer:
-    """Answers calls of other nodes with what `handler` returns.
+    """A server that replies to calls of other nodes with the results of `handler`.
 
-    The parts of a long answer leave evenly at the rate that `pacing_bytes_per_s` returns.
+    `pacing_bytes_per_s` returns the rate at which long replies are sent; infinity disables pacing.
     """
 
     def __init__(
@@ -82,42 +84,45 @@
         self.codec = codec
         self.handler = handler
         self.pacing_bytes_per_s = pacing_bytes_per_s
-        limits = http_messages.Limits(body_bytes=MESSAGE_BYTES_MAX, idle_timeout_s=2 * KEEP_S)
+        limits = http_messages.Limits(body_bytes=MESSAGE_BYTES_MAX, idle_timeout_s=2 * KEEP_ALIVE_S)
         self.server = stream_server.Server(self.serve, limits)
 
     async def listen(self, host: str, port: int) -> None:
-        """Start to answer."""
+        """Start listening on `host`:`port`."""
         await self.server.listen(host, port)
 
     async def serve(self, exchange: stream_server.Exchange) -> None:
-        """Answer one call."""
-        reply = await self.answer(exchange.request.body)
+        """Handle one call."""
+        reply = await self.handle(exchange.request.body)
         headers = [(b"content-type", MEDIA_TYPE)]
         frame = self.codec.encode(reply)
         rate = self.pacing_bytes_per_s()
         if len(frame) <= SEND_CHUNK_BYTES or rate == math.inf:
             await exchange.respond(http_messages.Response(200, headers, frame))
         else:
-            await self.send_in_parts(exchange, headers, frame, rate)
+            await self.send_paced(exchange, headers, frame, rate)
 
-    async def send_in_parts(
+    async def send_paced(
         self,
         exchange: stream_server.Exchange,
         headers: http_messages.Headers,
         frame: bytes,
         rate: float,
     ) -> None:
-        """Send a long answer in parts, each when the link is through with the one before."""
+        """Send a response in chunks at `rate`, in bytes per second."""
         loop = asyncio.get_running_loop()
         exchange.start_response(200, [*headers, (b"content-length", b"%d" % len(frame))])
-        began = loop.time()
+        started_at = loop.time()
         for offset in range(0, len(frame), SEND_CHUNK_BYTES):
-            await asyncio.sleep(began + offset / rate - loop.time())
+            await asyncio.sleep(started_at + offset / rate - loop.time())
             await exchange.send(frame[offset : offset + SEND_CHUNK_BYTES])
         await exchange.finish()
 
-    async def answer(self, body: bytes) -> Any:
-        """Return the answer; an error becomes a refusal."""
+    async def handle(self, body: bytes) -> Any:
+        """Decode a call, run the handler and return the reply.
+
+        An exception of the handler is returned as `Failed`.
+        """
         try:
             return await self.handler(self.codec.decode(body))
         except errors.MerlinthreadError as error:
@@ -130,7 +135,7 @@
 
 
 class DatagramEndpoint(asyncio.DatagramProtocol):
-    """Sends and receives single messages that may be lost."""
+    """Sends and receives one-way messages over UDP; they may be lost."""
 
     def __init__(self, codec: codecs.Codec, deliver: Callable[[Any], None]) -> None:
         self.codec = codec
@@ -138,16 +143,16 @@
         self.transport: asyncio.DatagramTransport | None = None
 
     async def listen(self, host: str, port: int) -> None:
-        """Start to receive."""
+        """Bind to `host`:`port` and start receiving."""
         loop = asyncio.get_running_loop()
         await loop.create_datagram_endpoint(lambda: self, local_addr=(host, port))
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Note the transport."""
+        """Store the transport."""
         self.transport = transport  # type: ignore[assignment]
 
     def datagram_received(self, data: bytes, address: object) -> None:
-        """Deliver one message; what does not decode is dropped."""
+        """Pass a message to `deliver`; drop it if it can't be decoded."""
         try:
             message = self.codec.decode(data)
         except errors.ProtocolError as error:
@@ -156,7 +161,7 @@
         self.deliver(message)
 
     def send(self, address: str, message: Any) -> None:
-        """Send one message to "IP:port"."""
+        """Send one message to `address` ("IP:port"); do nothing before `listen`."""
         host, _, port = address.rpartition(":")
         if self.transport is not None:
             self.transport.sendto(self.codec.encode(message), (host, int(port)))
--- a/src/merlinthread/transport/sockets.py
+++ b/src/merlinthread/transport/sockets.py
@@ -1,16 +1,19 @@
-"""Socket options that every connection on an event loop gets."""
+"""Socket options of connections on an event loop."""
 
 import asyncio
 import contextlib
 import socket
 import struct
 
-# `struct linger`: on, and no time for what was not sent yet.
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)
+# `struct linger` with l_onoff=1, l_linger=0: close() sends RST and discards unsent data.
+LINGER_ZERO = struct.pack("ii", 1, 0)
 
 
 def set_socket_options(transport: asyncio.BaseTransport, user_timeout_s: float) -> None:
-    """Send small writes at once, and end a connection whose peer acknowledges nothing."""
+    """Disable Nagle's algorithm and set `TCP_USER_TIMEOUT` to `user_timeout_s` seconds.
+
+    The kernel closes the connection if sent data stays unacknowledged for that long.
+    """
     sock = transport.get_extra_info("socket")
     if sock is None:
         return
@@ -21,12 +24,12 @@
 
 
 def reset_on_close(transport: asyncio.BaseTransport) -> None:
-    """Let the connection be reset when it is closed; what the peer has not got yet is dropped.
+    """Make the connection send a reset when it is closed, and discard unsent data.
 
-    Without it the kernel goes on to deliver what was written, seconds later on a bad path.
+    By default, the kernel keeps retransmitting buffered data after the close.
     """
     sock = transport.get_extra_info("socket")
     if sock is None:
         return
     with contextlib.suppress(OSError):
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_ZERO)
