--- a/src/merlinthread/transport/stream_client.py
+++ b/src/merlinthread/transport/stream_client.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 client connections on one event loop, around the `h11` library, and a pool of them."""
+"""HTTP/1.1 client connections and a connection pool for asyncio, based on `h11`."""
 
 import asyncio
 import collections
@@ -10,7 +10,7 @@
 
 
 class ClientConnection(asyncio.Protocol):
-    """A connection to one server; it carries one request at a time."""
+    """A connection to a server; handles one request at a time."""
 
     def __init__(self) -> None:
         self.parser = h11.Connection(h11.CLIENT)
@@ -18,50 +18,50 @@
         self.waiter: asyncio.Future | None = None
         self.is_lost = False
         self.error: Exception | None = None
-        self.is_ended = False
+        self.has_eof = False
         self.idle_since = 0.0
-        self.keep_until = 0.0
-        self.has_stray_bytes = False
+        self.expires_at = 0.0
+        self.has_unexpected_data = False
         self.is_idle = True
-        self.was_kept = False
-        self.pending: collections.deque[bytes] = collections.deque()
+        self.is_reused = False
+        self.received: collections.deque[bytes] = collections.deque()
 
-    # Events of the transport
+    # asyncio.Protocol callbacks
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Note the transport."""
+        """Store the transport."""
         self.transport = transport  # type: ignore[assignment]
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes in; bytes that nobody asked for spoil the connection."""
+        """Buffer received data; close the connection if no request is in progress."""
         if self.is_idle:
-            self.has_stray_bytes = True
+            self.has_unexpected_data = True
             self.close()
             return
-        self.pending.append(data)
-        self.wake()
+        self.received.append(data)
+        self.wake_reader()
 
     def eof_received(self) -> bool:
-        """Note that the server has ended its side."""
-        self.is_ended = True
-        self.wake()
+        """Record that the server has closed its sending side."""
+        self.has_eof = True
+        self.wake_reader()
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Note that the connection is gone."""
+        """Record that the connection is closed, and the error that caused it."""
         self.is_lost = True
         self.error = error
-        self.wake()
+        self.wake_reader()
 
-    def wake(self) -> None:
-        """Let a reader look again."""
+    def wake_reader(self) -> None:
+        """Wake up the task that waits in `feed_parser`."""
         if self.waiter is not None and not self.waiter.done():
             self.waiter.set_result(None)
 
-    # Use
+    # Requests and responses
 
     def send(self, request: http_messages.Request) -> None:
-        """Send a whole request."""
+        """Send a request."""
         self.is_idle = False
         head = h11.Request(method=request.method, target=request.target, headers=request.headers)
         data = self.parser.send(head)
@@ -72,76 +72,82 @@
             self.transport.write(data)
 
     async def next_event(self) -> h11.Event:
-        """Return the next event of the answer.
+        """Return the next event of the response.
 
-        Raises UnreachableError if the connection was lost first, and ProtocolError if what came is
-        no answer or ended early.
+        Raises UnreachableError if the connection is lost first, and ProtocolError if the response
+        is malformed or incomplete.
         """
         while True:
             try:
                 event = self.parser.next_event()
             except h11.RemoteProtocolError as error:
-                raise errors.ProtocolError(f"no whole answer: {error}")
+                raise errors.ProtocolError(f"malformed or incomplete response: {error}")
             if event is h11.PAUSED:
-                raise errors.ProtocolError("the answer is over")
+                raise errors.ProtocolError("read past the end of the response")
             if event is not h11.NEED_DATA:
                 return event  # type: ignore[return-value]
-            await self.read()
+            await self.feed_parser()
 
-    async def read(self) -> None:
-        """Feed the parser; wait if there is nothing to feed."""
-        if self.pending:
-            self.parser.receive_data(self.pending.popleft())
+    async def feed_parser(self) -> None:
+        """Pass the next received data to the parser, waiting for some if there is none."""
+        if self.received:
+            self.parser.receive_data(self.received.popleft())
             return
-        if self.is_lost and (self.error is not None or not self.is_ended):
-            raise errors.UnreachableError(f"the connection was lost: {self.error}")
-        if self.is_ended:
+        if self.is_lost and (self.error is not None or not self.has_eof):
+            raise errors.UnreachableError(f"connection lost: {self.error}")
+        if self.has_eof:
             self.parser.receive_data(b"")
             return
         self.waiter = asyncio.get_running_loop().create_future()
         await self.waiter
 
     async def receive(self) -> http_messages.Response:
-        """Return the whole answer; raises as `next_event` does."""
+        """Return the complete response; raises as `next_event` does."""
         head = await self.next_event()
         while isinstance(head, h11.InformationalResponse):
             head = await self.next_event()
         if not isinstance(head, h11.Response):
-            raise errors.ProtocolError(f"{type(head).__name__} came before an answer's head")
-        parts = []
+            raise errors.ProtocolError(f"expected a response head, got {type(head).__name__}")
+        chunks = []
         while isinstance(event := await self.next_event(), h11.Data):
-            parts.append(bytes(event.data))
+            chunks.append(bytes(event.data))
         return http_messages.Response(
-            head.status_code, list(head.headers.raw_items()), b"".join(parts)
+            head.status_code, list(head.headers.raw_items()), b"".join(chunks)
         )
 
-    def prepare_reuse(self, now: float, keep_s: float) -> bool:
-        """Make ready for another request; return whether the connection can take one."""
-        is_clean = (
+    def prepare_reuse(self, now: float, keep_alive_s: float) -> bool:
+        """Prepare the connection for another request after a complete response.
+
+        Return False, and close the connection, if it can't be reused.
+        """
+        is_reusable = (
             not self.is_lost
-            and not self.is_ended
-            and not self.pending
+            and not self.has_eof
+            and not self.received
             and not self.parser.trailing_data[0]
             and self.parser.our_state is h11.DONE
             and self.parser.their_state is h11.DONE
         )
-        if not is_clean:
+        if not is_reusable:
             self.close()
             return False
         self.parser.start_next_cycle()
         self.is_idle = True
         self.idle_since = now
-        self.keep_until = now + keep_s
+        self.expires_at = now + keep_alive_s
         return True
 
     def is_usable(self, now: float) -> bool:
-        """Return whether an idle connection may take another request."""
-        return not (self.is_lost or self.is_ended or self.has_stray_bytes) and now < self.keep_until
+        """Return whether an idle connection can be used for another request."""
+        return (
+            not (self.is_lost or self.has_eof or self.has_unexpected_data) and now < self.expires_at
+        )
 
     def close(self) -> None:
-        """Close at once; the server drops what it still does for it.
+        """Close the connection without waiting.
 
-        A request that has not arrived yet never does, unless the connection is idle.
+        If a request is in progress, the connection is reset, which discards request data that is
+        still buffered.
         """
         if self.transport is None:
             return
@@ -151,7 +157,11 @@
 
 
 async def connect(address: str, timeout_s: float, user_timeout_s: float) -> ClientConnection:
-    """Return a new connection to "IP:port"; raise UnreachableError."""
+    """Return a new connection to `address` ("IP:port").
+
+    Raises RefusedError if the server refuses the connection, and UnreachableError for other errors
+    and after `timeout_s`.
+    """
     host, _, port = address.rpartition(":")
     loop = asyncio.get_running_loop()
     try:
@@ -166,111 +176,123 @@
 
 
 async def connect_hedged(
-    address: str, again_after_s: float, timeout_s: float, user_timeout_s: float
+    address: str, hedge_delay_s: float, timeout_s: float, user_timeout_s: float
 ) -> ClientConnection:
-    """Return the first of two connections, the second begun `again_after_s` after the first.
+    """Return a new connection, starting a second attempt `hedge_delay_s` after the first.
 
-    The kernel repeats a lost opening packet only after a second. Raises UnreachableError.
+    The kernel retransmits a lost SYN only after a second. Returns the first connection that is
+    established; raises UnreachableError if all attempts fail.
     """
     loop = asyncio.get_running_loop()
     tasks = [loop.create_task(connect(address, timeout_s, user_timeout_s))]
-    taken: ClientConnection | None = None
+    chosen: ClientConnection | None = None
     try:
-        await asyncio.wait(tasks, timeout=again_after_s)
+        await asyncio.wait(tasks, timeout=hedge_delay_s)
         if not tasks[0].done():
-            rest_s = timeout_s - again_after_s
-            tasks.append(loop.create_task(connect(address, rest_s, user_timeout_s)))
-        taken = await first_connected(tasks)
-        return taken
+            remaining_s = timeout_s - hedge_delay_s
+            tasks.append(loop.create_task(connect(address, remaining_s, user_timeout_s)))
+        chosen = await first_connected(tasks)
+        return chosen
     finally:
         for task in tasks:
-            abandon(task, taken)
+            cancel_or_close(task, chosen)
 
 
 async def first_connected(tasks: list[asyncio.Task[ClientConnection]]) -> ClientConnection:
-    """Return the first connection that a task makes; raise UnreachableError if none does."""
-    reason = errors.UnreachableError("no connection was tried")
+    """Return the connection of the first task to succeed; raise UnreachableError if all fail."""
+    last_error = errors.UnreachableError("no connection attempt was made")
     for task in asyncio.as_completed(tasks):
         try:
             return await task
         except errors.UnreachableError as error:
-            reason = error
-    raise reason
+            last_error = error
+    raise last_error
 
 
-def abandon(task: asyncio.Task[ClientConnection], taken: ClientConnection | None) -> None:
-    """End what a task does or has made, unless its connection was taken."""
+def cancel_or_close(task: asyncio.Task[ClientConnection], chosen: ClientConnection | None) -> None:
+    """Cancel a connection attempt, or close its connection unless it is `chosen`."""
     if not task.done():
         task.cancel()
-    elif not task.cancelled() and task.exception() is None and task.result() is not taken:
+    elif not task.cancelled() and task.exception() is None and task.result() is not chosen:
         task.result().close()
 
 
 class ConnectionPool:
-    """Idle connections to servers, by address."""
+    """A pool of idle connections, by server.
 
-    def __init__(self, keep_s: float, connect_timeout_s: float, user_timeout_s: float) -> None:
-        self.keep_s = keep_s
+    A connection that has been idle for `keep_alive_s` is not used again.
+    """
+
+    def __init__(
+        self, keep_alive_s: float, connect_timeout_s: float, user_timeout_s: float
+    ) -> None:
+        self.keep_alive_s = keep_alive_s
         self.connect_timeout_s = connect_timeout_s
         self.user_timeout_s = user_timeout_s
         self.idle: dict[str, list[ClientConnection]] = {}
 
-    def acquire(self, key: str, now: float, idle_s_max: float) -> ClientConnection | None:
-        """Return an idle connection that was used within `idle_s_max`, or None."""
-        kept = self.idle.get(key, [])
-        while kept:
-            connection = kept.pop()
-            if connection.is_usable(now) and now - connection.idle_since <= idle_s_max:
-                connection.was_kept = True
+    def acquire(self, key: str, now: float, max_idle_s: float) -> ClientConnection | None:
+        """Return a connection that has been idle for at most `max_idle_s`, or None."""
+        idle_connections = self.idle.get(key, [])
+        while idle_connections:
+            connection = idle_connections.pop()
+            if connection.is_usable(now) and now - connection.idle_since <= max_idle_s:
+                connection.is_reused = True
                 return connection
             connection.close()
         return None
 
-    def release(self, key: str, connection: ClientConnection, now: float, keep_s: float) -> None:
-        """Keep a connection whose answer was taken whole, or close it."""
-        if connection.prepare_reuse(now, min(keep_s, self.keep_s)):
+    def release(
+        self, key: str, connection: ClientConnection, now: float, keep_alive_s: float
+    ) -> None:
+        """Return a connection to the pool after a complete response, or close it."""
+        if connection.prepare_reuse(now, min(keep_alive_s, self.keep_alive_s)):
             self.idle.setdefault(key, []).append(connection)
 
     def handle_timeout(self, key: str, connection: ClientConnection) -> None:
-        """Note that nothing came over a connection in time.
+        """Handle a response timeout on a connection.
 
-        Connections may fall silent for good, all those to a server at the same moment, while new
-        ones work: if this one had been kept, the others that were kept are not trusted either.
+        If the connection came from the pool, close the idle connections to the same server: a
+        network fault may have broken all of them without a reset, while new connections work.
         """
-        if connection.was_kept:
+        if connection.is_reused:
             self.close_idle(key)
 
     def close_idle(self, key: str) -> None:
-        """Close the idle connections of one server."""
+        """Close the idle connections to one server."""
         for connection in self.idle.pop(key, []):
             connection.close()
 
     async def call(
         self, address: str, request: http_messages.Request, timeout_s: float
     ) -> http_messages.Response:
-        """Send a request that may be repeated and return its answer.
+        """Send an idempotent request and return its response.
 
-        Raises UnreachableError (nothing came in time) or ProtocolError (no whole answer).
+        Raises UnreachableError if there is no response within `timeout_s`, and ProtocolError if the
+        response is malformed or incomplete.
         """
-        connection = self.acquire(address, clocks.now(), self.keep_s)
+        connection = self.acquire(address, clocks.now(), self.keep_alive_s)
         try:
             async with asyncio.timeout(timeout_s):
                 if connection is None:
                     connection = await connect(address, self.connect_timeout_s, self.user_timeout_s)
                 connection.send(request)
-                answer = await connection.receive()
+                response = await connection.receive()
         except TimeoutError:
             if connection is not None:
                 self.handle_timeout(address, connection)
             self.discard(connection)
-            raise errors.UnreachableError(f"{address}: no answer within {timeout_s:.2f} s")
+            raise errors.UnreachableError(f"{address}: no response within {timeout_s:.2f} s")
         except BaseException:
             self.discard(connection)
             raise
         self.release(
-            address, connection, clocks.now(), keep_alive_timeout_s(answer.headers, self.keep_s)
+            address,
+            connection,
+            clocks.now(),
+            keep_alive_timeout_s(response.headers, self.keep_alive_s),
         )
-        return answer
+        return response
 
     def discard(self, connection: ClientConnection | None) -> None:
         """Close a connection that can't be used again."""
@@ -279,7 +301,10 @@
 
 
 def keep_alive_timeout_s(headers: http_messages.Headers, default_s: float) -> float:
-    """Return how long a server keeps an idle connection, with a second to spare."""
+    """Return the timeout of a Keep-Alive header less one second, or `default_s` without one.
+
+    The margin avoids reusing a connection that the server is about to close.
+    """
     value = http_messages.get_header(headers, b"keep-alive") or b""
     for part in value.split(b","):
         name, _, number = part.strip().partition(b"=")
--- a/src/merlinthread/transport/stream_server.py
+++ b/src/merlinthread/transport/stream_server.py
@@ -1,7 +1,7 @@
-"""An HTTP/1.1 server on one event loop, around the `h11` library.
+"""An HTTP/1.1 server for asyncio, based on `h11`.
 
-`h11` parses and frames; this module moves its bytes. One connection answers one request at a time.
-A client that leaves cancels the task that answers it, so that nothing works for nobody.
+A connection handles one request at a time. If the client disconnects, the task that handles its
+request is cancelled.
 """
 
 import asyncio
@@ -17,31 +17,31 @@
 
 
 class FlowControl:
-    """Lets a writer wait until the transport has room again."""
+    """Write flow control: lets a task wait until the transport's buffer has room."""
 
     def __init__(self) -> None:
         self.waiter: asyncio.Future | None = None
         self.is_paused = False
 
     def pause(self) -> None:
-        """Note that the transport is full."""
+        """Record that the transport's buffer is full."""
         self.is_paused = True
 
     def resume(self) -> None:
-        """Note that the transport has room, or is gone."""
+        """Record that the buffer has room, or that the transport is closed."""
         self.is_paused = False
         if self.waiter is not None and not self.waiter.done():
             self.waiter.set_result(None)
 
-    async def drained(self) -> None:
-        """Return once there is room."""
+    async def wait_writable(self) -> None:
+        """Wait until the buffer has room."""
         while self.is_paused:
             self.waiter = asyncio.get_running_loop().create_future()
             await self.waiter
 
 
 class Exchange:
-    """One request on a server connection, and the means to answer it."""
+    """A request received on a connection, with methods to send the response."""
 
     def __init__(self, connection: "ServerConnection", request: http_messages.Request) -> None:
         self.connection = connection
@@ -49,34 +49,37 @@
         self.is_started = False
         self.is_finished = False
 
-    async def respond(self, answer: http_messages.Response) -> None:
-        """Send a whole answer with its length."""
-        headers = [*answer.headers, (b"content-length", b"%d" % len(answer.body))]
-        self.start_response(answer.status, headers)
-        if answer.body and self.request.method != b"HEAD":
-            self.connection.write(h11.Data(data=answer.body))
+    async def respond(self, response: http_messages.Response) -> None:
+        """Send a complete response; adds its Content-Length header."""
+        headers = [*response.headers, (b"content-length", b"%d" % len(response.body))]
+        self.start_response(response.status, headers)
+        if response.body and self.request.method != b"HEAD":
+            self.connection.write(h11.Data(data=response.body))
         await self.finish()
 
     def start_response(self, status: int, headers: http_messages.Headers) -> None:
-        """Send the head; without a content length the body goes out in chunks."""
+        """Send the status line and headers.
+
+        Without a Content-Length header, the body is sent with chunked transfer encoding.
+        """
         if self.connection.is_draining:
             headers = [*headers, (b"connection", b"close")]
         self.is_started = True
         self.connection.write(h11.Response(status_code=status, headers=headers))
 
     async def send(self, data: bytes) -> None:
-        """Send a part of the body once the client has room for it."""
+        """Send a part of the body, then wait until the write buffer has room."""
         self.connection.write(h11.Data(data=data))
-        await self.connection.flow.drained()
+        await self.connection.flow.wait_writable()
 
     async def finish(self) -> None:
-        """End the answer as complete."""
+        """Mark the response as complete."""
         self.connection.write(h11.EndOfMessage())
         self.is_finished = True
-        await self.connection.flow.drained()
+        await self.connection.flow.wait_writable()
 
     def abort(self) -> None:
-        """Break the connection off, so that the answer can't look complete."""
+        """Abort the connection, so that the client sees an incomplete response."""
         self.is_finished = True
         self.connection.abort()
 
@@ -85,36 +88,36 @@
 
 
 class Server:
-    """Listens on one address and hands whole requests to `handler`."""
+    """An HTTP server that passes complete requests to `handler`."""
 
     def __init__(self, handler: Handler, limits: http_messages.Limits | None = None) -> None:
         self.handler = handler
         self.limits = limits or http_messages.Limits()
         self.connections: set[ServerConnection] = set()
         self.is_draining = False
-        self.has_stopped = False
+        self.is_shutting_down = False
         self.listener: asyncio.Server | None = None
         self.buffered_bytes = 0
 
     async def listen(self, host: str, port: int) -> None:
-        """Start to accept connections."""
+        """Start listening on `host`:`port`."""
         loop = asyncio.get_running_loop()
         self.listener = await loop.create_server(
             lambda: ServerConnection(self), host, port, backlog=BACKLOG, reuse_address=True
         )
 
     def begin_draining(self) -> None:
-        """Ask clients, with every answer from now on, to use another connection."""
+        """Send `Connection: close` with each response from now on."""
         self.is_draining = True
 
     def stop_accepting(self) -> None:
-        """Accept no more connections, close the idle ones, and the others after their answer."""
+        """Stop listening, close idle connections, and close the others after their response."""
         self.begin_draining()
-        self.has_stopped = True
+        self.is_shutting_down = True
         if self.listener is not None:
             self.listener.close()
         for connection in list(self.connections):
-            if connection.is_between_requests():
+            if connection.is_idle():
                 connection.close()
 
     def count_active_requests(self) -> int:
@@ -123,7 +126,7 @@
 
 
 class ServerConnection(asyncio.Protocol):
-    """One client's connection."""
+    """A connection from a client."""
 
     def __init__(self, server: Server) -> None:
         self.server = server
@@ -134,33 +137,33 @@
         self.flow = FlowControl()
         self.task: asyncio.Task | None = None
         self.request: http_messages.Request | None = None
-        self.parts: list[bytes] = []
-        self.size = 0
+        self.body_chunks: list[bytes] = []
+        self.body_size = 0
         self.timer: asyncio.TimerHandle | None = None
-        self.is_head_due = False
+        self.is_head_pending = False
         self.is_reading = True
-        self.unread_bytes = 0
+        self.read_ahead_bytes = 0
 
     @property
     def is_draining(self) -> bool:
-        """Return whether the server asks its clients to leave."""
+        """Return whether the server is draining its connections."""
         return self.server.is_draining
 
-    def is_between_requests(self) -> bool:
-        """Return whether nothing of a request has come that is not answered."""
-        return self.task is None and self.request is None and not self.is_head_due
+    def is_idle(self) -> bool:
+        """Return whether no request is being received or handled."""
+        return self.task is None and self.request is None and not self.is_head_pending
 
-    # Events of the transport
+    # asyncio.Protocol callbacks
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin to read."""
+        """Register the connection and start its idle timer."""
         self.transport = transport  # type: ignore[assignment]
         sockets.set_socket_options(transport, self.server.limits.idle_timeout_s)
         self.server.connections.add(self)
         self.set_timer(self.server.limits.idle_timeout_s, self.close)
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Cancel what works for this client."""
+        """Unregister the connection and cancel the handler."""
         self.server.connections.discard(self)
         self.set_timer(None, None)
         self.flow.resume()
@@ -168,107 +171,111 @@
             self.task.cancel()
 
     def pause_writing(self) -> None:
-        """Note that the client reads slowly."""
+        """Pause writing; the transport's buffer is full."""
         self.flow.pause()
 
     def resume_writing(self) -> None:
-        """Note that the client has caught up."""
+        """Resume writing."""
         self.flow.resume()
 
     def eof_received(self) -> bool:
-        """Treat a client that ends its side as one that has left.
+        """Treat a client that closes its sending side as disconnected.
 
-        What it does not read any more must not hold up that the work for it ends; an answer that is
-        whole is still written.
+        An unfinished response is aborted, so that a client that no longer reads can't block its
+        handler; a complete response is still written.
         """
-        is_answering = self.parser.our_state in (h11.SEND_RESPONSE, h11.SEND_BODY)
-        if self.task is not None and is_answering:
+        is_responding = self.parser.our_state in (h11.SEND_RESPONSE, h11.SEND_BODY)
+        if self.task is not None and is_responding:
             self.abort()
         return False
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes in; what comes before an answer is due waits, within bounds."""
+        """Pass received data to the parser.
+
+        While a request is being handled, data is buffered, and reading is paused above
+        `READ_AHEAD_BYTES_MAX`.
+        """
         self.parser.receive_data(data)
         if self.task is not None:
-            self.unread_bytes += len(data)
-            if self.unread_bytes > READ_AHEAD_BYTES_MAX and self.transport is not None:
+            self.read_ahead_bytes += len(data)
+            if self.read_ahead_bytes > READ_AHEAD_BYTES_MAX and self.transport is not None:
                 self.transport.pause_reading()
                 self.is_reading = False
             return
-        self.advance()
+        self.process_events()
 
     # Requests
 
-    def advance(self) -> None:
-        """Take what the parser has until a request is whole or bytes are missing."""
+    def process_events(self) -> None:
+        """Handle parsed events until a request is complete or more data is needed."""
         try:
-            while self.task is None and self.take(self.parser.next_event()):
+            while self.task is None and self.handle_event(self.parser.next_event()):
                 pass
         except h11.RemoteProtocolError as error:
-            self.refuse(error.error_status_hint or 400)
+            self.send_error(error.error_status_hint or 400)
 
-    def take(self, event: object) -> bool:
-        """Take one event; return whether to ask for the next."""
+    def handle_event(self, event: object) -> bool:
+        """Handle one event; return whether to continue with the next."""
         if event is h11.NEED_DATA:
-            self.await_more()
+            self.set_read_timer()
             return False
         if isinstance(event, h11.Request):
-            return self.take_head(event)
+            return self.handle_head(event)
         if isinstance(event, h11.Data):
-            return self.take_body(bytes(event.data))
+            return self.handle_body(bytes(event.data))
         if isinstance(event, h11.EndOfMessage):
-            self.begin_answer()
+            self.start_handler()
         return False
 
-    def await_more(self) -> None:
-        """Bound how long the rest of a request may take to come."""
-        if self.request is not None or self.is_head_due:
+    def set_read_timer(self) -> None:
+        """Set the timeout for the next request or the rest of its head."""
+        if self.request is not None or self.is_head_pending:
             return
         if self.parser.trailing_data[0]:
-            # One timer for the whole head: a client that sends byte by byte does not renew it.
-            self.is_head_due = True
-            self.set_timer(self.server.limits.header_timeout_s, lambda: self.refuse(408))
+            # Set once for the whole head, so that a slow client can't extend it (Slowloris attack).
+            self.is_head_pending = True
+            self.set_timer(self.server.limits.header_timeout_s, lambda: self.send_error(408))
             return
         self.set_timer(self.server.limits.idle_timeout_s, self.close)
 
-    def take_head(self, event: h11.Request) -> bool:
-        """Take a request's head."""
-        self.is_head_due = False
+    def handle_head(self, event: h11.Request) -> bool:
+        """Handle the head of a request: check its size and start to receive the body."""
+        self.is_head_pending = False
         self.request = http_messages.Request(
             event.method, event.target, list(event.headers.raw_items())
         )
-        self.parts = []
-        self.size = 0
+        self.body_chunks = []
+        self.body_size = 0
         length = http_messages.get_header(self.request.headers, b"content-length")
         if length is not None and int(length) > self.server.limits.body_bytes:
-            self.refuse(413)
+            self.send_error(413)
             return False
-        self.set_timer(self.server.limits.idle_timeout_s, lambda: self.refuse(408))
+        self.set_timer(self.server.limits.idle_timeout_s, lambda: self.send_error(408))
         if self.parser.they_are_waiting_for_100_continue:
             self.write(h11.InformationalResponse(status_code=100, headers=[]))
         return True
 
-    def take_body(self, data: bytes) -> bool:
-        """Take a part of a request's body."""
-        self.size += len(data)
-        if self.size > self.server.limits.body_bytes:
-            self.refuse(413)
+    def handle_body(self, data: bytes) -> bool:
+        """Handle a part of a request's body."""
+        self.body_size += len(data)
+        if self.body_size > self.server.limits.body_bytes:
+            self.send_error(413)
             return False
-        self.parts.append(data)
+        self.body_chunks.append(data)
         return True
 
-    def begin_answer(self) -> None:
-        """Hand the whole request to the handler."""
+    def start_handler(self) -> None:
+        """Start a task that runs the handler for the complete request."""
         self.set_timer(None, None)
         assert self.request is not None
-        self.request.body = b"".join(self.parts)
+        self.request.body = b"".join(self.body_chunks)
         exchange = Exchange(self, self.request)
         self.request = None
-        self.parts = []
-        self.task = asyncio.get_running_loop().create_task(self.answer(exchange))
+        self.body_chunks = []
+        self.task = asyncio.get_running_loop().create_task(self.run_handler(exchange))
 
-    async def answer(self, exchange: Exchange) -> None:
-        """Run the handler, then go on to the next request or close."""
+    async def run_handler(self, exchange: Exchange) -> None:
+        """Run the handler; send a 500 response or abort the connection if it fails."""
         try:
             await self.server.handler(exchange)
         except asyncio.CancelledError:
@@ -283,29 +290,31 @@
                 self.abort()
                 return
             await exchange.respond(http_messages.Response(500, []))
-        self.next_request(exchange)
+        self.finish_exchange(exchange)
 
-    def next_request(self, exchange: Exchange) -> None:
-        """Make ready for the next request on this connection."""
+    def finish_exchange(self, exchange: Exchange) -> None:
+        """Continue with the next request on this connection, or close it."""
         self.task = None
         if not exchange.is_finished:
             self.abort()
             return
         if self.transport is None or self.transport.is_closing():
             return
-        is_over = self.parser.our_state is not h11.DONE or self.parser.their_state is not h11.DONE
-        if is_over or self.server.has_stopped:
+        is_closing = (
+            self.parser.our_state is not h11.DONE or self.parser.their_state is not h11.DONE
+        )
+        if is_closing or self.server.is_shutting_down:
             self.close()
             return
         self.parser.start_next_cycle()
-        self.unread_bytes = 0
+        self.read_ahead_bytes = 0
         if not self.is_reading:
             self.is_reading = True
             self.transport.resume_reading()
-        self.advance()
+        self.process_events()
 
-    def refuse(self, status: int) -> None:
-        """Answer a request that can't be taken, and close."""
+    def send_error(self, status: int) -> None:
+        """Reject a request with an empty response of `status`, and close the connection."""
         if self.parser.our_state in (h11.IDLE, h11.SEND_RESPONSE):
             headers = [(b"content-length", b"0"), (b"connection", b"close")]
             self.write(h11.Response(status_code=status, headers=headers))
@@ -315,18 +324,18 @@
     # Output
 
     def write(self, event: h11.Event) -> None:
-        """Send one event of the answer."""
+        """Serialise one event of the response and send it."""
         data = self.parser.send(event)
         if data and self.transport is not None and not self.transport.is_closing():
             self.transport.write(data)
 
     def write_raw(self, data: bytes) -> None:
-        """Send bytes that are no event of the protocol; stand-ins misbehave with it."""
+        """Send bytes without `h11`; used by stand-ins to send malformed responses."""
         if self.transport is not None:
             self.transport.write(data)
 
     def set_timer(self, delay_s: float | None, action: Callable[[], None] | None) -> None:
-        """Replace the timer of this connection."""
+        """Replace the timer of this connection; None cancels it."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
@@ -334,13 +343,13 @@
             self.timer = asyncio.get_running_loop().call_later(delay_s, action)
 
     def close(self) -> None:
-        """Close once what was written has left."""
+        """Close the connection after the buffered data is sent."""
         self.set_timer(None, None)
         if self.transport is not None:
             self.transport.close()
 
     def abort(self) -> None:
-        """Close at once."""
+        """Close the connection at once, discarding buffered data."""
         self.set_timer(None, None)
         if self.transport is not None:
             self.transport.abort()
--- a/tests/test_stream_connections.py
+++ b/tests/test_stream_connections.py
@@ -221,7 +221,7 @@
         host, port = address.split(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         writer.write(b"POST / HTTP/1.1\r\nhost: a\r\ncontent-length: 4\r\n\r\nab")
-        while not any(connection.parts for connection in server.connections):
+        while not any(connection.body_chunks for connection in server.connections):
             await asyncio.sleep(0)
         server.stop_accepting()
         writer.write(b"cd")
