--- a/tests/test_bus.py
+++ b/tests/test_bus.py
@@ -1,4 +1,4 @@
-"""The bus through a link that stalls while a connection is set up."""
+"""Tests of the pynng transport, including connections that stall while they are established."""
 
 import socket
 import threading
@@ -9,79 +9,79 @@
 from merlinthread.transport import bus
 
 CODEC = messages.make_codec([])
-WANTED = messages.ManifestWanted("abc")
+MESSAGE = messages.ManifestWanted("abc")
 
 
-class Stalling:
-    """Accepts one connection and says nothing; then the place is free for a real listener."""
+class StallingListener:
+    """Accepts one connection and sends nothing, then frees the port for another listener."""
 
     def __init__(self) -> None:
         self.address = f"127.0.0.1:{processes.Ports().take()}"
         host, port = self.address.split(":")
         self.listener = socket.create_server((host, int(port)))
-        self.held: list[socket.socket] = []
+        self.accepted: list[socket.socket] = []
 
-    def hold_one(self) -> None:
-        self.held.append(self.listener.accept()[0])
+    def accept_one(self) -> None:
+        self.accepted.append(self.listener.accept()[0])
         self.listener.close()
 
 
 def test_a_sender_whose_connection_stalled_at_its_start_gets_through_later():
-    """Found by real control VMs: two members that never connected could not elect a leader."""
-    stalling = Stalling()
-    sender = bus.Sender(stalling.address, CODEC)
-    stalling.hold_one()
+    """Guards against members that never connect and so can't elect a leader."""
+    listener = StallingListener()
+    sender = bus.Sender(listener.address, CODEC)
+    listener.accept_one()
     received: list[object] = []
-    mailbox = bus.Receiver(stalling.address, CODEC, received.append)
-    mailbox.start()
+    receiver = bus.Receiver(listener.address, CODEC, received.append)
+    receiver.start()
 
     def send() -> bool:
-        sender.send(WANTED)
+        sender.send(MESSAGE)
         return bool(received)
 
     processes.wait_for("a message", send, 5)
     assert sender.reopened >= 1
     sender.close()
-    mailbox.stop()
+    receiver.stop()
 
 
 def test_a_caller_whose_connection_stalled_at_its_start_gets_through_later():
-    stalling = Stalling()
-    caller = bus.RpcClient(stalling.address, CODEC)
-    stalling.hold_one()
-    responder = bus.RpcServer(stalling.address, CODEC, lambda message: message, workers=1)
-    responder.start()
+    listener = StallingListener()
+    client = bus.RpcClient(listener.address, CODEC)
+    listener.accept_one()
+    server = bus.RpcServer(listener.address, CODEC, lambda message: message, workers=1)
+    server.start()
 
     def call() -> bool:
         try:
-            return caller.call(WANTED, 0.3) == WANTED
+            return client.call(MESSAGE, 0.3) == MESSAGE
         except bus.errors.UnreachableError:
             return False
 
     processes.wait_for("an answer", call, 5)
-    caller.close()
-    responder.stop()
+    client.close()
+    server.stop()
 
 
 def test_a_responder_that_is_stopped_still_gives_the_answer_that_it_works_on():
-    """Closed under a thread that sends, the library ends the whole process."""
+    """pynng aborts the process if a socket is closed while a thread is sending."""
     address = f"127.0.0.1:{processes.Ports().take()}"
-    begun, may_end = threading.Event(), threading.Event()
+    started, release = threading.Event(), threading.Event()
 
     def handle(message):
-        begun.set()
-        may_end.wait(5)
+        started.set()
+        release.wait(5)
         return message
 
-    responder = bus.RpcServer(address, CODEC, handle, workers=2)
-    responder.start()
-    caller = bus.RpcClient(address, CODEC)
+    server = bus.RpcServer(address, CODEC, handle, workers=2)
+    server.start()
+    client = bus.RpcClient(address, CODEC)
     with futures.ThreadPoolExecutor(2) as pool:
-        answer = pool.submit(caller.call, WANTED, 5.0)
-        assert begun.wait(5)
-        stopped = pool.submit(responder.stop)
-        processes.wait_for("the stop to begin", responder.stopping.is_set, 5)
-        may_end.set()
-        assert answer.result(5) == WANTED
+        answer = pool.submit(client.call, MESSAGE, 5.0)
+        assert started.wait(5)
+        stopped = pool.submit(server.stop)
+        processes.wait_for("the stop to begin", server.stopping.is_set, 5)
+        release.set()
+        assert answer.result(5) == MESSAGE
         stopped.result(5)
-    caller.close()
+    client.close()
--- a/tests/test_http_client.py
+++ b/tests/test_http_client.py
@@ -1,4 +1,4 @@
-"""The HTTP client against a listener that shows what is left on a connection."""
+"""Tests of the HTTP client's connection reuse."""
 
 import socket
 import threading
@@ -8,28 +8,28 @@
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
-def answer_twice(listener: socket.socket, gate: threading.Event) -> None:
-    """Answer two requests on one connection; the first one's closing chunk comes late."""
+def answer_twice(listener: socket.socket, release: threading.Event) -> None:
+    """Send two responses on one connection, the last chunk of the first with a delay."""
     connection, _ = listener.accept()
     connection.recv(65536)
     connection.sendall(HEAD + b"5\r\nfirst\r\n")
-    gate.wait(10)
+    release.wait(10)
     connection.sendall(b"0\r\n\r\n")
     connection.recv(65536)
     connection.sendall(HEAD + b"6\r\nsecond\r\n0\r\n\r\n")
 
 
 def test_a_released_answer_leaves_nothing_for_the_next_one():
-    """Found by bench requests: the closing chunk was read as the next answer's status line."""
+    """Guards against reading the last chunk as the status line of the next response."""
     listener = socket.create_server(("127.0.0.1", 0))
-    gate = threading.Event()
-    thread = threading.Thread(target=answer_twice, args=(listener, gate))
+    release = threading.Event()
+    thread = threading.Thread(target=answer_twice, args=(listener, release))
     thread.start()
     url = f"http://127.0.0.1:{listener.getsockname()[1]}/"
     client = http_client.Client()
     stream = client.open("GET", url)
     assert next(stream.iter_chunks()) == b"first"
-    gate.set()
+    release.set()
     stream.release()
     assert client.request("GET", url).body == b"second"
     thread.join(10)
--- a/tests/test_stream_connections.py
+++ b/tests/test_stream_connections.py
@@ -1,4 +1,4 @@
-"""The event-loop HTTP: whole answers only, clients that leave, bounds on what they send."""
+"""Tests of the asyncio HTTP client and server, and of calls between nodes."""
 
 import asyncio
 import random
@@ -21,12 +21,12 @@
     return server, f"127.0.0.1:{port}"
 
 
-async def raw_server(reply: bytes, then_reset: bool = False) -> str:
+async def raw_server(reply: bytes, reset: bool = False) -> str:
     async def answer(reader, writer):
         await reader.readuntil(b"\r\n\r\n")
         writer.write(reply)
         await writer.drain()
-        if then_reset:
+        if reset:
             linger = struct.pack("ii", 1, 0)
             sock = writer.get_extra_info("socket")
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
@@ -86,7 +86,7 @@
     async def scenario():
         whole = await raw_server(b"HTTP/1.1 200 OK\r\n\r\nall of it")
         assert (await call(whole)).body == b"all of it"
-        reset = await raw_server(b"HTTP/1.1 200 OK\r\n\r\nall of it", then_reset=True)
+        reset = await raw_server(b"HTTP/1.1 200 OK\r\n\r\nall of it", reset=True)
         with pytest.raises(errors.UnreachableError):
             await call(reset)
 
@@ -138,13 +138,13 @@
     return reply
 
 
-async def never(exchange):
+async def unexpected_call(exchange):
     raise AssertionError("the handler was called")
 
 
 def test_a_body_over_the_limit_gets_413():
     async def scenario():
-        _, address = await serve(never, http_messages.Limits(body_bytes=10))
+        _, address = await serve(unexpected_call, http_messages.Limits(body_bytes=10))
         length = await send_raw(
             address, b"POST / HTTP/1.1\r\nhost: a\r\ncontent-length: 11\r\n\r\n"
         )
@@ -161,7 +161,7 @@
 
 def test_a_head_that_comes_byte_by_byte_gets_408_when_its_time_is_over():
     async def scenario():
-        _, address = await serve(never, http_messages.Limits(header_timeout_s=0.2))
+        _, address = await serve(unexpected_call, http_messages.Limits(header_timeout_s=0.2))
         reply = await send_raw(address, b"GET / HTTP/1.1\r\nho")
         assert reply.startswith(b"HTTP/1.1 408")
 
@@ -170,7 +170,7 @@
 
 def test_a_head_over_the_limit_gets_431():
     async def scenario():
-        _, address = await serve(never, http_messages.Limits(header_bytes=512))
+        _, address = await serve(unexpected_call, http_messages.Limits(header_bytes=512))
         reply = await send_raw(address, b"GET / HTTP/1.1\r\nx: " + b"y" * 2000)
         assert reply.startswith(b"HTTP/1.1 431")
 
@@ -289,8 +289,8 @@
     asyncio.run(scenario())
 
 
-class SilenceableServer:
-    """A server whose open connections may fall silent for good, while new ones work."""
+class FreezableServer:
+    """A server whose open connections stop responding when `generation` changes."""
 
     def __init__(self) -> None:
         self.generation = 0
@@ -301,17 +301,17 @@
         return f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
 
     async def answer(self, reader, writer) -> None:
-        born = self.generation
+        generation = self.generation
         self.connections += 1
         while await reader.readuntil(b"\r\n\r\n"):
-            if born != self.generation:
+            if generation != self.generation:
                 await asyncio.Event().wait()
             writer.write(b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok")
 
 
 def test_of_connections_that_fell_silent_only_the_first_one_used_costs_its_time_limit():
     async def scenario():
-        server = SilenceableServer()
+        server = FreezableServer()
         address = await server.start()
         pool = stream_client.ConnectionPool(60.0, 1.0, 2.0)
         await asyncio.gather(*(pool.call(address, get(), 5.0) for _ in range(3)))
@@ -356,11 +356,11 @@
 
 def test_a_long_answer_of_a_node_leaves_in_even_parts_and_arrives_whole(monkeypatch):
     async def scenario():
-        # Bytes that do not get shorter: compressed into one part, nothing would be shown.
-        piece = node_messages.PieceReply(3, random.Random(1).randbytes(24_576), b"")
+        # Random bytes, since a compressible payload would fit into one chunk.
+        reply = node_messages.PieceReply(3, random.Random(1).randbytes(24_576), b"")
 
         async def handler(message):
-            return piece
+            return reply
 
         codec = fleet_nodes.make_codec()
         listener = node_bus.RpcServer(codec, handler, pacing_bytes_per_s=lambda: 200_000.0)
@@ -369,26 +369,26 @@
         sent = []
         write = stream_server.ServerConnection.write
 
-        def note(connection, event):
+        def record_write(connection, event):
             if isinstance(event, h11.Data):
                 sent.append((asyncio.get_running_loop().time(), len(event.data)))
             write(connection, event)
 
-        monkeypatch.setattr(stream_server.ServerConnection, "write", note)
+        monkeypatch.setattr(stream_server.ServerConnection, "write", record_write)
         request = node_messages.PieceRequest("m", 1, b"\xff")
         answer = await node_bus.RpcClient(codec).call(f"127.0.0.1:{port}", request, 5.0)
-        assert answer == piece
+        assert answer == reply
         assert max(size for _, size in sent) <= node_bus.SEND_CHUNK_BYTES
         began, total = sent[0][0], 0
         for at, size in sent:
-            assert at - began >= total / 200_000.0 - 0.002, "a part left before its time"
+            assert at - began >= total / 200_000.0 - 0.002, "a chunk was sent too early"
             total += size
 
     asyncio.run(scenario())
 
 
-class Opening:
-    """Stands for the opening of connections: `plan` says how each one goes, in order."""
+class FakeConnector:
+    """Replaces `stream_client.connect`; `plan` lists the outcome of each call, in order."""
 
     def __init__(self, plan: list[str]) -> None:
         self.plan = plan
@@ -415,20 +415,20 @@
     [(["lost", "made"], 1, 1), (["made"], 1, 0), (["lost", "refused"], 0, 1)],
 )
 def test_a_second_opening_packet_follows_one_that_is_lost(monkeypatch, plan, made, cancelled):
-    opening = Opening(list(plan))
-    monkeypatch.setattr(stream_client, "connect", opening.connect)
+    connector = FakeConnector(list(plan))
+    monkeypatch.setattr(stream_client, "connect", connector.connect)
 
     async def scenario():
         async with asyncio.timeout(0.5):
             return await stream_client.connect_hedged("127.0.0.1:1", 0.01, 0.3, 2.0)
 
     if made:
-        assert asyncio.run(scenario()) is opening.made[0]
+        assert asyncio.run(scenario()) is connector.made[0]
     else:
         with pytest.raises(TimeoutError):
             asyncio.run(scenario())
-    assert not opening.plan
-    assert opening.cancelled == cancelled
+    assert not connector.plan
+    assert connector.cancelled == cancelled
 
 
 def test_of_two_connections_made_at_once_one_is_closed(monkeypatch):
--- a/tests/virtual_loop.py
+++ b/tests/virtual_loop.py
@@ -1,7 +1,6 @@
-"""An event loop whose clock jumps to the next timer when nothing is left to do, for tests.
+"""An event loop with virtual time for tests: its clock advances to the next timer when idle.
 
-What takes seconds takes milliseconds, and each run of a seed is the same: no time passes while the
-test's own code works. There are no sockets in it.
+Tests run without real delays and are deterministic for a given seed. Sockets are not supported.
 """
 
 import asyncio
@@ -10,26 +9,26 @@
 from typing import Any
 
 
-class JumpingSelector(selectors.SelectSelector):
-    """Waits by moving the clock on."""
+class VirtualTimeSelector(selectors.SelectSelector):
+    """A selector that advances the virtual clock instead of waiting."""
 
     def __init__(self) -> None:
         super().__init__()
         self.now = 0.0
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
-        """Move the clock on by `timeout`; nothing ever comes."""
+        """Advance the clock by `timeout` seconds; return no events."""
         if timeout is None:
-            raise RuntimeError("the loop waits for what never comes")
+            raise RuntimeError("deadlock: the loop has no timers and nothing ready to run")
         self.now += max(0.0, timeout)
         return []
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """The loop; its time begins at 0."""
+    """An event loop whose virtual time starts at 0."""
 
     def __init__(self) -> None:
-        self.clock = JumpingSelector()
+        self.clock = VirtualTimeSelector()
         super().__init__(self.clock)
 
     def time(self) -> float:
@@ -38,6 +37,6 @@
 
 
 def run(main: Coroutine[Any, Any, None]) -> None:
-    """Run to the end on a loop of its own."""
+    """Run a coroutine to completion on a new `VirtualLoop`."""
     with asyncio.Runner(loop_factory=VirtualLoop) as runner:
         runner.run(main)
