--- a/src/merlinthread/transport/bus.py
+++ b/src/merlinthread/transport/bus.py
@@ -53,7 +53,7 @@
         """Send a message and return the reply.
 
         `timeout_s` limits the send and the receive separately. Raises UnreachableError if either
-        fails, and MerlinthreadError of the kind given by the peer if it refuses the call.
+        fails, and MerlinthreadError, with the peer's error kind, if the peer reports an error.
         """
         milliseconds = max(1, int(timeout_s * 1000))
         self.socket.send_timeout = milliseconds
@@ -66,7 +66,7 @@
             BYTES_RECEIVED.inc(len(frame))
             reply = self.codec.decode(frame)
         except pynng.exceptions.NNGException as error:
-            # pynng does not retry a connection that stalls while it is established.
+            # pynng may not recover from a connection that stalls while it is established.
             self.socket.close()
             self.socket = self.open_socket()
             raise errors.UnreachableError(f"{self.address}: {error}")
--- a/src/merlinthread/transport/http_server.py
+++ b/src/merlinthread/transport/http_server.py
@@ -207,7 +207,7 @@
         self.is_closed = False
 
     def enter(self) -> None:
-        """Add one request; raise RequestError (leaving) once draining has begun."""
+        """Add one request; raise RequestError (leaving) after `drain` was called."""
         with self.condition:
             if self.is_closed:
                 raise errors.RequestError(
--- a/src/merlinthread/transport/node_bus.py
+++ b/src/merlinthread/transport/node_bus.py
@@ -1,7 +1,7 @@
 """Messaging between nodes: calls over HTTP POST and one-way messages over UDP.
 
-Messages are encoded by the codec. A caller may repeat a call whose reply was lost, so every message
-must be idempotent. A call to a node that is partitioned off without a reset ends with its timeout.
+A call may be repeated after its reply is lost, so every message must be idempotent. Calls to a node
+behind a network partition end with their timeout.
 """
 
 import asyncio
@@ -38,8 +38,8 @@
     async def call(self, address: str, message: Any, timeout_s: float) -> Any:
         """Send a message to the node at `address` ("IP:port") and return its reply.
 
-        Raises UnreachableError if there is no valid reply within `timeout_s`, and MerlinthreadError
-        of the kind given by the node if it refuses the call.
+        Raises UnreachableError if there is no complete reply within `timeout_s`, and
+        MerlinthreadError, with the node's error kind, if the node reports an error.
         """
         body = self.codec.encode(message)
         headers = [
--- a/src/merlinthread/transport/stream_server.py
+++ b/src/merlinthread/transport/stream_server.py
@@ -163,7 +163,7 @@
         self.set_timer(self.server.limits.idle_timeout_s, self.close)
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Unregister the connection and cancel the handler."""
+        """Unregister the connection and cancel its handler task."""
         self.server.connections.discard(self)
         self.set_timer(None, None)
         self.flow.resume()
@@ -171,11 +171,11 @@
             self.task.cancel()
 
     def pause_writing(self) -> None:
-        """Pause writing; the transport's buffer is full."""
+        """Make tasks that write wait until the transport's buffer has room."""
         self.flow.pause()
 
     def resume_writing(self) -> None:
-        """Resume writing."""
+        """Let tasks that write continue."""
         self.flow.resume()
 
     def eof_received(self) -> bool:
@@ -300,10 +300,10 @@
             return
         if self.transport is None or self.transport.is_closing():
             return
-        is_closing = (
+        must_close = (
             self.parser.our_state is not h11.DONE or self.parser.their_state is not h11.DONE
         )
-        if is_closing or self.server.is_shutting_down:
+        if must_close or self.server.is_shutting_down:
             self.close()
             return
         self.parser.start_next_cycle()
--- a/tests/test_stream_connections.py
+++ b/tests/test_stream_connections.py
@@ -259,9 +259,9 @@
 def test_a_node_that_ends_while_it_answers_is_unreachable_not_a_bad_request():
     async def scenario():
         address = await raw_server(b"")
-        caller = node_bus.RpcClient(fleet_nodes.make_codec())
+        client = node_bus.RpcClient(fleet_nodes.make_codec())
         with pytest.raises(errors.MerlinthreadError) as raised:
-            await caller.call(address, node_messages.Read(), 2.0)
+            await client.call(address, node_messages.Read(), 2.0)
         assert raised.value.kind is errors.ErrorKind.UNREACHABLE
 
     asyncio.run(scenario())
