--- a/bench/soak.py
+++ b/bench/soak.py
@@ -88,7 +88,7 @@
         request = http_messages.Request(method.encode(), path.encode(), headers, data)
         address = f"{self.rng.choice(self.fleet.control_ips)}:{soak_nodes.CONTROL}"
         try:
-            answer = await self.fleet.pool.call(address, request, 1.0)
+            answer = await self.fleet.pool.request(address, request, 1.0)
         except errors.MerlinthreadError:
             return 0, b""
         return answer.status, answer.body
@@ -160,7 +160,7 @@
         self.tally.asked += 1
         self.words.note_sent(request_id, entry_ip)
         try:
-            answer = await self.fleet.pool.call(address, request, 4.0)
+            answer = await self.fleet.pool.request(address, request, 4.0)
         except errors.MerlinthreadError:
             self.tally.failed += 1
             return False
--- a/bench/upgrade_deadly.py
+++ b/bench/upgrade_deadly.py
@@ -52,4 +52,4 @@
         ]
         request = http_messages.Request(b"POST", b"/safe/", headers, DEADLY)
         with contextlib.suppress(errors.MerlinthreadError):
-            await upgrade.fleet.pool.call(f"{entry_ip}:{soak_nodes.FRONT}", request, 4.0)
+            await upgrade.fleet.pool.request(f"{entry_ip}:{soak_nodes.FRONT}", request, 4.0)
--- a/bench/upgrade_troubles.py
+++ b/bench/upgrade_troubles.py
@@ -105,7 +105,7 @@
     ]
     request = http_messages.Request(b"POST", b"/safe/", headers)
     try:
-        answer = await upgrade.fleet.pool.call(f"{entry_ip}:{soak_nodes.FRONT}", request, 4.0)
+        answer = await upgrade.fleet.pool.request(f"{entry_ip}:{soak_nodes.FRONT}", request, 4.0)
     except errors.MerlinthreadError:
         return None
     return answer.status
--- a/src/merlinthread/nodes/engine_client.py
+++ b/src/merlinthread/nodes/engine_client.py
@@ -38,13 +38,13 @@
     async def report(self) -> fleet.EngineReport:
         """Return the engine's report."""
         request = self.dialect.report_request(self.engine)
-        answer = await self.pool.call(self.engine, request, LOCAL_TIMEOUT_S)
+        answer = await self.pool.request(self.engine, request, LOCAL_TIMEOUT_S)
         return self.dialect.report(whole(answer).body)
 
     async def manifest(self, origin: str, model: str, version: int) -> fleet.Manifest:
         """Return a version's manifest; version 0 is the newest named."""
         request = self.dialect.manifest_request(origin, model, version)
-        answer = await self.pool.call(origin, request, MANIFEST_TIMEOUT_S)
+        answer = await self.pool.request(origin, request, MANIFEST_TIMEOUT_S)
         if answer.status == STATUS_GONE:
             raise errors.WeightsError(
                 f"{model} version {version} is no longer at the origin",
@@ -59,7 +59,7 @@
     async def piece(self, origin: str, manifest: fleet.Manifest, index: int) -> bytes:
         """Return a piece from the origin, checked."""
         request = self.dialect.piece_request(origin, manifest.model, manifest.version, index)
-        answer = await self.pool.call(origin, request, PIECE_TIMEOUT_S)
+        answer = await self.pool.request(origin, request, PIECE_TIMEOUT_S)
         if answer.status == STATUS_GONE:
             raise errors.WeightsError(
                 f"{manifest.model} version {manifest.version} is no longer at the origin",
@@ -73,12 +73,12 @@
     async def stage(self, model: str, index: int, data: bytes) -> None:
         """Lay a piece at the engine."""
         request = self.dialect.stage_request(self.engine, model, index, data)
-        whole(await self.pool.call(self.engine, request, LOCAL_TIMEOUT_S))
+        whole(await self.pool.request(self.engine, request, LOCAL_TIMEOUT_S))
 
     async def staged(self, manifest: fleet.Manifest, index: int) -> bytes | None:
         """Return a piece that lies at the engine, or None if it is missing or not sound."""
         request = self.dialect.staged_request(self.engine, manifest.model, index)
-        answer = await self.pool.call(self.engine, request, LOCAL_TIMEOUT_S)
+        answer = await self.pool.request(self.engine, request, LOCAL_TIMEOUT_S)
         if answer.status != 200 or digest_of(answer.body) != manifest.digests[index]:
             return None
         return answer.body
@@ -86,7 +86,7 @@
     async def load(self, model: str, version: int, cuts_streams: bool) -> int:
         """Order the engine to take the staged weights; return the status of its answer."""
         request = self.dialect.load_request(self.engine, model, version, cuts_streams)
-        answer = await self.pool.call(self.engine, request, LOCAL_TIMEOUT_S)
+        answer = await self.pool.request(self.engine, request, LOCAL_TIMEOUT_S)
         return answer.status
 
 
--- a/src/merlinthread/transport/stream_client.py
+++ b/src/merlinthread/transport/stream_client.py
@@ -263,7 +263,7 @@
         for connection in self.idle.pop(key, []):
             connection.close()
 
-    async def call(
+    async def request(
         self, address: str, request: http_messages.Request, timeout_s: float
     ) -> http_messages.Response:
         """Send an idempotent request and return its response.
--- a/tests/fleet_nodes.py
+++ b/tests/fleet_nodes.py
@@ -138,7 +138,7 @@
         headers = [(b"host", b"c"), (b"content-length", b"%d" % len(data))]
         request = http_messages.Request(method.encode(), path.encode(), headers, data)
         pool = stream_client.ConnectionPool(1.0, 1.0, 2.0)
-        return await pool.call(f"{ip}:{self.public_port}", request, 3.0)
+        return await pool.request(f"{ip}:{self.public_port}", request, 3.0)
 
     async def until_acknowledged(
         self, method: str, path: str, body: dict | None = None
--- a/tests/test_stream_connections.py
+++ b/tests/test_stream_connections.py
@@ -44,7 +44,7 @@
 
 async def call(address: str) -> http_messages.Response:
     pool = stream_client.ConnectionPool(5.0, 1.0, 2.0)
-    return await pool.call(address, get(), 2.0)
+    return await pool.request(address, get(), 2.0)
 
 
 def test_an_answer_comes_back_whole_and_the_connection_is_used_again():
@@ -57,7 +57,7 @@
 
         _, address = await serve(handler)
         pool = stream_client.ConnectionPool(5.0, 1.0, 2.0)
-        bodies = [(await pool.call(address, get(), 2.0)).body for _ in range(3)]
+        bodies = [(await pool.request(address, get(), 2.0)).body for _ in range(3)]
         assert bodies == [b"hello"] * 3
         assert len(set(peers)) == 1
 
@@ -314,12 +314,12 @@
         server = FreezableServer()
         address = await server.start()
         pool = stream_client.ConnectionPool(60.0, 1.0, 2.0)
-        await asyncio.gather(*(pool.call(address, get(), 5.0) for _ in range(3)))
+        await asyncio.gather(*(pool.request(address, get(), 5.0) for _ in range(3)))
         assert server.connections == 3
         server.generation += 1
         with pytest.raises(errors.UnreachableError):
-            await pool.call(address, get(), 0.05)
-        answers = await asyncio.gather(*(pool.call(address, get(), 5.0) for _ in range(3)))
+            await pool.request(address, get(), 0.05)
+        answers = await asyncio.gather(*(pool.request(address, get(), 5.0) for _ in range(3)))
         assert [answer.body for answer in answers] == [b"ok"] * 3
 
     asyncio.run(scenario())
