--- a/src/merlinthread/transport/http_server.py
+++ b/src/merlinthread/transport/http_server.py
@@ -86,7 +86,7 @@
                 return prefix_handler, path[len(prefix) :]
         return None
 
-    def handle(self, request: Request) -> Response:
+    def dispatch(self, request: Request) -> Response:
         """Call the matching handler; turn its exceptions into error responses."""
         match = self.find(request.method, request.path)
         if match is None:
@@ -136,7 +136,7 @@
             )
         body = raw.rfile.read(length) if length else b""
         headers = {name.lower(): value for name, value in raw.headers.items()}
-        return self.routes.handle(
+        return self.routes.dispatch(
             Request(raw.method, raw.path_info, "", dict(query), headers, body)
         )
 
