--- a/bench/soak.py
+++ b/bench/soak.py
@@ -88,7 +88,7 @@
         request = http_messages.Request(method.encode(), path.encode(), headers, data)
         address = f"{self.rng.choice(self.fleet.control_ips)}:{soak_nodes.CONTROL}"
         try:
-            answer = await self.fleet.pool.call(address, request, 1.0)
+            answer = await self.fleet.pool.request(address, request, 1.0)
         except errors.MerlinthreadError:
             return 0, b""
         return answer.status, answer.body
@@ -160,14 +160,14 @@
         self.tally.asked += 1
         self.words.note_sent(request_id, entry_ip)
         try:
-            answer = await self.fleet.pool.call(address, request, 4.0)
+            answer = await self.fleet.pool.request(address, request, 4.0)
         except errors.MerlinthreadError:
             self.tally.failed += 1
             return False
         self.words.note_answer(entry_ip, answer)
         return self.check(service, request_id, answer)
 
-    def check(self, service: str, request_id: str, answer: http_messages.Answer) -> bool:
+    def check(self, service: str, request_id: str, answer: http_messages.Response) -> bool:
         """Check one whole answer against what the workers ran."""
         if answer.status in NOT_RUN:
             self.tally.refused += 1
--- a/bench/soak_fleet.py
+++ b/bench/soak_fleet.py
@@ -29,7 +29,7 @@
             for number, service in enumerate(SERVICES)
         }
         self.links: dict[fleet_worker.Worker, proxy.Link] = {}
-        self.pool = stream_client.Pool(0.0, 0.5, 1.0)
+        self.pool = stream_client.ConnectionPool(0.0, 0.5, 1.0)
 
     async def start(self) -> None:
         """Start all workers and nodes."""
@@ -60,7 +60,7 @@
         request = http_messages.Request(b"GET", b"/config", [(b"host", b"c")])
         while loop.time() < deadline:
             with contextlib.suppress(errors.MerlinthreadError):
-                await self.pool.call(f"{node.ip}:{soak_nodes.CONTROL}", request, 1.0)
+                await self.pool.request(f"{node.ip}:{soak_nodes.CONTROL}", request, 1.0)
                 return
             await asyncio.sleep(0.05)
 
--- a/bench/swarm.py
+++ b/bench/swarm.py
@@ -47,7 +47,7 @@
             checked,
             messages.make_codec([]),
             http_server.Server("127.0.0.1", 1, 2),
-            http_server.InFlight(),
+            http_server.InFlightRequests(),
         )
         assert checked.agent is not None
         folder = pathlib.Path(config["folder"]) if config.get("folder") else None
@@ -55,7 +55,7 @@
         self.weights = weights.Weights(parts, checked.agent, store)
         self.giver = CorruptingGiver(self.weights)
         self.giver.corrupt_share = config.get("corrupt_share", 0.0)
-        self.responder = bus.Responder(
+        self.responder = bus.RpcServer(
             checked.bus, parts.codec, self.giver.handle, workers=RESPONDERS
         )
         self.responder.start()
--- a/bench/upgrade_balancer.py
+++ b/bench/upgrade_balancer.py
@@ -16,7 +16,7 @@
 class Balancer:
     """Asks the entries again and again whether they are ready."""
 
-    def __init__(self, pool: stream_client.Pool) -> None:
+    def __init__(self, pool: stream_client.ConnectionPool) -> None:
         self.pool = pool
         # How often in a row an entry was not ready when it was asked, by its IP.
         self.misses = dict.fromkeys(soak_nodes.ENTRY_IPS, MISSES_MAX)
@@ -32,7 +32,7 @@
         request = http_messages.Request(b"GET", b"/readyz", [(b"host", b"c")])
         is_ready = False
         with contextlib.suppress(errors.MerlinthreadError):
-            answer = await self.pool.call(f"{ip}:{soak_nodes.READY}", request, 0.5)
+            answer = await self.pool.request(f"{ip}:{soak_nodes.READY}", request, 0.5)
             is_ready = answer.status == 200
         self.misses[ip] = 0 if is_ready else self.misses[ip] + 1
 
--- a/src/merlinthread/daemon.py
+++ b/src/merlinthread/daemon.py
@@ -26,8 +26,10 @@
         server = http_server.Server(
             config.http.address, config.http.port, config.http.threads, config.http.body_bytes_max
         )
-        self.parts = base.Parts(config, messages.make_codec(keys), server, http_server.InFlight())
-        http_server.add_health(server.routes, self.not_ready_because)
+        self.parts = base.Parts(
+            config, messages.make_codec(keys), server, http_server.InFlightRequests()
+        )
+        http_server.add_health_routes(server.routes, self.not_ready_because)
         self.roles = [base.ROLES.get(name)(self.parts) for name in config.roles]
         self.stop_asked = threading.Event()
         self.reload_asked = threading.Event()
@@ -77,7 +79,7 @@
     def leave(self) -> None:
         """Take no new work, let others learn of it, wait for what is in progress, then stop."""
         logs.event("leaving", in_flight=self.parts.in_flight.count)
-        self.parts.in_flight.is_leaving = True
+        self.parts.in_flight.is_draining = True
         for role in self.roles:
             role.begin_leaving()
         if set(self.config.roles) != {"control"}:
--- a/src/merlinthread/nodes/agent_node.py
+++ b/src/merlinthread/nodes/agent_node.py
@@ -32,10 +32,10 @@
     ) -> None:
         self.settings = settings
         self.clock = clock
-        self.caller = node_bus.Caller(codec)
+        self.caller = node_bus.RpcClient(codec)
         self.watcher = news_watcher.NewsWatcher(settings, dialect, self.caller, clock, lambda: None)
         self.engine = engine_client.EngineClient(dialect, settings.engine)
-        self.datagrams = node_bus.Datagrams(codec, self.on_datagram)
+        self.datagrams = node_bus.DatagramEndpoint(codec, self.on_datagram)
         self.weights = weights_task.WeightsTask(
             settings,
             self.watcher,
@@ -46,7 +46,7 @@
             self.tell,
             self.datagrams.send,
         )
-        self.listener = node_bus.Listener(
+        self.listener = node_bus.RpcServer(
             codec, self.on_message, lambda: self.weights.giver.outgoing.bytes_per_s
         )
         self.ledger = load_ledger.LoadLedger()
--- a/src/merlinthread/nodes/control_node.py
+++ b/src/merlinthread/nodes/control_node.py
@@ -47,7 +47,7 @@
     ) -> None:
         self.settings = settings
         self.clock = clock
-        self.caller = node_bus.Caller(codec)
+        self.caller = node_bus.RpcClient(codec)
         self.registry = instances.Instances(settings.heartbeat_s)
         self.named_at: dict[str, float] = {}
         self.feed = secrets.token_hex(8)
@@ -60,8 +60,8 @@
         self.crashes = crash_registry.CrashRegistry(
             settings, clock, self.caller, self.member, self.submit, self.tell
         )
-        self.listener = node_bus.Listener(codec, self.on_message)
-        self.datagrams = node_bus.Datagrams(codec, self.on_datagram)
+        self.listener = node_bus.RpcServer(codec, self.on_message)
+        self.datagrams = node_bus.DatagramEndpoint(codec, self.on_datagram)
         self.permits = permit_office.PermitOffice(self.member, clock)
         limits = http_messages.Limits(body_bytes=BODY_BYTES_MAX, idle_timeout_s=60.0)
         self.calls = control_calls.ControlCalls(
@@ -94,7 +94,7 @@
         """Stop to accept calls and wait for those in progress."""
         self.server.stop_accepting()
         for _ in range(20):
-            if not self.server.count_busy():
+            if not self.server.count_active_requests():
                 break
             await asyncio.sleep(0.05)
         await self.member.members.resign()
--- a/src/merlinthread/nodes/engine_client.py
+++ b/src/merlinthread/nodes/engine_client.py
@@ -33,18 +33,18 @@
     def __init__(self, dialect: dialects.Dialect, engine: str) -> None:
         self.dialect = dialect
         self.engine = engine
-        self.pool = stream_client.Pool(KEEP_S, CONNECT_TIMEOUT_S, USER_TIMEOUT_S)
+        self.pool = stream_client.ConnectionPool(KEEP_S, CONNECT_TIMEOUT_S, USER_TIMEOUT_S)
 
     async def report(self) -> fleet.EngineReport:
         """Return the engine's report."""
         request = self.dialect.report_request(self.engine)
-        answer = await self.pool.call(self.engine, request, LOCAL_TIMEOUT_S)
+        answer = await self.pool.request(self.engine, request, LOCAL_TIMEOUT_S)
         return self.dialect.report(whole(answer).body)
 
     async def manifest(self, origin: str, model: str, version: int) -> fleet.Manifest:
         """Return a version's manifest; version 0 is the newest named."""
         request = self.dialect.manifest_request(origin, model, version)
-        answer = await self.pool.call(origin, request, MANIFEST_TIMEOUT_S)
+        answer = await self.pool.request(origin, request, MANIFEST_TIMEOUT_S)
         if answer.status == STATUS_GONE:
             raise errors.WeightsError(
                 f"{model} version {version} is no longer at the origin",
@@ -54,12 +54,12 @@
 
     def leave_origin(self, origin: str) -> None:
         """Close idle connections to the origin: it bears few, and counts those of lost machines."""
-        self.pool.drop(origin)
+        self.pool.close_idle(origin)
 
     async def piece(self, origin: str, manifest: fleet.Manifest, index: int) -> bytes:
         """Return a piece from the origin, checked."""
         request = self.dialect.piece_request(origin, manifest.model, manifest.version, index)
-        answer = await self.pool.call(origin, request, PIECE_TIMEOUT_S)
+        answer = await self.pool.request(origin, request, PIECE_TIMEOUT_S)
         if answer.status == STATUS_GONE:
             raise errors.WeightsError(
                 f"{manifest.model} version {manifest.version} is no longer at the origin",
@@ -73,12 +73,12 @@
     async def stage(self, model: str, index: int, data: bytes) -> None:
         """Lay a piece at the engine."""
         request = self.dialect.stage_request(self.engine, model, index, data)
-        whole(await self.pool.call(self.engine, request, LOCAL_TIMEOUT_S))
+        whole(await self.pool.request(self.engine, request, LOCAL_TIMEOUT_S))
 
     async def staged(self, manifest: fleet.Manifest, index: int) -> bytes | None:
         """Return a piece that lies at the engine, or None if it is missing or not sound."""
         request = self.dialect.staged_request(self.engine, manifest.model, index)
-        answer = await self.pool.call(self.engine, request, LOCAL_TIMEOUT_S)
+        answer = await self.pool.request(self.engine, request, LOCAL_TIMEOUT_S)
         if answer.status != 200 or digest_of(answer.body) != manifest.digests[index]:
             return None
         return answer.body
@@ -86,19 +86,19 @@
     async def load(self, model: str, version: int, cuts_streams: bool) -> int:
         """Order the engine to take the staged weights; return the status of its answer."""
         request = self.dialect.load_request(self.engine, model, version, cuts_streams)
-        answer = await self.pool.call(self.engine, request, LOCAL_TIMEOUT_S)
+        answer = await self.pool.request(self.engine, request, LOCAL_TIMEOUT_S)
         return answer.status
 
 
-def whole(answer: http_messages.Answer) -> http_messages.Answer:
+def whole(answer: http_messages.Response) -> http_messages.Response:
     """Return an answer that is a success; raise ProtocolError otherwise.
 
     The error says when the server wants to be asked again, if the answer does.
     """
     if 200 <= answer.status < 300:
         return answer
-    value = http_messages.header(answer.headers, retry_after.FIELD)
-    date = http_messages.header(answer.headers, retry_after.DATE)
+    value = http_messages.get_header(answer.headers, retry_after.FIELD)
+    date = http_messages.get_header(answer.headers, retry_after.DATE)
     rest_s = retry_after.parse(value, date).seconds
     raise errors.ProtocolError(f"HTTP status {answer.status}", retry_after_s=rest_s)
 
--- a/src/merlinthread/nodes/entry_node.py
+++ b/src/merlinthread/nodes/entry_node.py
@@ -43,7 +43,7 @@
         self.settings = settings
         self.dialect = dialect
         self.clock = clock
-        self.caller = node_bus.Caller(codec)
+        self.caller = node_bus.RpcClient(codec)
         suspects = crash_ledger.CrashLedger()
         signals = backend_signals.BackendSignals()
         self.watcher = news_watcher.NewsWatcher(
@@ -53,7 +53,7 @@
             settings.name, self.watcher, suspects, self.caller, clock
         )
         self.address = f"{settings.ip}:{settings.entry_port}"
-        self.datagrams = node_bus.Datagrams(codec, self.on_datagram)
+        self.datagrams = node_bus.DatagramEndpoint(codec, self.on_datagram)
         self.prober = load_prober.LoadProber(self.address, self.datagrams.send)
         self.permits = permits.Permits(self.address, self.watcher, self.datagrams.send, clock, rng)
         self.teller = limit_teller.LimitTeller(settings.name, self.watcher, self.caller)
@@ -129,7 +129,7 @@
         """Answer whether this entry is ready."""
         is_known = self.dialect.is_ready_call(exchange.request)
         status = 404 if not is_known else 200 if self.is_ready() else 503
-        await exchange.respond(http_messages.Answer(status, []))
+        await exchange.respond(http_messages.Response(status, []))
 
     async def serve(self, exchange: stream_server.Exchange) -> None:
         """Serve one client's request."""
@@ -143,14 +143,14 @@
         deadline = self.clock() + self.settings.bounds.grace_s - LEAVE_MARGIN_S
         self.is_leaving = True
         self.is_ready()
-        self.server.begin_leaving()
+        self.server.begin_draining()
         await asyncio.sleep(UNREADY_BEFORE_CLOSE_S)
         self.server.stop_accepting()
         # Also connections whose last answer has not left yet are waited for.
         while self.server.connections and self.clock() < deadline:
             await asyncio.sleep(0.05)
-        if self.server.count_busy():
-            logs.warn("cut_off", requests=self.server.count_busy())
+        if self.server.count_active_requests():
+            logs.warn("cut_off", requests=self.server.count_active_requests())
 
 
 @node_roles.NODES.add("entry")
--- a/src/merlinthread/roles/agent.py
+++ b/src/merlinthread/roles/agent.py
@@ -47,14 +47,14 @@
         self.weights = weights.Weights(parts, config, chunks.ChunkStore(folder, config.store_bytes))
         self.giver = chunk_giver.ChunkGiver(self.weights)
         self.target = target.Target(parts, config, self.incarnation)
-        self.responder = bus.Responder(
+        self.responder = bus.RpcServer(
             parts.settings.bus,
             parts.codec,
             self.giver.handle,
             workers=config.upload_slots + 2,
         )
         self.entries = self.choose_entries()
-        self.callers = {address: bus.Callers(parts.codec) for address in self.entries}
+        self.callers = {address: bus.RpcClients(parts.codec) for address in self.entries}
         self.home = self.entries[0]
         self.told: dict[str, tuple[object, ...]] = {}
         self.beats = [self.make_beat(address) for address in self.entries]
@@ -125,7 +125,7 @@
 
     def is_leaving(self) -> bool:
         """Return whether the target takes no new work."""
-        return self.parts.in_flight.is_leaving or self.target.is_leaving or self.is_replaced
+        return self.parts.in_flight.is_draining or self.target.is_leaving or self.is_replaced
 
     def beat(self, address: str) -> None:
         """Report to one entry and take over what it says."""
@@ -277,7 +277,7 @@
 
     def give_weights(self, request: http_server.Request) -> http_server.Response:
         """Give a whole manifest's bytes to the engine."""
-        pieces = self.giver.read_all(request.rest)
+        pieces = self.giver.read_all(request.subpath)
         return http_server.Response(200, pieces, content_type="application/octet-stream")
 
     # Life
--- a/src/merlinthread/roles/forwarding.py
+++ b/src/merlinthread/roles/forwarding.py
@@ -42,7 +42,7 @@
 
     def choose(self, request: http_server.Request, attempt: attempts.Attempt) -> agents.AgentReport:
         """Choose one of this entry's own targets."""
-        if request.rest == "v1/completions":
+        if request.subpath == "v1/completions":
             body = msgspec.json.decode(request.body, type=completion.CompletionCall)
             wanted = routing.Wanted(bundles.GENERATE, body.model, body.adapter)
         else:
@@ -52,7 +52,7 @@
 
     def open_at(
         self, report: agents.AgentReport, request: http_server.Request, attempt: attempts.Attempt
-    ) -> http_client.Stream:
+    ) -> http_client.StreamingResponse:
         """Send the attempt to the chosen agent."""
         attempt.incarnation = report.incarnation
         self.path.outstanding.add(report.name, 1)
@@ -70,10 +70,12 @@
             self.path.outstanding.add(report.name, -1)
             raise
 
-    def relay(self, stream: http_client.Stream, report: agents.AgentReport) -> Iterator[bytes]:
+    def relay(
+        self, stream: http_client.StreamingResponse, report: agents.AgentReport
+    ) -> Iterator[bytes]:
         """Give the answer on as it comes; a broken one ends without its closing event."""
         try:
-            yield from stream.pieces()
+            yield from stream.iter_chunks()
             stream.release()
         except errors.UnreachableError as error:
             logs.event("forwarded_broke_off", target=report.name, reason=error.message)
--- a/src/merlinthread/roles/target.py
+++ b/src/merlinthread/roles/target.py
@@ -238,7 +238,7 @@
         """Answer one attempt of an entry."""
         self.parts.in_flight.enter()
         try:
-            if request.rest == "v1/completions" and self.config.target_kind == bundles.GENERATE:
+            if request.subpath == "v1/completions" and self.config.target_kind == bundles.GENERATE:
                 return self.generate(request)
             return self.call_service(request)
         except BaseException:
@@ -290,7 +290,7 @@
 
     def open_engine(
         self, body: bytes, attempt: attempts.Attempt, deadline: float
-    ) -> http_client.Stream:
+    ) -> http_client.StreamingResponse:
         """Send a completion to the engine; raise its refusal, or not_run if it was not reached."""
         left = max(0.05, deadline - self.parts.clock())
         headers = {
@@ -318,11 +318,13 @@
             )
         return stream
 
-    def relay(self, stream: http_client.Stream, ticket: fair_queue.Ticket) -> Iterator[bytes]:
+    def relay(
+        self, stream: http_client.StreamingResponse, ticket: fair_queue.Ticket
+    ) -> Iterator[bytes]:
         """Give the engine's events on and charge its tokens."""
         is_whole = False
         try:
-            for event in events.decode(stream.lines()):
+            for event in events.decode(stream.iter_lines()):
                 if event.kind == events.TOKEN:
                     self.line.charge(ticket.id, 1)
                 is_whole = event.kind in (events.DONE, events.ERROR)
@@ -371,7 +373,7 @@
 
     def call_target(
         self, request: http_server.Request, attempt: attempts.Attempt, deadline: float
-    ) -> http_client.Reply:
+    ) -> http_client.Response:
         """Send a call to the service; not_run only if it was not reached."""
         left = max(0.05, deadline - self.parts.clock())
         headers = {
@@ -379,7 +381,7 @@
             attempts.ATTEMPT: attempt.id,
             attempts.ACCOUNT: attempt.account,
         }
-        url = f"{self.config.target_url}/{request.rest}"
+        url = f"{self.config.target_url}/{request.subpath}"
         try:
             return self.client.request(request.method, url, request.body, headers, left)
         except http_client.NotSentError as error:
--- a/tests/fleet_nodes.py
+++ b/tests/fleet_nodes.py
@@ -61,7 +61,7 @@
     return news_watcher.NewsWatcher(
         settings,
         dialect.PlatformDialect(),
-        node_bus.Caller(make_codec()),
+        node_bus.RpcClient(make_codec()),
         clocks.now,
         lambda: None,
     )
@@ -132,17 +132,17 @@
 
     async def call(
         self, ip: str, method: str, path: str, body: dict | None = None
-    ) -> http_messages.Answer:
+    ) -> http_messages.Response:
         """Make one call of an operator or worker."""
         data = json.dumps(body).encode() if body is not None else b""
         headers = [(b"host", b"c"), (b"content-length", b"%d" % len(data))]
         request = http_messages.Request(method.encode(), path.encode(), headers, data)
-        pool = stream_client.Pool(1.0, 1.0, 2.0)
-        return await pool.call(f"{ip}:{self.public_port}", request, 3.0)
+        pool = stream_client.ConnectionPool(1.0, 1.0, 2.0)
+        return await pool.request(f"{ip}:{self.public_port}", request, 3.0)
 
     async def until_acknowledged(
         self, method: str, path: str, body: dict | None = None
-    ) -> http_messages.Answer:
+    ) -> http_messages.Response:
         """Make a call again, at any VM, until it is acknowledged."""
         for attempt in range(400):
             ips = list(self.nodes)
@@ -283,7 +283,7 @@
 
     async def ask(
         self, path: str, request_id: str, body: bytes = b"", **headers
-    ) -> http_messages.Answer:
+    ) -> http_messages.Response:
         """Send one client's request and return its answer."""
         connection = await self.send(path, request_id, body, **headers)
         try:
--- a/tests/test_stream_connections.py
+++ b/tests/test_stream_connections.py
@@ -1,4 +1,4 @@
-"""The event-loop HTTP: whole answers only, clients that leave, bounds on what they send."""
+"""Tests of the asyncio HTTP client and server, and of calls between nodes."""
 
 import asyncio
 import random
@@ -21,12 +21,12 @@
     return server, f"127.0.0.1:{port}"
 
 
-async def raw_server(reply: bytes, then_reset: bool = False) -> str:
+async def raw_server(reply: bytes, reset: bool = False) -> str:
     async def answer(reader, writer):
         await reader.readuntil(b"\r\n\r\n")
         writer.write(reply)
         await writer.drain()
-        if then_reset:
+        if reset:
             linger = struct.pack("ii", 1, 0)
             sock = writer.get_extra_info("socket")
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
@@ -42,9 +42,9 @@
     return http_messages.Request(b"GET", path, [(b"host", b"a")])
 
 
-async def call(address: str) -> http_messages.Answer:
-    pool = stream_client.Pool(5.0, 1.0, 2.0)
-    return await pool.call(address, get(), 2.0)
+async def call(address: str) -> http_messages.Response:
+    pool = stream_client.ConnectionPool(5.0, 1.0, 2.0)
+    return await pool.request(address, get(), 2.0)
 
 
 def test_an_answer_comes_back_whole_and_the_connection_is_used_again():
@@ -53,11 +53,11 @@
 
         async def handler(exchange):
             peers.append(id(exchange.connection))
-            await exchange.respond(http_messages.Answer(200, [], b"hello"))
+            await exchange.respond(http_messages.Response(200, [], b"hello"))
 
         _, address = await serve(handler)
-        pool = stream_client.Pool(5.0, 1.0, 2.0)
-        bodies = [(await pool.call(address, get(), 2.0)).body for _ in range(3)]
+        pool = stream_client.ConnectionPool(5.0, 1.0, 2.0)
+        bodies = [(await pool.request(address, get(), 2.0)).body for _ in range(3)]
         assert bodies == [b"hello"] * 3
         assert len(set(peers)) == 1
 
@@ -86,7 +86,7 @@
     async def scenario():
         whole = await raw_server(b"HTTP/1.1 200 OK\r\n\r\nall of it")
         assert (await call(whole)).body == b"all of it"
-        reset = await raw_server(b"HTTP/1.1 200 OK\r\n\r\nall of it", then_reset=True)
+        reset = await raw_server(b"HTTP/1.1 200 OK\r\n\r\nall of it", reset=True)
         with pytest.raises(errors.UnreachableError):
             await call(reset)
 
@@ -100,7 +100,7 @@
         connection = await stream_client.connect(address, 1.0, 2.0)
         connection.send(get())
         assert (await connection.receive()).body == b"a"
-        assert not connection.finish(0.0, 5.0)
+        assert not connection.prepare_reuse(0.0, 5.0)
 
     asyncio.run(scenario())
 
@@ -138,13 +138,13 @@
     return reply
 
 
-async def never(exchange):
+async def unexpected_call(exchange):
     raise AssertionError("the handler was called")
 
 
 def test_a_body_over_the_limit_gets_413():
     async def scenario():
-        _, address = await serve(never, http_messages.Limits(body_bytes=10))
+        _, address = await serve(unexpected_call, http_messages.Limits(body_bytes=10))
         length = await send_raw(
             address, b"POST / HTTP/1.1\r\nhost: a\r\ncontent-length: 11\r\n\r\n"
         )
@@ -161,7 +161,7 @@
 
 def test_a_head_that_comes_byte_by_byte_gets_408_when_its_time_is_over():
     async def scenario():
-        _, address = await serve(never, http_messages.Limits(header_timeout_s=0.2))
+        _, address = await serve(unexpected_call, http_messages.Limits(header_timeout_s=0.2))
         reply = await send_raw(address, b"GET / HTTP/1.1\r\nho")
         assert reply.startswith(b"HTTP/1.1 408")
 
@@ -170,7 +170,7 @@
 
 def test_a_head_over_the_limit_gets_431():
     async def scenario():
-        _, address = await serve(never, http_messages.Limits(header_bytes=512))
+        _, address = await serve(unexpected_call, http_messages.Limits(header_bytes=512))
         reply = await send_raw(address, b"GET / HTTP/1.1\r\nx: " + b"y" * 2000)
         assert reply.startswith(b"HTTP/1.1 431")
 
@@ -180,7 +180,7 @@
 def test_a_broken_off_answer_does_not_look_complete():
     async def scenario():
         async def handler(exchange):
-            exchange.start(200, [])
+            exchange.start_response(200, [])
             await exchange.send(b"part")
             exchange.abort()
 
@@ -197,17 +197,17 @@
 
         async def handler(exchange):
             await release.wait()
-            await exchange.respond(http_messages.Answer(200, [], b"late"))
+            await exchange.respond(http_messages.Response(200, [], b"late"))
 
         server, address = await serve(handler)
         task = asyncio.create_task(call(address))
-        while not server.count_busy():
+        while not server.count_active_requests():
             await asyncio.sleep(0)
         server.stop_accepting()
         release.set()
         answer = await task
         assert answer.body == b"late"
-        assert http_messages.header(answer.headers, b"connection") == b"close"
+        assert http_messages.get_header(answer.headers, b"connection") == b"close"
 
     asyncio.run(scenario())
 
@@ -215,13 +215,13 @@
 def test_a_leaving_server_still_answers_a_request_that_is_half_read():
     async def scenario():
         async def handler(exchange):
-            await exchange.respond(http_messages.Answer(200, [], exchange.request.body))
+            await exchange.respond(http_messages.Response(200, [], exchange.request.body))
 
         server, address = await serve(handler)
         host, port = address.split(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         writer.write(b"POST / HTTP/1.1\r\nhost: a\r\ncontent-length: 4\r\n\r\nab")
-        while not any(connection.parts for connection in server.connections):
+        while not any(connection.body_chunks for connection in server.connections):
             await asyncio.sleep(0)
         server.stop_accepting()
         writer.write(b"cd")
@@ -237,7 +237,7 @@
         release = asyncio.Event()
 
         async def handler(exchange):
-            exchange.start(200, [])
+            exchange.start_response(200, [])
             await exchange.send(b"first")
             await release.wait()
             await exchange.finish()
@@ -259,9 +259,9 @@
 def test_a_node_that_ends_while_it_answers_is_unreachable_not_a_bad_request():
     async def scenario():
         address = await raw_server(b"")
-        caller = node_bus.Caller(fleet_nodes.make_codec())
+        client = node_bus.RpcClient(fleet_nodes.make_codec())
         with pytest.raises(errors.MerlinthreadError) as raised:
-            await caller.call(address, node_messages.Read(), 2.0)
+            await client.call(address, node_messages.Read(), 2.0)
         assert raised.value.kind is errors.ErrorKind.UNREACHABLE
 
     asyncio.run(scenario())
@@ -289,8 +289,8 @@
     asyncio.run(scenario())
 
 
-class SilenceableServer:
-    """A server whose open connections may fall silent for good, while new ones work."""
+class FreezableServer:
+    """A server whose open connections stop responding when `generation` changes."""
 
     def __init__(self) -> None:
         self.generation = 0
@@ -301,25 +301,25 @@
         return f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
 
     async def answer(self, reader, writer) -> None:
-        born = self.generation
+        generation = self.generation
         self.connections += 1
         while await reader.readuntil(b"\r\n\r\n"):
-            if born != self.generation:
+            if generation != self.generation:
                 await asyncio.Event().wait()
             writer.write(b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok")
 
 
 def test_of_connections_that_fell_silent_only_the_first_one_used_costs_its_time_limit():
     async def scenario():
-        server = SilenceableServer()
+        server = FreezableServer()
         address = await server.start()
-        pool = stream_client.Pool(60.0, 1.0, 2.0)
-        await asyncio.gather(*(pool.call(address, get(), 5.0) for _ in range(3)))
+        pool = stream_client.ConnectionPool(60.0, 1.0, 2.0)
+        await asyncio.gather(*(pool.request(address, get(), 5.0) for _ in range(3)))
         assert server.connections == 3
         server.generation += 1
         with pytest.raises(errors.UnreachableError):
-            await pool.call(address, get(), 0.05)
-        answers = await asyncio.gather(*(pool.call(address, get(), 5.0) for _ in range(3)))
+            await pool.request(address, get(), 0.05)
+        answers = await asyncio.gather(*(pool.request(address, get(), 5.0) for _ in range(3)))
         assert [answer.body for answer in answers] == [b"ok"] * 3
 
     asyncio.run(scenario())
@@ -331,7 +331,7 @@
         stuck = asyncio.Event()
 
         async def handler(exchange):
-            exchange.start(200, [])
+            exchange.start_response(200, [])
             try:
                 while True:
                     stuck.set()
@@ -356,39 +356,39 @@
 
 def test_a_long_answer_of_a_node_leaves_in_even_parts_and_arrives_whole(monkeypatch):
     async def scenario():
-        # Bytes that do not get shorter: compressed into one part, nothing would be shown.
-        piece = node_messages.PieceReply(3, random.Random(1).randbytes(24_576), b"")
+        # Random bytes, since a compressible payload would fit into one chunk.
+        reply = node_messages.PieceReply(3, random.Random(1).randbytes(24_576), b"")
 
         async def handler(message):
-            return piece
+            return reply
 
         codec = fleet_nodes.make_codec()
-        listener = node_bus.Listener(codec, handler, bulk_bytes_per_s=lambda: 200_000.0)
+        listener = node_bus.RpcServer(codec, handler, pacing_bytes_per_s=lambda: 200_000.0)
         await listener.listen("127.0.0.1", 0)
         port = listener.server.listener.sockets[0].getsockname()[1]
         sent = []
         write = stream_server.ServerConnection.write
 
-        def note(connection, event):
+        def record_write(connection, event):
             if isinstance(event, h11.Data):
                 sent.append((asyncio.get_running_loop().time(), len(event.data)))
             write(connection, event)
 
-        monkeypatch.setattr(stream_server.ServerConnection, "write", note)
+        monkeypatch.setattr(stream_server.ServerConnection, "write", record_write)
         request = node_messages.PieceRequest("m", 1, b"\xff")
-        answer = await node_bus.Caller(codec).call(f"127.0.0.1:{port}", request, 5.0)
-        assert answer == piece
-        assert max(size for _, size in sent) <= node_bus.PART_BYTES
+        answer = await node_bus.RpcClient(codec).call(f"127.0.0.1:{port}", request, 5.0)
+        assert answer == reply
+        assert max(size for _, size in sent) <= node_bus.SEND_CHUNK_BYTES
         began, total = sent[0][0], 0
         for at, size in sent:
-            assert at - began >= total / 200_000.0 - 0.002, "a part left before its time"
+            assert at - began >= total / 200_000.0 - 0.002, "a chunk was sent too early"
             total += size
 
     asyncio.run(scenario())
 
 
-class Opening:
-    """Stands for the opening of connections: `plan` says how each one goes, in order."""
+class FakeConnector:
+    """Replaces `stream_client.connect`; `plan` lists the outcome of each call, in order."""
 
     def __init__(self, plan: list[str]) -> None:
         self.plan = plan
@@ -415,20 +415,20 @@
     [(["lost", "made"], 1, 1), (["made"], 1, 0), (["lost", "refused"], 0, 1)],
 )
 def test_a_second_opening_packet_follows_one_that_is_lost(monkeypatch, plan, made, cancelled):
-    opening = Opening(list(plan))
-    monkeypatch.setattr(stream_client, "connect", opening.connect)
+    connector = FakeConnector(list(plan))
+    monkeypatch.setattr(stream_client, "connect", connector.connect)
 
     async def scenario():
         async with asyncio.timeout(0.5):
-            return await stream_client.connect_twice("127.0.0.1:1", 0.01, 0.3, 2.0)
+            return await stream_client.connect_hedged("127.0.0.1:1", 0.01, 0.3, 2.0)
 
     if made:
-        assert asyncio.run(scenario()) is opening.made[0]
+        assert asyncio.run(scenario()) is connector.made[0]
     else:
         with pytest.raises(TimeoutError):
             asyncio.run(scenario())
-    assert not opening.plan
-    assert opening.cancelled == cancelled
+    assert not connector.plan
+    assert connector.cancelled == cancelled
 
 
 def test_of_two_connections_made_at_once_one_is_closed(monkeypatch):
@@ -444,7 +444,7 @@
 
     async def scenario():
         asyncio.get_running_loop().call_later(0.05, gate.set)
-        taken = await stream_client.connect_twice("127.0.0.1:1", 0.01, 0.3, 2.0)
+        taken = await stream_client.connect_hedged("127.0.0.1:1", 0.01, 0.3, 2.0)
         await fleet_nodes.until(lambda: len(closed) == 1)
         assert taken not in closed
 
