--- a/src/merlinthread/nodes/control_node.py
+++ b/src/merlinthread/nodes/control_node.py
@@ -186,18 +186,18 @@
         """Answer one call of another node."""
         if isinstance(message, node_messages.LogMessages):
             self.member.receive(message.frames)
-            return node_messages.Ok(levels.NEWEST)
+            return node_messages.Acknowledgement(levels.NEWEST)
         if isinstance(message, node_messages.Watch):
             return await self.on_watch(message)
         if isinstance(message, node_messages.Beats):
             for heartbeat in message.heartbeats:
                 self.take(heartbeat)
             self.limits.take(message.limits)
-            return node_messages.Ok(levels.NEWEST)
+            return node_messages.Acknowledgement(levels.NEWEST)
         if isinstance(message, node_messages.CrashReport):
             self.crashes.take(message)
             self.limits.take_heard(message.limits)
-            return node_messages.Ok(levels.NEWEST)
+            return node_messages.Acknowledgement(levels.NEWEST)
         if isinstance(message, node_messages.Submit):
             async with asyncio.timeout(control_calls.FORWARD_TIMEOUT_S):
                 is_changed = await self.member.propose(message.command)
--- a/src/merlinthread/nodes/log_sender.py
+++ b/src/merlinthread/nodes/log_sender.py
@@ -57,7 +57,7 @@
         except errors.MerlinthreadError:
             self.levels.note_lost(address)
             return
-        if not isinstance(reply, node_messages.Ok):
+        if not isinstance(reply, node_messages.Acknowledgement):
             logs.warn("member_answer_unknown", member=address, answer=type(reply).__name__)
         elif self.levels.note_told(address, reply.level):
             logs.event("member_level", member=address, level=reply.level)
--- a/src/merlinthread/protocol/node_messages.py
+++ b/src/merlinthread/protocol/node_messages.py
@@ -18,7 +18,7 @@
 
 @MESSAGES.add("node.ok")
 @dataclasses.dataclass(slots=True)
-class Ok:
+class Acknowledgement:
     """Acknowledge a message that needs no other answer.
 
     `level` is the newest one that the sender reads (`coordination.levels`); builds that tell none
--- a/tests/test_control_nodes.py
+++ b/tests/test_control_nodes.py
@@ -506,7 +506,9 @@
         port = fleet_nodes.free_port()
         await listener.listen("127.0.0.1", port)
         with pytest.raises(errors.MerlinthreadError) as found:
-            await node_bus.Caller(codec).call(f"127.0.0.1:{port}", node_messages.Ok(), 1.0)
+            await node_bus.Caller(codec).call(
+                f"127.0.0.1:{port}", node_messages.Acknowledgement(), 1.0
+            )
         assert (found.value.kind, found.value.message) == (errors.ErrorKind.INTERNAL, "no")
         listener.server.listener.close()
 
