--- a/src/merlinthread/protocol/node_messages.py
+++ b/src/merlinthread/protocol/node_messages.py
@@ -30,7 +30,7 @@
 
 @MESSAGES.add("node.failed")
 @dataclasses.dataclass(slots=True)
-class Failed:
+class ErrorReply:
     """Refuse a message: an error kind and its message."""
 
     kind: str
--- a/src/merlinthread/transport/node_bus.py
+++ b/src/merlinthread/transport/node_bus.py
@@ -54,7 +54,7 @@
         if answer.status != 200:
             raise errors.UnreachableError(f"{address}: HTTP status {answer.status}")
         reply = self.codec.decode(answer.body)
-        if isinstance(reply, node_messages.Failed):
+        if isinstance(reply, node_messages.ErrorReply):
             raise errors.MerlinthreadError(reply.message, kind=kind_of(reply.kind))
         return reply
 
@@ -121,12 +121,12 @@
         try:
             return await self.handler(self.codec.decode(body))
         except errors.MerlinthreadError as error:
-            return node_messages.Failed(str(error.kind), error.message)
+            return node_messages.ErrorReply(str(error.kind), error.message)
         except asyncio.CancelledError:
             raise
         except Exception as error:
             logs.failure("node_call_failed")
-            return node_messages.Failed(str(errors.ErrorKind.INTERNAL), repr(error))
+            return node_messages.ErrorReply(str(errors.ErrorKind.INTERNAL), repr(error))
 
 
 class Datagrams(asyncio.DatagramProtocol):
--- a/tests/test_control_nodes.py
+++ b/tests/test_control_nodes.py
@@ -500,7 +500,7 @@
         codec = fleet_nodes.make_codec()
 
         async def refuse(message):
-            return node_messages.Failed("of_tomorrow", "no")
+            return node_messages.ErrorReply("of_tomorrow", "no")
 
         listener = node_bus.Listener(codec, refuse)
         port = fleet_nodes.free_port()
