--- a/src/merlinthread/nodes/control_node.py
+++ b/src/merlinthread/nodes/control_node.py
@@ -187,7 +187,7 @@
         if isinstance(message, node_messages.LogMessages):
             self.member.receive(message.frames)
             return node_messages.Acknowledgement(levels.NEWEST)
-        if isinstance(message, node_messages.Watch):
+        if isinstance(message, node_messages.WatchRequest):
             return await self.on_watch(message)
         if isinstance(message, node_messages.Beats):
             for heartbeat in message.heartbeats:
@@ -210,7 +210,7 @@
             return await self.member.members.on_resign(message)
         raise errors.ProtocolError(f"a control VM does not answer {type(message).__name__}")
 
-    async def on_watch(self, watch: node_messages.Watch) -> node_messages.News:
+    async def on_watch(self, watch: node_messages.WatchRequest) -> node_messages.News:
         """Answer with what is new, at once or as soon as there is something."""
         deadline = self.clock() + min(watch.wait_s, WATCH_WAIT_MAX_S)
         while not self.has_news(watch):
@@ -222,7 +222,7 @@
                     await self.changed.wait()
         return self.news(watch)
 
-    def has_news(self, watch: node_messages.Watch) -> bool:
+    def has_news(self, watch: node_messages.WatchRequest) -> bool:
         """Return whether there is anything that the asker does not know."""
         if watch.feed != self.feed or watch.position < self.registry.position:
             return True
@@ -232,7 +232,7 @@
             return True
         return watch.configuration < self.member.state.version
 
-    def news(self, watch: node_messages.Watch) -> node_messages.News:
+    def news(self, watch: node_messages.WatchRequest) -> node_messages.News:
         """Return what the asker does not know."""
         now = self.clock()
         position = watch.position if watch.feed == self.feed else 0
--- a/src/merlinthread/nodes/news_watcher.py
+++ b/src/merlinthread/nodes/news_watcher.py
@@ -145,7 +145,7 @@
         told = self.told.get(address, Told())
         suspicions = told.suspicions if self.suspects is not None else -1
         limits = told.limits if self.signals is not None else -1
-        watch = node_messages.Watch(
+        watch = node_messages.WatchRequest(
             self.settings.name, told.feed, told.position, self.version, wait_s, suspicions, limits
         )
         try:
--- a/src/merlinthread/protocol/node_messages.py
+++ b/src/merlinthread/protocol/node_messages.py
@@ -49,7 +49,7 @@
 
 @MESSAGES.add("node.watch")
 @dataclasses.dataclass(slots=True)
-class Watch:
+class WatchRequest:
     """Ask a control VM for what is newer than what the asker holds; waits up to `wait_s`.
 
     `feed` names the run of the control VM whose `position` the asker holds. `suspicions` is the
--- a/tests/test_log_repair.py
+++ b/tests/test_log_repair.py
@@ -13,7 +13,7 @@
 # The shortest time that a deployment has given a replacement so far.
 CATCH_UP_S = 4.0
 REPLACEMENT = f"{fleet_nodes.NETWORK}.19"
-WATCH = node_messages.Watch("entry", "", 0, 0, 0.0)
+WATCH = node_messages.WatchRequest("entry", "", 0, 0, 0.0)
 
 
 def set_catch_up(controls) -> None:
--- a/tests/test_return_of_all.py
+++ b/tests/test_return_of_all.py
@@ -27,7 +27,7 @@
         self.up = up
         self.leader_age_s = leader_age_s
         self.near = near
-        self.asked: list[tuple[str, node_messages.Watch]] = []
+        self.asked: list[tuple[str, node_messages.WatchRequest]] = []
 
     async def call(self, address, watch, timeout_s):
         self.asked.append((address, watch))
