--- a/src/merlinthread/nodes/control_node.py
+++ b/src/merlinthread/nodes/control_node.py
@@ -210,7 +210,7 @@
             return await self.member.members.on_resign(message)
         raise errors.ProtocolError(f"a control VM does not answer {type(message).__name__}")
 
-    async def on_watch(self, watch: node_messages.WatchRequest) -> node_messages.News:
+    async def on_watch(self, watch: node_messages.WatchRequest) -> node_messages.WatchReply:
         """Answer with what is new, at once or as soon as there is something."""
         deadline = self.clock() + min(watch.wait_s, WATCH_WAIT_MAX_S)
         while not self.has_news(watch):
@@ -232,7 +232,7 @@
             return True
         return watch.configuration < self.member.state.version
 
-    def news(self, watch: node_messages.WatchRequest) -> node_messages.News:
+    def news(self, watch: node_messages.WatchRequest) -> node_messages.WatchReply:
         """Return what the asker does not know."""
         now = self.clock()
         position = watch.position if watch.feed == self.feed else 0
@@ -242,7 +242,7 @@
         suspicions_from = watch.suspicions if watch.feed == self.feed else min(0, watch.suspicions)
         suspicions = self.crashes.ledger.since(suspicions_from, now) if suspicions_from >= 0 else []
         limits_from = watch.limits if watch.feed == self.feed else min(0, watch.limits)
-        return node_messages.News(
+        return node_messages.WatchReply(
             self.feed,
             self.registry.position,
             is_full,
--- a/src/merlinthread/nodes/news_watcher.py
+++ b/src/merlinthread/nodes/news_watcher.py
@@ -140,7 +140,9 @@
         known = dict.fromkeys([*self.controls, *self.settings.control_nodes()])
         return [address for address in known if address != self.current]
 
-    async def ask(self, address: str, wait_s: float, timeout_s: float) -> node_messages.News | None:
+    async def ask(
+        self, address: str, wait_s: float, timeout_s: float
+    ) -> node_messages.WatchReply | None:
         """Return a control VM's news, or None if it does not answer."""
         told = self.told.get(address, Told())
         suspicions = told.suspicions if self.suspects is not None else -1
@@ -198,7 +200,7 @@
 
     # Taking news
 
-    def take(self, news: node_messages.News, address: str = "") -> None:
+    def take(self, news: node_messages.WatchReply, address: str = "") -> None:
         """Take news of the control VM at `address` in; older ones change nothing."""
         now = self.clock()
         if news.leader_age_s <= STALE_S:
@@ -233,7 +235,7 @@
             number = sum(1 for known in self.instances.values() if known.state == state)
             metrics.backends.labels(state).set(number)
 
-    def take_configuration(self, news: node_messages.News) -> None:
+    def take_configuration(self, news: node_messages.WatchReply) -> None:
         """Take a newer configuration over."""
         if news.configuration_version <= self.version or not news.configuration:
             return
@@ -248,7 +250,7 @@
             "configuration", version=self.version, before=old, leader_age_s=news.leader_age_s
         )
 
-    def take_versions(self, news: node_messages.News, now: float) -> None:
+    def take_versions(self, news: node_messages.WatchReply, now: float) -> None:
         """Take named weights over, with the earliest time at which they may have been acknowledged.
 
         A control VM that was away tells too great an age; one that was not puts it right.
@@ -280,7 +282,7 @@
         newer = [at for named, at in named_at.items() if named > version]
         return min(newer, default=float("inf")) + bound_s
 
-    def take_instances(self, news: node_messages.News, address: str, now: float) -> None:
+    def take_instances(self, news: node_messages.WatchReply, address: str, now: float) -> None:
         """Take changes of back ends over."""
         for instance in news.gone:
             self.forget(instance)
--- a/src/merlinthread/protocol/node_messages.py
+++ b/src/merlinthread/protocol/node_messages.py
@@ -67,7 +67,7 @@
 
 @MESSAGES.add("node.news")
 @dataclasses.dataclass(slots=True)
-class News:
+class WatchReply:
     """What has changed since the asker's position.
 
     With `is_full`, `instances` replaces all that the asker knew. `leader_age_s` is how long ago
--- a/tests/fleet_nodes.py
+++ b/tests/fleet_nodes.py
@@ -267,7 +267,7 @@
             )
             for worker, service in workers.items()
         ]
-        news = node_messages.News(
+        news = node_messages.WatchReply(
             "feed",
             self.sequence,
             False,
--- a/tests/test_control_nodes.py
+++ b/tests/test_control_nodes.py
@@ -346,7 +346,7 @@
     def tell(age_s: float) -> None:
         named = [node_messages.NamedVersion("m", 2, age_s)]
         watcher.take_versions(
-            node_messages.News("f", 1, False, [], [], named, 0, b"", [], 0.0), 100.0
+            node_messages.WatchReply("f", 1, False, [], [], named, 0, b"", [], 0.0), 100.0
         )
 
     tell(60.0)
@@ -364,7 +364,7 @@
     def tell(instance: str, age_s: float, gone: list[str]) -> None:
         beat = dialect.bodies.heartbeat(instance, json.dumps(heartbeat(instance)).encode())
         told = [instances.Instance(beat, age_s)]
-        watcher.take(node_messages.News("f", 1, False, told, gone, [], 0, b"", [], 0.0))
+        watcher.take(node_messages.WatchReply("f", 1, False, told, gone, [], 0, b"", [], 0.0))
 
     tell("new", 0.5, [])
     tell("old", 0.0, [])
--- a/tests/test_news_in_full.py
+++ b/tests/test_news_in_full.py
@@ -32,9 +32,9 @@
     return instances.Instance(dialect.bodies.heartbeat(name, json.dumps(body).encode()))
 
 
-def news(feed: str, position: int, is_full: bool, names: list[str]) -> node_messages.News:
+def news(feed: str, position: int, is_full: bool, names: list[str]) -> node_messages.WatchReply:
     told = [heartbeat(name) for name in names]
-    return node_messages.News(feed, position, is_full, told, [], [], 0, b"", [], 0.0)
+    return node_messages.WatchReply(feed, position, is_full, told, [], [], 0, b"", [], 0.0)
 
 
 def test_a_back_end_that_one_control_vm_does_not_know_is_asked_for_at_the_others():
--- a/tests/test_return_of_all.py
+++ b/tests/test_return_of_all.py
@@ -34,7 +34,7 @@
         await asyncio.sleep(0.0 if address == self.near else 0.005)
         if address not in self.up:
             raise errors.UnreachableError("refused")
-        return node_messages.News(
+        return node_messages.WatchReply(
             f"feed of {address}", 7, not watch.feed, [], [], [], 0, b"", [], self.leader_age_s
         )
 
