--- a/src/merlinthread/nodes/control_node.py
+++ b/src/merlinthread/nodes/control_node.py
@@ -189,7 +189,7 @@
             return node_messages.Acknowledgement(levels.NEWEST)
         if isinstance(message, node_messages.WatchRequest):
             return await self.on_watch(message)
-        if isinstance(message, node_messages.Beats):
+        if isinstance(message, node_messages.HeartbeatBatch):
             for heartbeat in message.heartbeats:
                 self.take(heartbeat)
             self.limits.take(message.limits)
@@ -295,12 +295,12 @@
                 continue
             heartbeats, self.outgoing = self.outgoing, []
             limits = self.limits.pop_outgoing()
-            message = node_messages.Beats(self.settings.name, heartbeats, limits)
+            message = node_messages.HeartbeatBatch(self.settings.name, heartbeats, limits)
             for address in self.member.member_addresses():
                 if address != self.member.address:
                     asyncio.get_running_loop().create_task(self.pass_on(address, message))
 
-    async def pass_on(self, address: str, message: node_messages.Beats) -> None:
+    async def pass_on(self, address: str, message: node_messages.HeartbeatBatch) -> None:
         """Send heartbeats to one control VM; the next beat makes good for a lost one."""
         with contextlib.suppress(errors.MerlinthreadError):
             await self.caller.call(address, message, control_calls.FORWARD_TIMEOUT_S)
--- a/src/merlinthread/protocol/node_messages.py
+++ b/src/merlinthread/protocol/node_messages.py
@@ -94,7 +94,7 @@
 
 @MESSAGES.add("node.beats")
 @dataclasses.dataclass(slots=True)
-class Beats:
+class HeartbeatBatch:
     """Heartbeats that a control VM took in, for the others, and limits that entries heard."""
 
     sender: str
