--- a/src/merlinthread/nodes/control_node.py
+++ b/src/merlinthread/nodes/control_node.py
@@ -169,7 +169,7 @@
                 raise errors.NotLeaderError("no leader is known", "")
             self.member.check_leader_reads(encoded, leader)
             reply = await self.caller.call(
-                leader, node_messages.Submit(encoded), control_calls.FORWARD_TIMEOUT_S
+                leader, node_messages.CommandRequest(encoded), control_calls.FORWARD_TIMEOUT_S
             )
             return reply.is_applied
 
@@ -198,7 +198,7 @@
             self.crashes.take(message)
             self.limits.take_heard(message.limits)
             return node_messages.Acknowledgement(levels.NEWEST)
-        if isinstance(message, node_messages.Submit):
+        if isinstance(message, node_messages.CommandRequest):
             async with asyncio.timeout(control_calls.FORWARD_TIMEOUT_S):
                 is_changed = await self.member.propose(message.command)
             return node_messages.Submitted(is_changed, self.member.state.version)
--- a/src/merlinthread/protocol/node_messages.py
+++ b/src/merlinthread/protocol/node_messages.py
@@ -119,7 +119,7 @@
 
 @MESSAGES.add("node.submit")
 @dataclasses.dataclass(slots=True)
-class Submit:
+class CommandRequest:
     """Pass a command on to the leader."""
 
     command: bytes
