--- a/src/merlinthread/nodes/control_node.py
+++ b/src/merlinthread/nodes/control_node.py
@@ -201,7 +201,7 @@
         if isinstance(message, node_messages.CommandRequest):
             async with asyncio.timeout(control_calls.FORWARD_TIMEOUT_S):
                 is_changed = await self.member.propose(message.command)
-            return node_messages.Submitted(is_changed, self.member.state.version)
+            return node_messages.CommandReply(is_changed, self.member.state.version)
         if isinstance(message, node_messages.Read):
             return self.calls.read_here()
         if isinstance(message, node_messages.Join):
--- a/src/merlinthread/protocol/node_messages.py
+++ b/src/merlinthread/protocol/node_messages.py
@@ -127,7 +127,7 @@
 
 @MESSAGES.add("node.submitted")
 @dataclasses.dataclass(slots=True)
-class Submitted:
+class CommandReply:
     """What became of a command: applied, and the version in force afterwards."""
 
     is_applied: bool
