--- a/src/merlinthread/nodes/control_calls.py
+++ b/src/merlinthread/nodes/control_calls.py
@@ -110,7 +110,9 @@
         leader = self.member.leader_address()
         if not leader or leader == self.member.address:
             raise errors.NotLeaderError("no leader is known", "")
-        return await self.caller.call(leader, node_messages.Read(), FORWARD_TIMEOUT_S)
+        return await self.caller.call(
+            leader, node_messages.ConfigurationRequest(), FORWARD_TIMEOUT_S
+        )
 
     def read_here(self) -> node_messages.ReadReply:
         """Return the newest configuration if this member surely leads."""
--- a/src/merlinthread/nodes/control_node.py
+++ b/src/merlinthread/nodes/control_node.py
@@ -202,7 +202,7 @@
             async with asyncio.timeout(control_calls.FORWARD_TIMEOUT_S):
                 is_changed = await self.member.propose(message.command)
             return node_messages.CommandReply(is_changed, self.member.state.version)
-        if isinstance(message, node_messages.Read):
+        if isinstance(message, node_messages.ConfigurationRequest):
             return self.calls.read_here()
         if isinstance(message, node_messages.Join):
             return await self.member.members.on_join(message)
--- a/src/merlinthread/protocol/node_messages.py
+++ b/src/merlinthread/protocol/node_messages.py
@@ -136,7 +136,7 @@
 
 @MESSAGES.add("node.read")
 @dataclasses.dataclass(slots=True)
-class Read:
+class ConfigurationRequest:
     """Ask the leader for the newest configuration."""
 
 
--- a/tests/test_stream_connections.py
+++ b/tests/test_stream_connections.py
@@ -261,7 +261,7 @@
         address = await raw_server(b"")
         caller = node_bus.Caller(fleet_nodes.make_codec())
         with pytest.raises(errors.MerlinthreadError) as raised:
-            await caller.call(address, node_messages.Read(), 2.0)
+            await caller.call(address, node_messages.ConfigurationRequest(), 2.0)
         assert raised.value.kind is errors.ErrorKind.UNREACHABLE
 
     asyncio.run(scenario())
