--- a/src/merlinthread/nodes/control_calls.py
+++ b/src/merlinthread/nodes/control_calls.py
@@ -103,7 +103,7 @@
         body = zlib.decompress(reply.body)
         return http_messages.Answer(200, [(b"content-type", b"application/json")], body)
 
-    async def read(self) -> node_messages.ReadReply:
+    async def read(self) -> node_messages.ConfigurationReply:
         """Return the newest configuration, from the leader."""
         if self.member.raft.is_leader():
             return self.read_here()
@@ -114,11 +114,11 @@
             leader, node_messages.ConfigurationRequest(), FORWARD_TIMEOUT_S
         )
 
-    def read_here(self) -> node_messages.ReadReply:
+    def read_here(self) -> node_messages.ConfigurationReply:
         """Return the newest configuration if this member surely leads."""
         if not self.member.holds_lease():
             raise errors.NotLeaderError("this member does not surely lead", "")
-        return node_messages.ReadReply(self.member.state.version, self.member.state.body)
+        return node_messages.ConfigurationReply(self.member.state.version, self.member.state.body)
 
 
 def ok() -> http_messages.Answer:
--- a/src/merlinthread/protocol/node_messages.py
+++ b/src/merlinthread/protocol/node_messages.py
@@ -142,7 +142,7 @@
 
 @MESSAGES.add("node.read_reply")
 @dataclasses.dataclass(slots=True)
-class ReadReply:
+class ConfigurationReply:
     """The newest configuration as it was sent; version 0 if there is none."""
 
     version: int
