--- a/src/merlinthread/nodes/control_node.py
+++ b/src/merlinthread/nodes/control_node.py
@@ -204,7 +204,7 @@
             return node_messages.CommandReply(is_changed, self.member.state.version)
         if isinstance(message, node_messages.ConfigurationRequest):
             return self.calls.read_here()
-        if isinstance(message, node_messages.Join):
+        if isinstance(message, node_messages.JoinRequest):
             return await self.member.members.on_join(message)
         if isinstance(message, node_messages.Resign):
             return await self.member.members.on_resign(message)
--- a/src/merlinthread/nodes/member_changes.py
+++ b/src/merlinthread/nodes/member_changes.py
@@ -86,13 +86,13 @@
         silence_s = 0.0 if member.is_leader() else now - member.heard_leader_at
         if member.is_voter() and silence_s < ASK_AFTER_SILENCE_S:
             return
-        join = node_messages.Join(member.name, levels.NEWEST)
+        join = node_messages.JoinRequest(member.name, levels.NEWEST)
         members = [raft_members.address_of(name) for name in member.log.voters.members()]
         for address in set(self.settings.control_nodes()) | set(members):
             if address != self.address:
                 asyncio.get_running_loop().create_task(self.send_join(address, join))
 
-    async def send_join(self, address: str, join: node_messages.Join) -> None:
+    async def send_join(self, address: str, join: node_messages.JoinRequest) -> None:
         """Ask one control VM."""
         try:
             reply = await self.caller.call(address, join, ASK_TIMEOUT_S)
@@ -105,7 +105,7 @@
         if reply.is_removed and join.name == self.current().name:
             self.on_removed()
 
-    async def on_join(self, join: node_messages.Join) -> node_messages.Joined:
+    async def on_join(self, join: node_messages.JoinRequest) -> node_messages.Joined:
         """Note a joiner if this member leads; else pass it on, since it may not know the leader."""
         member = self.current()
         now = self.clock()
@@ -120,7 +120,7 @@
             return await self.caller.call(leader, join, ASK_TIMEOUT_S)
         raise errors.NotLeaderError("no leader is known", "")
 
-    def check_level(self, join: node_messages.Join) -> None:
+    def check_level(self, join: node_messages.JoinRequest) -> None:
         """Raise ControlError if a joiner tells that it can't read what the log holds."""
         written = self.written_level()
         if 0 < join.level < written:
--- a/src/merlinthread/protocol/node_messages.py
+++ b/src/merlinthread/protocol/node_messages.py
@@ -151,7 +151,7 @@
 
 @MESSAGES.add("node.join")
 @dataclasses.dataclass(slots=True)
-class Join:
+class JoinRequest:
     """Ask to be taken in as a member of the replicated log; the name holds the address.
 
     `level` is the newest one that the joiner reads, 0 from builds that tell none.
