--- a/src/merlinthread/nodes/member_changes.py
+++ b/src/merlinthread/nodes/member_changes.py
@@ -105,16 +105,16 @@
         if reply.is_removed and join.name == self.current().name:
             self.on_removed()
 
-    async def on_join(self, join: node_messages.JoinRequest) -> node_messages.Joined:
+    async def on_join(self, join: node_messages.JoinRequest) -> node_messages.JoinReply:
         """Note a joiner if this member leads; else pass it on, since it may not know the leader."""
         member = self.current()
         now = self.clock()
         if member.holds_lease(now):
             if join.name in member.log.voters.retired:
-                return node_messages.Joined(True)
+                return node_messages.JoinReply(True)
             self.check_level(join)
             self.joiners[join.name] = now
-            return node_messages.Joined(False)
+            return node_messages.JoinReply(False)
         leader = raft_members.address_of(member.leader)
         if leader and leader != self.address:
             return await self.caller.call(leader, join, ASK_TIMEOUT_S)
--- a/src/merlinthread/protocol/node_messages.py
+++ b/src/merlinthread/protocol/node_messages.py
@@ -163,7 +163,7 @@
 
 @MESSAGES.add("node.joined")
 @dataclasses.dataclass(slots=True)
-class Joined:
+class JoinReply:
     """Tell a joiner whether it was removed for good and must join under another name."""
 
     is_removed: bool
--- a/tests/test_log_repair.py
+++ b/tests/test_log_repair.py
@@ -192,7 +192,7 @@
         class Recorder:
             async def call(self, address, message, timeout_s):
                 asked.append((address, message.name))
-                return node_messages.Joined(False)
+                return node_messages.JoinReply(False)
 
         settings = fleet_nodes.make_settings(
             "new", control_port=7000, control_ips=["127.0.0.11"], data_folder=str(tmp_path / "new")
