--- a/src/merlinthread/nodes/control_node.py
+++ b/src/merlinthread/nodes/control_node.py
@@ -206,7 +206,7 @@
             return self.calls.read_here()
         if isinstance(message, node_messages.JoinRequest):
             return await self.member.members.on_join(message)
-        if isinstance(message, node_messages.Resign):
+        if isinstance(message, node_messages.LeaveRequest):
             return await self.member.members.on_resign(message)
         raise errors.ProtocolError(f"a control VM does not answer {type(message).__name__}")
 
--- a/src/merlinthread/nodes/member_changes.py
+++ b/src/merlinthread/nodes/member_changes.py
@@ -173,7 +173,9 @@
         if not leader or leader == self.address:
             return False
         try:
-            reply = await self.caller.call(leader, node_messages.Resign(member.name), ASK_TIMEOUT_S)
+            reply = await self.caller.call(
+                leader, node_messages.LeaveRequest(member.name), ASK_TIMEOUT_S
+            )
         except errors.MerlinthreadError as error:
             logs.detail("resign_unanswered", control=leader, reason=error.message)
             return False
@@ -184,7 +186,7 @@
         number = len(member.log.voters.voters)
         return member.is_voter() and log_repair.is_spare(number, 1, self.policy())
 
-    async def on_resign(self, resign: node_messages.Resign) -> node_messages.Resigned:
+    async def on_resign(self, resign: node_messages.LeaveRequest) -> node_messages.Resigned:
         """Note a leaver if this member leads."""
         member = self.current()
         now = self.clock()
--- a/src/merlinthread/protocol/node_messages.py
+++ b/src/merlinthread/protocol/node_messages.py
@@ -171,7 +171,7 @@
 
 @MESSAGES.add("node.resign")
 @dataclasses.dataclass(slots=True)
-class Resign:
+class LeaveRequest:
     """Tell the leader that a member of the replicated log is about to end as planned."""
 
     name: str
