--- a/src/merlinthread/nodes/member_changes.py
+++ b/src/merlinthread/nodes/member_changes.py
@@ -186,7 +186,7 @@
         number = len(member.log.voters.voters)
         return member.is_voter() and log_repair.is_spare(number, 1, self.policy())
 
-    async def on_resign(self, resign: node_messages.LeaveRequest) -> node_messages.Resigned:
+    async def on_resign(self, resign: node_messages.LeaveRequest) -> node_messages.LeaveReply:
         """Note a leaver if this member leads."""
         member = self.current()
         now = self.clock()
@@ -194,9 +194,9 @@
             raise errors.NotLeaderError("this member does not surely lead", member.leader)
         if resign.name not in member.log.voters.voters:
             has_settled = not member.log.has_voters_after(member.commit)
-            return node_messages.Resigned(has_settled)
+            return node_messages.LeaveReply(has_settled)
         self.leaving[resign.name] = now
-        return node_messages.Resigned(False)
+        return node_messages.LeaveReply(False)
 
     # The leader's repairs
 
--- a/src/merlinthread/protocol/node_messages.py
+++ b/src/merlinthread/protocol/node_messages.py
@@ -179,7 +179,7 @@
 
 @MESSAGES.add("node.resigned")
 @dataclasses.dataclass(slots=True)
-class Resigned:
+class LeaveReply:
     """Tell a member that is about to end whether nothing is left to do for that."""
 
     may_end: bool
