--- a/src/merlinthread/nodes/control_node.py
+++ b/src/merlinthread/nodes/control_node.py
@@ -184,7 +184,7 @@
 
     async def on_message(self, message: Any) -> Any:
         """Answer one call of another node."""
-        if isinstance(message, node_messages.LogMessages):
+        if isinstance(message, node_messages.RaftFrames):
             self.member.receive(message.frames)
             return node_messages.Acknowledgement(levels.NEWEST)
         if isinstance(message, node_messages.WatchRequest):
--- a/src/merlinthread/nodes/log_sender.py
+++ b/src/merlinthread/nodes/log_sender.py
@@ -48,9 +48,9 @@
             queue.is_filled.clear()
             messages, queue.messages = queue.messages, []
             frames = [self.codec.encode(message) for message in messages]
-            await self.call(raft_members.address_of(receiver), node_messages.LogMessages(frames))
+            await self.call(raft_members.address_of(receiver), node_messages.RaftFrames(frames))
 
-    async def call(self, address: str, message: node_messages.LogMessages) -> None:
+    async def call(self, address: str, message: node_messages.RaftFrames) -> None:
         """Send messages to a member, and take the level that its answer tells."""
         try:
             reply = await self.caller.call(address, message, SEND_TIMEOUT_S)
--- a/src/merlinthread/protocol/node_messages.py
+++ b/src/merlinthread/protocol/node_messages.py
@@ -187,7 +187,7 @@
 
 @MESSAGES.add("node.log")
 @dataclasses.dataclass(slots=True)
-class LogMessages:
+class RaftFrames:
     """Messages of the replicated log, encoded one by one, in the order they were sent."""
 
     frames: list[bytes]
