--- a/src/merlinthread/nodes/agent_node.py
+++ b/src/merlinthread/nodes/agent_node.py
@@ -79,7 +79,7 @@
 
     def on_datagram(self, message: Any) -> None:
         """Take a note of an entry or another agent, or answer an entry's question."""
-        if isinstance(message, node_messages.Subscribe):
+        if isinstance(message, node_messages.LoadSubscription):
             self.subscribers[message.address] = self.clock() + SUBSCRIBED_S
         elif isinstance(message, node_messages.AttemptNote):
             self.on_attempt(message)
--- a/src/merlinthread/nodes/entry_node.py
+++ b/src/merlinthread/nodes/entry_node.py
@@ -92,7 +92,7 @@
 
     def subscribe(self, agent: str) -> None:
         """Ask one agent for its engine's load."""
-        self.datagrams.send(agent, node_messages.Subscribe(self.address))
+        self.datagrams.send(agent, node_messages.LoadSubscription(self.address))
 
     def on_datagram(self, message: Any) -> None:
         """Take an agent's report, or an answer to a question of this entry."""
--- a/src/merlinthread/protocol/node_messages.py
+++ b/src/merlinthread/protocol/node_messages.py
@@ -195,7 +195,7 @@
 
 @MESSAGES.add("node.subscribe")
 @dataclasses.dataclass(slots=True)
-class Subscribe:
+class LoadSubscription:
     """Ask an agent for its engine's load, for the next few seconds."""
 
     address: str
--- a/tests/test_control_nodes.py
+++ b/tests/test_control_nodes.py
@@ -275,7 +275,7 @@
         caller = node_bus.Caller(fleet_nodes.make_codec())
         address = f"{controls.ips[0]}:{controls.port}"
         with pytest.raises(errors.MerlinthreadError):
-            await caller.call(address, node_messages.Subscribe("x"), 1.0)
+            await caller.call(address, node_messages.LoadSubscription("x"), 1.0)
 
     run(tmp_path, scenario)
 
