--- a/src/merlinthread/nodes/agent_node.py
+++ b/src/merlinthread/nodes/agent_node.py
@@ -106,11 +106,11 @@
         else:
             self.ledger.ended(note.entry, note.number)
 
-    def load(self, report: fleet.EngineReport, entry: str) -> node_messages.Load:
+    def load(self, report: fleet.EngineReport, entry: str) -> node_messages.LoadUpdate:
         """Return the load as an entry is told it."""
         self.sequence += 1
         others = self.ledger.outstanding(entry, self.clock())
-        return node_messages.Load(self.settings.engine, self.sequence, report, others)
+        return node_messages.LoadUpdate(self.settings.engine, self.sequence, report, others)
 
     async def on_message(self, message: Any) -> Any:
         """Answer another agent."""
--- a/src/merlinthread/protocol/node_messages.py
+++ b/src/merlinthread/protocol/node_messages.py
@@ -203,7 +203,7 @@
 
 @MESSAGES.add("node.load")
 @dataclasses.dataclass(slots=True)
-class Load:
+class LoadUpdate:
     """An engine's load, fresh from its agent; `sequence` grows with every one.
 
     `others` is what entries other than the receiver have there now.
--- a/tests/test_load_feed.py
+++ b/tests/test_load_feed.py
@@ -75,7 +75,7 @@
     report = fleet.EngineReport(
         False, 12, 3, 8, 41000.0, 90000.0, 1.25, [fleet.Weights("daka510000", 3, 16)]
     )
-    message = node_messages.Load(
+    message = node_messages.LoadUpdate(
         "10.128.0.90:8080", 100000, report, load_ledger.Outstanding(11, 4, 4123.0)
     )
     frame = codec.Codec([node_messages.MESSAGES], []).encode(message)
