--- a/src/merlinthread/nodes/agent_node.py
+++ b/src/merlinthread/nodes/agent_node.py
@@ -87,7 +87,7 @@
             self.weights.on_note(message)
         elif isinstance(message, node_messages.LoadQuery) and self.told is not None:
             others = self.ledger.outstanding(message.address, self.clock())
-            answer = node_messages.LoadAnswer(
+            answer = node_messages.LoadReply(
                 message.number,
                 others.attempts,
                 others.unread,
--- a/src/merlinthread/nodes/control_node.py
+++ b/src/merlinthread/nodes/control_node.py
@@ -179,7 +179,7 @@
         """Answer an entry that asks for a permit."""
         if isinstance(message, node_messages.LoadQuery) and message.permit is not None:
             permit = self.permits.answer(message)
-            answer = node_messages.LoadAnswer(message.number, 0, 0, 0.0, permit=permit)
+            answer = node_messages.LoadReply(message.number, 0, 0, 0.0, permit=permit)
             self.datagrams.send(message.address, answer)
 
     async def on_message(self, message: Any) -> Any:
--- a/src/merlinthread/nodes/entry_node.py
+++ b/src/merlinthread/nodes/entry_node.py
@@ -98,9 +98,9 @@
         """Take an agent's report, or an answer to a question of this entry."""
         if isinstance(message, node_messages.LoadUpdate):
             self.pool.take_load(message)
-        elif isinstance(message, node_messages.LoadAnswer) and message.permit is not None:
+        elif isinstance(message, node_messages.LoadReply) and message.permit is not None:
             self.permits.take(message.number, message.permit)
-        elif isinstance(message, node_messages.LoadAnswer):
+        elif isinstance(message, node_messages.LoadReply):
             self.prober.take(message)
 
     def on_news(self) -> None:
--- a/src/merlinthread/protocol/node_messages.py
+++ b/src/merlinthread/protocol/node_messages.py
@@ -247,7 +247,7 @@
 
 @MESSAGES.add("node.pulse")
 @dataclasses.dataclass(slots=True)
-class LoadAnswer:
+class LoadReply:
     """Answer the question `number`: what others than the asker have on the engine now.
 
     `is_busy` tells that the engine is changing its weights, `pace` how many times slower it works
--- a/tests/test_load_prober.py
+++ b/tests/test_load_prober.py
@@ -13,8 +13,8 @@
     asyncio.run(scenario(prober, sent))
 
 
-def answer(query: node_messages.LoadQuery, tokens: float) -> node_messages.LoadAnswer:
-    return node_messages.LoadAnswer(query.number, 2, 1, tokens, True, 1.5)
+def answer(query: node_messages.LoadQuery, tokens: float) -> node_messages.LoadReply:
+    return node_messages.LoadReply(query.number, 2, 1, tokens, True, 1.5)
 
 
 def engine_now(tokens: float) -> load_ledger.EngineNow:
--- a/tests/test_weights_task.py
+++ b/tests/test_weights_task.py
@@ -281,10 +281,10 @@
         answers = {
             address: message
             for address, message in sent
-            if isinstance(message, node_messages.LoadAnswer)
+            if isinstance(message, node_messages.LoadReply)
         }
-        assert answers["entry-1"] == node_messages.LoadAnswer(7, 0, 0, 0.0)
-        assert answers["entry-2"] == node_messages.LoadAnswer(7, 2, 1, 700.0)
+        assert answers["entry-1"] == node_messages.LoadReply(7, 0, 0, 0.0)
+        assert answers["entry-2"] == node_messages.LoadReply(7, 2, 1, 700.0)
         agent.on_datagram(node_messages.AttemptNote("entry-1", 1, stage.ENDED))
         assert len(agent.ledger.open) == 1
         sent.clear()
