--- a/src/merlinthread/nodes/permit_office.py
+++ b/src/merlinthread/nodes/permit_office.py
@@ -33,10 +33,10 @@
         self.asked_at: dict[str, float] = {}
         self.ranks: list[str] = []
         # The last answers, with when they were given, by entry and number.
-        self.given: dict[tuple[str, int], tuple[float, node_messages.PermitAnswer]] = {}
+        self.given: dict[tuple[str, int], tuple[float, node_messages.PermitReply]] = {}
         self.swept_at = float("-inf")
 
-    def answer(self, query: node_messages.LoadQuery) -> node_messages.PermitAnswer:
+    def answer(self, query: node_messages.LoadQuery) -> node_messages.PermitReply:
         """Return the answer to a question, the same one if it was answered just now."""
         now = self.clock()
         given_at, given = self.given.get((query.address, query.number), (-math.inf, None))
@@ -52,13 +52,13 @@
 
     def decide(
         self, request: rate_limits.PermitRequest, entry: str, now: float
-    ) -> node_messages.PermitAnswer:
+    ) -> node_messages.PermitReply:
         """Decide on the request of the entry at an address, if this VM surely leads."""
         if not self.member.holds_lease():
             self.counter = None
             leader = self.member.leader_address()
             is_other = leader != self.member.address
-            return node_messages.PermitAnswer(None, leader if is_other else "")
+            return node_messages.PermitReply(None, leader if is_other else "")
         if self.counter is None:
             self.counter = rate_limits.PermitCounter(now)
             logs.event("permits_counted_here", entry=entry)
@@ -67,7 +67,7 @@
         metrics.permits_total.labels("given" if decision.instance else "denied").inc()
         self.note_allowances()
         rank = bisect.bisect_left(self.ranks, entry)
-        return node_messages.PermitAnswer(decision, "", len(self.ranks), rank, now)
+        return node_messages.PermitReply(decision, "", len(self.ranks), rank, now)
 
     def note_asked(self, address: str, now: float) -> None:
         """Note that an entry asks; forget those that have not of late."""
--- a/src/merlinthread/nodes/permits.py
+++ b/src/merlinthread/nodes/permits.py
@@ -70,7 +70,7 @@
         self.rng = rng
         # Not from 1: an entry that starts again must not get the answers of its former life.
         self.numbers = itertools.count(rng.randrange(FIRST_NUMBERS))
-        self.waiting: dict[int, asyncio.Future[node_messages.PermitAnswer]] = {}
+        self.waiting: dict[int, asyncio.Future[node_messages.PermitReply]] = {}
         # The control VM that answered last, empty while none does.
         self.leader = ""
         # When none answered last, and until when none is looked for again.
@@ -176,7 +176,7 @@
         known = dict.fromkeys([*self.watcher.controls, self.watcher.current])
         return [address for address in known if address]
 
-    def note_leader(self, address: str, answer: node_messages.PermitAnswer) -> None:
+    def note_leader(self, address: str, answer: node_messages.PermitReply) -> None:
         """Note who gives out permits, and which turn this entry has when it does not."""
         if self.leader != address:
             logs.event("permits_from", control=address, before=self.leader, entries=answer.entries)
@@ -195,10 +195,10 @@
 
     async def ask_any(
         self, addresses: list[str], request: rate_limits.PermitRequest
-    ) -> tuple[str, node_messages.PermitAnswer | None]:
+    ) -> tuple[str, node_messages.PermitReply | None]:
         """Return who decides and what it says, else one that names the leader, else nobody."""
         asked = {asyncio.create_task(self.ask(each, request)): each for each in addresses}
-        named: tuple[str, node_messages.PermitAnswer | None] = ("", None)
+        named: tuple[str, node_messages.PermitReply | None] = ("", None)
         pending = set(asked)
         while pending:
             done, pending = await asyncio.wait(pending, return_when=asyncio.FIRST_COMPLETED)
@@ -214,7 +214,7 @@
 
     async def ask(
         self, address: str, request: rate_limits.PermitRequest
-    ) -> node_messages.PermitAnswer | None:
+    ) -> node_messages.PermitReply | None:
         """Return a control VM's answer, None if there is none in time."""
         number = next(self.numbers)
         answered = asyncio.get_running_loop().create_future()
@@ -233,7 +233,7 @@
         finally:
             del self.waiting[number]
 
-    def take(self, number: int, answer: node_messages.PermitAnswer) -> None:
+    def take(self, number: int, answer: node_messages.PermitReply) -> None:
         """Take an answer; one that comes too late is dropped, with its permit."""
         answered = self.waiting.get(number)
         if answered is not None and not answered.done():
--- a/src/merlinthread/protocol/node_messages.py
+++ b/src/merlinthread/protocol/node_messages.py
@@ -230,7 +230,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class PermitAnswer:
+class PermitReply:
     """What a control VM says to who asks for a permit.
 
     `decision` is None if it does not surely lead; `leader` is then who does, empty if that is not
@@ -261,7 +261,7 @@
     tokens: float
     is_busy: bool = False
     pace: float = 1.0
-    permit: PermitAnswer | None = None
+    permit: PermitReply | None = None
 
 
 class Stage(enum.StrEnum):
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -70,9 +70,9 @@
 def test_a_member_that_does_not_surely_lead_gives_nothing_out_and_names_the_leader():
     office, member, _ = make_office()
     member.leads, member.leader = False, "there:1"
-    assert office.answer(query(1)) == node_messages.PermitAnswer(None, "there:1")
+    assert office.answer(query(1)) == node_messages.PermitReply(None, "there:1")
     member.leader = member.address
-    assert office.answer(query(2)) == node_messages.PermitAnswer(None, "")
+    assert office.answer(query(2)) == node_messages.PermitReply(None, "")
 
 
 def test_who_leads_again_begins_with_nothing():
@@ -150,7 +150,7 @@
         asking, sent = make_asking()
         await asking.acquire("s", "a", 0.0, [limited_backend(0.01)])
         decision = rate_limits.Decision("i", 0.0, [1.0])
-        asking.take(sent[0][1].number, node_messages.PermitAnswer(decision, "", 3, 1, 0.0))
+        asking.take(sent[0][1].number, node_messages.PermitReply(decision, "", 3, 1, 0.0))
         assert not asking.leader and not asking.waiting
 
     asyncio.run(scenario())
