--- a/src/merlinthread/nodes/agent_node.py
+++ b/src/merlinthread/nodes/agent_node.py
@@ -99,9 +99,9 @@
 
     def on_attempt(self, note: node_messages.AttemptNote) -> None:
         """Keep account of an attempt on the engine."""
-        if note.stage is node_messages.Stage.SENT:
+        if note.stage is node_messages.AttemptStage.SENT:
             self.ledger.began(note.entry, note.number, note.tokens, self.clock())
-        elif note.stage is node_messages.Stage.READ:
+        elif note.stage is node_messages.AttemptStage.READ:
             self.ledger.read(note.entry, note.number)
         else:
             self.ledger.ended(note.entry, note.number)
--- a/src/merlinthread/nodes/backend_pool.py
+++ b/src/merlinthread/nodes/backend_pool.py
@@ -297,10 +297,10 @@
         place = Place(backend, tokens, self.clock(), next(self.place_numbers))
         if self.engine_of(backend.service) is not None:
             place.agent = self.agent_of(backend)
-        self.tell_agent(place, node_messages.Stage.SENT)
+        self.tell_agent(place, node_messages.AttemptStage.SENT)
         return place
 
-    def tell_agent(self, place: Place, stage: node_messages.Stage) -> None:
+    def tell_agent(self, place: Place, stage: node_messages.AttemptStage) -> None:
         """Tell the agent beside a back end how far an attempt on it is."""
         if place.agent:
             self.prober.note(place.agent, place.number, stage, place.tokens)
@@ -310,7 +310,7 @@
         if place.is_read:
             return
         place.is_read = True
-        self.tell_agent(place, node_messages.Stage.READ)
+        self.tell_agent(place, node_messages.AttemptStage.READ)
         now = self.clock()
         place.backend.note_first(now - place.started, now)
         place.backend.unread -= 1
@@ -319,7 +319,7 @@
     def release(self, place: Place) -> None:
         """Note that an attempt is over, and let a waiting request look again."""
         self.note_first(place)
-        self.tell_agent(place, node_messages.Stage.ENDED)
+        self.tell_agent(place, node_messages.AttemptStage.ENDED)
         place.backend.in_flight -= 1
         room = self.rooms.get(place.backend.service)
         if room is not None:
--- a/src/merlinthread/nodes/load_prober.py
+++ b/src/merlinthread/nodes/load_prober.py
@@ -49,6 +49,8 @@
             others = load_ledger.Outstanding(answer.attempts, answer.unread, answer.tokens)
             future.set_result(load_ledger.EngineNow(others, answer.is_busy, answer.pace))
 
-    def note(self, agent: str, number: int, stage: node_messages.Stage, tokens: float) -> None:
+    def note(
+        self, agent: str, number: int, stage: node_messages.AttemptStage, tokens: float
+    ) -> None:
         """Note at an agent how far an attempt is."""
         self.send(agent, node_messages.AttemptNote(self.address, number, stage, tokens))
--- a/src/merlinthread/protocol/node_messages.py
+++ b/src/merlinthread/protocol/node_messages.py
@@ -264,7 +264,7 @@
     permit: PermitReply | None = None
 
 
-class Stage(enum.StrEnum):
+class AttemptStage(enum.StrEnum):
     """How far an attempt on an engine is."""
 
     SENT = "sent"
@@ -279,7 +279,7 @@
 
     entry: str
     number: int
-    stage: Stage
+    stage: AttemptStage
     tokens: float = 0.0
 
 
--- a/tests/test_weights_task.py
+++ b/tests/test_weights_task.py
@@ -272,7 +272,7 @@
         await fleet_nodes.until(lambda: agent.told is not None)
         sent = []
         agent.datagrams.send = lambda address, message: sent.append((address, message))
-        stage = node_messages.Stage
+        stage = node_messages.AttemptStage
         agent.on_datagram(node_messages.AttemptNote("entry-1", 1, stage.SENT, 700.0))
         agent.on_datagram(node_messages.AttemptNote("entry-1", 2, stage.SENT, 500.0))
         agent.on_datagram(node_messages.AttemptNote("entry-1", 2, stage.READ))
