--- a/src/merlinthread/nodes/agent_node.py
+++ b/src/merlinthread/nodes/agent_node.py
@@ -81,7 +81,7 @@
         """Take a note of an entry or another agent, or answer an entry's question."""
         if isinstance(message, node_messages.LoadSubscription):
             self.subscribers[message.address] = self.clock() + SUBSCRIBED_S
-        elif isinstance(message, node_messages.AttemptNote):
+        elif isinstance(message, node_messages.AttemptNotice):
             self.on_attempt(message)
         elif isinstance(message, node_messages.PieceNote | node_messages.PieceClaim):
             self.weights.on_note(message)
@@ -97,7 +97,7 @@
             )
             self.datagrams.send(message.address, answer)
 
-    def on_attempt(self, note: node_messages.AttemptNote) -> None:
+    def on_attempt(self, note: node_messages.AttemptNotice) -> None:
         """Keep account of an attempt on the engine."""
         if note.stage is node_messages.AttemptStage.SENT:
             self.ledger.began(note.entry, note.number, note.tokens, self.clock())
--- a/src/merlinthread/nodes/load_prober.py
+++ b/src/merlinthread/nodes/load_prober.py
@@ -53,4 +53,4 @@
         self, agent: str, number: int, stage: node_messages.AttemptStage, tokens: float
     ) -> None:
         """Note at an agent how far an attempt is."""
-        self.send(agent, node_messages.AttemptNote(self.address, number, stage, tokens))
+        self.send(agent, node_messages.AttemptNotice(self.address, number, stage, tokens))
--- a/src/merlinthread/protocol/node_messages.py
+++ b/src/merlinthread/protocol/node_messages.py
@@ -274,7 +274,7 @@
 
 @MESSAGES.add("node.attempt")
 @dataclasses.dataclass(slots=True)
-class AttemptNote:
+class AttemptNotice:
     """Tell an agent of an attempt on its engine; `tokens` are those of the prompt."""
 
     entry: str
--- a/tests/test_weights_task.py
+++ b/tests/test_weights_task.py
@@ -273,9 +273,9 @@
         sent = []
         agent.datagrams.send = lambda address, message: sent.append((address, message))
         stage = node_messages.AttemptStage
-        agent.on_datagram(node_messages.AttemptNote("entry-1", 1, stage.SENT, 700.0))
-        agent.on_datagram(node_messages.AttemptNote("entry-1", 2, stage.SENT, 500.0))
-        agent.on_datagram(node_messages.AttemptNote("entry-1", 2, stage.READ))
+        agent.on_datagram(node_messages.AttemptNotice("entry-1", 1, stage.SENT, 700.0))
+        agent.on_datagram(node_messages.AttemptNotice("entry-1", 2, stage.SENT, 500.0))
+        agent.on_datagram(node_messages.AttemptNotice("entry-1", 2, stage.READ))
         for asker in ("entry-1", "entry-2"):
             agent.on_datagram(node_messages.LoadQuery(asker, 7))
         answers = {
@@ -285,7 +285,7 @@
         }
         assert answers["entry-1"] == node_messages.LoadReply(7, 0, 0, 0.0)
         assert answers["entry-2"] == node_messages.LoadReply(7, 2, 1, 700.0)
-        agent.on_datagram(node_messages.AttemptNote("entry-1", 1, stage.ENDED))
+        agent.on_datagram(node_messages.AttemptNotice("entry-1", 1, stage.ENDED))
         assert len(agent.ledger.open) == 1
         sent.clear()
         agent.told = None
