--- a/src/merlinthread/nodes/agent_node.py
+++ b/src/merlinthread/nodes/agent_node.py
@@ -83,7 +83,7 @@
             self.subscribers[message.address] = self.clock() + SUBSCRIBED_S
         elif isinstance(message, node_messages.AttemptNotice):
             self.on_attempt(message)
-        elif isinstance(message, node_messages.PieceNote | node_messages.PieceClaim):
+        elif isinstance(message, node_messages.PieceNotice | node_messages.PieceClaim):
             self.weights.on_note(message)
         elif isinstance(message, node_messages.LoadQuery) and self.told is not None:
             others = self.ledger.outstanding(message.address, self.clock())
--- a/src/merlinthread/nodes/piece_fetcher.py
+++ b/src/merlinthread/nodes/piece_fetcher.py
@@ -37,7 +37,7 @@
 RATE_AFTER_S = 2.0
 RATE_WINDOW_S = 1.0
 
-Send = Callable[[str, node_messages.PieceNote | node_messages.PieceClaim], None]
+Send = Callable[[str, node_messages.PieceNotice | node_messages.PieceClaim], None]
 
 
 class PieceFetcher:
@@ -250,7 +250,7 @@
         self, plan: fetch.FetchPlan, manifest: fleet.Manifest, action: fetch.Action, index: int
     ) -> None:
         """Tell those whom it concerns that a piece is here."""
-        note = node_messages.PieceNote(manifest.model, manifest.version, self.facts.me, index)
+        note = node_messages.PieceNotice(manifest.model, manifest.version, self.facts.me, index)
         for peer in plan.audience(action):
             self.send(peer, note)
 
--- a/src/merlinthread/nodes/weights_task.py
+++ b/src/merlinthread/nodes/weights_task.py
@@ -263,7 +263,7 @@
         """Answer a peer that asks for a manifest."""
         return piece_giver.give_manifest(self.manifest, request)
 
-    def on_note(self, note: node_messages.PieceNote | node_messages.PieceClaim) -> None:
+    def on_note(self, note: node_messages.PieceNotice | node_messages.PieceClaim) -> None:
         """Take a peer's word of a piece that it has just got, or begins to read."""
         manifest = self.manifest
         if manifest is None or self.plan is None:
--- a/src/merlinthread/protocol/node_messages.py
+++ b/src/merlinthread/protocol/node_messages.py
@@ -285,7 +285,7 @@
 
 @MESSAGES.add("node.piece_note")
 @dataclasses.dataclass(slots=True)
-class PieceNote:
+class PieceNotice:
     """Tell another agent, by datagram, of a piece that has just come to `sender`."""
 
     model: str
