--- a/src/merlinthread/protocol/messages.py
+++ b/src/merlinthread/protocol/messages.py
@@ -14,7 +14,7 @@
 
 @MESSAGES.add("refused")
 @dataclasses.dataclass(slots=True)
-class Refused:
+class ErrorReply:
     """The receiver could not do what was asked; `kind` names an error kind."""
 
     kind: str
--- a/src/merlinthread/transport/bus.py
+++ b/src/merlinthread/transport/bus.py
@@ -70,7 +70,7 @@
             self.socket.close()
             self.socket = self.open()
             raise errors.UnreachableError(f"{self.address}: {error}")
-        if isinstance(answer, messages.Refused):
+        if isinstance(answer, messages.ErrorReply):
             raise errors.MerlinthreadError(answer.message, kind=errors.ErrorKind(answer.kind))
         return answer
 
@@ -156,10 +156,10 @@
         try:
             answer = self.handler(self.codec.decode(frame))
         except errors.MerlinthreadError as error:
-            answer = messages.Refused(str(error.kind), error.message)
+            answer = messages.ErrorReply(str(error.kind), error.message)
         except Exception as error:
             logs.failure("bus_handler_failed")
-            answer = messages.Refused(str(errors.ErrorKind.INTERNAL), repr(error))
+            answer = messages.ErrorReply(str(errors.ErrorKind.INTERNAL), repr(error))
         return self.codec.encode(answer)
 
     def stop(self) -> None:
