--- a/src/merlinthread/protocol/messages.py
+++ b/src/merlinthread/protocol/messages.py
@@ -32,7 +32,7 @@
 
 @MESSAGES.add("beat")
 @dataclasses.dataclass(slots=True)
-class Beat:
+class LoadHeartbeat:
     """A heartbeat of an agent that has only its load to tell since its last full one."""
 
     name: str
--- a/src/merlinthread/roles/agent.py
+++ b/src/merlinthread/roles/agent.py
@@ -155,7 +155,7 @@
         shape = sessions.shape(report)
         callers = self.callers[address]
         if self.told.get(address) == shape:
-            beat = messages.Beat(
+            beat = messages.LoadHeartbeat(
                 report.name,
                 report.incarnation,
                 report.counter,
--- a/src/merlinthread/roles/entry.py
+++ b/src/merlinthread/roles/entry.py
@@ -124,7 +124,7 @@
         """Answer one call of an agent or of another entry."""
         if isinstance(message, messages.Heartbeat):
             return self.on_heartbeat(message)
-        if isinstance(message, messages.Beat):
+        if isinstance(message, messages.LoadHeartbeat):
             return self.on_beat(message)
         if isinstance(message, messages.Exchange):
             return self.on_exchange(message)
@@ -140,7 +140,7 @@
             self.publish()
         return self.reply_to(report)
 
-    def on_beat(self, beat: messages.Beat) -> messages.HeartbeatReply:
+    def on_beat(self, beat: messages.LoadHeartbeat) -> messages.HeartbeatReply:
         """Take an agent's load, if its last full report is known here."""
         order = (beat.incarnation, beat.counter)
         load = (beat.running, beat.queued, beat.queued_tokens)
