--- a/src/merlinthread/protocol/messages.py
+++ b/src/merlinthread/protocol/messages.py
@@ -63,7 +63,7 @@
 
 @MESSAGES.add("poll")
 @dataclasses.dataclass(slots=True)
-class Poll:
+class PollRequest:
     """An entry asks a control VM for news."""
 
     entry: str
--- a/src/merlinthread/roles/control.py
+++ b/src/merlinthread/roles/control.py
@@ -60,7 +60,7 @@
 
     def handle(self, message: Any) -> Any:
         """Answer one call of an entry."""
-        if isinstance(message, messages.Poll):
+        if isinstance(message, messages.PollRequest):
             return self.on_poll(message)
         if isinstance(message, messages.Tell):
             return self.wait(log_task.Telling(message, futures.Future()))
@@ -70,7 +70,7 @@
             return messages.Submitted(self.submit(command))
         raise errors.ProtocolError(f"a control VM does not answer {type(message).__name__}")
 
-    def on_poll(self, poll: messages.Poll) -> messages.PollReply:
+    def on_poll(self, poll: messages.PollRequest) -> messages.PollReply:
         """Answer an entry that asks for news."""
         standing = self.task.standing
         directive = standing.directive
--- a/src/merlinthread/roles/entry.py
+++ b/src/merlinthread/roles/entry.py
@@ -196,7 +196,7 @@
         known = self.known_addresses()
         address = known[self.position % len(known)]
         directive = self.zone.known.directive
-        poll = messages.Poll(self.zone.name, directive.revision)
+        poll = messages.PollRequest(self.zone.name, directive.revision)
         try:
             reply = self.callers.call(address, poll, CALL_TIMEOUT_S)
         except errors.MerlinthreadError as error:
