--- a/src/merlinthread/protocol/messages.py
+++ b/src/merlinthread/protocol/messages.py
@@ -89,7 +89,7 @@
 
 @MESSAGES.add("exchange")
 @dataclasses.dataclass(slots=True)
-class Exchange:
+class ExchangeRequest:
     """One entry tells another what it and others reach, and asks for the same."""
 
     entry: str
--- a/src/merlinthread/roles/entry.py
+++ b/src/merlinthread/roles/entry.py
@@ -126,7 +126,7 @@
             return self.on_heartbeat(message)
         if isinstance(message, messages.LoadHeartbeat):
             return self.on_beat(message)
-        if isinstance(message, messages.Exchange):
+        if isinstance(message, messages.ExchangeRequest):
             return self.on_exchange(message)
         raise errors.ProtocolError(f"an entry does not answer {type(message).__name__}")
 
@@ -162,7 +162,7 @@
             directive if directive.revision > report.revision else None,
         )
 
-    def on_exchange(self, exchange: messages.Exchange) -> messages.ExchangeReply:
+    def on_exchange(self, exchange: messages.ExchangeRequest) -> messages.ExchangeReply:
         """Swap views with another entry."""
         self.take(exchange.summaries)
         directive = self.directive
@@ -332,7 +332,7 @@
         if not self.config.entries:
             return
         address = self.rng.choice(self.config.entries)
-        message = messages.Exchange(
+        message = messages.ExchangeRequest(
             self.zone.name, self.zone.known.directive.revision, self.zone.summaries()
         )
         try:
