--- a/src/merlinthread/protocol/messages.py
+++ b/src/merlinthread/protocol/messages.py
@@ -109,7 +109,7 @@
 
 @MESSAGES.add("tell")
 @dataclasses.dataclass(slots=True)
-class Tell:
+class AgentChanges:
     """An entry tells the leader what changed among the agents whose home it is."""
 
     entry: str
--- a/src/merlinthread/roles/control.py
+++ b/src/merlinthread/roles/control.py
@@ -62,7 +62,7 @@
         """Answer one call of an entry."""
         if isinstance(message, messages.PollRequest):
             return self.on_poll(message)
-        if isinstance(message, messages.Tell):
+        if isinstance(message, messages.AgentChanges):
             return self.wait(log_task.Telling(message, futures.Future()))
         if isinstance(message, messages.Submit):
             name, raw = self.parts.codec.pair.decode(message.command)
--- a/src/merlinthread/roles/entry.py
+++ b/src/merlinthread/roles/entry.py
@@ -216,7 +216,7 @@
         now = self.parts.clock()
         if not (changed or gone or is_full) and now < self.told_at + KEEP_ALIVE_S:
             return
-        told = self.find_leader(messages.Tell(self.zone.name, changed, gone, is_full))
+        told = self.find_leader(messages.AgentChanges(self.zone.name, changed, gone, is_full))
         if told is None:
             self.outgoing.forget()
             return
@@ -228,7 +228,7 @@
         self.told_at = now
         self.outgoing.confirm(changed, gone, self.listener)
 
-    def find_leader(self, tell: messages.Tell) -> messages.Told | None:
+    def find_leader(self, tell: messages.AgentChanges) -> messages.Told | None:
         """Return the leader's answer, whichever control VM it is, or None."""
         for address in self.addresses():
             try:
--- a/src/merlinthread/roles/log_task.py
+++ b/src/merlinthread/roles/log_task.py
@@ -40,7 +40,7 @@
 class Telling:
     """What an entry tells of its agents, with the place for the answer."""
 
-    tell: messages.Tell
+    tell: messages.AgentChanges
     answer: futures.Future
 
 
