--- a/src/merlinthread/protocol/messages.py
+++ b/src/merlinthread/protocol/messages.py
@@ -120,7 +120,7 @@
 
 @MESSAGES.add("told")
 @dataclasses.dataclass(slots=True)
-class Told:
+class AgentChangesReply:
     """The leader's answer; `listener` changes when it has forgotten what it was told."""
 
     listener: str
--- a/src/merlinthread/roles/entry.py
+++ b/src/merlinthread/roles/entry.py
@@ -228,7 +228,7 @@
         self.told_at = now
         self.outgoing.confirm(changed, gone, self.listener)
 
-    def find_leader(self, tell: messages.AgentChanges) -> messages.Told | None:
+    def find_leader(self, tell: messages.AgentChanges) -> messages.AgentChangesReply | None:
         """Return the leader's answer, whichever control VM it is, or None."""
         for address in self.addresses():
             try:
--- a/src/merlinthread/roles/log_task.py
+++ b/src/merlinthread/roles/log_task.py
@@ -185,7 +185,7 @@
         tell = telling.tell
         is_taken = self.incoming.take(tell.entry, tell.changed, tell.gone, tell.is_full, now)
         listener = f"{self.name} {self.raft.hard_state.term}"
-        telling.answer.set_result(messages.Told(listener, not is_taken))
+        telling.answer.set_result(messages.AgentChangesReply(listener, not is_taken))
 
     def read(self, reading: Reading, now: float) -> None:
         """Answer a question if this member surely leads."""
