--- a/src/merlinthread/protocol/messages.py
+++ b/src/merlinthread/protocol/messages.py
@@ -129,7 +129,7 @@
 
 @MESSAGES.add("join")
 @dataclasses.dataclass(slots=True)
-class Join:
+class JoinRequest:
     """A new control VM asks to take the place of a lost one."""
 
     name: str
--- a/src/merlinthread/roles/control.py
+++ b/src/merlinthread/roles/control.py
@@ -48,7 +48,7 @@
         voters = self.task.raft.log.voters
         if self.me.name in voters.voters and self.config.replaces in voters.retired:
             return
-        join = messages.Join(
+        join = messages.JoinRequest(
             self.me.name,
             self.task.journal.identity,
             self.me.log_bus,
--- a/src/merlinthread/roles/leader_duties.py
+++ b/src/merlinthread/roles/leader_duties.py
@@ -23,7 +23,7 @@
 
     def __init__(self, task: "log_task.LogTask") -> None:
         self.task = task
-        self.joiners: dict[str, tuple[messages.Join, float]] = {}
+        self.joiners: dict[str, tuple[messages.JoinRequest, float]] = {}
         self.placed_from = float("-inf")
 
     def begin(self, now: float) -> None:
--- a/src/merlinthread/roles/log_task.py
+++ b/src/merlinthread/roles/log_task.py
@@ -155,7 +155,7 @@
         """Handle one item of the inbox."""
         if isinstance(item, Proposal):
             self.guarded(item.answer, lambda: self.propose(item.command, item.answer, now))
-        elif isinstance(item, messages.Join):
+        elif isinstance(item, messages.JoinRequest):
             self.duties.joiners[item.name] = (item, now)
         elif isinstance(item, Reading):
             self.guarded(item.answer, lambda: self.read(item, now))
--- a/tests/test_leader_duties.py
+++ b/tests/test_leader_duties.py
@@ -19,7 +19,7 @@
     duties = leader_duties.LeaderDuties(task)
     for _ in range(30):
         cluster.run(0.1)
-        join = messages.Join("n0", "disk-n0", "", "", lost)
+        join = messages.JoinRequest("n0", "disk-n0", "", "", lost)
         duties.joiners["n0"] = (join, cluster.now)
         duties.look_after_members(cluster.now)
         cluster.settle(leader)
