--- a/bench/control.py
+++ b/bench/control.py
@@ -170,7 +170,7 @@
             claim = commands.Claim(key, "0" * 64, "attempt", time.time())
             name = mesh.names[commands.Claim]
             command = codec.msgspec.msgpack.encode((name, claim))
-            caller.call(messages.Submit(command), 5.0)
+            caller.call(messages.CommandRequest(command), 5.0)
             counts[number] += 1
         caller.close()
 
--- a/src/merlinthread/protocol/messages.py
+++ b/src/merlinthread/protocol/messages.py
@@ -141,7 +141,7 @@
 
 @MESSAGES.add("command")
 @dataclasses.dataclass(slots=True)
-class Submit:
+class CommandRequest:
     """An entry asks the leading control VM to commit a claim or its completion."""
 
     command: bytes
--- a/src/merlinthread/roles/control.py
+++ b/src/merlinthread/roles/control.py
@@ -64,7 +64,7 @@
             return self.on_poll(message)
         if isinstance(message, messages.AgentChanges):
             return self.wait(log_task.Telling(message, futures.Future()))
-        if isinstance(message, messages.Submit):
+        if isinstance(message, messages.CommandRequest):
             name, raw = self.parts.codec.pair.decode(message.command)
             command = self.parts.codec.decoders[name].decode(raw)
             return messages.Submitted(self.submit(command))
--- a/src/merlinthread/roles/entry.py
+++ b/src/merlinthread/roles/entry.py
@@ -271,7 +271,7 @@
         outcome_unknown if one may have.
         """
         name = self.parts.codec.names[type(command)]
-        message = messages.Submit(msgspec.msgpack.encode((name, command)))
+        message = messages.CommandRequest(msgspec.msgpack.encode((name, command)))
         if not hasattr(self.local, "callers"):
             self.local.callers = bus.Callers(self.parts.codec)
         may_have_committed = False
