--- a/src/merlinthread/protocol/messages.py
+++ b/src/merlinthread/protocol/messages.py
@@ -149,7 +149,7 @@
 
 @MESSAGES.add("command_answer")
 @dataclasses.dataclass(slots=True)
-class Submitted:
+class CommandReply:
     """What the committed command led to."""
 
     answer: commands.Answer
--- a/src/merlinthread/roles/control.py
+++ b/src/merlinthread/roles/control.py
@@ -67,7 +67,7 @@
         if isinstance(message, messages.CommandRequest):
             name, raw = self.parts.codec.pair.decode(message.command)
             command = self.parts.codec.decoders[name].decode(raw)
-            return messages.Submitted(self.submit(command))
+            return messages.CommandReply(self.submit(command))
         raise errors.ProtocolError(f"a control VM does not answer {type(message).__name__}")
 
     def on_poll(self, poll: messages.PollRequest) -> messages.PollReply:
