--- a/src/merlinthread/protocol/messages.py
+++ b/src/merlinthread/protocol/messages.py
@@ -157,7 +157,7 @@
 
 @MESSAGES.add("manifest_wanted")
 @dataclasses.dataclass(slots=True)
-class ManifestWanted:
+class ManifestRequest:
     """An agent asks another for a manifest."""
 
     digest: str
--- a/src/merlinthread/roles/chunk_giver.py
+++ b/src/merlinthread/roles/chunk_giver.py
@@ -22,7 +22,7 @@
 
     def handle(self, message: object) -> object:
         """Answer another agent."""
-        if isinstance(message, messages.ManifestWanted):
+        if isinstance(message, messages.ManifestRequest):
             return messages.ManifestFound(self.weights.store.read(message.digest) or b"")
         if isinstance(message, messages.ChunkWanted):
             return self.on_chunk_wanted(message)
--- a/src/merlinthread/roles/weights.py
+++ b/src/merlinthread/roles/weights.py
@@ -254,7 +254,7 @@
         peers.sort(key=lambda peer: peer.distance)
         for peer in peers[:2]:
             try:
-                found = callers.call(peer.bus, messages.ManifestWanted(digest), 1.0)
+                found = callers.call(peer.bus, messages.ManifestRequest(digest), 1.0)
             except errors.MerlinthreadError as error:
                 logs.detail("peer_failed", peer=peer.name, reason=error.message)
                 continue
--- a/tests/test_border.py
+++ b/tests/test_border.py
@@ -136,20 +136,20 @@
 
 def test_a_changed_or_foreign_message_is_refused():
     ours = messages.make_codec([codec.Key(b"k" * 32)])
-    frame = bytearray(ours.encode(messages.ManifestWanted("abc")))
-    assert ours.decode(bytes(frame)) == messages.ManifestWanted("abc")
+    frame = bytearray(ours.encode(messages.ManifestRequest("abc")))
+    assert ours.decode(bytes(frame)) == messages.ManifestRequest("abc")
     frame[-1] ^= 1
     with pytest.raises(errors.ProtocolError, match="checksum"):
         ours.decode(bytes(frame))
     foreign = messages.make_codec([codec.Key(b"f" * 32)])
     with pytest.raises(errors.ProtocolError, match="mesh_keys"):
-        ours.decode(foreign.encode(messages.ManifestWanted("abc")))
+        ours.decode(foreign.encode(messages.ManifestRequest("abc")))
 
 
 def test_keys_rotate_without_a_gap():
     old, new = codec.Key(b"o" * 32), codec.Key(b"n" * 32)
     before, both, after = (messages.make_codec(keys) for keys in ([old], [old, new], [new]))
-    wanted = messages.ManifestWanted("abc")
+    wanted = messages.ManifestRequest("abc")
     assert both.decode(before.encode(wanted)) == wanted
     both.set_keys([new, old])
     assert after.decode(both.encode(wanted)) == wanted
--- a/tests/test_bus.py
+++ b/tests/test_bus.py
@@ -9,7 +9,7 @@
 from merlinthread.transport import bus
 
 CODEC = messages.make_codec([])
-WANTED = messages.ManifestWanted("abc")
+WANTED = messages.ManifestRequest("abc")
 
 
 class Stalling:
