--- a/src/merlinthread/protocol/messages.py
+++ b/src/merlinthread/protocol/messages.py
@@ -165,7 +165,7 @@
 
 @MESSAGES.add("manifest")
 @dataclasses.dataclass(slots=True)
-class ManifestFound:
+class ManifestReply:
     """The manifest's bytes; empty if it is not here."""
 
     data: bytes
--- a/src/merlinthread/roles/chunk_giver.py
+++ b/src/merlinthread/roles/chunk_giver.py
@@ -23,7 +23,7 @@
     def handle(self, message: object) -> object:
         """Answer another agent."""
         if isinstance(message, messages.ManifestRequest):
-            return messages.ManifestFound(self.weights.store.read(message.digest) or b"")
+            return messages.ManifestReply(self.weights.store.read(message.digest) or b"")
         if isinstance(message, messages.ChunkWanted):
             return self.on_chunk_wanted(message)
         raise errors.ProtocolError(f"an agent does not answer {type(message).__name__}")
