--- a/src/merlinthread/protocol/messages.py
+++ b/src/merlinthread/protocol/messages.py
@@ -173,7 +173,7 @@
 
 @MESSAGES.add("chunk_wanted")
 @dataclasses.dataclass(slots=True)
-class ChunkWanted:
+class ChunkRequest:
     """An agent asks another for any one chunk of `wanted` and says what it has itself.
 
     Both are bit sets over the manifest's chunks, lowest first.
--- a/src/merlinthread/roles/chunk_giver.py
+++ b/src/merlinthread/roles/chunk_giver.py
@@ -24,11 +24,11 @@
         """Answer another agent."""
         if isinstance(message, messages.ManifestRequest):
             return messages.ManifestReply(self.weights.store.read(message.digest) or b"")
-        if isinstance(message, messages.ChunkWanted):
+        if isinstance(message, messages.ChunkRequest):
             return self.on_chunk_wanted(message)
         raise errors.ProtocolError(f"an agent does not answer {type(message).__name__}")
 
-    def on_chunk_wanted(self, wanted: messages.ChunkWanted) -> messages.ChunkFound:
+    def on_chunk_wanted(self, wanted: messages.ChunkRequest) -> messages.ChunkFound:
         """Give one of the wanted chunks, if an upload slot is free."""
         manifest = self.weights.manifests.get(wanted.manifest)
         if manifest is None:
--- a/src/merlinthread/roles/weights.py
+++ b/src/merlinthread/roles/weights.py
@@ -320,7 +320,7 @@
             held = plan.held
         if peer is None:
             return
-        wanted = messages.ChunkWanted(
+        wanted = messages.ChunkRequest(
             self.name,
             download.digest,
             fetch.to_bytes(action.wanted, count),
