--- a/bench/swarm.py
+++ b/bench/swarm.py
@@ -32,7 +32,7 @@
     def handle(self, message: object) -> object:
         """Answer another agent, sometimes with a damaged chunk."""
         answer = super().handle(message)
-        if isinstance(answer, messages.ChunkFound) and answer.data:
+        if isinstance(answer, messages.ChunkReply) and answer.data:
             if random.random() < self.corrupt_share:
                 answer.data = bytes([answer.data[0] ^ 1]) + answer.data[1:]
         return answer
--- a/src/merlinthread/protocol/messages.py
+++ b/src/merlinthread/protocol/messages.py
@@ -187,7 +187,7 @@
 
 @MESSAGES.add("chunk")
 @dataclasses.dataclass(slots=True)
-class ChunkFound:
+class ChunkReply:
     """One chunk; `index` is -1 if none of the wanted ones is here, -2 if all upload slots are busy.
 
     `held` is a bit set of what the sender has, so that the asker knows whom to ask next.
--- a/src/merlinthread/roles/chunk_giver.py
+++ b/src/merlinthread/roles/chunk_giver.py
@@ -28,11 +28,11 @@
             return self.on_chunk_wanted(message)
         raise errors.ProtocolError(f"an agent does not answer {type(message).__name__}")
 
-    def on_chunk_wanted(self, wanted: messages.ChunkRequest) -> messages.ChunkFound:
+    def on_chunk_wanted(self, wanted: messages.ChunkRequest) -> messages.ChunkReply:
         """Give one of the wanted chunks, if an upload slot is free."""
         manifest = self.weights.manifests.get(wanted.manifest)
         if manifest is None:
-            return messages.ChunkFound(messages.NOTHING, b"", b"")
+            return messages.ChunkReply(messages.NOTHING, b"", b"")
         count = len(manifest.chunks)
         now = self.weights.parts.clock()
         with self.weights.lock:
@@ -44,18 +44,18 @@
             shown = fetch.to_bytes(held, count)
             offered = held & fetch.from_bytes(wanted.wanted, count)
             if not offered:
-                return messages.ChunkFound(messages.NOTHING, b"", shown)
+                return messages.ChunkReply(messages.NOTHING, b"", shown)
             if not self.slots.take():
-                return messages.ChunkFound(messages.BUSY, b"", shown)
+                return messages.ChunkReply(messages.BUSY, b"", shown)
             index = self.slots.choose(wanted.manifest, offered)
             ready_at = self.up.through_at(manifest.chunk_size(index), now)
         try:
             data = self.weights.store.read(manifest.chunks[index])
             if data is None:
-                return messages.ChunkFound(messages.NOTHING, b"", b"")
+                return messages.ChunkReply(messages.NOTHING, b"", b"")
             self.weights.sleep_until(ready_at)
             metrics.chunk_bytes_sent_total.inc(len(data))
-            return messages.ChunkFound(index, data, shown)
+            return messages.ChunkReply(index, data, shown)
         finally:
             with self.weights.lock:
                 self.slots.release()
--- a/src/merlinthread/roles/weights.py
+++ b/src/merlinthread/roles/weights.py
@@ -346,7 +346,7 @@
         download: Download,
         plan: fetch.FetchPlan,
         peer: fetch.Peer,
-        found: messages.ChunkFound,
+        found: messages.ChunkReply,
         count: int,
     ) -> None:
         """Take what a peer answered."""
