--- a/src/merlinthread/protocol/messages.py
+++ b/src/merlinthread/protocol/messages.py
@@ -198,7 +198,7 @@
     held: bytes
 
 
-NOTHING = -1
+NO_CHUNK = -1
 BUSY = -2
 
 
--- a/src/merlinthread/roles/chunk_giver.py
+++ b/src/merlinthread/roles/chunk_giver.py
@@ -32,7 +32,7 @@
         """Give one of the wanted chunks, if an upload slot is free."""
         manifest = self.weights.manifests.get(wanted.manifest)
         if manifest is None:
-            return messages.ChunkReply(messages.NOTHING, b"", b"")
+            return messages.ChunkReply(messages.NO_CHUNK, b"", b"")
         count = len(manifest.chunks)
         now = self.weights.parts.clock()
         with self.weights.lock:
@@ -44,7 +44,7 @@
             shown = fetch.to_bytes(held, count)
             offered = held & fetch.from_bytes(wanted.wanted, count)
             if not offered:
-                return messages.ChunkReply(messages.NOTHING, b"", shown)
+                return messages.ChunkReply(messages.NO_CHUNK, b"", shown)
             if not self.slots.take():
                 return messages.ChunkReply(messages.BUSY, b"", shown)
             index = self.slots.choose(wanted.manifest, offered)
@@ -52,7 +52,7 @@
         try:
             data = self.weights.store.read(manifest.chunks[index])
             if data is None:
-                return messages.ChunkReply(messages.NOTHING, b"", b"")
+                return messages.ChunkReply(messages.NO_CHUNK, b"", b"")
             self.weights.sleep_until(ready_at)
             metrics.chunk_bytes_sent_total.inc(len(data))
             return messages.ChunkReply(index, data, shown)
--- a/src/merlinthread/roles/weights.py
+++ b/src/merlinthread/roles/weights.py
@@ -355,7 +355,7 @@
             plan.heard(peer.name, fetch.from_bytes(found.held, count), now)
             if found.index == messages.BUSY:
                 plan.peer_busy(peer.name, now)
-            elif found.index == messages.NOTHING:
+            elif found.index == messages.NO_CHUNK:
                 plan.peer_empty(peer.name, now)
         if found.index < 0 or found.index >= count:
             return
