--- a/src/merlinthread/protocol/messages.py
+++ b/src/merlinthread/protocol/messages.py
@@ -199,7 +199,7 @@
 
 
 NO_CHUNK = -1
-BUSY = -2
+NO_UPLOAD_SLOT = -2
 
 
 def make_codec(keys: list[codec.Key]) -> codec.Codec:
--- a/src/merlinthread/roles/chunk_giver.py
+++ b/src/merlinthread/roles/chunk_giver.py
@@ -46,7 +46,7 @@
             if not offered:
                 return messages.ChunkReply(messages.NO_CHUNK, b"", shown)
             if not self.slots.take():
-                return messages.ChunkReply(messages.BUSY, b"", shown)
+                return messages.ChunkReply(messages.NO_UPLOAD_SLOT, b"", shown)
             index = self.slots.choose(wanted.manifest, offered)
             ready_at = self.up.through_at(manifest.chunk_size(index), now)
         try:
--- a/src/merlinthread/roles/weights.py
+++ b/src/merlinthread/roles/weights.py
@@ -353,7 +353,7 @@
         now = self.parts.clock()
         with self.lock:
             plan.heard(peer.name, fetch.from_bytes(found.held, count), now)
-            if found.index == messages.BUSY:
+            if found.index == messages.NO_UPLOAD_SLOT:
                 plan.peer_busy(peer.name, now)
             elif found.index == messages.NO_CHUNK:
                 plan.peer_empty(peer.name, now)
