--- a/bench/operators.py
+++ b/bench/operators.py
@@ -28,7 +28,7 @@
 
     def propose(self, bundle: dict, request_id: str = "") -> operator_calls.Result:
         """Put a bundle forward."""
-        call = operator_calls.ProposeCall(request_id or uuid.uuid4().hex, self.name, bundle)
+        call = operator_calls.ProposeRequest(request_id or uuid.uuid4().hex, self.name, bundle)
         return self.call("/v1/bundles", call)
 
     def sign(self, bundle: dict) -> operator_calls.Result:
--- a/src/merlinthread/cli/bundle_commands.py
+++ b/src/merlinthread/cli/bundle_commands.py
@@ -67,7 +67,7 @@
     def act(self) -> int:
         """Propose the bundle."""
         bundle = read_bundle(self.argument("file"))
-        call = operator_calls.ProposeCall(
+        call = operator_calls.ProposeRequest(
             self.request_id(), self.operator(), msgspec.to_builtins(bundle)
         )
         return self.send("/v1/bundles", call)
--- a/src/merlinthread/protocol/operator_calls.py
+++ b/src/merlinthread/protocol/operator_calls.py
@@ -5,7 +5,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class ProposeCall:
+class ProposeRequest:
     """Put a bundle forward; `bundle` is validated apart."""
 
     request_id: str
--- a/src/merlinthread/roles/operators_api.py
+++ b/src/merlinthread/roles/operators_api.py
@@ -22,7 +22,7 @@
 
     def propose(self, request: http_server.Request) -> http_server.Response:
         """Put a bundle forward."""
-        call = read_body(request, operator_calls.ProposeCall)
+        call = read_body(request, operator_calls.ProposeRequest)
         bundle = bundle_file.from_data(call.bundle, "bundle")
         return self.commit(commands.Propose(call.request_id, call.operator, self.now(), bundle))
 
