--- a/bench/operators.py
+++ b/bench/operators.py
@@ -38,7 +38,7 @@
         signature = signatures.sign(self.private, version, digest)
         return self.call(
             "/v1/signatures",
-            operator_calls.SignCall(uuid.uuid4().hex, self.name, version, digest, signature),
+            operator_calls.SignRequest(uuid.uuid4().hex, self.name, version, digest, signature),
         )
 
     def roll(
--- a/src/merlinthread/cli/bundle_commands.py
+++ b/src/merlinthread/cli/bundle_commands.py
@@ -116,7 +116,7 @@
             )
         return self.send(
             "/v1/signatures",
-            operator_calls.SignCall(
+            operator_calls.SignRequest(
                 self.request_id(),
                 self.operator(),
                 version,
--- a/src/merlinthread/protocol/operator_calls.py
+++ b/src/merlinthread/protocol/operator_calls.py
@@ -14,7 +14,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class SignCall:
+class SignRequest:
     """Sign a version with a digest; the signature is Ed25519, hex."""
 
     request_id: str
--- a/src/merlinthread/roles/operators_api.py
+++ b/src/merlinthread/roles/operators_api.py
@@ -28,7 +28,7 @@
 
     def sign(self, request: http_server.Request) -> http_server.Response:
         """Add a signature, if it is an operator's and valid."""
-        call = read_body(request, operator_calls.SignCall)
+        call = read_body(request, operator_calls.SignRequest)
         known = {operator.name: operator.public_key for operator in self.role.config.operators}
         if call.operator not in known:
             raise errors.BundleError(
