--- a/bench/operators.py
+++ b/bench/operators.py
@@ -47,7 +47,7 @@
         """Put a version in force."""
         return self.call(
             "/v1/rolls",
-            operator_calls.RollCall(request_id or uuid.uuid4().hex, self.name, version, is_back),
+            operator_calls.RollRequest(request_id or uuid.uuid4().hex, self.name, version, is_back),
         )
 
     def bring_in(self, bundle: dict) -> operator_calls.Result:
--- a/src/merlinthread/cli/bundle_commands.py
+++ b/src/merlinthread/cli/bundle_commands.py
@@ -137,7 +137,7 @@
 
     def act(self) -> int:
         """Roll, and with --wait follow it."""
-        call = operator_calls.RollCall(
+        call = operator_calls.RollRequest(
             self.request_id(), self.operator(), self.version_argument(), self.is_back
         )
         code = self.send("/v1/rolls", call)
--- a/src/merlinthread/protocol/operator_calls.py
+++ b/src/merlinthread/protocol/operator_calls.py
@@ -25,7 +25,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class RollCall:
+class RollRequest:
     """Put a signed version in force; `is_back` allows only one that was in force before."""
 
     request_id: str
--- a/src/merlinthread/roles/operators_api.py
+++ b/src/merlinthread/roles/operators_api.py
@@ -56,7 +56,7 @@
 
     def roll(self, request: http_server.Request) -> http_server.Response:
         """Put a version in force."""
-        call = read_body(request, operator_calls.RollCall)
+        call = read_body(request, operator_calls.RollRequest)
         return self.commit(
             commands.Roll(
                 call.request_id,
