--- a/src/merlinthread/protocol/operator_calls.py
+++ b/src/merlinthread/protocol/operator_calls.py
@@ -35,7 +35,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class ResumeCall:
+class ResumeRequest:
     """Let the paused roll of `generation` go on."""
 
     generation: int
--- a/src/merlinthread/roles/operators_api.py
+++ b/src/merlinthread/roles/operators_api.py
@@ -70,7 +70,7 @@
 
     def resume(self, request: http_server.Request) -> http_server.Response:
         """Let a paused roll go on."""
-        call = read_body(request, operator_calls.ResumeCall)
+        call = read_body(request, operator_calls.ResumeRequest)
         return self.commit(commands.Pause(call.generation, ""))
 
     def show(self, request: http_server.Request) -> http_server.Response:
