--- a/bench/operators.py
+++ b/bench/operators.py
@@ -21,17 +21,17 @@
         addresses = [vm.http for vm in fleet.controls()]
         self.controls = client.ControlClient(addresses, timeout_s)
 
-    def call(self, path: str, call: Any) -> operator_calls.Result:
+    def call(self, path: str, call: Any) -> operator_calls.CommandResult:
         """Send a command and return its result."""
         data = self.controls.call("POST", path, call)
-        return msgspec.json.decode(data, type=operator_calls.Result)
+        return msgspec.json.decode(data, type=operator_calls.CommandResult)
 
-    def propose(self, bundle: dict, request_id: str = "") -> operator_calls.Result:
+    def propose(self, bundle: dict, request_id: str = "") -> operator_calls.CommandResult:
         """Put a bundle forward."""
         call = operator_calls.ProposeRequest(request_id or uuid.uuid4().hex, self.name, bundle)
         return self.call("/v1/bundles", call)
 
-    def sign(self, bundle: dict) -> operator_calls.Result:
+    def sign(self, bundle: dict) -> operator_calls.CommandResult:
         """Sign a bundle."""
         version = bundle["version"]
         digest = bundles.digest(bundle_file.from_data(bundle, "bundle"))
@@ -43,14 +43,14 @@
 
     def roll(
         self, version: int, is_back: bool = False, request_id: str = ""
-    ) -> operator_calls.Result:
+    ) -> operator_calls.CommandResult:
         """Put a version in force."""
         return self.call(
             "/v1/rolls",
             operator_calls.RollRequest(request_id or uuid.uuid4().hex, self.name, version, is_back),
         )
 
-    def bring_in(self, bundle: dict) -> operator_calls.Result:
+    def bring_in(self, bundle: dict) -> operator_calls.CommandResult:
         """Propose, sign and roll a bundle."""
         self.propose(bundle)
         self.sign(bundle)
--- a/src/merlinthread/cli/bundle_commands.py
+++ b/src/merlinthread/cli/bundle_commands.py
@@ -75,7 +75,7 @@
     def send(self, path: str, call: Any) -> int:
         """Send a command and show its result."""
         result = msgspec.json.decode(
-            self.controls().call("POST", path, call), type=operator_calls.Result
+            self.controls().call("POST", path, call), type=operator_calls.CommandResult
         )
         rows = [("status", result.status), ("version", result.version), ("digest", result.digest)]
         if result.generation:
--- a/src/merlinthread/protocol/operator_calls.py
+++ b/src/merlinthread/protocol/operator_calls.py
@@ -42,7 +42,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Result:
+class CommandResult:
     """What a command led to."""
 
     status: str
--- a/src/merlinthread/roles/operators_api.py
+++ b/src/merlinthread/roles/operators_api.py
@@ -159,9 +159,9 @@
     )
 
 
-def to_result(answer: commands.Answer) -> operator_calls.Result:
+def to_result(answer: commands.Answer) -> operator_calls.CommandResult:
     """Return what operators see of an answer."""
-    return operator_calls.Result(
+    return operator_calls.CommandResult(
         answer.status, answer.version, answer.digest, answer.generation, answer.message
     )
 
