--- a/src/merlinthread/protocol/operator_calls.py
+++ b/src/merlinthread/protocol/operator_calls.py
@@ -98,7 +98,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class BundleLine:
+class BundleSummary:
     """A bundle in the history; `proposed_at` is in seconds since 1970."""
 
     version: int
@@ -125,7 +125,7 @@
 class History:
     """All bundles and the last rolls, newest first."""
 
-    bundles: list[BundleLine]
+    bundles: list[BundleSummary]
     rolls: list[RollLine]
 
 
@@ -133,5 +133,5 @@
 class BundleShown:
     """One bundle whole."""
 
-    line: BundleLine
+    line: BundleSummary
     bundle: dict[str, Any]
--- a/src/merlinthread/roles/operators_api.py
+++ b/src/merlinthread/roles/operators_api.py
@@ -192,10 +192,10 @@
     state: control_state.ControlState,
     record: control_state.BundleRecord,
     role: "control.ControlRole",
-) -> operator_calls.BundleLine:
+) -> operator_calls.BundleSummary:
     """Return a bundle's line in the history."""
     bundle: bundles.Bundle = record.bundle
-    return operator_calls.BundleLine(
+    return operator_calls.BundleSummary(
         bundle.version,
         record.digest,
         state.status_of(bundle.version, role.config.signatures_required),
