--- a/src/merlinthread/cli/bundle_commands.py
+++ b/src/merlinthread/cli/bundle_commands.py
@@ -252,6 +252,6 @@
         return 0
 
 
-def kind_of(roll: operator_calls.RollLine) -> str:
+def kind_of(roll: operator_calls.RollSummary) -> str:
     """Return the name of a roll's kind."""
     return "rollback" if roll.is_back else "roll"
--- a/src/merlinthread/protocol/operator_calls.py
+++ b/src/merlinthread/protocol/operator_calls.py
@@ -111,7 +111,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class RollLine:
+class RollSummary:
     """A roll in the history; `at` is in seconds since 1970."""
 
     generation: int
@@ -126,7 +126,7 @@
     """All bundles and the last rolls, newest first."""
 
     bundles: list[BundleSummary]
-    rolls: list[RollLine]
+    rolls: list[RollSummary]
 
 
 @dataclasses.dataclass(slots=True)
--- a/src/merlinthread/roles/operators_api.py
+++ b/src/merlinthread/roles/operators_api.py
@@ -213,7 +213,7 @@
     lines = [line_of(state, record, role) for record in state.records.values()]
     lines.sort(key=lambda line: -line.version)
     rolls = [
-        operator_calls.RollLine(r.generation, r.version, r.operator, r.at, r.is_back)
+        operator_calls.RollSummary(r.generation, r.version, r.operator, r.at, r.is_back)
         for r in reversed(state.rolls[-100:])
     ]
     return operator_calls.History(lines, rolls)
