--- a/src/merlinthread/cli/bundle_commands.py
+++ b/src/merlinthread/cli/bundle_commands.py
@@ -104,7 +104,7 @@
             raise errors.RequestError("--key: give the file with your private key")
         private = pathlib.Path(self.option("key")).read_text(encoding="utf-8")
         shown = msgspec.json.decode(
-            self.controls().call("GET", f"/v1/bundles/{version}"), type=operator_calls.BundleShown
+            self.controls().call("GET", f"/v1/bundles/{version}"), type=operator_calls.BundleDetails
         )
         bundle = bundle_file.from_data(shown.bundle, "the proposed bundle")
         digest = bundles.digest(bundle)
@@ -207,7 +207,7 @@
     def act(self) -> int:
         """Show the bundle."""
         data = self.controls().call("GET", f"/v1/bundles/{self.version_argument()}")
-        shown = msgspec.json.decode(data, type=operator_calls.BundleShown)
+        shown = msgspec.json.decode(data, type=operator_calls.BundleDetails)
         line = shown.line
         rows = [
             ("version", line.version),
--- a/src/merlinthread/protocol/operator_calls.py
+++ b/src/merlinthread/protocol/operator_calls.py
@@ -130,7 +130,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class BundleShown:
+class BundleDetails:
     """One bundle whole."""
 
     line: BundleSummary
--- a/src/merlinthread/roles/operators_api.py
+++ b/src/merlinthread/roles/operators_api.py
@@ -176,14 +176,14 @@
 
 def show_bundle(
     state: control_state.ControlState, version: int, role: "control.ControlRole"
-) -> operator_calls.BundleShown:
+) -> operator_calls.BundleDetails:
     """Return one bundle with its state; raise ControlError if there is none."""
     record = state.records.get(version)
     if record is None:
         raise errors.ControlError(
             f"no bundle has version {version}", kind=errors.ErrorKind.UNKNOWN_VERSION
         )
-    return operator_calls.BundleShown(
+    return operator_calls.BundleDetails(
         line_of(state, record, role), msgspec.to_builtins(record.bundle)
     )
 
