--- a/src/merlinthread/protocol/engine_calls.py
+++ b/src/merlinthread/protocol/engine_calls.py
@@ -8,7 +8,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Fence:
+class FencingToken:
     """What an engine last obeyed; an order lower in either number is refused."""
 
     generation: int = 0
@@ -45,5 +45,5 @@
     models: dict[str, str]
     running: int
     waiting: int
-    fence: Fence
+    fence: FencingToken
     is_leaving: bool = False
--- a/src/merlinthread/roles/target.py
+++ b/src/merlinthread/roles/target.py
@@ -117,7 +117,7 @@
         self.client = http_client.Client(connections=config.slots + 4)
         self.line = Line(config.slots, config.queue_max, parts.clock)
         self.serving: dict[str, str] = {}
-        self.fence = engine_calls.Fence()
+        self.fence = engine_calls.FencingToken()
         self.is_reached = False
         self.is_leaving = False
 
--- a/stand_ins/engine.py
+++ b/stand_ins/engine.py
@@ -92,7 +92,7 @@
         self.options = options
         self.lock = threading.Condition()
         self.models: dict[str, Loaded] = {}
-        self.fence = engine_calls.Fence()
+        self.fence = engine_calls.FencingToken()
         self.waiting: list[Job] = []
         self.running: list[Job] = []
         self.runs: dict[str, Run] = {}
@@ -265,7 +265,7 @@
                     f"{self.fence.generation}/{self.fence.epoch}",
                     kind=errors.ErrorKind.FENCED,
                 )
-            self.fence = engine_calls.Fence(order.generation, order.epoch)
+            self.fence = engine_calls.FencingToken(order.generation, order.epoch)
 
     def unload(self, order: engine_calls.Order) -> http_server.Response:
         """Drop a model; running requests keep their weights."""
