--- a/src/merlinthread/protocol/engine_calls.py
+++ b/src/merlinthread/protocol/engine_calls.py
@@ -31,7 +31,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class OrderAnswer:
+class OrderReply:
     """What the engine holds under `name` now; `digest` is the manifest it verified itself."""
 
     name: str
--- a/src/merlinthread/roles/target.py
+++ b/src/merlinthread/roles/target.py
@@ -178,7 +178,7 @@
                 {"Content-Type": "application/json"},
                 ORDER_TIMEOUT_S,
             )
-            answer = msgspec.json.decode(reply.body, type=engine_calls.OrderAnswer)
+            answer = msgspec.json.decode(reply.body, type=engine_calls.OrderReply)
             if answer.digest != order.manifest:
                 raise errors.WeightsError(
                     f"the engine reports {answer.digest} for {order.name}, ordered was "
--- a/stand_ins/engine.py
+++ b/stand_ins/engine.py
@@ -253,7 +253,7 @@
         with self.lock:
             self.models[order.name] = loaded
             self.orders.append({"action": "load", "name": order.name, "digest": loaded.digest})
-        return http_server.json_response(engine_calls.OrderAnswer(order.name, loaded.digest))
+        return http_server.json_response(engine_calls.OrderReply(order.name, loaded.digest))
 
     def check_fence(self, order: engine_calls.Order) -> None:
         """Refuse an order that is lower than one obeyed; engines that check none take all."""
@@ -272,7 +272,7 @@
         with self.lock:
             self.models.pop(order.name, None)
             self.orders.append({"action": "unload", "name": order.name, "digest": ""})
-        return http_server.json_response(engine_calls.OrderAnswer(order.name, ""))
+        return http_server.json_response(engine_calls.OrderReply(order.name, ""))
 
     def read_weights(self, order: engine_calls.Order) -> Loaded:
         """Read the weights and check every chunk."""
