--- a/src/merlinthread/protocol/attempts.py
+++ b/src/merlinthread/protocol/attempts.py
@@ -47,7 +47,7 @@
         }
 
 
-def read_attempt(headers: dict[str, str]) -> Attempt:
+def parse_attempt(headers: dict[str, str]) -> Attempt:
     """Return the attempt in HTTP headers; raise RequestError naming the header that is wrong."""
     try:
         return Attempt(
