--- a/src/merlinthread/protocol/attempts.py
+++ b/src/merlinthread/protocol/attempts.py
@@ -81,7 +81,7 @@
     }
 
 
-def check_tag(
+def verify_tag(
     mesh: codec.Codec, attempt: Attempt, path: str, body: bytes, headers: dict[str, str]
 ) -> None:
     """Raise RequestError (unauthorised) unless one of our keys made the tag."""
--- a/src/merlinthread/roles/forwarding.py
+++ b/src/merlinthread/roles/forwarding.py
@@ -26,7 +26,7 @@
     def on_request(self, request: http_server.Request) -> http_server.Response:
         """Pass one attempt on."""
         attempt = attempts.parse_attempt(request.headers)
-        attempts.check_tag(
+        attempts.verify_tag(
             self.path.parts.codec, attempt, request.path, request.body, request.headers
         )
         self.path.parts.in_flight.enter()
--- a/src/merlinthread/roles/target.py
+++ b/src/merlinthread/roles/target.py
@@ -226,7 +226,7 @@
     def admit(self, request: http_server.Request, path: str) -> attempts.Attempt:
         """Return the attempt; raise RequestError if it is not for this incarnation or not ours."""
         attempt = attempts.parse_attempt(request.headers)
-        attempts.check_tag(self.parts.codec, attempt, path, request.body, request.headers)
+        attempts.verify_tag(self.parts.codec, attempt, path, request.body, request.headers)
         if attempt.incarnation != self.incarnation:
             raise errors.RequestError(
                 f"the attempt is for incarnation {attempt.incarnation}, this is {self.incarnation}",
