--- a/src/merlinthread/protocol/attempts.py
+++ b/src/merlinthread/protocol/attempts.py
@@ -71,7 +71,9 @@
     return "\n".join(parts).encode() + blake3.blake3(body).digest()
 
 
-def tag_headers(mesh: codec.Codec, attempt: Attempt, path: str, body: bytes) -> dict[str, str]:
+def authentication_headers(
+    mesh: codec.Codec, attempt: Attempt, path: str, body: bytes
+) -> dict[str, str]:
     """Return the headers that show the attempt comes from one of our entries."""
     if mesh.signer is None:
         return {}
--- a/src/merlinthread/roles/request_path.py
+++ b/src/merlinthread/roles/request_path.py
@@ -209,7 +209,7 @@
     ) -> http_client.Stream:
         """Send an attempt and return its answer's beginning; see `send`."""
         headers = attempt.headers()
-        headers.update(attempts.tag_headers(self.parts.codec, attempt, path, body))
+        headers.update(attempts.authentication_headers(self.parts.codec, attempt, path, body))
         left = max(0.001, attempt.deadline_ms / 1000)
         stream = self.client.open(method, report.http + path, body, headers, left)
         if stream.status >= 400 and attempts.ATTEMPT not in stream.headers:
