--- a/bench/control.py
+++ b/bench/control.py
@@ -159,7 +159,7 @@
     """Return how many claims a second the leader commits with a sync, from many callers at once."""
     leader = fleet.leader()
     assert leader is not None
-    mesh = messages.make_codec([codec.key_from_hex(fleet.mesh_key)])
+    mesh = messages.make_codec([codec.parse_key(fleet.mesh_key)])
     counts = [0] * threads
     stop_at = time.monotonic() + seconds
 
--- a/src/merlinthread/daemon.py
+++ b/src/merlinthread/daemon.py
@@ -22,7 +22,7 @@
     def __init__(self, path: pathlib.Path, config: settings.Settings) -> None:
         self.path = path
         self.config = config
-        keys = [codec.key_from_hex(text) for text in config.mesh_keys]
+        keys = [codec.parse_key(text) for text in config.mesh_keys]
         server = http_server.Server(
             config.http.address, config.http.port, config.http.threads, config.http.body_bytes_max
         )
@@ -68,7 +68,7 @@
         except errors.SettingsError as error:
             logs.warn("reload_refused", reason=error.message)
             return
-        self.parts.codec.set_keys([codec.key_from_hex(text) for text in changed.mesh_keys])
+        self.parts.codec.set_keys([codec.parse_key(text) for text in changed.mesh_keys])
         logs.set_up(changed.name, changed.log.level)
         for role in self.roles:
             role.reload(changed)
--- a/src/merlinthread/protocol/codec.py
+++ b/src/merlinthread/protocol/codec.py
@@ -116,7 +116,7 @@
             )
 
 
-def key_from_hex(text: str) -> Key:
+def parse_key(text: str) -> Key:
     """Return the key written as 64 hex digits; raise ValueError otherwise."""
     secret = bytes.fromhex(text)
     if len(secret) != KEY_BYTES:
