--- a/src/merlinthread/platform/dialect.py
+++ b/src/merlinthread/platform/dialect.py
@@ -13,7 +13,7 @@
 
 JSON_TYPE = (b"content-type", b"application/json")
 KNOWN_IN_ANSWERS = (
-    names.READ_IN_ANSWERS | names.UNUSED_IN_ANSWERS | names.OF_HTTP | {retry_after.FIELD}
+    names.READ_IN_ANSWERS | names.UNUSED_IN_ANSWERS | names.OF_HTTP | {retry_after.HEADER}
 )
 
 
@@ -190,7 +190,7 @@
     """Return what a worker that turns a request away says of when to ask it again."""
     if status not in names.STATUS_TURNED_AWAY:
         return retry_after.RetryAfter()
-    value = http_messages.header(headers, retry_after.FIELD)
+    value = http_messages.header(headers, retry_after.HEADER)
     return retry_after.parse(value, http_messages.header(headers, retry_after.DATE))
 
 
--- a/src/merlinthread/protocol/retry_after.py
+++ b/src/merlinthread/protocol/retry_after.py
@@ -5,7 +5,7 @@
 import email.utils
 import re
 
-FIELD = b"retry-after"
+HEADER = b"retry-after"
 DATE = b"date"
 # A server that means more is put out of use by its operator, not by this field: what is longer is
 # taken for a fault of whoever wrote it. One day, in seconds.
