--- a/src/merlinthread/nodes/engine_client.py
+++ b/src/merlinthread/nodes/engine_client.py
@@ -98,7 +98,7 @@
     if 200 <= answer.status < 300:
         return answer
     value = http_messages.header(answer.headers, retry_after.HEADER)
-    date = http_messages.header(answer.headers, retry_after.DATE)
+    date = http_messages.header(answer.headers, retry_after.DATE_HEADER)
     rest_s = retry_after.parse(value, date).seconds
     raise errors.ProtocolError(f"HTTP status {answer.status}", retry_after_s=rest_s)
 
--- a/src/merlinthread/platform/dialect.py
+++ b/src/merlinthread/platform/dialect.py
@@ -191,7 +191,7 @@
     if status not in names.STATUS_TURNED_AWAY:
         return retry_after.RetryAfter()
     value = http_messages.header(headers, retry_after.HEADER)
-    return retry_after.parse(value, http_messages.header(headers, retry_after.DATE))
+    return retry_after.parse(value, http_messages.header(headers, retry_after.DATE_HEADER))
 
 
 def unread_names(headers: http_messages.Headers) -> frozenset[str]:
--- a/src/merlinthread/protocol/retry_after.py
+++ b/src/merlinthread/protocol/retry_after.py
@@ -6,7 +6,7 @@
 import re
 
 HEADER = b"retry-after"
-DATE = b"date"
+DATE_HEADER = b"date"
 # A server that means more is put out of use by its operator, not by this field: what is longer is
 # taken for a fault of whoever wrote it. One day, in seconds.
 MEANT_S_MAX = 86_400.0
