--- a/src/merlinthread/protocol/retry_after.py
+++ b/src/merlinthread/protocol/retry_after.py
@@ -9,7 +9,7 @@
 DATE_HEADER = b"date"
 # A server that means more is put out of use by its operator, not by this field: what is longer is
 # taken for a fault of whoever wrote it. One day, in seconds.
-MEANT_S_MAX = 86_400.0
+MAX_DELAY_S = 86_400.0
 # The RFC's digits, with fractions, which some servers send.
 SECONDS = re.compile(rb"[0-9]{1,20}(\.[0-9]{1,20})?")
 
@@ -47,8 +47,8 @@
 
 def checked(seconds: float) -> RetryAfter:
     """Return a time that is meant, or none."""
-    if seconds > MEANT_S_MAX:
-        return RetryAfter(problem=f"more than {MEANT_S_MAX:.0f} s")
+    if seconds > MAX_DELAY_S:
+        return RetryAfter(problem=f"more than {MAX_DELAY_S:.0f} s")
     return RetryAfter(seconds)
 
 
--- a/tests/test_backend_signals.py
+++ b/tests/test_backend_signals.py
@@ -80,7 +80,7 @@
     if found.seconds is None:
         assert found.problem
     else:
-        assert 0 <= found.seconds <= retry_after.MEANT_S_MAX
+        assert 0 <= found.seconds <= retry_after.MAX_DELAY_S
 
 
 class Signals(stateful.RuleBasedStateMachine):
