--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -106,7 +106,7 @@
         """Make an operator's key and return its file."""
         path = self.folder / "keys" / f"{name}.key"
         path.write_text(signatures.new_private_key())
-        self.operators[name] = signatures.public_of(path.read_text())
+        self.operators[name] = signatures.derive_public_key(path.read_text())
         return path
 
     def link(self, name: str, goal: str) -> str:
--- a/src/merlinthread/cli/other_commands.py
+++ b/src/merlinthread/cli/other_commands.py
@@ -91,7 +91,7 @@
         private = signatures.new_private_key()
         path.touch(mode=0o600, exist_ok=False)
         path.write_text(private + "\n", encoding="utf-8")
-        public = signatures.public_of(private)
+        public = signatures.derive_public_key(private)
         self.show({"public_key": public}, [("public key", public), ("private key in", path)])
         return 0
 
--- a/src/merlinthread/protocol/signatures.py
+++ b/src/merlinthread/protocol/signatures.py
@@ -31,7 +31,7 @@
         )
 
 
-def public_of(private: str) -> str:
+def derive_public_key(private: str) -> str:
     """Return the public key of a private one, both as hex."""
     raw = load_private(private).public_key()
     return raw.public_bytes(serialization.Encoding.Raw, serialization.PublicFormat.Raw).hex()
