--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -105,7 +105,7 @@
     def add_operator(self, name: str) -> pathlib.Path:
         """Make an operator's key and return its file."""
         path = self.folder / "keys" / f"{name}.key"
-        path.write_text(signatures.new_private_key())
+        path.write_text(signatures.generate_private_key())
         self.operators[name] = signatures.derive_public_key(path.read_text())
         return path
 
--- a/src/merlinthread/cli/other_commands.py
+++ b/src/merlinthread/cli/other_commands.py
@@ -88,7 +88,7 @@
         if not self.option("out"):
             raise errors.RequestError("--out: name a new file for the private key")
         path = pathlib.Path(self.option("out"))
-        private = signatures.new_private_key()
+        private = signatures.generate_private_key()
         path.touch(mode=0o600, exist_ok=False)
         path.write_text(private + "\n", encoding="utf-8")
         public = signatures.derive_public_key(private)
--- a/src/merlinthread/protocol/signatures.py
+++ b/src/merlinthread/protocol/signatures.py
@@ -9,7 +9,7 @@
 PREFIX = b"merlinthread bundle "
 
 
-def new_private_key() -> str:
+def generate_private_key() -> str:
     """Return a new private key as hex."""
     key = ed25519.Ed25519PrivateKey.generate()
     raw = key.private_bytes(
