--- a/src/merlinthread/errors.py
+++ b/src/merlinthread/errors.py
@@ -142,7 +142,7 @@
     kind = ErrorKind.UNREACHABLE
 
 
-class RefusedError(UnreachableError):
+class NotListeningError(UnreachableError):
     """Nothing listens at an address: the process that did has ended."""
 
 
--- a/src/merlinthread/nodes/crash_watch.py
+++ b/src/merlinthread/nodes/crash_watch.py
@@ -106,7 +106,7 @@
             )
             connection.close()
             self.judge(backend, False, "it takes connections")
-        except errors.RefusedError as error:
+        except errors.NotListeningError as error:
             self.judge(backend, True, error.message)
         except errors.UnreachableError as error:
             self.judge(backend, False, error.message)
--- a/src/merlinthread/transport/stream_client.py
+++ b/src/merlinthread/transport/stream_client.py
@@ -158,7 +158,7 @@
         async with asyncio.timeout(timeout_s):
             transport, connection = await loop.create_connection(ClientConnection, host, int(port))
     except ConnectionRefusedError as error:
-        raise errors.RefusedError(f"{address}: {error!r}")
+        raise errors.NotListeningError(f"{address}: {error!r}")
     except (OSError, TimeoutError) as error:
         raise errors.UnreachableError(f"{address}: {error!r}")
     sockets.set_socket_options(transport, user_timeout_s)
