--- a/bench/pages.py
+++ b/bench/pages.py
@@ -99,7 +99,7 @@
             lines.append(f"| `{short}--{found.name}` | {found.description} |")
     lines += ["", "## Exit codes", "", "0 is success. Every error kind has its code:", ""]
     lines += ["| kind | exit | HTTP | did it run | try again |", "|---|---|---|---|---|"]
-    for kind, answer in answers.TABLE.items():
+    for kind, answer in answers.RESPONSES.items():
         again = f"after {answer.retry_after_s:g} s" if answer.retry_after_s else "no"
         lines.append(f"| {kind} | {answer.exit_code} | {answer.status} | {answer.ran} | {again} |")
     return "\n".join(lines) + "\n"
--- a/src/merlinthread/cli/base.py
+++ b/src/merlinthread/cli/base.py
@@ -54,7 +54,7 @@
             print(f"{error.kind}: {error.message}", file=sys.stderr)
             if body.retry_after_s is not None:
                 print(f"try again in {body.retry_after_s:g} s", file=sys.stderr)
-        return answers.TABLE[error.kind].exit_code
+        return answers.RESPONSES[error.kind].exit_code
 
     def controls(self) -> client.ControlClient:
         """Return the client for the control VMs."""
--- a/src/merlinthread/cli/client.py
+++ b/src/merlinthread/cli/client.py
@@ -67,7 +67,7 @@
                 if error.kind not in RETRIED:
                     raise
                 failure = error
-                if answers.TABLE[error.kind].ran != answers.UNKNOWN:
+                if answers.RESPONSES[error.kind].ran != answers.UNKNOWN:
                     continue
                 self.controls.remove(address)
                 self.controls.append(address)
--- a/src/merlinthread/daemon.py
+++ b/src/merlinthread/daemon.py
@@ -119,7 +119,7 @@
         return Daemon(options.config, config).run()
     except errors.MerlinthreadError as error:
         print(f"merlinthreadd: {error.kind}: {error.message}", file=sys.stderr)
-        return answers.TABLE[error.kind].exit_code
+        return answers.RESPONSES[error.kind].exit_code
 
 
 if __name__ == "__main__":
--- a/src/merlinthread/nodes/control_calls.py
+++ b/src/merlinthread/nodes/control_calls.py
@@ -133,5 +133,5 @@
     if body.retry_after_s is not None:
         headers.append((b"retry-after", b"%g" % body.retry_after_s))
     return http_messages.Answer(
-        answers.TABLE[error.kind].status, headers, msgspec.json.encode(body)
+        answers.RESPONSES[error.kind].status, headers, msgspec.json.encode(body)
     )
--- a/src/merlinthread/nodes/request_task.py
+++ b/src/merlinthread/nodes/request_task.py
@@ -353,7 +353,7 @@
 
     async def refuse(self, error: errors.MerlinthreadError) -> None:
         """Send an answer of this node's own."""
-        entry = answers.TABLE[error.kind]
+        entry = answers.RESPONSES[error.kind]
         if self.exchange.is_started:
             self.log("broken_off", 0)
             self.exchange.abort()
--- a/src/merlinthread/platform/main.py
+++ b/src/merlinthread/platform/main.py
@@ -32,7 +32,7 @@
         return node_daemon.run(role, path, load, wire, int(port))
     except errors.MerlinthreadError as error:
         print(f"merlinthread: {error.kind}: {error.message}", file=sys.stderr)
-        return answers.TABLE[error.kind].exit_code
+        return answers.RESPONSES[error.kind].exit_code
 
 
 if __name__ == "__main__":
--- a/src/merlinthread/protocol/answers.py
+++ b/src/merlinthread/protocol/answers.py
@@ -27,7 +27,7 @@
 
 
 K = errors.ErrorKind
-TABLE: dict[errors.ErrorKind, Answer] = {
+RESPONSES: dict[errors.ErrorKind, Answer] = {
     K.BAD_SETTINGS: Answer(500, NO, None, 2),
     K.BAD_BUNDLE: Answer(400, NO, None, 3),
     K.BAD_CONFIGURATION: Answer(400, NO, None, 3),
@@ -80,7 +80,7 @@
 
 def body_of(error: errors.MerlinthreadError) -> ErrorBody:
     """Return the body that tells `error`."""
-    answer = TABLE[error.kind]
+    answer = RESPONSES[error.kind]
     advice = error.retry_after_s if error.retry_after_s is not None else answer.retry_after_s
     return ErrorBody(str(error.kind), error.message, answer.ran, error.field, advice)
 
--- a/src/merlinthread/transport/http_server.py
+++ b/src/merlinthread/transport/http_server.py
@@ -49,7 +49,7 @@
     """Return the answer that tells `error`."""
     body = answers.body_of(error)
     body.detail = detail
-    status = answers.TABLE[error.kind].status
+    status = answers.RESPONSES[error.kind].status
     return Response(status, msgspec.json.encode(body), answers.headers_of(body))
 
 
--- a/tests/test_border.py
+++ b/tests/test_border.py
@@ -157,8 +157,8 @@
 
 
 def test_every_error_kind_has_an_answer_and_advice_when_it_may_pass():
-    assert set(answers.TABLE) == set(errors.ErrorKind)
-    for kind, answer in answers.TABLE.items():
+    assert set(answers.RESPONSES) == set(errors.ErrorKind)
+    for kind, answer in answers.RESPONSES.items():
         body = answers.body_of(errors.MerlinthreadError("x", kind=kind))
         if answer.retry_after_s is not None:
             assert int(answers.headers_of(body)["Retry-After"]) >= answer.retry_after_s
@@ -188,7 +188,7 @@
     path = tmp_path / "bundle.json"
     path.write_text(json.dumps(changed(GOOD_BUNDLE, "models.0.share_percent", 200)))
     done = run("merlinthread.cli.main", "bundle", "check", str(path), "--json")
-    assert done.returncode == answers.TABLE[errors.ErrorKind.BAD_BUNDLE].exit_code
+    assert done.returncode == answers.RESPONSES[errors.ErrorKind.BAD_BUNDLE].exit_code
     assert json.loads(done.stdout)["field"] == "models.0.share_percent"
 
 
