--- a/src/merlinthread/cli/base.py
+++ b/src/merlinthread/cli/base.py
@@ -47,7 +47,7 @@
 
     def report(self, error: errors.MerlinthreadError) -> int:
         """Tell an error; return its exit code."""
-        body = answers.body_of(error)
+        body = answers.error_body(error)
         if self.option("json"):
             print(msgspec.json.encode(body).decode())
         else:
--- a/src/merlinthread/nodes/control_calls.py
+++ b/src/merlinthread/nodes/control_calls.py
@@ -128,7 +128,7 @@
 
 def refusal(error: errors.MerlinthreadError) -> http_messages.Answer:
     """Return the answer that tells `error`."""
-    body = answers.body_of(error)
+    body = answers.error_body(error)
     headers = [(b"content-type", b"application/json")]
     if body.retry_after_s is not None:
         headers.append((b"retry-after", b"%g" % body.retry_after_s))
--- a/src/merlinthread/protocol/answers.py
+++ b/src/merlinthread/protocol/answers.py
@@ -78,7 +78,7 @@
     detail: str = ""
 
 
-def body_of(error: errors.MerlinthreadError) -> ErrorBody:
+def error_body(error: errors.MerlinthreadError) -> ErrorBody:
     """Return the body that tells `error`."""
     answer = RESPONSES[error.kind]
     advice = error.retry_after_s if error.retry_after_s is not None else answer.retry_after_s
--- a/src/merlinthread/protocol/events.py
+++ b/src/merlinthread/protocol/events.py
@@ -45,7 +45,7 @@
 
 def encode_error(error: errors.MerlinthreadError) -> bytes:
     """Return the event that ends a broken answer."""
-    return encode(ERROR, msgspec.json.encode(answers.body_of(error)))
+    return encode(ERROR, msgspec.json.encode(answers.error_body(error)))
 
 
 def decode(lines: Iterable[bytes]) -> Iterator[Event]:
--- a/src/merlinthread/transport/http_server.py
+++ b/src/merlinthread/transport/http_server.py
@@ -47,7 +47,7 @@
 
 def error_response(error: errors.MerlinthreadError, detail: str = "") -> Response:
     """Return the answer that tells `error`."""
-    body = answers.body_of(error)
+    body = answers.error_body(error)
     body.detail = detail
     status = answers.RESPONSES[error.kind].status
     return Response(status, msgspec.json.encode(body), answers.headers_of(body))
@@ -82,7 +82,7 @@
         found = self.find(request.method, request.path)
         if found is None:
             error = errors.RequestError(f"there is no {request.method} {request.path}")
-            return Response(404, msgspec.json.encode(answers.body_of(error)))
+            return Response(404, msgspec.json.encode(answers.error_body(error)))
         handler, request.rest = found
         try:
             return handler(request)
