--- a/src/merlinthread/protocol/answers.py
+++ b/src/merlinthread/protocol/answers.py
@@ -85,7 +85,7 @@
     return ErrorBody(str(error.kind), error.message, answer.ran, error.field, advice)
 
 
-def headers_of(body: ErrorBody) -> dict[str, str]:
+def error_headers(body: ErrorBody) -> dict[str, str]:
     """Return the HTTP headers of a refusal; Retry-After is in whole seconds (RFC 9110)."""
     if body.retry_after_s is None:
         return {}
--- a/src/merlinthread/transport/http_server.py
+++ b/src/merlinthread/transport/http_server.py
@@ -50,7 +50,7 @@
     body = answers.error_body(error)
     body.detail = detail
     status = answers.RESPONSES[error.kind].status
-    return Response(status, msgspec.json.encode(body), answers.headers_of(body))
+    return Response(status, msgspec.json.encode(body), answers.error_headers(body))
 
 
 class Routes:
--- a/tests/test_border.py
+++ b/tests/test_border.py
@@ -161,7 +161,7 @@
     for kind, answer in answers.RESPONSES.items():
         body = answers.error_body(errors.MerlinthreadError("x", kind=kind))
         if answer.retry_after_s is not None:
-            assert int(answers.headers_of(body)["Retry-After"]) >= answer.retry_after_s
+            assert int(answers.error_headers(body)["Retry-After"]) >= answer.retry_after_s
         assert answer.exit_code != 0
 
 
