--- a/src/merlinthread/protocol/answers.py
+++ b/src/merlinthread/protocol/answers.py
@@ -92,7 +92,7 @@
     return {"Retry-After": str(max(1, math.ceil(body.retry_after_s)))}
 
 
-def error_from(data: bytes, status: int) -> errors.MerlinthreadError:
+def parse_error(data: bytes, status: int) -> errors.MerlinthreadError:
     """Return the error that a refusal's body tells; an unreadable one is an unknown outcome."""
     try:
         body = msgspec.json.decode(data, type=ErrorBody)
--- a/src/merlinthread/roles/request_path.py
+++ b/src/merlinthread/roles/request_path.py
@@ -215,7 +215,7 @@
         if stream.status >= 400 and attempts.ATTEMPT not in stream.headers:
             data = stream.read(self.config.answer_bytes_max)
             stream.release()
-            raise answers.error_from(data, stream.status)
+            raise answers.parse_error(data, stream.status)
         return stream
 
     # Generation
--- a/src/merlinthread/roles/target.py
+++ b/src/merlinthread/roles/target.py
@@ -309,7 +309,7 @@
             )
         if stream.status >= 400:
             data = stream.read(65536)
-            raise answers.error_from(data, stream.status)
+            raise answers.parse_error(data, stream.status)
         if stream.headers.get(attempts.ATTEMPT) != attempt.id:
             metrics.late_answers_total.inc()
             stream.close()
--- a/src/merlinthread/transport/http_client.py
+++ b/src/merlinthread/transport/http_client.py
@@ -156,5 +156,5 @@
         """Like `request`, but raise the error that a refusal's body tells."""
         reply = self.request(method, url, body, headers, timeout_s)
         if reply.status >= 400:
-            raise answers.error_from(reply.body, reply.status)
+            raise answers.parse_error(reply.body, reply.status)
         return reply
