--- a/src/merlinthread/clocks.py
+++ b/src/merlinthread/clocks.py
@@ -15,7 +15,7 @@
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
-def check() -> None:
+def check_platform() -> None:
     """Raise SettingsError on a platform that has no such clock; another would mislead silently."""
     if not hasattr(time, "CLOCK_BOOTTIME"):
         raise errors.SettingsError(
--- a/src/merlinthread/nodes/node_daemon.py
+++ b/src/merlinthread/nodes/node_daemon.py
@@ -111,6 +111,6 @@
     metrics_port: int = 0,
 ) -> int:
     """Run a node's process; return its exit code."""
-    clocks.check()
+    clocks.check_platform()
     asyncio.run(NodeDaemon(role, path, load, dialect, metrics_port).run())
     return 0
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -23,7 +23,7 @@
 def test_a_platform_without_that_clock_is_refused_at_the_start(monkeypatch):
     monkeypatch.delattr(time, "CLOCK_BOOTTIME")
     with pytest.raises(errors.SettingsError, match="CLOCK_BOOTTIME"):
-        clocks.check()
+        clocks.check_platform()
 
 
 def test_no_decider_imports_another_clock(tmp_path):
