--- a/bench/swarm.py
+++ b/bench/swarm.py
@@ -143,7 +143,7 @@
 
 
 if __name__ == "__main__":
-    logs.set_up("swarm", "error")
+    logs.configure("swarm", "error")
     Worker().run()
     import os
 
--- a/src/merlinthread/daemon.py
+++ b/src/merlinthread/daemon.py
@@ -69,7 +69,7 @@
             logs.warn("reload_refused", reason=error.message)
             return
         self.parts.codec.set_keys([codec.parse_key(text) for text in changed.mesh_keys])
-        logs.set_up(changed.name, changed.log.level)
+        logs.configure(changed.name, changed.log.level)
         for role in self.roles:
             role.reload(changed)
         logs.event("reloaded")
@@ -115,7 +115,7 @@
             print("\n".join(settings.explain(config)))
             print("settings: ok")
             return 0
-        logs.set_up(config.name, config.log.level)
+        logs.configure(config.name, config.log.level)
         return Daemon(options.config, config).run()
     except errors.MerlinthreadError as error:
         print(f"merlinthreadd: {error.kind}: {error.message}", file=sys.stderr)
--- a/src/merlinthread/logs.py
+++ b/src/merlinthread/logs.py
@@ -55,7 +55,7 @@
         return json.dumps(line, default=str, ensure_ascii=False)
 
 
-def set_up(process_name: str, level: str) -> None:
+def configure(process_name: str, level: str) -> None:
     """Send all logs of this process to standard error as JSON lines."""
     logging.use_absl_handler()
     logging.get_absl_handler().setFormatter(JsonFormatter(process_name))
