--- a/bench/pages.py
+++ b/bench/pages.py
@@ -9,7 +9,7 @@
 from bench import measure
 from merlinthread import settings
 from merlinthread.cli import main as cli
-from merlinthread.protocol import answers
+from merlinthread.protocol import error_responses
 
 DOCS = pathlib.Path(__file__).parent.parent / "docs"
 SECTIONS = (
@@ -99,7 +99,7 @@
             lines.append(f"| `{short}--{found.name}` | {found.description} |")
     lines += ["", "## Exit codes", "", "0 is success. Every error kind has its code:", ""]
     lines += ["| kind | exit | HTTP | did it run | try again |", "|---|---|---|---|---|"]
-    for kind, answer in answers.RESPONSES.items():
+    for kind, answer in error_responses.RESPONSES.items():
         again = f"after {answer.retry_after_s:g} s" if answer.retry_after_s else "no"
         lines.append(f"| {kind} | {answer.exit_code} | {answer.status} | {answer.ran} | {again} |")
     return "\n".join(lines) + "\n"
--- a/src/merlinthread/cli/base.py
+++ b/src/merlinthread/cli/base.py
@@ -11,7 +11,7 @@
 
 from merlinthread import errors
 from merlinthread.cli import client
-from merlinthread.protocol import answers
+from merlinthread.protocol import error_responses
 
 JSON_OPTION = option("json", None, "Print one JSON object instead of a table.")
 CONTROLS_OPTION = option(
@@ -47,14 +47,14 @@
 
     def report(self, error: errors.MerlinthreadError) -> int:
         """Tell an error; return its exit code."""
-        body = answers.error_body(error)
+        body = error_responses.error_body(error)
         if self.option("json"):
             print(msgspec.json.encode(body).decode())
         else:
             print(f"{error.kind}: {error.message}", file=sys.stderr)
             if body.retry_after_s is not None:
                 print(f"try again in {body.retry_after_s:g} s", file=sys.stderr)
-        return answers.RESPONSES[error.kind].exit_code
+        return error_responses.RESPONSES[error.kind].exit_code
 
     def controls(self) -> client.ControlClient:
         """Return the client for the control VMs."""
--- a/src/merlinthread/cli/client.py
+++ b/src/merlinthread/cli/client.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from merlinthread import errors
-from merlinthread.protocol import answers
+from merlinthread.protocol import error_responses
 from merlinthread.transport import http_client
 
 CONTROLS_VARIABLE = "MERLINTHREAD_CONTROLS"
@@ -67,7 +67,7 @@
                 if error.kind not in RETRIED:
                     raise
                 failure = error
-                if answers.RESPONSES[error.kind].ran != answers.UNKNOWN:
+                if error_responses.RESPONSES[error.kind].ran != error_responses.UNKNOWN:
                     continue
                 self.controls.remove(address)
                 self.controls.append(address)
--- a/src/merlinthread/daemon.py
+++ b/src/merlinthread/daemon.py
@@ -7,7 +7,7 @@
 import threading
 
 from merlinthread import __version__, errors, logs, settings
-from merlinthread.protocol import answers, codec, messages
+from merlinthread.protocol import codec, error_responses, messages
 from merlinthread.roles import agent, base, control, entry
 from merlinthread.transport import http_server
 
@@ -119,7 +119,7 @@
         return Daemon(options.config, config).run()
     except errors.MerlinthreadError as error:
         print(f"merlinthreadd: {error.kind}: {error.message}", file=sys.stderr)
-        return answers.RESPONSES[error.kind].exit_code
+        return error_responses.RESPONSES[error.kind].exit_code
 
 
 if __name__ == "__main__":
--- a/src/merlinthread/nodes/control_calls.py
+++ b/src/merlinthread/nodes/control_calls.py
@@ -9,7 +9,7 @@
 from merlinthread.coordination import fleet, fleet_state, instances
 from merlinthread.nodes import dialect as dialects
 from merlinthread.nodes import log_member
-from merlinthread.protocol import answers, node_messages
+from merlinthread.protocol import error_responses, node_messages
 from merlinthread.transport import http_messages, node_bus, stream_server
 
 # How long a call that is passed on to the leader may take, in seconds.
@@ -128,10 +128,10 @@
 
 def refusal(error: errors.MerlinthreadError) -> http_messages.Answer:
     """Return the answer that tells `error`."""
-    body = answers.error_body(error)
+    body = error_responses.error_body(error)
     headers = [(b"content-type", b"application/json")]
     if body.retry_after_s is not None:
         headers.append((b"retry-after", b"%g" % body.retry_after_s))
     return http_messages.Answer(
-        answers.RESPONSES[error.kind].status, headers, msgspec.json.encode(body)
+        error_responses.RESPONSES[error.kind].status, headers, msgspec.json.encode(body)
     )
--- a/src/merlinthread/nodes/request_task.py
+++ b/src/merlinthread/nodes/request_task.py
@@ -19,7 +19,7 @@
     route_finder,
 )
 from merlinthread.nodes import dialect as dialects
-from merlinthread.protocol import answers
+from merlinthread.protocol import error_responses
 from merlinthread.transport import http_messages, stream_server
 
 # Share of a route's objective that a request may wait for a place before it is refused: its client
@@ -353,7 +353,7 @@
 
     async def refuse(self, error: errors.MerlinthreadError) -> None:
         """Send an answer of this node's own."""
-        entry = answers.RESPONSES[error.kind]
+        entry = error_responses.RESPONSES[error.kind]
         if self.exchange.is_started:
             self.log("broken_off", 0)
             self.exchange.abort()
--- a/src/merlinthread/platform/main.py
+++ b/src/merlinthread/platform/main.py
@@ -9,7 +9,7 @@
 from merlinthread import errors, logs
 from merlinthread.nodes import node_daemon, node_policy, node_roles
 from merlinthread.platform import dialect, names, settings_file
-from merlinthread.protocol import answers
+from merlinthread.protocol import error_responses
 
 
 def main(arguments: list[str]) -> int:
@@ -32,7 +32,7 @@
         return node_daemon.run(role, path, load, wire, int(port))
     except errors.MerlinthreadError as error:
         print(f"merlinthread: {error.kind}: {error.message}", file=sys.stderr)
-        return answers.RESPONSES[error.kind].exit_code
+        return error_responses.RESPONSES[error.kind].exit_code
 
 
 if __name__ == "__main__":
--- a/src/merlinthread/protocol/events.py
+++ b/src/merlinthread/protocol/events.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from merlinthread import errors
-from merlinthread.protocol import answers
+from merlinthread.protocol import error_responses
 
 TOKEN = "token"
 DONE = "done"
@@ -45,7 +45,7 @@
 
 def encode_error(error: errors.MerlinthreadError) -> bytes:
     """Return the event that ends a broken answer."""
-    return encode(ERROR, msgspec.json.encode(answers.error_body(error)))
+    return encode(ERROR, msgspec.json.encode(error_responses.error_body(error)))
 
 
 def decode(lines: Iterable[bytes]) -> Iterator[Event]:
--- a/src/merlinthread/roles/completion.py
+++ b/src/merlinthread/roles/completion.py
@@ -8,7 +8,7 @@
 
 from merlinthread import errors, logs, metrics
 from merlinthread.coordination import agents, bundles, routing
-from merlinthread.protocol import answers, attempts, events
+from merlinthread.protocol import attempts, error_responses, events
 from merlinthread.transport import http_client, http_server
 
 if typing.TYPE_CHECKING:
@@ -153,7 +153,7 @@
                 yield events.encode(event.kind, event.data)
                 return
             elif event.kind == events.ERROR:
-                raise answers.parse_error(event.data, 200)
+                raise error_responses.parse_error(event.data, 200)
         raise errors.RequestError("the answer broke off", kind=errors.ErrorKind.STREAM_BROKEN)
 
     def resume(self, error: errors.MerlinthreadError) -> bytes:
@@ -218,4 +218,4 @@
 
 def refusal(data: bytes) -> http_server.Response:
     """Return the refusal whose JSON body is `data`."""
-    return http_server.error_response(answers.parse_error(data, 502))
+    return http_server.error_response(error_responses.parse_error(data, 502))
--- a/src/merlinthread/roles/request_path.py
+++ b/src/merlinthread/roles/request_path.py
@@ -9,7 +9,7 @@
 from merlinthread import errors, logs, metrics
 from merlinthread import settings as settings_
 from merlinthread.coordination import agents, bundles, routing, summaries
-from merlinthread.protocol import answers, attempts
+from merlinthread.protocol import attempts, error_responses
 from merlinthread.roles import base, completion, service_call
 from merlinthread.transport import http_client, http_server
 
@@ -215,7 +215,7 @@
         if stream.status >= 400 and attempts.ATTEMPT not in stream.headers:
             data = stream.read(self.config.answer_bytes_max)
             stream.release()
-            raise answers.parse_error(data, stream.status)
+            raise error_responses.parse_error(data, stream.status)
         return stream
 
     # Generation
--- a/src/merlinthread/roles/service_call.py
+++ b/src/merlinthread/roles/service_call.py
@@ -10,7 +10,7 @@
 
 from merlinthread import errors, logs, metrics
 from merlinthread.coordination import agents, bundles, commands, routing
-from merlinthread.protocol import answers, attempts
+from merlinthread.protocol import attempts, error_responses
 from merlinthread.roles import base
 from merlinthread.transport import http_client, http_server
 
@@ -172,7 +172,7 @@
         complete.status = reply.status
         complete.body = reply.body if len(reply.body) <= ANSWER_KEPT_BYTES else b""
         if complete.body != reply.body:
-            complete.status = answers.RESPONSES[errors.ErrorKind.OUTCOME_UNKNOWN].status
+            complete.status = error_responses.RESPONSES[errors.ErrorKind.OUTCOME_UNKNOWN].status
         self.settle(complete)
         return self.to_response(reply)
 
@@ -256,7 +256,7 @@
         if error.kind in SURELY_NOT_RUN:
             complete.not_run = True
         else:
-            complete.status = answers.RESPONSES[errors.ErrorKind.OUTCOME_UNKNOWN].status
+            complete.status = error_responses.RESPONSES[errors.ErrorKind.OUTCOME_UNKNOWN].status
         self.settle(complete)
 
     def settle(self, complete: commands.Complete) -> None:
--- a/src/merlinthread/roles/target.py
+++ b/src/merlinthread/roles/target.py
@@ -9,7 +9,7 @@
 from merlinthread import errors, logs, metrics
 from merlinthread import settings as settings_
 from merlinthread.coordination import bundles, control_state, fair_queue, switch
-from merlinthread.protocol import answers, attempts, engine_calls, events
+from merlinthread.protocol import attempts, engine_calls, error_responses, events
 from merlinthread.roles import base
 from merlinthread.transport import http_client, http_server
 
@@ -309,7 +309,7 @@
             )
         if stream.status >= 400:
             data = stream.read(65536)
-            raise answers.parse_error(data, stream.status)
+            raise error_responses.parse_error(data, stream.status)
         if stream.headers.get(attempts.ATTEMPT) != attempt.id:
             metrics.late_answers_total.inc()
             stream.close()
--- a/src/merlinthread/transport/http_client.py
+++ b/src/merlinthread/transport/http_client.py
@@ -6,7 +6,7 @@
 import urllib3
 
 from merlinthread import errors
-from merlinthread.protocol import answers
+from merlinthread.protocol import error_responses
 
 CONNECT_TIMEOUT_S = 1.0
 READ_PIECE_BYTES = 65536
@@ -156,5 +156,5 @@
         """Like `request`, but raise the error that a refusal's body tells."""
         reply = self.request(method, url, body, headers, timeout_s)
         if reply.status >= 400:
-            raise answers.parse_error(reply.body, reply.status)
+            raise error_responses.parse_error(reply.body, reply.status)
         return reply
--- a/src/merlinthread/transport/http_server.py
+++ b/src/merlinthread/transport/http_server.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from merlinthread import errors, logs, metrics
-from merlinthread.protocol import answers
+from merlinthread.protocol import error_responses
 
 DEFAULT_BODY_BYTES_MAX = 8 * 1024 * 1024
 STOP_GRACE_S = 2
@@ -47,10 +47,10 @@
 
 def error_response(error: errors.MerlinthreadError, detail: str = "") -> Response:
     """Return the answer that tells `error`."""
-    body = answers.error_body(error)
+    body = error_responses.error_body(error)
     body.detail = detail
-    status = answers.RESPONSES[error.kind].status
-    return Response(status, msgspec.json.encode(body), answers.error_headers(body))
+    status = error_responses.RESPONSES[error.kind].status
+    return Response(status, msgspec.json.encode(body), error_responses.error_headers(body))
 
 
 class Routes:
@@ -82,7 +82,7 @@
         found = self.find(request.method, request.path)
         if found is None:
             error = errors.RequestError(f"there is no {request.method} {request.path}")
-            return Response(404, msgspec.json.encode(answers.error_body(error)))
+            return Response(404, msgspec.json.encode(error_responses.error_body(error)))
         handler, request.rest = found
         try:
             return handler(request)
--- a/tests/test_border.py
+++ b/tests/test_border.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from merlinthread import errors, settings
-from merlinthread.protocol import answers, bundle_file, codec, messages
+from merlinthread.protocol import bundle_file, codec, error_responses, messages
 
 DIGEST = "0" * 64
 GOOD_SETTINGS = {
@@ -157,11 +157,11 @@
 
 
 def test_every_error_kind_has_an_answer_and_advice_when_it_may_pass():
-    assert set(answers.RESPONSES) == set(errors.ErrorKind)
-    for kind, answer in answers.RESPONSES.items():
-        body = answers.error_body(errors.MerlinthreadError("x", kind=kind))
+    assert set(error_responses.RESPONSES) == set(errors.ErrorKind)
+    for kind, answer in error_responses.RESPONSES.items():
+        body = error_responses.error_body(errors.MerlinthreadError("x", kind=kind))
         if answer.retry_after_s is not None:
-            assert int(answers.error_headers(body)["Retry-After"]) >= answer.retry_after_s
+            assert int(error_responses.error_headers(body)["Retry-After"]) >= answer.retry_after_s
         assert answer.exit_code != 0
 
 
@@ -188,7 +188,7 @@
     path = tmp_path / "bundle.json"
     path.write_text(json.dumps(changed(GOOD_BUNDLE, "models.0.share_percent", 200)))
     done = run("merlinthread.cli.main", "bundle", "check", str(path), "--json")
-    assert done.returncode == answers.RESPONSES[errors.ErrorKind.BAD_BUNDLE].exit_code
+    assert done.returncode == error_responses.RESPONSES[errors.ErrorKind.BAD_BUNDLE].exit_code
     assert json.loads(done.stdout)["field"] == "models.0.share_percent"
 
 
