--- a/src/merlinthread/nodes/answer_relay.py
+++ b/src/merlinthread/nodes/answer_relay.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 
 from merlinthread import metrics
-from merlinthread.protocol import event_bytes
+from merlinthread.protocol import event_stream
 from merlinthread.transport import http_messages, stream_server
 
 
@@ -30,9 +30,9 @@
         self.on_answered(answer.status)
         await self.exchange.respond(http_messages.Answer(answer.status, headers, answer.body))
 
-    async def give_event(self, item: event_bytes.RawEvent, head: http_messages.Answer) -> None:
+    async def give_event(self, item: event_stream.RawEvent, head: http_messages.Answer) -> None:
         """Send one event on, unless the client has it already."""
-        if item.event_id and not event_bytes.is_after(item.event_id, self.last_event_id):
+        if item.event_id and not event_stream.is_after(item.event_id, self.last_event_id):
             return
         self.start_stream(head)
         await self.exchange.send(item.data)
--- a/src/merlinthread/nodes/attempts.py
+++ b/src/merlinthread/nodes/attempts.py
@@ -23,7 +23,7 @@
     request_facts,
 )
 from merlinthread.nodes import dialect as dialects
-from merlinthread.protocol import event_bytes
+from merlinthread.protocol import event_stream
 from merlinthread.transport import http_messages, stream_client
 
 FIRST_EVENT_OBJECTIVES = 2.0
@@ -315,7 +315,7 @@
         head: http_messages.Answer,
     ) -> Outcome:
         """Send events on as they come, whole ones only; go on after a break elsewhere."""
-        splitter = event_bytes.EventSplitter()
+        splitter = event_stream.EventSplitter()
         while isinstance(event := await self.stream_event(connection), h11.Data):
             for item in splitter.feed(bytes(event.data)):
                 self.pool.note_first(self.place)
--- a/tests/test_fleet_deciders.py
+++ b/tests/test_fleet_deciders.py
@@ -19,7 +19,7 @@
     retry_budget,
     route_table,
 )
-from merlinthread.protocol import event_bytes
+from merlinthread.protocol import event_stream
 
 BEAT_S = 1.2
 
@@ -231,7 +231,7 @@
 def test_events_are_given_whole_whatever_the_pieces():
     text = b"id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda"
     for size in range(1, len(text)):
-        splitter = event_bytes.EventSplitter()
+        splitter = event_stream.EventSplitter()
         found = []
         for start in range(0, len(text), size):
             found += splitter.feed(text[start : start + size])
