--- a/bench/release_bytes.py
+++ b/bench/release_bytes.py
@@ -98,7 +98,7 @@
 def is_message(name: str, text: str) -> bool:
     """Return whether a frame is read as the message of that name."""
     try:
-        return CODEC.names[type(CODEC.decode(bytes.fromhex(text)))] == name
+        return CODEC.names_by_type[type(CODEC.decode(bytes.fromhex(text)))] == name
     except errors.ProtocolError:
         return False
 
--- a/src/merlinthread/protocol/codec.py
+++ b/src/merlinthread/protocol/codec.py
@@ -52,7 +52,7 @@
         self.types: dict[str, type] = {}
         for entries in registries:
             self.types.update(entries.entries)
-        self.names = {kind: name for name, kind in self.types.items()}
+        self.names_by_type = {kind: name for name, kind in self.types.items()}
         self.decoders = {name: msgspec.msgpack.Decoder(kind) for name, kind in self.types.items()}
         self.pair = msgspec.msgpack.Decoder(tuple[str, msgspec.Raw])
         self.set_keys(keys)
@@ -64,7 +64,7 @@
 
     def encode(self, message: Any) -> bytes:
         """Return the frame of `message`."""
-        name = self.names[type(message)]
+        name = self.names_by_type[type(message)]
         body = msgspec.msgpack.encode((name, message))
         body = PLAIN + body if name in INCOMPRESSIBLE else self.pack(body)
         if self.signer is None:
