--- a/src/merlinthread/protocol/codec.py
+++ b/src/merlinthread/protocol/codec.py
@@ -54,7 +54,7 @@
             self.types.update(entries.entries)
         self.names_by_type = {kind: name for name, kind in self.types.items()}
         self.decoders = {name: msgspec.msgpack.Decoder(kind) for name, kind in self.types.items()}
-        self.pair = msgspec.msgpack.Decoder(tuple[str, msgspec.Raw])
+        self.envelope_decoder = msgspec.msgpack.Decoder(tuple[str, msgspec.Raw])
         self.set_keys(keys)
 
     def set_keys(self, keys: list[Key]) -> None:
@@ -95,7 +95,7 @@
         if self.keys:
             self.verify(frame, body)
         try:
-            name, raw = self.pair.decode(self.unpack(body))
+            name, raw = self.envelope_decoder.decode(self.unpack(body))
             return self.decoders[name].decode(raw)
         except (msgspec.DecodeError, KeyError, ValueError, RecursionError, zlib.error) as error:
             raise errors.ProtocolError(f"a message of {len(frame)} bytes does not decode: {error}")
--- a/src/merlinthread/roles/control.py
+++ b/src/merlinthread/roles/control.py
@@ -65,7 +65,7 @@
         if isinstance(message, messages.AgentChanges):
             return self.wait(log_task.Telling(message, futures.Future()))
         if isinstance(message, messages.CommandRequest):
-            name, raw = self.parts.codec.pair.decode(message.command)
+            name, raw = self.parts.codec.envelope_decoder.decode(message.command)
             command = self.parts.codec.decoders[name].decode(raw)
             return messages.CommandReply(self.submit(command))
         raise errors.ProtocolError(f"a control VM does not answer {type(message).__name__}")
--- a/src/merlinthread/roles/log_task.py
+++ b/src/merlinthread/roles/log_task.py
@@ -264,7 +264,7 @@
         """Apply one committed entry and answer whoever waits for it."""
         result = commands.Answer(status="changed")
         if entry.kind == "command":
-            name, raw = self.parts.codec.pair.decode(entry.data)
+            name, raw = self.parts.codec.envelope_decoder.decode(entry.data)
             command = self.parts.codec.decoders[name].decode(raw)
             result = self.state.apply(command, entry.index)
             metrics.commands_total.labels(name).inc()
