--- a/src/merlinthread/logs.py
+++ b/src/merlinthread/logs.py
@@ -134,7 +134,7 @@
     logging.info(Event(name, fields))
 
 
-def detail(name: str, /, **fields: Any) -> None:
+def debug(name: str, /, **fields: Any) -> None:
     """Log something that only a developer looks for."""
     logging.debug(Event(name, fields))
 
--- a/src/merlinthread/nodes/crash_registry.py
+++ b/src/merlinthread/nodes/crash_registry.py
@@ -89,7 +89,7 @@
                 # An older build that tells no level, and reads reports: it reads their entries too.
                 self.member.levels.note_shown(address, levels.Level.HELD_REQUESTS)
         except errors.MerlinthreadError as error:
-            logs.detail("crash_report_lost", control=address, reason=error.message)
+            logs.debug("crash_report_lost", control=address, reason=error.message)
             missed = self.missed.setdefault(address, {})
             missed.update(dict.fromkeys(told.fingerprint for told in message.suspicions))
 
@@ -153,7 +153,7 @@
         try:
             await self.submit(command)
         except (errors.MerlinthreadError, TimeoutError) as error:
-            logs.detail("decision_not_committed", reason=str(error))
+            logs.debug("decision_not_committed", reason=str(error))
 
     def ask_levels(self) -> None:
         """Find out by an empty report whether members that tell no level read such entries."""
--- a/src/merlinthread/nodes/crash_watch.py
+++ b/src/merlinthread/nodes/crash_watch.py
@@ -214,7 +214,7 @@
         try:
             await self.caller.call(control, report, REPORT_TIMEOUT_S)
         except errors.MerlinthreadError as error:
-            logs.detail("crash_report_lost", control=control, reason=error.message)
+            logs.debug("crash_report_lost", control=control, reason=error.message)
             self.unreported = told | self.unreported
             return False
         return True
--- a/src/merlinthread/nodes/limit_teller.py
+++ b/src/merlinthread/nodes/limit_teller.py
@@ -36,4 +36,4 @@
         try:
             await self.caller.call(self.watcher.current, report, TIMEOUT_S)
         except errors.MerlinthreadError as error:
-            logs.detail("limit_not_told", instance=told.instance, reason=error.message)
+            logs.debug("limit_not_told", instance=told.instance, reason=error.message)
--- a/src/merlinthread/nodes/member_changes.py
+++ b/src/merlinthread/nodes/member_changes.py
@@ -100,7 +100,7 @@
             if error.kind is errors.ErrorKind.MEMBERSHIP_CHANGE_REFUSED:
                 logs.warn("join_refused", control=address, reason=error.message)
                 return
-            logs.detail("join_unanswered", control=address, reason=error.message)
+            logs.debug("join_unanswered", control=address, reason=error.message)
             return
         if reply.is_removed and join.name == self.current().name:
             self.on_removed()
@@ -177,7 +177,7 @@
                 leader, node_messages.LeaveRequest(member.name), ASK_TIMEOUT_S
             )
         except errors.MerlinthreadError as error:
-            logs.detail("resign_unanswered", control=leader, reason=error.message)
+            logs.debug("resign_unanswered", control=leader, reason=error.message)
             return False
         return reply.may_end
 
@@ -211,7 +211,7 @@
         try:
             member.change_voters(change, now)
         except errors.ControlError as error:
-            logs.detail("members_unchanged", reason=error.message)
+            logs.debug("members_unchanged", reason=error.message)
             return
         self.wake()
         self.tell(change, member, now)
--- a/src/merlinthread/nodes/news_watcher.py
+++ b/src/merlinthread/nodes/news_watcher.py
@@ -153,7 +153,7 @@
         try:
             return await self.caller.call(address, watch, timeout_s)
         except errors.MerlinthreadError as error:
-            logs.detail("control_silent", control=address, reason=error.message)
+            logs.debug("control_silent", control=address, reason=error.message)
             return None
 
     async def watch_once(self) -> None:
--- a/src/merlinthread/nodes/permits.py
+++ b/src/merlinthread/nodes/permits.py
@@ -228,7 +228,7 @@
                     return answered.result()
             return None
         except OSError as error:
-            logs.detail("permit_query_not_sent", control=address, reason=str(error))
+            logs.debug("permit_query_not_sent", control=address, reason=str(error))
             return None
         finally:
             del self.waiting[number]
--- a/src/merlinthread/nodes/piece_fetcher.py
+++ b/src/merlinthread/nodes/piece_fetcher.py
@@ -190,7 +190,7 @@
         except errors.MerlinthreadError as error:
             wait_s = max(ORIGIN_WAIT_S, engine_client.origin_rest_s(error))
             plan.origin_failed(self.clock(), wait_s, action.index)
-            logs.detail(
+            logs.debug(
                 "piece_failed",
                 index=action.index,
                 source="origin",
@@ -220,7 +220,7 @@
         try:
             await self.store.put(manifest.model, reply.index, reply.data)
         except errors.MerlinthreadError as error:
-            logs.detail("piece_failed", index=reply.index, source="engine", reason=error.message)
+            logs.debug("piece_failed", index=reply.index, source="engine", reason=error.message)
             return -1
         return reply.index
 
@@ -241,7 +241,7 @@
             reply = await self.caller.call(action.peer, request, PEER_TIMEOUT_S)
         except errors.MerlinthreadError as error:
             plan.peer_failed(action.peer, self.clock())
-            logs.detail("peer_silent", peer=action.peer, reason=error.message)
+            logs.debug("peer_silent", peer=action.peer, reason=error.message)
             return None
         plan.heard(action.peer, fetch.from_bytes(reply.held, count), self.clock())
         return reply
--- a/src/merlinthread/nodes/route_finder.py
+++ b/src/merlinthread/nodes/route_finder.py
@@ -34,7 +34,7 @@
         )
     account = table.account_of(call.key) if call.key else None
     if table.has_accounts and not route.is_public and account is None:
-        logs.detail("key_unknown", request=call.request_id)
+        logs.debug("key_unknown", request=call.request_id)
         raise not_allowed("the key is unknown", errors.ErrorKind.UNAUTHORISED, is_newest)
     return route, account
 
--- a/src/merlinthread/roles/agent.py
+++ b/src/merlinthread/roles/agent.py
@@ -136,7 +136,7 @@
         except errors.MerlinthreadError as error:
             if error.kind == errors.ErrorKind.FENCED:
                 self.note_replaced(error.message)
-            logs.detail("entry_unreached", address=address, reason=error.message)
+            logs.debug("entry_unreached", address=address, reason=error.message)
             self.told.pop(address, None)
             self.leave_home(address)
             return
--- a/src/merlinthread/roles/entry.py
+++ b/src/merlinthread/roles/entry.py
@@ -201,7 +201,7 @@
             reply = self.callers.call(address, poll, CALL_TIMEOUT_S)
         except errors.MerlinthreadError as error:
             self.position += 1
-            logs.detail("control_unreached", address=address, reason=error.message)
+            logs.debug("control_unreached", address=address, reason=error.message)
             return
         self.names[reply.control] = address
         self.leader = reply.leader
@@ -234,7 +234,7 @@
             try:
                 told = self.tell_callers.call(address, tell, CALL_TIMEOUT_S)
             except errors.MerlinthreadError as error:
-                logs.detail("not_told", address=address, reason=error.message)
+                logs.debug("not_told", address=address, reason=error.message)
                 continue
             self.leader_address = address
             return told
@@ -338,7 +338,7 @@
         try:
             reply = self.exchange_callers.call(address, message, CALL_TIMEOUT_S)
         except errors.MerlinthreadError as error:
-            logs.detail("entry_unreached", address=address, reason=error.message)
+            logs.debug("entry_unreached", address=address, reason=error.message)
             return
         self.zone.adopt(reply.directive, address)
         self.zone.take(reply.summaries)
@@ -350,7 +350,7 @@
             reply = self.client.request("GET", f"{self.config.platform_url}/v1/vms", timeout_s=2.0)
             listed = msgspec.json.decode(reply.body, type=PlatformList)
         except (errors.MerlinthreadError, msgspec.DecodeError) as error:
-            logs.detail("platform_unreached", reason=str(error))
+            logs.debug("platform_unreached", reason=str(error))
             return
         leaving = frozenset(vm.name for vm in listed.vms if vm.state == "leaving")
         if leaving != self.zone.leaving:
--- a/src/merlinthread/roles/leader_duties.py
+++ b/src/merlinthread/roles/leader_duties.py
@@ -61,7 +61,7 @@
         try:
             index = self.task.raft.change_voters(change, now)
         except errors.ControlError as error:
-            logs.detail("members_unchanged", reason=error.message)
+            logs.debug("members_unchanged", reason=error.message)
             return
         logs.event(
             "members_change",
--- a/src/merlinthread/roles/log_task.py
+++ b/src/merlinthread/roles/log_task.py
@@ -323,7 +323,7 @@
         if now < self.state_logged_at + 1.0:
             return
         self.state_logged_at = now
-        logs.detail(
+        logs.debug(
             "log_state",
             role=self.raft.role,
             term=self.raft.hard_state.term,
--- a/src/merlinthread/roles/service_call.py
+++ b/src/merlinthread/roles/service_call.py
@@ -54,7 +54,7 @@
             try:
                 self.submitter.submit(complete, self.parts.clock() + CLAIM_WAIT_S)
             except errors.MerlinthreadError as error:
-                logs.detail("claim_not_settled", key=complete.key, reason=error.message)
+                logs.debug("claim_not_settled", key=complete.key, reason=error.message)
                 return
             with self.lock:
                 if self.waiting and self.waiting[0] is complete:
--- a/src/merlinthread/roles/target.py
+++ b/src/merlinthread/roles/target.py
@@ -351,7 +351,7 @@
                 STATUS_TIMEOUT_S,
             )
         except errors.MerlinthreadError as error:
-            logs.detail("cancel_failed", attempt=attempt, reason=error.message)
+            logs.debug("cancel_failed", attempt=attempt, reason=error.message)
 
     def call_service(self, request: http_server.Request) -> http_server.Response:
         """Run one call on a plain service and return its whole answer."""
--- a/src/merlinthread/roles/weights.py
+++ b/src/merlinthread/roles/weights.py
@@ -256,7 +256,7 @@
             try:
                 found = callers.call(peer.bus, messages.ManifestRequest(digest), 1.0)
             except errors.MerlinthreadError as error:
-                logs.detail("peer_failed", peer=peer.name, reason=error.message)
+                logs.debug("peer_failed", peer=peer.name, reason=error.message)
                 continue
             if found.data:
                 return found.data
@@ -330,7 +330,7 @@
             found = callers.call(peer.bus, wanted, self.peer_timeout_s(manifest))
         except errors.MerlinthreadError as error:
             metrics.chunk_failures_total.labels("peer").inc()
-            logs.detail("peer_failed", peer=peer.name, reason=error.message)
+            logs.debug("peer_failed", peer=peer.name, reason=error.message)
             with self.lock:
                 plan.peer_failed(peer.name, self.parts.clock())
             return
--- a/src/merlinthread/transport/bus.py
+++ b/src/merlinthread/transport/bus.py
@@ -149,7 +149,7 @@
         except pynng.exceptions.Timeout:
             return
         except pynng.exceptions.NNGException as error:
-            logs.detail("bus_answer_failed", error=str(error))
+            logs.debug("bus_answer_failed", error=str(error))
 
     def answer(self, frame: bytes) -> bytes:
         """Return the encoded answer; an error becomes a refusal."""
@@ -198,7 +198,7 @@
             except pynng.exceptions.Closed:
                 return
             except pynng.exceptions.NNGException as error:
-                logs.detail("mailbox_receive_failed", error=str(error))
+                logs.debug("mailbox_receive_failed", error=str(error))
             except errors.ProtocolError as error:
                 logs.warn("message_refused", reason=error.message)
 
--- a/src/merlinthread/transport/node_bus.py
+++ b/src/merlinthread/transport/node_bus.py
@@ -151,7 +151,7 @@
         try:
             message = self.codec.decode(data)
         except errors.ProtocolError as error:
-            logs.detail("datagram_refused", reason=error.message)
+            logs.debug("datagram_refused", reason=error.message)
             return
         self.deliver(message)
 
