--- a/src/merlinthread/daemon.py
+++ b/src/merlinthread/daemon.py
@@ -66,7 +66,7 @@
         try:
             changed = settings.load(self.path)
         except errors.SettingsError as error:
-            logs.warn("reload_refused", reason=error.message)
+            logs.warning("reload_refused", reason=error.message)
             return
         self.parts.codec.set_keys([codec.parse_key(text) for text in changed.mesh_keys])
         logs.configure(changed.name, changed.log.level)
@@ -87,7 +87,7 @@
         ]
         is_drained = self.parts.in_flight.drain(max(timeouts, default=0.0))
         if not is_drained:
-            logs.warn("drain_timeout", in_flight=self.parts.in_flight.count)
+            logs.warning("drain_timeout", in_flight=self.parts.in_flight.count)
         self.parts.http.stop()
         for role in self.roles:
             role.stop()
--- a/src/merlinthread/logs.py
+++ b/src/merlinthread/logs.py
@@ -139,7 +139,7 @@
     logging.debug(Event(name, fields))
 
 
-def warn(name: str, /, **fields: Any) -> None:
+def warning(name: str, /, **fields: Any) -> None:
     """Log something that an operator may have to act on."""
     logging.warning(Event(name, fields))
 
--- a/src/merlinthread/nodes/entry_node.py
+++ b/src/merlinthread/nodes/entry_node.py
@@ -150,7 +150,7 @@
         while self.server.connections and self.clock() < deadline:
             await asyncio.sleep(0.05)
         if self.server.count_busy():
-            logs.warn("cut_off", requests=self.server.count_busy())
+            logs.warning("cut_off", requests=self.server.count_busy())
 
 
 @node_roles.NODES.add("entry")
--- a/src/merlinthread/nodes/log_member.py
+++ b/src/merlinthread/nodes/log_member.py
@@ -127,7 +127,7 @@
 
     def start_anew(self) -> None:
         """Give up this member's identity: the others have removed it. Join as a new one."""
-        logs.warn("member_removed", member=self.name)
+        logs.warning("member_removed", member=self.name)
         self.journal.close()
         for path in list(self.folder.iterdir()):
             if path.is_dir():
@@ -243,12 +243,12 @@
             self.journal.save(None, [], self.raft.commit)
         except errors.DiskFullError as error:
             self.full_until = now + DISK_RETRY_S
-            logs.warn("disk_full", message=error.message)
+            logs.warning("disk_full", message=error.message)
 
     def on_full_disk(self, error: errors.DiskFullError, now: float) -> None:
         """Give up leading, refuse what was not accepted, and try again a little later."""
         if now >= self.full_until:
-            logs.warn("disk_full", message=error.message)
+            logs.warning("disk_full", message=error.message)
         self.full_until = now + DISK_RETRY_S
         self.raft.drop_unsaved(now)
         for index, (_, answer) in list(self.waiting.items()):
@@ -268,7 +268,7 @@
             self.journal.compact(snapshot, self.raft.log.saved())
         except errors.DiskFullError as error:
             self.full_until = now + DISK_RETRY_S
-            logs.warn("disk_full", message=error.message)
+            logs.warning("disk_full", message=error.message)
             return
         logs.event("compacted", index=snapshot.index)
 
@@ -327,7 +327,7 @@
         """
         self.blocked_at = index
         metrics.log_blocked.set(1)
-        logs.warn(
+        logs.warning(
             "log_blocked",
             index=index,
             reason=reason,
@@ -443,7 +443,7 @@
             return
         self.leaderless_told_at = now
         voters = self.raft.log.voters
-        logs.warn(
+        logs.warning(
             "no_leader",
             since_s=round(now - self.leaderless_since, 3),
             term=self.raft.hard_state.term,
--- a/src/merlinthread/nodes/log_sender.py
+++ b/src/merlinthread/nodes/log_sender.py
@@ -58,7 +58,7 @@
             self.levels.note_lost(address)
             return
         if not isinstance(reply, node_messages.Acknowledgement):
-            logs.warn("member_answer_unknown", member=address, answer=type(reply).__name__)
+            logs.warning("member_answer_unknown", member=address, answer=type(reply).__name__)
         elif self.levels.note_told(address, reply.level):
             logs.event("member_level", member=address, level=reply.level)
 
--- a/src/merlinthread/nodes/member_changes.py
+++ b/src/merlinthread/nodes/member_changes.py
@@ -98,7 +98,7 @@
             reply = await self.caller.call(address, join, ASK_TIMEOUT_S)
         except errors.MerlinthreadError as error:
             if error.kind is errors.ErrorKind.MEMBERSHIP_CHANGE_REFUSED:
-                logs.warn("join_refused", control=address, reason=error.message)
+                logs.warning("join_refused", control=address, reason=error.message)
                 return
             logs.debug("join_unanswered", control=address, reason=error.message)
             return
--- a/src/merlinthread/nodes/news_watcher.py
+++ b/src/merlinthread/nodes/news_watcher.py
@@ -243,7 +243,7 @@
             body = zlib.decompress(news.configuration)
             self.table = route_table.RouteTable(self.dialect.configuration(body))
         except (errors.MerlinthreadError, zlib.error) as error:
-            logs.warn("configuration_unreadable", reason=str(error))
+            logs.warning("configuration_unreadable", reason=str(error))
             return
         old, self.version = self.version, news.configuration_version
         logs.event(
--- a/src/merlinthread/nodes/node_daemon.py
+++ b/src/merlinthread/nodes/node_daemon.py
@@ -67,7 +67,7 @@
         try:
             await self.metrics_server.listen(self.settings.ip, self.metrics_port)
         except OSError as error:
-            logs.warn("metrics_not_served", port=self.metrics_port, reason=str(error))
+            logs.warning("metrics_not_served", port=self.metrics_port, reason=str(error))
 
     async def watch(self) -> None:
         """Wait for the stop; notice a changed settings file, also without a signal."""
@@ -79,7 +79,7 @@
                 self.reload()
             for task in self.node.tasks:
                 if task.done() and not task.cancelled() and task.exception() is not None:
-                    logs.warn("task_ended", reason=repr(task.exception()))
+                    logs.warning("task_ended", reason=repr(task.exception()))
                     raise task.exception()  # type: ignore[misc]
 
     def reload(self) -> None:
@@ -88,7 +88,7 @@
         try:
             changed = self.load(self.path)
         except errors.SettingsError as error:
-            logs.warn("reload_refused", reason=error.message)
+            logs.warning("reload_refused", reason=error.message)
             return
         self.node.reload(changed)
         logs.event("reloaded", controls=changed.control_ips)
--- a/src/merlinthread/nodes/weights_task.py
+++ b/src/merlinthread/nodes/weights_task.py
@@ -229,7 +229,7 @@
         """Wait before weights are ordered again under which the engine ended several times."""
         wait_s = change_over.load_again_s(self.ends_in_load)
         if wait_s:
-            logs.warn(
+            logs.warning(
                 "load_put_off", version=manifest.version, ends=self.ends_in_load, wait_s=wait_s
             )
         until = self.clock() + wait_s
--- a/src/merlinthread/roles/agent.py
+++ b/src/merlinthread/roles/agent.py
@@ -179,7 +179,7 @@
     def note_replaced(self, reason: str) -> None:
         """Take no more work and give no more orders: a later agent has this target."""
         if not self.is_replaced:
-            logs.warn("replaced", reason=reason)
+            logs.warning("replaced", reason=reason)
         self.is_replaced = True
 
     def adopt(self, directive: control_state.Directive | None, source: str) -> None:
@@ -188,7 +188,7 @@
             if directive is None or directive.revision <= self.directive.revision:
                 return
             if directive.generation < max(self.floor, self.directive.generation):
-                logs.warn("directive_too_old", generation=directive.generation, floor=self.floor)
+                logs.warning("directive_too_old", generation=directive.generation, floor=self.floor)
                 return
             self.directive = directive
         self.trouble = ""
@@ -267,7 +267,7 @@
             self.target.order(step, directive.generation, layout)
             self.trouble = ""
         except errors.MerlinthreadError as error:
-            logs.warn("order_failed", kind=str(error.kind), reason=error.message)
+            logs.warning("order_failed", kind=str(error.kind), reason=error.message)
             if error.kind == errors.ErrorKind.FENCED:
                 self.note_replaced(error.message)
             elif not isinstance(error, errors.UnreachableError):
--- a/src/merlinthread/roles/leader_duties.py
+++ b/src/merlinthread/roles/leader_duties.py
@@ -101,7 +101,7 @@
             is_current = report.generation == self.task.state.generation
             if report.trouble and is_current and not self.task.state.paused:
                 reason = f"{report.name}: {report.trouble}"
-                logs.warn("roll_paused", generation=self.task.state.generation, reason=reason)
+                logs.warning("roll_paused", generation=self.task.state.generation, reason=reason)
                 command = commands.Pause(self.task.state.generation, reason)
                 self.task.propose(command, futures.Future(), now)
                 return
--- a/src/merlinthread/roles/log_task.py
+++ b/src/merlinthread/roles/log_task.py
@@ -118,7 +118,7 @@
                         f"the data folder of {self.name!r} was lost: it has another identity than "
                         "the members know. Start this VM under a new name with control.replaces"
                     )
-                    logs.warn("identity_lost", reason=self.broken)
+                    logs.warning("identity_lost", reason=self.broken)
                     return
         except Exception as error:
             logs.failure("log_task_failed")
@@ -225,7 +225,7 @@
 
     def on_full_disk(self, error: errors.DiskFullError, now: float) -> None:
         """Give up leading, refuse what was not accepted, and try again a little later."""
-        logs.warn("disk_full", message=error.message)
+        logs.warning("disk_full", message=error.message)
         self.full_until = now + 1.0
         self.raft.drop_unsaved(now)
         for index, (_, answer) in list(self.waiting.items()):
@@ -249,7 +249,7 @@
             self.journal.compact(snapshot, kept)
         except errors.DiskFullError as error:
             self.full_until = now + 1.0
-            logs.warn("disk_full", message=error.message)
+            logs.warning("disk_full", message=error.message)
             return
         metrics.data_folder_bytes.set(self.journal.size_bytes())
         logs.event("compacted", index=snapshot.index, state_bytes=len(encoded))
--- a/src/merlinthread/roles/service_call.py
+++ b/src/merlinthread/roles/service_call.py
@@ -264,5 +264,5 @@
         try:
             self.path.submitter.submit(complete, self.path.parts.clock() + CLAIM_WAIT_S)
         except errors.MerlinthreadError as error:
-            logs.warn("claim_not_settled", key=complete.key, reason=error.message)
+            logs.warning("claim_not_settled", key=complete.key, reason=error.message)
             self.path.settler.add(complete)
--- a/src/merlinthread/roles/target.py
+++ b/src/merlinthread/roles/target.py
@@ -156,7 +156,7 @@
     def note_unreached(self, reason: str) -> None:
         """Note that the target does not answer."""
         if self.is_reached:
-            logs.warn("target_unreached", reason=reason)
+            logs.warning("target_unreached", reason=reason)
         self.is_reached = False
         self.serving = {}
 
--- a/src/merlinthread/roles/weights.py
+++ b/src/merlinthread/roles/weights.py
@@ -241,7 +241,7 @@
             data = self.read_manifest(download.digest, callers)
             manifest = manifests.decode(data, download.digest)
         except errors.MerlinthreadError as error:
-            logs.warn("manifest_failed", manifest=download.digest, reason=error.message)
+            logs.warning("manifest_failed", manifest=download.digest, reason=error.message)
             return None
         self.store.add(download.digest, data)
         return manifest
@@ -283,7 +283,7 @@
             data = reply.body
         except errors.MerlinthreadError as error:
             metrics.chunk_failures_total.labels("origin").inc()
-            logs.warn("origin_failed", manifest=download.digest, reason=error.message)
+            logs.warning("origin_failed", manifest=download.digest, reason=error.message)
             wait = error.retry_after_s or ORIGIN_RETRY_S
             with self.lock:
                 plan.origin_failed(self.parts.clock(), wait)
@@ -309,7 +309,7 @@
                     "what was signed; restore the object or roll back"
                 )
         if download.trouble:
-            logs.warn("origin_changed", manifest=download.digest, index=index)
+            logs.warning("origin_changed", manifest=download.digest, index=index)
 
     def ask_peer(self, download: Download, action: fetch.FromPeer, callers: bus.Callers) -> None:
         """Ask another agent for a chunk."""
@@ -362,7 +362,7 @@
         self.sleep_until(self.down.arrived(len(found.data), now))
         metrics.chunk_bytes_total.labels("peer").inc(len(found.data))
         if not self.keep(download, found.index, found.data, from_origin=False):
-            logs.warn("chunk_corrupt", peer=peer.name, manifest=download.digest)
+            logs.warning("chunk_corrupt", peer=peer.name, manifest=download.digest)
             with self.lock:
                 plan.peer_corrupt(peer.name, self.parts.clock())
 
@@ -377,7 +377,7 @@
         except errors.DiskFullError as error:
             with self.lock:
                 download.trouble = f"disk_full: {error.message}"
-            logs.warn("disk_full", message=error.message)
+            logs.warning("disk_full", message=error.message)
             return True
         now = self.parts.clock()
         with self.lock:
--- a/src/merlinthread/transport/bus.py
+++ b/src/merlinthread/transport/bus.py
@@ -200,7 +200,7 @@
             except pynng.exceptions.NNGException as error:
                 logs.debug("mailbox_receive_failed", error=str(error))
             except errors.ProtocolError as error:
-                logs.warn("message_refused", reason=error.message)
+                logs.warning("message_refused", reason=error.message)
 
     def stop(self) -> None:
         """Close the socket and wait for the thread."""
