--- a/src/merlinthread/logs.py
+++ b/src/merlinthread/logs.py
@@ -144,6 +144,6 @@
     logging.warning(Event(name, fields))
 
 
-def failure(name: str, /, **fields: Any) -> None:
+def exception(name: str, /, **fields: Any) -> None:
     """Log an unexpected exception, with its traceback."""
     logging.exception(Event(name, fields))
--- a/src/merlinthread/roles/base.py
+++ b/src/merlinthread/roles/base.py
@@ -75,7 +75,7 @@
             try:
                 self.work()
             except Exception:
-                logs.failure("task_failed", task=self.name)
+                logs.exception("task_failed", task=self.name)
             self.wake.wait(self.every_s)
             self.wake.clear()
 
--- a/src/merlinthread/roles/log_task.py
+++ b/src/merlinthread/roles/log_task.py
@@ -121,7 +121,7 @@
                     logs.warning("identity_lost", reason=self.broken)
                     return
         except Exception as error:
-            logs.failure("log_task_failed")
+            logs.exception("log_task_failed")
             self.broken = repr(error)
 
     def turn(self) -> None:
--- a/src/merlinthread/roles/weights.py
+++ b/src/merlinthread/roles/weights.py
@@ -158,7 +158,7 @@
             try:
                 self.carry_out(job, callers)
             except Exception:
-                logs.failure("download_failed")
+                logs.exception("download_failed")
                 time.sleep(IDLE_WAIT_S)
         callers.close()
 
--- a/src/merlinthread/transport/bus.py
+++ b/src/merlinthread/transport/bus.py
@@ -158,7 +158,7 @@
         except errors.MerlinthreadError as error:
             answer = messages.ErrorReply(str(error.kind), error.message)
         except Exception as error:
-            logs.failure("bus_handler_failed")
+            logs.exception("bus_handler_failed")
             answer = messages.ErrorReply(str(errors.ErrorKind.INTERNAL), repr(error))
         return self.codec.encode(answer)
 
--- a/src/merlinthread/transport/http_server.py
+++ b/src/merlinthread/transport/http_server.py
@@ -90,7 +90,7 @@
             detail = error.leader if isinstance(error, errors.NotLeaderError) else ""
             return error_response(error, detail)
         except Exception as error:
-            logs.failure("http_handler_failed", path=request.path)
+            logs.exception("http_handler_failed", path=request.path)
             return error_response(errors.MerlinthreadError(repr(error)))
 
 
--- a/src/merlinthread/transport/node_bus.py
+++ b/src/merlinthread/transport/node_bus.py
@@ -125,7 +125,7 @@
         except asyncio.CancelledError:
             raise
         except Exception as error:
-            logs.failure("node_call_failed")
+            logs.exception("node_call_failed")
             return node_messages.ErrorReply(str(errors.ErrorKind.INTERNAL), repr(error))
 
 
--- a/src/merlinthread/transport/stream_server.py
+++ b/src/merlinthread/transport/stream_server.py
@@ -278,7 +278,7 @@
             self.abort()
             return
         except Exception:
-            logs.failure("handler_failed")
+            logs.exception("handler_failed")
             if exchange.is_started:
                 self.abort()
                 return
