--- a/src/merlinthread/logs.py
+++ b/src/merlinthread/logs.py
@@ -116,7 +116,7 @@
             self.left_out += 1
 
 
-def set_up_stream(process_name: str, level: str, descriptor: int = 1) -> None:
+def configure_stdout(process_name: str, level: str, descriptor: int = 1) -> None:
     """Send all logs of this process to standard output as JSON lines, never waiting for it."""
     logging.use_absl_handler()
     logger = logging.get_absl_logger()
--- a/src/merlinthread/platform/main.py
+++ b/src/merlinthread/platform/main.py
@@ -25,7 +25,7 @@
         policy = node_policy.load(pathlib.Path(policy_path)) if policy_path else None
         load = functools.partial(settings_file.load, policy=policy)
         settings = load(path)
-        logs.set_up_stream(settings.name, "info")
+        logs.configure_stdout(settings.name, "info")
         gc.freeze()
         gc.enable()
         wire = dialect.PlatformDialect()
