--- a/src/merlinthread/logs.py
+++ b/src/merlinthread/logs.py
@@ -67,7 +67,7 @@
         quiet.propagate = False
 
 
-class StreamHandler(standard_logging.Handler):
+class NonBlockingHandler(standard_logging.Handler):
     """Write lines to a file descriptor without ever waiting for its reader.
 
     At most `lines_per_s` lines a second are written (with a short burst above it); what is left out
@@ -120,7 +120,7 @@
     """Send all logs of this process to standard output as JSON lines, never waiting for it."""
     logging.use_absl_handler()
     logger = logging.get_absl_logger()
-    handler = StreamHandler(descriptor, LINES_PER_S)
+    handler = NonBlockingHandler(descriptor, LINES_PER_S)
     handler.setFormatter(JsonFormatter(process_name))
     root = standard_logging.getLogger()
     root.removeHandler(logging.get_absl_handler())
