--- a/src/merlinthread/protocol/attempts.py
+++ b/src/merlinthread/protocol/attempts.py
@@ -1,4 +1,4 @@
-"""The headers of a request on its way from entry to agent, and their authentication."""
+"""HTTP headers of requests that entries forward to agents, and their authentication."""
 
 import dataclasses
 import hmac
@@ -17,13 +17,16 @@
 PRIORITY = "x-priority"
 DIGEST = "x-weights-digest"
 SERVICE = "x-service"
-KEY_NAME = "x-mesh-key"
-TAG = "x-mesh-tag"
+KEY_ID = "x-mesh-key"
+AUTH_TAG = "x-mesh-tag"
 
 
 @dataclasses.dataclass(slots=True)
 class Attempt:
-    """One try of one request on one target; `deadline_ms` is what is left when it is sent."""
+    """One attempt to run a request on a target.
+
+    `deadline_ms` is the time left until the request's deadline when the attempt is sent.
+    """
 
     id: str
     incarnation: int
@@ -34,7 +37,7 @@
     service: str = ""
 
     def headers(self) -> dict[str, str]:
-        """Return the attempt as HTTP headers."""
+        """Return the HTTP headers that describe the attempt."""
         return {
             ATTEMPT: self.id,
             INCARNATION: str(self.incarnation),
@@ -48,7 +51,7 @@
 
 
 def parse_attempt(headers: dict[str, str]) -> Attempt:
-    """Return the attempt in HTTP headers; raise RequestError naming the header that is wrong."""
+    """Parse an attempt from HTTP headers; raise RequestError if one is missing or invalid."""
     try:
         return Attempt(
             headers[ATTEMPT],
@@ -61,41 +64,46 @@
         )
     except (KeyError, ValueError) as error:
         raise errors.RequestError(
-            f"agents take requests from entries only: header {error} is missing or no number"
+            f"agents accept requests from entries only; missing or invalid header: {error}"
         )
 
 
-def signed_bytes(attempt: Attempt, path: str, body: bytes) -> bytes:
-    """Return what a tag covers: the attempt, the path and the body's digest."""
-    parts = [attempt.id, str(attempt.incarnation), attempt.account, str(attempt.priority), path]
-    return "\n".join(parts).encode() + blake3.blake3(body).digest()
+def authenticated_bytes(attempt: Attempt, path: str, body: bytes) -> bytes:
+    """Return the bytes that the tag authenticates: attempt, path and digest of the body."""
+    fields = [attempt.id, str(attempt.incarnation), attempt.account, str(attempt.priority), path]
+    return "\n".join(fields).encode() + blake3.blake3(body).digest()
 
 
 def authentication_headers(
-    mesh: codec.Codec, attempt: Attempt, path: str, body: bytes
+    auth_codec: codec.Codec, attempt: Attempt, path: str, body: bytes
 ) -> dict[str, str]:
-    """Return the headers that show the attempt comes from one of our entries."""
-    if mesh.signer is None:
+    """Return headers that authenticate the sender as an entry; none if no key is configured."""
+    if auth_codec.signing_key is None:
         return {}
     return {
-        KEY_NAME: mesh.signer.name().hex(),
-        TAG: mesh.signer.tag(signed_bytes(attempt, path, body)).hex(),
+        KEY_ID: auth_codec.signing_key.key_id().hex(),
+        AUTH_TAG: auth_codec.signing_key.tag(authenticated_bytes(attempt, path, body)).hex(),
     }
 
 
 def verify_tag(
-    mesh: codec.Codec, attempt: Attempt, path: str, body: bytes, headers: dict[str, str]
+    auth_codec: codec.Codec, attempt: Attempt, path: str, body: bytes, headers: dict[str, str]
 ) -> None:
-    """Raise RequestError (unauthorised) unless one of our keys made the tag."""
-    if not mesh.keys:
+    """Raise RequestError (unauthorised) unless the tag was made with a configured key.
+
+    Without configured keys, every request is accepted.
+    """
+    if not auth_codec.keys:
         return
     try:
-        key = mesh.keys.get(bytes.fromhex(headers.get(KEY_NAME, "")))
-        tag = bytes.fromhex(headers.get(TAG, ""))
+        key = auth_codec.keys.get(bytes.fromhex(headers.get(KEY_ID, "")))
+        tag = bytes.fromhex(headers.get(AUTH_TAG, ""))
     except ValueError:
         key, tag = None, b""
-    if key is None or not hmac.compare_digest(tag, key.tag(signed_bytes(attempt, path, body))):
+    if key is None or not hmac.compare_digest(
+        tag, key.tag(authenticated_bytes(attempt, path, body))
+    ):
         raise errors.RequestError(
-            "the request does not come from an entry of this system",
+            "the request was not authenticated by an entry of this deployment",
             kind=errors.ErrorKind.UNAUTHORISED,
         )
--- a/src/merlinthread/protocol/codec.py
+++ b/src/merlinthread/protocol/codec.py
@@ -1,8 +1,8 @@
-"""Bytes of the messages between our own processes: MessagePack behind a keyed checksum.
+"""Encode messages between nodes as MessagePack frames authenticated with a keyed hash.
 
-A frame is an 8-byte key name, a 16-byte BLAKE3 keyed hash of the rest, one byte that says whether
-the rest is compressed (zlib), and the MessagePack pair (message name, message). Without keys the
-two first parts are zeros and are not looked at.
+A frame consists of an 8-byte key id, a 16-byte BLAKE3 keyed hash of the rest, one byte that tells
+whether the payload is compressed with zlib, and the payload: a MessagePack pair of message name and
+message. Without keys, the key id and the hash are zeros and are not checked.
 """
 
 import dataclasses
@@ -15,43 +15,44 @@
 
 from merlinthread import errors, registry
 
-KEY_NAME_BYTES = 8
+KEY_ID_BYTES = 8
 TAG_BYTES = 16
 KEY_BYTES = 32
-PLAIN = b"\0"
+UNCOMPRESSED = b"\0"
 COMPRESSED = b"\1"
 COMPRESS_MIN_BYTES = 160
-# Weights do not get shorter, and there are many of them.
-INCOMPRESSIBLE = frozenset({"chunk", "node.piece_reply"})
+# Messages that carry model weights, which hardly compress.
+INCOMPRESSIBLE_MESSAGES = frozenset({"chunk", "node.piece_reply"})
 COMPRESS_MAX_BYTES = 4 * 1024 * 1024
 
 
 @dataclasses.dataclass(slots=True)
 class Key:
-    """A shared secret of 32 bytes; its name is derived from it."""
+    """A shared secret of 32 bytes, identified by a hash of itself."""
 
     secret: bytes
 
-    def name(self) -> bytes:
-        """Return the name that frames carry."""
-        return blake3.blake3(self.secret).digest(KEY_NAME_BYTES)
+    def key_id(self) -> bytes:
+        """Return the id that frames carry to tell which key authenticates them."""
+        return blake3.blake3(self.secret).digest(KEY_ID_BYTES)
 
     def tag(self, body: bytes) -> bytes:
-        """Return the keyed hash of `body`."""
+        """Return the authentication tag of `body`, a keyed hash."""
         return blake3.blake3(body, key=self.secret).digest(TAG_BYTES)
 
 
 class Codec:
-    """Encode and decode messages of the given registries.
+    """Encode and decode the messages of the given registries.
 
-    The first key signs, every key verifies: to rotate, add the new key last everywhere, then put it
-    first everywhere, then take the old one out.
+    The first key authenticates outgoing frames; any key is accepted in incoming ones. To rotate
+    keys, append the new key on all nodes, then move it to the front on all nodes, then remove the
+    old key.
     """
 
     def __init__(self, registries: list[registry.Registry[type]], keys: list[Key]) -> None:
         self.types: dict[str, type] = {}
-        for entries in registries:
-            self.types.update(entries.entries)
+        for message_registry in registries:
+            self.types.update(message_registry.entries)
         self.names_by_type = {kind: name for name, kind in self.types.items()}
         self.decoders = {name: msgspec.msgpack.Decoder(kind) for name, kind in self.types.items()}
         self.envelope_decoder = msgspec.msgpack.Decoder(tuple[str, msgspec.Raw])
@@ -59,66 +60,66 @@
 
     def set_keys(self, keys: list[Key]) -> None:
         """Replace the keys; may be called at any time."""
-        self.keys = {key.name(): key for key in keys}
-        self.signer = keys[0] if keys else None
+        self.keys = {key.key_id(): key for key in keys}
+        self.signing_key = keys[0] if keys else None
 
     def encode(self, message: Any) -> bytes:
-        """Return the frame of `message`."""
+        """Return the frame for `message`; raise KeyError if its type is not registered."""
         name = self.names_by_type[type(message)]
         body = msgspec.msgpack.encode((name, message))
-        body = PLAIN + body if name in INCOMPRESSIBLE else self.pack(body)
-        if self.signer is None:
-            return bytes(KEY_NAME_BYTES + TAG_BYTES) + body
-        return self.signer.name() + self.signer.tag(body) + body
+        body = UNCOMPRESSED + body if name in INCOMPRESSIBLE_MESSAGES else self.compress(body)
+        if self.signing_key is None:
+            return bytes(KEY_ID_BYTES + TAG_BYTES) + body
+        return self.signing_key.key_id() + self.signing_key.tag(body) + body
 
-    def pack(self, body: bytes) -> bytes:
-        """Return `body` compressed if it is neither too short nor too long for that."""
+    def compress(self, body: bytes) -> bytes:
+        """Return `body` behind its compression flag, compressed unless too short or too long."""
         if COMPRESS_MIN_BYTES <= len(body) <= COMPRESS_MAX_BYTES:
             return COMPRESSED + zlib.compress(body, 1)
-        return PLAIN + body
+        return UNCOMPRESSED + body
 
-    def unpack(self, body: bytes) -> bytes:
-        """Return what `pack` was given; raise ValueError for what it never makes."""
-        if body[:1] == PLAIN:
+    def decompress(self, body: bytes) -> bytes:
+        """Return the body that `compress` was given; raise ValueError if `body` is malformed."""
+        if body[:1] == UNCOMPRESSED:
             return body[1:]
         if body[:1] != COMPRESSED:
-            raise ValueError(f"no frame starts with {body[:1]!r}")
+            raise ValueError(f"unknown compression flag {body[:1]!r}")
         inflater = zlib.decompressobj()
-        found = inflater.decompress(body[1:], COMPRESS_MAX_BYTES)
+        inflated = inflater.decompress(body[1:], COMPRESS_MAX_BYTES)
         if not inflater.eof:
-            raise ValueError("the compressed part is cut off or too long")
-        return found
+            raise ValueError("the compressed payload is truncated or too long")
+        return inflated
 
     def decode(self, frame: bytes) -> Any:
-        """Return the message in `frame`; raise ProtocolError if it is forged or malformed."""
-        body = frame[KEY_NAME_BYTES + TAG_BYTES :]
+        """Return the message in `frame`; raise ProtocolError if malformed or not authentic."""
+        body = frame[KEY_ID_BYTES + TAG_BYTES :]
         if self.keys:
             self.verify(frame, body)
         try:
-            name, raw = self.envelope_decoder.decode(self.unpack(body))
+            name, raw = self.envelope_decoder.decode(self.decompress(body))
             return self.decoders[name].decode(raw)
         except (msgspec.DecodeError, KeyError, ValueError, RecursionError, zlib.error) as error:
-            raise errors.ProtocolError(f"a message of {len(frame)} bytes does not decode: {error}")
+            raise errors.ProtocolError(f"cannot decode a message of {len(frame)} bytes: {error}")
 
     def verify(self, frame: bytes, body: bytes) -> None:
-        """Raise ProtocolError unless the frame's tag was made with one of the keys."""
-        key = self.keys.get(frame[:KEY_NAME_BYTES])
+        """Raise ProtocolError unless the tag in `frame` authenticates `body` with a known key."""
+        key = self.keys.get(frame[:KEY_ID_BYTES])
         if key is None:
             raise errors.ProtocolError(
-                "a message is signed with a key that is not in mesh_keys",
+                "a message is authenticated with a key that is not in mesh_keys",
                 kind=errors.ErrorKind.UNAUTHORISED,
             )
-        tag = frame[KEY_NAME_BYTES : KEY_NAME_BYTES + TAG_BYTES]
+        tag = frame[KEY_ID_BYTES : KEY_ID_BYTES + TAG_BYTES]
         if not hmac.compare_digest(tag, key.tag(body)):
             raise errors.ProtocolError(
-                "a message's checksum is wrong: it was changed on its way",
+                "a message has a wrong checksum; it was modified in transit",
                 kind=errors.ErrorKind.UNAUTHORISED,
             )
 
 
 def parse_key(text: str) -> Key:
-    """Return the key written as 64 hex digits; raise ValueError otherwise."""
+    """Return the key written as 64 hex digits; raise ValueError if malformed."""
     secret = bytes.fromhex(text)
     if len(secret) != KEY_BYTES:
-        raise ValueError(f"a mesh key has {KEY_BYTES} bytes, not {len(secret)}")
+        raise ValueError(f"a mesh key must have {KEY_BYTES} bytes, not {len(secret)}")
     return Key(secret)
--- a/src/merlinthread/protocol/error_responses.py
+++ b/src/merlinthread/protocol/error_responses.py
@@ -1,4 +1,4 @@
-"""The table from error kind to answer: HTTP status, whether it ran, retry advice, exit code."""
+"""Map each error kind to its HTTP status, outcome, retry delay and exit code."""
 
 import dataclasses
 import math
@@ -7,6 +7,7 @@
 
 from merlinthread import errors
 
+# Values of the `ran` field.
 NO = "no"
 YES = "yes"
 UNKNOWN = "unknown"
@@ -14,10 +15,11 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class ErrorResponse:
-    """How one kind of error is told.
+    """How one kind of error is reported to clients.
 
-    `ran` says whether the request or command took effect; `retry_after_s` is None where the same
-    call can't succeed later; `exit_code` is the command line's.
+    `ran` says whether the request or command took effect. `retry_after_s` is the suggested delay
+    before a retry, or None if retrying the same call can't succeed. `exit_code` is the exit code
+    of the command-line tool.
     """
 
     status: int
@@ -68,7 +70,7 @@
 
 @dataclasses.dataclass(slots=True)
 class ErrorBody:
-    """The JSON body of every refusal."""
+    """The JSON body of an error response."""
 
     error: str
     message: str
@@ -79,27 +81,30 @@
 
 
 def error_body(error: errors.MerlinthreadError) -> ErrorBody:
-    """Return the body that tells `error`."""
-    answer = RESPONSES[error.kind]
-    advice = error.retry_after_s if error.retry_after_s is not None else answer.retry_after_s
-    return ErrorBody(str(error.kind), error.message, answer.ran, error.field, advice)
+    """Return the response body for `error`; its own `retry_after_s` overrides the table."""
+    response = RESPONSES[error.kind]
+    delay_s = error.retry_after_s if error.retry_after_s is not None else response.retry_after_s
+    return ErrorBody(str(error.kind), error.message, response.ran, error.field, delay_s)
 
 
 def error_headers(body: ErrorBody) -> dict[str, str]:
-    """Return the HTTP headers of a refusal; Retry-After is in whole seconds (RFC 9110)."""
+    """Return the HTTP headers for an error body; Retry-After is in whole seconds (RFC 9110)."""
     if body.retry_after_s is None:
         return {}
     return {"Retry-After": str(max(1, math.ceil(body.retry_after_s)))}
 
 
 def parse_error(data: bytes, status: int) -> errors.MerlinthreadError:
-    """Return the error that a refusal's body tells; an unreadable one is an unknown outcome."""
+    """Parse the body of an error response.
+
+    If it can't be parsed, return an error of kind OUTCOME_UNKNOWN.
+    """
     try:
         body = msgspec.json.decode(data, type=ErrorBody)
         kind = errors.ErrorKind(body.error)
     except (msgspec.DecodeError, ValueError):
         return errors.MerlinthreadError(
-            f"HTTP {status} without a body that can be read", kind=errors.ErrorKind.OUTCOME_UNKNOWN
+            f"HTTP {status} with an unreadable error body", kind=errors.ErrorKind.OUTCOME_UNKNOWN
         )
     return errors.MerlinthreadError(
         body.message, kind=kind, field=body.field, retry_after_s=body.retry_after_s
