--- a/bench/release_bytes.py
+++ b/bench/release_bytes.py
@@ -71,7 +71,7 @@
 def write(path: pathlib.Path) -> None:
     """Write the samples of the build on the path."""
     found = commands()
-    frames = {name: CODEC.encode(sample(kind)).hex() for name, kind in CODEC.types.items()}
+    frames = {name: CODEC.encode(sample(kind)).hex() for name, kind in CODEC.types_by_name.items()}
     state = msgspec.msgpack.encode(sample(fleet_state.FleetState)).hex()
     samples = {
         "messages": frames,
--- a/src/merlinthread/protocol/codec.py
+++ b/src/merlinthread/protocol/codec.py
@@ -50,11 +50,13 @@
     """
 
     def __init__(self, registries: list[registry.Registry[type]], keys: list[Key]) -> None:
-        self.types: dict[str, type] = {}
+        self.types_by_name: dict[str, type] = {}
         for message_registry in registries:
-            self.types.update(message_registry.entries)
-        self.names_by_type = {kind: name for name, kind in self.types.items()}
-        self.decoders = {name: msgspec.msgpack.Decoder(kind) for name, kind in self.types.items()}
+            self.types_by_name.update(message_registry.entries)
+        self.names_by_type = {kind: name for name, kind in self.types_by_name.items()}
+        self.decoders = {
+            name: msgspec.msgpack.Decoder(kind) for name, kind in self.types_by_name.items()
+        }
         self.envelope_decoder = msgspec.msgpack.Decoder(tuple[str, msgspec.Raw])
         self.set_keys(keys)
 
