--- a/src/merlinthread/protocol/bundle_file.py
+++ b/src/merlinthread/protocol/bundle_file.py
@@ -1,4 +1,4 @@
-"""The border for bundles: JSON with comments in, validated, plain data out."""
+"""Read and validate bundle files, which are JSON with comments."""
 
 import re
 from typing import Annotated, Any
@@ -9,42 +9,42 @@
 from merlinthread import errors
 from merlinthread.coordination import bundles
 
-NAME = r"^[a-z0-9][a-z0-9._-]{0,62}$"
-DIGEST = r"^[0-9a-f]{64}$"
+NAME_PATTERN = r"^[a-z0-9][a-z0-9._-]{0,62}$"
+DIGEST_PATTERN = r"^[0-9a-f]{64}$"
 BUNDLE_BYTES_MAX = 1024 * 1024
 
-Name = Annotated[str, pydantic.Field(pattern=NAME)]
-Digest = Annotated[str, pydantic.Field(pattern=DIGEST)]
+Name = Annotated[str, pydantic.Field(pattern=NAME_PATTERN)]
+Digest = Annotated[str, pydantic.Field(pattern=DIGEST_PATTERN)]
 Percent = Annotated[int, pydantic.Field(ge=0, le=100)]
 
 
-class Border(pydantic.BaseModel):
-    """Base of the validated models: unknown keys are refused, types are not guessed."""
+class StrictModel(pydantic.BaseModel):
+    """Base of the validated models: rejects unknown keys and does not convert types."""
 
     model_config = pydantic.ConfigDict(extra="forbid", strict=True)
 
 
-class AdapterIn(Border):
-    """An adapter as written in a bundle file."""
+class AdapterInput(StrictModel):
+    """An adapter in a bundle file."""
 
     name: Name
     version: Name
     manifest: Digest
 
 
-class ModelIn(Border):
-    """A model as written in a bundle file."""
+class ModelInput(StrictModel):
+    """A model in a bundle file."""
 
     name: Name
     version: Name
     manifest: Digest
     share_percent: Percent
     replicas_min: Annotated[int, pydantic.Field(ge=1, le=10_000)] = 1
-    adapters: list[AdapterIn] = []
+    adapters: list[AdapterInput] = []
 
 
-class GroupIn(Border):
-    """A group as written in a bundle file."""
+class GroupInput(StrictModel):
+    """A group of client accounts in a bundle file."""
 
     name: Name
     share_percent: Annotated[int, pydantic.Field(ge=1, le=100)]
@@ -52,38 +52,43 @@
     priority: Annotated[int, pydantic.Field(ge=0, le=9)] = 1
 
 
-class ServiceIn(Border):
-    """A plain service as written in a bundle file."""
+class ServiceInput(StrictModel):
+    """A service without model weights in a bundle file."""
 
     name: Name
     repeatable: list[str] = []
 
 
-class BundleIn(Border):
-    """A bundle as written in a file."""
+class BundleInput(StrictModel):
+    """The content of a bundle file."""
 
     version: Annotated[int, pydantic.Field(ge=1, le=2**53)]
-    models: Annotated[list[ModelIn], pydantic.Field(min_length=1)]
-    groups: Annotated[list[GroupIn], pydantic.Field(min_length=1)]
-    services: list[ServiceIn] = []
+    models: Annotated[list[ModelInput], pydantic.Field(min_length=1)]
+    groups: Annotated[list[GroupInput], pydantic.Field(min_length=1)]
+    services: list[ServiceInput] = []
     note: Annotated[str, pydantic.Field(max_length=2000)] = ""
 
 
 def parse(text: str, source: str) -> bundles.Bundle:
-    """Return the bundle in `text`; raise BundleError naming `source`, the field and the remedy."""
+    """Parse and validate a bundle.
+
+    Raises BundleError, whose message names `source`, the field and the remedy.
+    """
     if len(text) > BUNDLE_BYTES_MAX:
-        raise errors.BundleError(f"{source}: over {BUNDLE_BYTES_MAX} bytes; split the bundle")
+        raise errors.BundleError(
+            f"{source}: longer than {BUNDLE_BYTES_MAX} bytes; split the bundle"
+        )
     try:
         data = json5.loads(text, allow_duplicate_keys=False)
     except (ValueError, RecursionError) as error:
-        raise errors.BundleError(f"{source}: is not JSON with comments: {error}")
+        raise errors.BundleError(f"{source}: invalid JSON with comments: {error}")
     return from_data(data, source)
 
 
 def from_data(data: Any, source: str) -> bundles.Bundle:
-    """Return the bundle in decoded JSON; raise BundleError."""
+    """Validate a bundle decoded from JSON; raise BundleError if it is invalid."""
     try:
-        checked = BundleIn.model_validate(data)
+        checked = BundleInput.model_validate(data)
     except pydantic.ValidationError as error:
         raise errors.BundleError(f"{source}: {first_problem(error)}", field=first_field(error))
     check_names(checked, source)
@@ -92,72 +97,75 @@
 
 
 def first_field(error: pydantic.ValidationError) -> str:
-    """Return the path of the first offending field."""
+    """Return the dotted path of the first invalid field."""
     path = ".".join(str(part) for part in error.errors()[0]["loc"])
     return path or "(the whole file)"
 
 
 def first_problem(error: pydantic.ValidationError) -> str:
-    """Return field, offending value and remedy of the first problem, in one line."""
+    """Describe the first problem in one line: field, value and remedy."""
     problem = error.errors()[0]
     value = repr(problem["input"])
     shown = value if len(value) < 80 else value[:77] + "..."
     remedy = problem["msg"][0].lower() + problem["msg"][1:]
     if problem["type"] == "extra_forbidden":
-        remedy = "this key is unknown; take it out or correct its spelling"
+        remedy = "this key is unknown; remove it or correct its spelling"
     if problem["type"] == "missing":
         return f"{first_field(error)}: this key is missing; add it"
     return f"{first_field(error)}: {shown} is refused: {remedy}"
 
 
-def check_names(bundle: BundleIn, source: str) -> None:
-    """Raise BundleError if a name stands twice."""
+def check_names(bundle: BundleInput, source: str) -> None:
+    """Raise BundleError if a name is used twice or a repeatable path is invalid."""
     seen: dict[str, str] = {}
     for position, model in enumerate(bundle.models):
-        take_name(seen, model.name, f"models.{position}.name", source)
-        for place, adapter in enumerate(model.adapters):
-            take_name(seen, adapter.name, f"models.{position}.adapters.{place}.name", source)
+        add_unique_name(seen, model.name, f"models.{position}.name", source)
+        for adapter_position, adapter in enumerate(model.adapters):
+            add_unique_name(
+                seen, adapter.name, f"models.{position}.adapters.{adapter_position}.name", source
+            )
     accounts: dict[str, str] = {}
     groups: dict[str, str] = {}
     for position, group in enumerate(bundle.groups):
-        take_name(groups, group.name, f"groups.{position}.name", source)
+        add_unique_name(groups, group.name, f"groups.{position}.name", source)
         for account in group.accounts:
-            take_name(accounts, account, f"groups.{position}.accounts", source)
+            add_unique_name(accounts, account, f"groups.{position}.accounts", source)
     services: dict[str, str] = {}
     for position, service in enumerate(bundle.services):
-        take_name(services, service.name, f"services.{position}.name", source)
+        add_unique_name(services, service.name, f"services.{position}.name", source)
         for path in service.repeatable:
             if not re.fullmatch(r"/[\w./-]*", path):
                 raise errors.BundleError(
-                    f"{source}: services.{position}.repeatable: {path!r} is no path; begin with /",
+                    f"{source}: services.{position}.repeatable: {path!r} is not a valid path; "
+                    "start it with / and use letters, digits and _ . / - only",
                     field=f"services.{position}.repeatable",
                 )
 
 
-def take_name(seen: dict[str, str], name: str, field: str, source: str) -> None:
-    """Note a name; raise BundleError if it is taken."""
+def add_unique_name(seen: dict[str, str], name: str, field: str, source: str) -> None:
+    """Add a name and its field to `seen`; raise BundleError if the name is already there."""
     if name in seen:
         raise errors.BundleError(
-            f"{source}: {field}: {name!r} stands already at {seen[name]}; rename one", field=field
+            f"{source}: {field}: {name!r} is already used at {seen[name]}; rename one", field=field
         )
     seen[name] = field
 
 
-def check_shares(bundle: BundleIn, source: str) -> None:
-    """Raise BundleError if shares add up to more than 100 %."""
+def check_shares(bundle: BundleInput, source: str) -> None:
+    """Raise BundleError if the shares of models or groups add up to more than 100 percent."""
     for field, shares in (
         ("models", [model.share_percent for model in bundle.models]),
         ("groups", [group.share_percent for group in bundle.groups]),
     ):
         if sum(shares) > 100:
             raise errors.BundleError(
-                f"{source}: {field}: share_percent adds up to {sum(shares)}; at most 100 will do",
+                f"{source}: {field}: share_percent adds up to {sum(shares)}; the maximum is 100",
                 field=f"{field}.share_percent",
             )
 
 
-def to_bundle(checked: BundleIn) -> bundles.Bundle:
-    """Return the plain data of a validated bundle."""
+def to_bundle(checked: BundleInput) -> bundles.Bundle:
+    """Convert a validated bundle to the data classes of the coordination layer."""
     models = [
         bundles.Model(
             model.name,
--- a/src/merlinthread/protocol/engine_calls.py
+++ b/src/merlinthread/protocol/engine_calls.py
@@ -1,4 +1,4 @@
-"""The published HTTP protocol of engines, as far as the agent uses it."""
+"""Messages of the part of the engines' HTTP API that the agent uses."""
 
 import dataclasses
 from typing import Any
@@ -9,7 +9,7 @@
 
 @dataclasses.dataclass(slots=True)
 class FencingToken:
-    """What an engine last obeyed; an order lower in either number is refused."""
+    """The newest order numbers an engine has accepted; it rejects orders lower in either."""
 
     generation: int = 0
     epoch: int = 0
@@ -17,7 +17,10 @@
 
 @dataclasses.dataclass(slots=True)
 class Order:
-    """An order to load a version from `weights_url`, or to drop one."""
+    """An order to load a model version from `weights_url`, or to unload one.
+
+    `action` is LOAD or UNLOAD.
+    """
 
     action: str
     name: str
@@ -32,7 +35,7 @@
 
 @dataclasses.dataclass(slots=True)
 class OrderReply:
-    """What the engine holds under `name` now; `digest` is the manifest it verified itself."""
+    """What the engine has loaded as `name`; `digest` is that of the manifest it verified."""
 
     name: str
     digest: str
@@ -40,7 +43,10 @@
 
 @dataclasses.dataclass(slots=True)
 class EngineStatus:
-    """An engine's report; `models` maps model and adapter names to manifest digests."""
+    """The state of an engine; `models` maps model and adapter names to manifest digests.
+
+    `running` and `waiting` are numbers of requests.
+    """
 
     models: dict[str, str]
     running: int
--- a/src/merlinthread/protocol/event_stream.py
+++ b/src/merlinthread/protocol/event_stream.py
@@ -1,4 +1,4 @@
-"""Whole events out of the bytes of an event stream (WHATWG HTML, section 9.2), unchanged."""
+"""Split the bytes of an event stream into events, unmodified (WHATWG HTML, section 9.2)."""
 
 import dataclasses
 
@@ -9,36 +9,42 @@
 
 @dataclasses.dataclass(slots=True)
 class RawEvent:
-    """One event as it came, with its id or an empty string."""
+    """The bytes of one event and its id, which is empty if there is none."""
 
     data: bytes
     event_id: str
 
 
 class EventSplitter:
-    """Collects bytes and gives out events that are whole."""
+    """Buffers bytes and returns the events that are complete."""
 
     def __init__(self) -> None:
         self.rest = b""
 
     def feed(self, data: bytes) -> list[RawEvent]:
-        """Return the events that `data` completes; raise ProtocolError for an endless one."""
-        *whole, self.rest = (self.rest + data).split(b"\n\n")
+        """Return the events that `data` completes.
+
+        Raises ProtocolError if the incomplete event exceeds EVENT_BYTES_MAX.
+        """
+        *complete, self.rest = (self.rest + data).split(b"\n\n")
         if len(self.rest) > EVENT_BYTES_MAX:
             raise errors.ProtocolError(f"an event is longer than {EVENT_BYTES_MAX} bytes")
-        return [RawEvent(text + b"\n\n", event_id(text)) for text in whole]
+        return [RawEvent(text + b"\n\n", parse_event_id(text)) for text in complete]
 
 
-def event_id(text: bytes) -> str:
-    """Return the id in an event's lines, or an empty string."""
+def parse_event_id(text: bytes) -> str:
+    """Return the id of an event, or an empty string if it has none."""
     for line in text.split(b"\n"):
         if line.startswith(b"id:"):
             return line[3:].strip().decode("ascii", "replace")
     return ""
 
 
-def is_after(event_id_text: str, last: str) -> bool:
-    """Return whether an event follows the one with id `last`; ids that are no numbers do."""
-    if not last.isdigit() or not event_id_text.isdigit():
+def is_after(event_id: str, last: str) -> bool:
+    """Return whether an event follows the one with id `last`.
+
+    Ids that are not numbers always do.
+    """
+    if not last.isdigit() or not event_id.isdigit():
         return True
-    return int(event_id_text) > int(last)
+    return int(event_id) > int(last)
--- a/src/merlinthread/protocol/events.py
+++ b/src/merlinthread/protocol/events.py
@@ -1,4 +1,4 @@
-"""Server-sent events: the lines of a streamed answer (WHATWG HTML, section 9.2)."""
+"""Encode and decode server-sent events of streamed responses (WHATWG HTML, section 9.2)."""
 
 import dataclasses
 from collections.abc import Iterable, Iterator
@@ -15,7 +15,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Event:
-    """One event: its kind and its data, which is one line of JSON."""
+    """One event: its type and its data, which is one line of JSON."""
 
     kind: str
     data: bytes
@@ -23,7 +23,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Token:
-    """One generated token; `index` counts from 0 over the whole answer."""
+    """One generated token; `index` is its position in the whole response, from 0."""
 
     index: int
     text: str
@@ -31,7 +31,10 @@
 
 @dataclasses.dataclass(slots=True)
 class Done:
-    """The end of a whole answer; `digest` is the manifest of the weights that gave it."""
+    """The end of a complete response.
+
+    `tokens` is the number of tokens, `digest` that of the manifest of the weights used.
+    """
 
     tokens: int
     digest: str
@@ -39,17 +42,17 @@
 
 
 def encode(kind: str, data: bytes) -> bytes:
-    """Return an event's bytes."""
+    """Return the bytes of an event."""
     return b"event: " + kind.encode() + b"\ndata: " + data + b"\n\n"
 
 
 def encode_error(error: errors.MerlinthreadError) -> bytes:
-    """Return the event that ends a broken answer."""
+    """Return the event that ends a response which failed."""
     return encode(ERROR, msgspec.json.encode(error_responses.error_body(error)))
 
 
 def decode(lines: Iterable[bytes]) -> Iterator[Event]:
-    """Give the events in `lines`; an unfinished last one is left out."""
+    """Yield the events in `lines`; an incomplete last event is dropped."""
     kind = ""
     data = b""
     for line in lines:
