--- a/src/merlinthread/protocol/messages.py
+++ b/src/merlinthread/protocol/messages.py
@@ -1,4 +1,4 @@
-"""Messages between our own processes, apart from those of the replicated log."""
+"""Messages between processes, apart from those of the replicated log."""
 
 import dataclasses
 
@@ -15,7 +15,7 @@
 @MESSAGES.add("refused")
 @dataclasses.dataclass(slots=True)
 class ErrorReply:
-    """The receiver could not do what was asked; `kind` names an error kind."""
+    """The reply to a request that failed; `kind` is the value of an error kind."""
 
     kind: str
     message: str
@@ -24,7 +24,10 @@
 @MESSAGES.add("heartbeat")
 @dataclasses.dataclass(slots=True)
 class Heartbeat:
-    """An agent's report to an entry; `is_home` for the one entry that tells the leader of it."""
+    """An agent's report to an entry.
+
+    `is_home` is true for the one entry that forwards the report to the leader.
+    """
 
     report: agents_.AgentReport
     is_home: bool
@@ -33,7 +36,7 @@
 @MESSAGES.add("beat")
 @dataclasses.dataclass(slots=True)
 class LoadHeartbeat:
-    """A heartbeat of an agent that has only its load to tell since its last full one."""
+    """A heartbeat of an agent of which only the load changed since its last Heartbeat."""
 
     name: str
     incarnation: int
@@ -47,12 +50,12 @@
 @MESSAGES.add("heartbeat_reply")
 @dataclasses.dataclass(slots=True)
 class HeartbeatReply:
-    """An entry's answer to a heartbeat; `directive` is there only if the agent's is older.
+    """An entry's reply to a heartbeat; `directive` is set only if the agent's is older.
 
-    `wants_full` if the entry lacks the report that a beat builds on.
+    `wants_full` is true if the entry lacks the report that a LoadHeartbeat refers to.
 
-    For `lease_s` seconds from when the heartbeat was sent, no later incarnation of the agent gives
-    its target orders.
+    For `lease_s` seconds after the heartbeat was sent, no later incarnation of the agent sends
+    orders to its target.
     """
 
     entry: str
@@ -64,7 +67,7 @@
 @MESSAGES.add("poll")
 @dataclasses.dataclass(slots=True)
 class PollRequest:
-    """An entry asks a control VM for news."""
+    """An entry's request to a control VM for what is newer than `revision`."""
 
     entry: str
     revision: int
@@ -73,10 +76,10 @@
 @MESSAGES.add("poll_reply")
 @dataclasses.dataclass(slots=True)
 class PollReply:
-    """A control VM's answer.
+    """A control VM's reply to a poll.
 
-    `leader_age_s` says how long ago it heard from the leader; `controls` are the addresses of
-    control VMs that joined after the first ones.
+    `leader_age_s` is the time since it last heard from the leader; `controls` are the addresses of
+    control VMs that joined after the initial ones.
     """
 
     control: str
@@ -90,7 +93,7 @@
 @MESSAGES.add("exchange")
 @dataclasses.dataclass(slots=True)
 class ExchangeRequest:
-    """One entry tells another what it and others reach, and asks for the same."""
+    """An entry's summaries of what it and others can reach, and a request for the receiver's."""
 
     entry: str
     revision: int
@@ -100,7 +103,7 @@
 @MESSAGES.add("exchange_reply")
 @dataclasses.dataclass(slots=True)
 class ExchangeReply:
-    """The other entry's view."""
+    """The reply to an ExchangeRequest, with the receiver's own summaries."""
 
     revision: int
     directive: control_state.Directive | None
@@ -110,7 +113,10 @@
 @MESSAGES.add("tell")
 @dataclasses.dataclass(slots=True)
 class AgentChanges:
-    """An entry tells the leader what changed among the agents whose home it is."""
+    """An entry's report to the leader of changes among the agents it is responsible for.
+
+    With `is_full`, `changed` lists all of them.
+    """
 
     entry: str
     changed: list[agents_.AgentReport]
@@ -121,7 +127,7 @@
 @MESSAGES.add("told")
 @dataclasses.dataclass(slots=True)
 class AgentChangesReply:
-    """The leader's answer; `listener` changes when it has forgotten what it was told."""
+    """The leader's reply; `listener` changes when it no longer has the earlier changes."""
 
     listener: str
     wants_full: bool
@@ -130,7 +136,7 @@
 @MESSAGES.add("join")
 @dataclasses.dataclass(slots=True)
 class JoinRequest:
-    """A new control VM asks to take the place of a lost one."""
+    """A request of a new control VM to replace a lost one."""
 
     name: str
     identity: str
@@ -142,7 +148,7 @@
 @MESSAGES.add("command")
 @dataclasses.dataclass(slots=True)
 class CommandRequest:
-    """An entry asks the leading control VM to commit a claim or its completion."""
+    """An entry's request to the leader to commit a claim or the completion of one."""
 
     command: bytes
 
@@ -150,7 +156,7 @@
 @MESSAGES.add("command_answer")
 @dataclasses.dataclass(slots=True)
 class CommandReply:
-    """What the committed command led to."""
+    """The result of the committed command."""
 
     answer: commands.Answer
 
@@ -158,7 +164,7 @@
 @MESSAGES.add("manifest_wanted")
 @dataclasses.dataclass(slots=True)
 class ManifestRequest:
-    """An agent asks another for a manifest."""
+    """An agent's request to another for a manifest."""
 
     digest: str
 
@@ -166,7 +172,7 @@
 @MESSAGES.add("manifest")
 @dataclasses.dataclass(slots=True)
 class ManifestReply:
-    """The manifest's bytes; empty if it is not here."""
+    """The bytes of the manifest; empty if the receiver does not have it."""
 
     data: bytes
 
@@ -174,9 +180,10 @@
 @MESSAGES.add("chunk_wanted")
 @dataclasses.dataclass(slots=True)
 class ChunkRequest:
-    """An agent asks another for any one chunk of `wanted` and says what it has itself.
+    """An agent's request to another for any one chunk of `wanted`.
 
-    Both are bit sets over the manifest's chunks, lowest first.
+    `wanted` and `held`, the chunks that the sender has, are bit sets over the chunks of the
+    manifest, lowest bit first.
     """
 
     agent: str
@@ -188,9 +195,9 @@
 @MESSAGES.add("chunk")
 @dataclasses.dataclass(slots=True)
 class ChunkReply:
-    """One chunk; `index` is -1 if none of the wanted ones is here, -2 if all upload slots are busy.
+    """One chunk, or NO_CHUNK or NO_UPLOAD_SLOT as its `index`.
 
-    `held` is a bit set of what the sender has, so that the asker knows whom to ask next.
+    `held` is the bit set of the chunks that the sender has.
     """
 
     index: int
@@ -198,10 +205,11 @@
     held: bytes
 
 
+# Values of ChunkReply.index if none of the wanted chunks is available, or no upload slot is free.
 NO_CHUNK = -1
 NO_UPLOAD_SLOT = -2
 
 
 def make_codec(keys: list[codec.Key]) -> codec.Codec:
-    """Return the codec of all messages between our own processes."""
+    """Return the codec for these messages, Raft messages and commands."""
     return codec.Codec([MESSAGES, raft_messages.MESSAGES, commands.COMMANDS], keys)
--- a/src/merlinthread/protocol/node_messages.py
+++ b/src/merlinthread/protocol/node_messages.py
@@ -1,4 +1,4 @@
-"""Messages between the nodes of one deployment: entries, agents and control VMs."""
+"""Messages between the nodes of a deployment: entries, agents and control VMs."""
 
 import dataclasses
 import enum
@@ -19,10 +19,10 @@
 @MESSAGES.add("node.ok")
 @dataclasses.dataclass(slots=True)
 class Acknowledgement:
-    """Acknowledge a message that needs no other answer.
+    """Acknowledge a message that needs no other reply.
 
-    `level` is the newest one that the sender reads (`coordination.levels`); builds that tell none
-    are older, and pass over it.
+    `level` is the newest format level that the sender reads (see `coordination.levels`). Older
+    builds omit the field and ignore it.
     """
 
     level: int = 0
@@ -31,7 +31,7 @@
 @MESSAGES.add("node.failed")
 @dataclasses.dataclass(slots=True)
 class ErrorReply:
-    """Refuse a message: an error kind and its message."""
+    """Report that a request failed; `kind` is the value of an error kind."""
 
     kind: str
     message: str
@@ -40,7 +40,7 @@
 @MESSAGES.add("node.named_version")
 @dataclasses.dataclass(slots=True)
 class NamedVersion:
-    """The newest version named of a model's weights, acknowledged at most `age_s` ago."""
+    """The newest published version of a model's weights, confirmed `age_s` seconds ago or less."""
 
     model: str
     version: int
@@ -50,10 +50,10 @@
 @MESSAGES.add("node.watch")
 @dataclasses.dataclass(slots=True)
 class WatchRequest:
-    """Ask a control VM for what is newer than what the asker holds; waits up to `wait_s`.
+    """Request changes from a control VM by long polling, for up to `wait_s` seconds.
 
-    `feed` names the run of the control VM whose `position` the asker holds. `suspicions` is the
-    revision of the suspicions that it holds, -1 if it wants none; `limits` the same of limits.
+    `position` is the last one received, and `feed` identifies the run of the control VM that sent
+    it. `suspicions` and `limits` are the last revisions received of each, or -1 to request none.
     """
 
     node: str
@@ -68,12 +68,12 @@
 @MESSAGES.add("node.news")
 @dataclasses.dataclass(slots=True)
 class WatchReply:
-    """What has changed since the asker's position.
+    """The changes since the position in a WatchRequest.
 
-    With `is_full`, `instances` replaces all that the asker knew. `leader_age_s` is how long ago
-    this control VM surely held what a majority holds. `configuration` is empty if the asker's is
-    the newest here. `suspicions` are those that changed, up to `suspicion_revision`; `limits` the
-    same, up to `limit_revision`.
+    With `is_full`, `instances` is the complete list and replaces the receiver's. `leader_age_s` is
+    the time since this control VM was last known to be up to date with a majority.
+    `configuration` is empty if the receiver's is up to date. `suspicions` and `limits` are those
+    that changed, up to `suspicion_revision` and `limit_revision`.
     """
 
     feed: str
@@ -95,7 +95,7 @@
 @MESSAGES.add("node.beats")
 @dataclasses.dataclass(slots=True)
 class HeartbeatBatch:
-    """Heartbeats that a control VM took in, for the others, and limits that entries heard."""
+    """Heartbeats that a control VM forwards to the others, and rate limits reported by entries."""
 
     sender: str
     heartbeats: list[fleet.Heartbeat]
@@ -105,10 +105,11 @@
 @MESSAGES.add("node.crash_report")
 @dataclasses.dataclass(slots=True)
 class CrashReport:
-    """Tell a control VM which processes ended under which requests, and which were cleared.
+    """Report to a control VM which requests were running when processes crashed.
 
-    One that another control VM passed on goes no further. `limits` are those of back ends that an
-    entry has just heard, or heard to be over; control VMs pass them on with heartbeats.
+    It also reports requests that were cleared of suspicion. With `is_passed_on`, the report was
+    forwarded by a control VM and is not forwarded again. `limits` are rate limits that back ends
+    have just announced or lifted; control VMs forward them with heartbeats.
     """
 
     sender: str
@@ -120,7 +121,7 @@
 @MESSAGES.add("node.submit")
 @dataclasses.dataclass(slots=True)
 class CommandRequest:
-    """Pass a command on to the leader."""
+    """Request that the leader commits a command."""
 
     command: bytes
 
@@ -128,7 +129,7 @@
 @MESSAGES.add("node.submitted")
 @dataclasses.dataclass(slots=True)
 class CommandReply:
-    """What became of a command: applied, and the version in force afterwards."""
+    """Whether a command was applied, and the version in force afterwards."""
 
     is_applied: bool
     version: int
@@ -137,13 +138,13 @@
 @MESSAGES.add("node.read")
 @dataclasses.dataclass(slots=True)
 class ConfigurationRequest:
-    """Ask the leader for the newest configuration."""
+    """Request the newest configuration from the leader."""
 
 
 @MESSAGES.add("node.read_reply")
 @dataclasses.dataclass(slots=True)
 class ConfigurationReply:
-    """The newest configuration as it was sent; version 0 if there is none."""
+    """The newest configuration, unmodified; `version` is 0 if there is none."""
 
     version: int
     body: bytes
@@ -152,9 +153,9 @@
 @MESSAGES.add("node.join")
 @dataclasses.dataclass(slots=True)
 class JoinRequest:
-    """Ask to be taken in as a member of the replicated log; the name holds the address.
+    """Request to join the members of the replicated log; `name` contains the address.
 
-    `level` is the newest one that the joiner reads, 0 from builds that tell none.
+    `level` is the newest format level that the sender reads, or 0 from builds without the field.
     """
 
     name: str
@@ -164,7 +165,10 @@
 @MESSAGES.add("node.joined")
 @dataclasses.dataclass(slots=True)
 class JoinReply:
-    """Tell a joiner whether it was removed for good and must join under another name."""
+    """The reply to a JoinRequest.
+
+    `is_removed` is true if the member was removed permanently and must join under another name.
+    """
 
     is_removed: bool
 
@@ -172,7 +176,7 @@
 @MESSAGES.add("node.resign")
 @dataclasses.dataclass(slots=True)
 class LeaveRequest:
-    """Tell the leader that a member of the replicated log is about to end as planned."""
+    """Announce to the leader that a member of the replicated log is shutting down."""
 
     name: str
 
@@ -180,7 +184,7 @@
 @MESSAGES.add("node.resigned")
 @dataclasses.dataclass(slots=True)
 class LeaveReply:
-    """Tell a member that is about to end whether nothing is left to do for that."""
+    """The reply to a LeaveRequest; `may_end` is true if the member can safely terminate."""
 
     may_end: bool
 
@@ -188,7 +192,7 @@
 @MESSAGES.add("node.log")
 @dataclasses.dataclass(slots=True)
 class RaftFrames:
-    """Messages of the replicated log, encoded one by one, in the order they were sent."""
+    """Messages of the replicated log, each encoded separately, in sending order."""
 
     frames: list[bytes]
 
@@ -196,7 +200,7 @@
 @MESSAGES.add("node.subscribe")
 @dataclasses.dataclass(slots=True)
 class LoadSubscription:
-    """Ask an agent for its engine's load, for the next few seconds."""
+    """Subscribe to the load of an agent's engine for a few seconds."""
 
     address: str
 
@@ -204,9 +208,9 @@
 @MESSAGES.add("node.load")
 @dataclasses.dataclass(slots=True)
 class LoadUpdate:
-    """An engine's load, fresh from its agent; `sequence` grows with every one.
+    """The current load of an agent's engine; `sequence` increases with each update.
 
-    `others` is what entries other than the receiver have there now.
+    `others` is the outstanding work of entries other than the receiver on the engine.
     """
 
     address: str
@@ -218,10 +222,10 @@
 @MESSAGES.add("node.query")
 @dataclasses.dataclass(slots=True)
 class LoadQuery:
-    """Ask an agent for its engine's load now; `address` is where to answer.
+    """Request the current load of an agent's engine; the reply goes to `address`.
 
-    With `permit` it asks a control VM for that, in a message that builds which give out none read
-    as well.
+    With `permit`, it requests a permit from a control VM instead. The same message is used so that
+    builds without permits can read it.
     """
 
     address: str
@@ -231,11 +235,12 @@
 
 @dataclasses.dataclass(slots=True)
 class PermitReply:
-    """What a control VM says to who asks for a permit.
+    """A control VM's reply to a request for a permit.
 
-    `decision` is None if it does not surely lead; `leader` is then who does, empty if that is not
-    known. For the time when none answers: `entries` is how many entries have asked of late, `rank`
-    the asker's place among them, `at` the time of the leader's clock.
+    `decision` is None unless the control VM is certain to be the leader; `leader` then names the
+    leader, or is empty if unknown. The other fields are for times when no leader replies: `entries`
+    is the number of entries with recent requests, `rank` the receiver's position among them, and
+    `at` the time on the leader's clock, in seconds.
     """
 
     decision: rate_limits.Decision | None
@@ -248,11 +253,10 @@
 @MESSAGES.add("node.pulse")
 @dataclasses.dataclass(slots=True)
 class LoadReply:
-    """Answer the question `number`: what others than the asker have on the engine now.
+    """The reply to the LoadQuery `number`: the outstanding work of other entries on the engine.
 
-    `is_busy` tells that the engine is changing its weights, `pace` how many times slower it works
-    than its figures say. It is kept short, since there is one or more for each request. `permit` is
-    what a control VM answers.
+    `is_busy` is true while the engine changes its weights. `pace` is the factor by which the engine
+    is slower than it reports. `permit` is set in the reply of a control VM.
     """
 
     number: int
@@ -265,7 +269,7 @@
 
 
 class AttemptStage(enum.StrEnum):
-    """How far an attempt on an engine is."""
+    """The progress of an attempt on an engine."""
 
     SENT = "sent"
     READ = "read"
@@ -275,7 +279,7 @@
 @MESSAGES.add("node.attempt")
 @dataclasses.dataclass(slots=True)
 class AttemptNotice:
-    """Tell an agent of an attempt on its engine; `tokens` are those of the prompt."""
+    """Notify an agent of an attempt on its engine; `tokens` is the length of the prompt."""
 
     entry: str
     number: int
@@ -286,7 +290,7 @@
 @MESSAGES.add("node.piece_note")
 @dataclasses.dataclass(slots=True)
 class PieceNotice:
-    """Tell another agent, by datagram, of a piece that has just come to `sender`."""
+    """Notify another agent, by datagram, that `sender` has received a piece."""
 
     model: str
     version: int
@@ -297,7 +301,7 @@
 @MESSAGES.add("node.piece_claim")
 @dataclasses.dataclass(slots=True)
 class PieceClaim:
-    """Tell another agent, by datagram, of a piece that `sender` begins to read from the origin."""
+    """Notify another agent, by datagram, that `sender` is fetching a piece from the origin."""
 
     model: str
     version: int
@@ -308,7 +312,7 @@
 @MESSAGES.add("node.manifest_request")
 @dataclasses.dataclass(slots=True)
 class ManifestRequest:
-    """Ask an agent for the manifest of a version of a model's weights; version 0 is any."""
+    """Request the manifest of a model's weights from an agent; version 0 is any version."""
 
     model: str
     version: int
@@ -317,7 +321,7 @@
 @MESSAGES.add("node.manifest_reply")
 @dataclasses.dataclass(slots=True)
 class ManifestReply:
-    """The manifest, or None if the agent has another one or none."""
+    """The manifest, or None if the agent does not have the requested one."""
 
     manifest: fleet.Manifest | None
 
@@ -325,10 +329,10 @@
 @MESSAGES.add("node.piece_request")
 @dataclasses.dataclass(slots=True)
 class PieceRequest:
-    """Ask an agent for one piece out of `wanted`; tell it what the asker holds.
+    """Request any one piece of `wanted` from an agent.
 
-    Both are bit sets, lowest first. `took_s` is how long the last piece from there took, 0 if there
-    was none.
+    `wanted` and `held`, the pieces that the sender has, are bit sets, lowest bit first. `took_s` is
+    the time that the previous piece from the agent took, or 0 if there was none.
     """
 
     model: str
@@ -342,10 +346,10 @@
 @MESSAGES.add("node.piece_reply")
 @dataclasses.dataclass(slots=True)
 class PieceReply:
-    """A piece, or none (`index` -1): the asked one has none of them, or is busy.
+    """A piece, or `index` -1 if the sender has none of the wanted ones or is busy.
 
-    `held` is the bit set of what it has; `free_in_s` is when it will have sent what it has promised
-    to others, if it is busy.
+    `held` is the bit set of the pieces that the sender has. With `is_busy`, `free_in_s` is the time
+    until it has sent the pieces it has promised to others.
     """
 
     index: int
