--- a/src/merlinthread/protocol/__init__.py
+++ b/src/merlinthread/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""Messages between processes, their codec, the formats at the border, and answers to errors."""
+"""Messages between processes, their codec, external file and HTTP formats, error responses."""
--- a/src/merlinthread/protocol/operator_calls.py
+++ b/src/merlinthread/protocol/operator_calls.py
@@ -1,4 +1,4 @@
-"""The JSON bodies between the command line and the control VMs."""
+"""JSON bodies of the HTTP API that control VMs offer to operators."""
 
 import dataclasses
 from typing import Any
@@ -6,7 +6,7 @@
 
 @dataclasses.dataclass(slots=True)
 class ProposeRequest:
-    """Put a bundle forward; `bundle` is validated apart."""
+    """Propose a bundle; `bundle` is validated separately."""
 
     request_id: str
     operator: str
@@ -15,7 +15,7 @@
 
 @dataclasses.dataclass(slots=True)
 class SignRequest:
-    """Sign a version with a digest; the signature is Ed25519, hex."""
+    """Sign the bundle with this version and digest; `signature` is Ed25519, in hex."""
 
     request_id: str
     operator: str
@@ -26,7 +26,7 @@
 
 @dataclasses.dataclass(slots=True)
 class RollRequest:
-    """Put a signed version in force; `is_back` allows only one that was in force before."""
+    """Roll out a signed version; with `is_back`, only one that was in force before is allowed."""
 
     request_id: str
     operator: str
@@ -36,14 +36,14 @@
 
 @dataclasses.dataclass(slots=True)
 class ResumeRequest:
-    """Let the paused roll of `generation` go on."""
+    """Resume the paused roll of `generation`."""
 
     generation: int
 
 
 @dataclasses.dataclass(slots=True)
 class CommandResult:
-    """What a command led to."""
+    """The result of a command, with the bundle it refers to."""
 
     status: str
     version: int
@@ -54,7 +54,10 @@
 
 @dataclasses.dataclass(slots=True)
 class MemberStatus:
-    """One member of the log; `entries_behind` is as the leader knows it."""
+    """A member of the replicated log.
+
+    `entries_behind` is the number of log entries it lacks, as far as the leader knows.
+    """
 
     name: str
     role: str
@@ -64,9 +67,9 @@
 
 @dataclasses.dataclass(slots=True)
 class AgentStatus:
-    """One target VM; `revision` and `generation` are what it enforces.
+    """A target VM; `revision` and `generation` are those that it enforces.
 
-    `is_done` says whether it serves exactly what it should.
+    `is_done` is true if it serves exactly the models assigned to it.
     """
 
     name: str
@@ -83,7 +86,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Status:
-    """The leader's view of the whole system."""
+    """The state of the deployment, as the leader sees it."""
 
     leader: str
     term: int
@@ -99,7 +102,7 @@
 
 @dataclasses.dataclass(slots=True)
 class BundleSummary:
-    """A bundle in the history; `proposed_at` is in seconds since 1970."""
+    """A bundle in the history; `proposed_at` is in seconds since the epoch."""
 
     version: int
     digest: str
@@ -112,7 +115,7 @@
 
 @dataclasses.dataclass(slots=True)
 class RollSummary:
-    """A roll in the history; `at` is in seconds since 1970."""
+    """A roll in the history; `at` is in seconds since the epoch."""
 
     generation: int
     version: int
@@ -123,7 +126,7 @@
 
 @dataclasses.dataclass(slots=True)
 class History:
-    """All bundles and the last rolls, newest first."""
+    """All bundles and the most recent rolls, newest first."""
 
     bundles: list[BundleSummary]
     rolls: list[RollSummary]
@@ -131,7 +134,7 @@
 
 @dataclasses.dataclass(slots=True)
 class BundleDetails:
-    """One bundle whole."""
+    """A bundle with its full content."""
 
     line: BundleSummary
     bundle: dict[str, Any]
--- a/src/merlinthread/protocol/rate_limit.py
+++ b/src/merlinthread/protocol/rate_limit.py
@@ -1,17 +1,17 @@
-"""How many requests a second a server in need takes from all callers together, as it names it."""
+"""Parse the rate limit that a server announces for all of its callers together."""
 
 import dataclasses
 import re
 
-# Digits with fractions; a sign, an exponent or a list is no number of requests a second.
+# Signs, exponents and lists are not accepted.
 DECIMAL = re.compile(rb"[0-9]{1,20}(\.[0-9]{1,20})?")
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class RateLimit:
-    """What a field says: requests a second, None if it names no limit that can be obeyed.
+    """A parsed rate limit in requests per second, or None without a valid one.
 
-    `problem` tells why not; it is empty where there is no such field.
+    `problem` is the reason why a header is not valid; it is empty if there is no header.
     """
 
     per_s: float | None = None
@@ -19,10 +19,9 @@
 
 
 def parse(value: bytes | None) -> RateLimit:
-    """Read the field.
+    """Parse the value of the header.
 
-    A server that takes nothing says so with other words; a limit of 0 would keep all callers from
-    ever hearing that it is over.
+    A limit of 0 is rejected: without any request, callers would never learn that it was lifted.
     """
     if value is None:
         return RateLimit()
--- a/src/merlinthread/protocol/retry_after.py
+++ b/src/merlinthread/protocol/retry_after.py
@@ -1,4 +1,4 @@
-"""How long a server asks to be left alone: the field `Retry-After` (RFC 9110, section 10.2.3)."""
+"""Parse the Retry-After header of HTTP responses (RFC 9110, section 10.2.3)."""
 
 import dataclasses
 import datetime
@@ -7,18 +7,17 @@
 
 HEADER = b"retry-after"
 DATE_HEADER = b"date"
-# A server that means more is put out of use by its operator, not by this field: what is longer is
-# taken for a fault of whoever wrote it. One day, in seconds.
+# One day; a longer delay is taken for an error of the server.
 MAX_DELAY_S = 86_400.0
-# The RFC's digits, with fractions, which some servers send.
-SECONDS = re.compile(rb"[0-9]{1,20}(\.[0-9]{1,20})?")
+# Allows fractions, which are not in the RFC but sent by some servers.
+DELAY_SECONDS = re.compile(rb"[0-9]{1,20}(\.[0-9]{1,20})?")
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class RetryAfter:
-    """What the field says: `seconds` to wait, None if it says nothing that can be obeyed.
+    """A parsed delay in seconds, or None without a valid one.
 
-    `problem` tells why not; it is empty where there is no such field.
+    `problem` is the reason why a header is not valid; it is empty if there is no header.
     """
 
     seconds: float | None = None
@@ -26,34 +25,34 @@
 
 
 def parse(value: bytes | None, date: bytes | None = None) -> RetryAfter:
-    """Read the field; `date` is the answer's own field `Date`.
+    """Parse the value of the header; `date` is the Date header of the same response.
 
-    A time of day is measured from the answer's own date, so that no clock but the server's counts;
-    without one it is not obeyed.
+    An HTTP date is converted to a delay relative to `date`, so that the result does not depend on
+    the local clock; without `date` it is rejected.
     """
     if value is None:
         return RetryAfter()
     text = value.strip()
-    if SECONDS.fullmatch(text):
-        return checked(float(text))
-    at = time_of_day(text)
-    if at is None:
+    if DELAY_SECONDS.fullmatch(text):
+        return limit_delay(float(text))
+    retry_at = parse_http_date(text)
+    if retry_at is None:
         return RetryAfter(problem="neither a number of seconds nor a date")
-    written_at = time_of_day((date or b"").strip())
-    if written_at is None:
-        return RetryAfter(problem="a date in an answer that has no date itself")
-    return checked(max(0.0, (at - written_at).total_seconds()))
+    response_date = parse_http_date((date or b"").strip())
+    if response_date is None:
+        return RetryAfter(problem="an HTTP date in a response without a valid Date header")
+    return limit_delay(max(0.0, (retry_at - response_date).total_seconds()))
 
 
-def checked(seconds: float) -> RetryAfter:
-    """Return a time that is meant, or none."""
+def limit_delay(seconds: float) -> RetryAfter:
+    """Return the delay, or a problem if it exceeds MAX_DELAY_S."""
     if seconds > MAX_DELAY_S:
         return RetryAfter(problem=f"more than {MAX_DELAY_S:.0f} s")
     return RetryAfter(seconds)
 
 
-def time_of_day(text: bytes) -> datetime.datetime | None:
-    """Return a date as HTTP writes it, None if it is none."""
+def parse_http_date(text: bytes) -> datetime.datetime | None:
+    """Parse an HTTP date; return None if it is malformed."""
     if not text.endswith(b"GMT"):
         return None
     try:
