--- a/src/merlinthread/clocks.py
+++ b/src/merlinthread/clocks.py
@@ -1,8 +1,7 @@
-"""The clock of all that compares ages or deadlines.
+"""The clock for ages, leases and deadlines, which advances while a VM is suspended.
 
-It goes on while a VM is suspended. The steady clock stands still then, and with it the timers of
-an event loop: a leader that woke up would find its lease still good, an entry its news fresh. So no
-decision rests on a timer that fired; it may fire late.
+The monotonic clock and the timers of an event loop stop during suspension, so a lease that they
+measure could still seem valid after a resume.
 """
 
 import time
@@ -11,14 +10,14 @@
 
 
 def now() -> float:
-    """Return the seconds since the VM was started, those of suspension with them."""
+    """Return the time since the VM was booted in seconds, including time suspended."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 def check_platform() -> None:
-    """Raise SettingsError on a platform that has no such clock; another would mislead silently."""
+    """Raise SettingsError if the platform has no clock that advances during suspension."""
     if not hasattr(time, "CLOCK_BOOTTIME"):
         raise errors.SettingsError(
-            "this platform has no CLOCK_BOOTTIME, which goes on while a VM is suspended; "
+            "this platform has no CLOCK_BOOTTIME, which advances while a VM is suspended; "
             "run the nodes on Linux"
         )
--- a/src/merlinthread/errors.py
+++ b/src/merlinthread/errors.py
@@ -1,10 +1,10 @@
-"""The exception tree and the closed list of error kinds that every layer may raise."""
+"""Exception hierarchy of the package and the error kinds that exceptions carry."""
 
 import enum
 
 
 class ErrorKind(enum.StrEnum):
-    """Every way in which the system refuses or fails; `protocol.answers` maps each to an answer."""
+    """All kinds of errors; `protocol.error_responses` maps each to a response."""
 
     BAD_SETTINGS = "bad_settings"
     BAD_BUNDLE = "bad_bundle"
@@ -44,10 +44,10 @@
 
 
 class MerlinthreadError(Exception):
-    """Base of all errors of this package.
+    """Base class of all exceptions of this package.
 
-    `kind` selects the answer; `field` names the offending field, if there is one; `retry_after_s`
-    overrides the table's advice when the raiser knows better.
+    `kind` selects the response, `field` names the invalid field, if any, and `retry_after_s`
+    overrides the default retry delay for the kind, in seconds.
     """
 
     kind = ErrorKind.INTERNAL
@@ -69,53 +69,53 @@
 
 
 class SettingsError(MerlinthreadError):
-    """A settings file can't be used."""
+    """A settings file is unreadable or invalid."""
 
     kind = ErrorKind.BAD_SETTINGS
 
 
 class BundleError(MerlinthreadError):
-    """A bundle is malformed or contradicts itself."""
+    """A bundle is malformed or inconsistent."""
 
     kind = ErrorKind.BAD_BUNDLE
 
 
 class ConfigurationError(MerlinthreadError):
-    """A configuration can't be read whole or contradicts itself."""
+    """A configuration is malformed or inconsistent."""
 
     kind = ErrorKind.BAD_CONFIGURATION
 
 
 class StateError(MerlinthreadError):
-    """Durable state can't be read or written."""
+    """Persistent state can't be read or written."""
 
 
 class LogDamagedError(StateError):
-    """A record that was once synced fails its checksum."""
+    """A record that had been written durably has a wrong checksum."""
 
     kind = ErrorKind.LOG_DAMAGED
 
 
 class FolderInUseError(StateError):
-    """Another process holds the data folder."""
+    """Another process has locked the data folder."""
 
     kind = ErrorKind.FOLDER_IN_USE
 
 
 class DiskFullError(StateError):
-    """The disk has no room; what was accepted before is intact."""
+    """The disk is full; data accepted earlier is intact."""
 
     kind = ErrorKind.DISK_FULL
 
 
 class ControlError(MerlinthreadError):
-    """The control VMs refuse a command."""
+    """The control VMs rejected a command."""
 
     kind = ErrorKind.NO_MAJORITY
 
 
 class NotLeaderError(ControlError):
-    """This control VM does not lead; `leader` names the one that does, if known."""
+    """This control VM is not the leader; `leader` names the one that is, if known."""
 
     kind = ErrorKind.NOT_LEADER
 
@@ -125,7 +125,7 @@
 
 
 class RequestError(MerlinthreadError):
-    """A caller's request is refused or failed."""
+    """A client's request was rejected or failed."""
 
     kind = ErrorKind.BAD_REQUEST
 
@@ -137,16 +137,16 @@
 
 
 class UnreachableError(MerlinthreadError):
-    """A peer did not answer in time; whether it acted is unknown."""
+    """A peer did not reply in time; whether it acted on the request is unknown."""
 
     kind = ErrorKind.UNREACHABLE
 
 
 class NotListeningError(UnreachableError):
-    """Nothing listens at an address: the process that did has ended."""
+    """No process listens at the address: the connection was refused."""
 
 
 class ProtocolError(MerlinthreadError):
-    """A message can't be decoded or is not authentic."""
+    """A message is malformed or not authentic."""
 
     kind = ErrorKind.BAD_REQUEST
--- a/src/merlinthread/logs.py
+++ b/src/merlinthread/logs.py
@@ -1,4 +1,4 @@
-"""JSON-lines logs through absl.logging: one line for each event or decision."""
+"""Structured logging as JSON lines, based on absl.logging."""
 
 import dataclasses
 import datetime
@@ -12,7 +12,7 @@
 from absl import logging
 
 LINES_PER_S = 200.0
-UNWRITTEN_BYTES_MAX = 64 * 1024
+PENDING_BYTES_MAX = 64 * 1024
 LEVELS = {
     "debug": logging.DEBUG,
     "info": logging.INFO,
@@ -23,7 +23,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Event:
-    """A log message with fields; its text form is the event's name."""
+    """A log message with fields; its string form is the name of the event."""
 
     name: str
     fields: dict[str, Any]
@@ -33,14 +33,14 @@
 
 
 class JsonFormatter(standard_logging.Formatter):
-    """Format a record as one JSON object; `at` is UTC."""
+    """Format a record as a JSON object on one line; `at` is in UTC."""
 
     def __init__(self, process_name: str) -> None:
         super().__init__()
         self.process_name = process_name
 
     def format(self, record: standard_logging.LogRecord) -> str:
-        """Return the line for `record`."""
+        """Return `record` as a line without its newline."""
         at = datetime.datetime.fromtimestamp(record.created, datetime.UTC)
         line: dict[str, Any] = {
             "at": at.isoformat(timespec="milliseconds"),
@@ -56,22 +56,26 @@
 
 
 def configure(process_name: str, level: str) -> None:
-    """Send all logs of this process to standard error as JSON lines."""
+    """Write the logs of this process to standard error as JSON lines.
+
+    Logs of the HTTP and messaging libraries are suppressed.
+    """
     logging.use_absl_handler()
     logging.get_absl_handler().setFormatter(JsonFormatter(process_name))
     logging.set_verbosity(LEVELS[level])
     logging.set_stderrthreshold(LEVELS[level])
     for name in ("cherrypy.access", "cherrypy.error", "urllib3", "pynng"):
-        quiet = standard_logging.getLogger(name)
-        quiet.setLevel(standard_logging.CRITICAL)
-        quiet.propagate = False
+        library_logger = standard_logging.getLogger(name)
+        library_logger.setLevel(standard_logging.CRITICAL)
+        library_logger.propagate = False
 
 
 class NonBlockingHandler(standard_logging.Handler):
-    """Write lines to a file descriptor without ever waiting for its reader.
+    """Write lines to a file descriptor without blocking on its reader.
 
-    At most `lines_per_s` lines a second are written (with a short burst above it); what is left out
-    is counted and told with the next line that is written.
+    A token bucket limits lines below warning level to `lines_per_s` per second. Lines over the
+    limit, or that the descriptor does not accept, are dropped and counted; the next event that is
+    written reports their number.
     """
 
     def __init__(
@@ -82,42 +86,42 @@
         self.lines_per_s = lines_per_s
         self.clock = clock
         self.tokens = lines_per_s
-        self.filled_at = clock()
-        self.left_out = 0
-        self.unwritten = b""
+        self.refilled_at = clock()
+        self.dropped_lines = 0
+        self.pending = b""
         os.set_blocking(descriptor, False)
 
     def emit(self, record: standard_logging.LogRecord) -> None:
-        """Write one record, or count it as left out."""
+        """Write a record, or drop it if the rate limit is exceeded."""
         now = self.clock()
-        self.tokens += (now - self.filled_at) * self.lines_per_s
+        self.tokens += (now - self.refilled_at) * self.lines_per_s
         self.tokens = min(self.tokens, self.lines_per_s)
-        self.filled_at = now
+        self.refilled_at = now
         if self.tokens < 1 and record.levelno < standard_logging.WARNING:
-            self.left_out += 1
+            self.dropped_lines += 1
             return
         self.tokens -= 1
-        if self.left_out and isinstance(record.msg, Event):
-            record.msg.fields["lines_left_out"] = self.left_out
+        if self.dropped_lines and isinstance(record.msg, Event):
+            record.msg.fields["lines_left_out"] = self.dropped_lines
         self.write(self.format(record).encode("utf-8", "replace") + b"\n")
 
     def write(self, line: bytes) -> None:
-        """Write a line whole, or not at all; the rest of a cut one goes before the next."""
+        """Write a line or drop it; the rest of a partial write precedes the next line."""
         try:
-            data = self.unwritten + line
+            data = self.pending + line
             written = os.write(self.descriptor, data)
-            self.unwritten = data[written:]
-            self.left_out = 0
-            if len(self.unwritten) > UNWRITTEN_BYTES_MAX:
-                self.unwritten = b""
+            self.pending = data[written:]
+            self.dropped_lines = 0
+            if len(self.pending) > PENDING_BYTES_MAX:
+                self.pending = b""
         except BlockingIOError:
-            self.left_out += 1
+            self.dropped_lines += 1
         except OSError:
-            self.left_out += 1
+            self.dropped_lines += 1
 
 
 def configure_stdout(process_name: str, level: str, descriptor: int = 1) -> None:
-    """Send all logs of this process to standard output as JSON lines, never waiting for it."""
+    """Write the logs of this process to standard output as JSON lines, without blocking."""
     logging.use_absl_handler()
     logger = logging.get_absl_logger()
     handler = NonBlockingHandler(descriptor, LINES_PER_S)
@@ -130,20 +134,20 @@
 
 
 def event(name: str, /, **fields: Any) -> None:
-    """Log what happened or was decided, with the reason among the fields."""
+    """Log an event or a decision at info level, with its reason as a field."""
     logging.info(Event(name, fields))
 
 
 def debug(name: str, /, **fields: Any) -> None:
-    """Log something that only a developer looks for."""
+    """Log an event at debug level, for developers."""
     logging.debug(Event(name, fields))
 
 
 def warning(name: str, /, **fields: Any) -> None:
-    """Log something that an operator may have to act on."""
+    """Log an event at warning level, which may need action by an operator."""
     logging.warning(Event(name, fields))
 
 
 def exception(name: str, /, **fields: Any) -> None:
-    """Log an unexpected exception, with its traceback."""
+    """Log an event at error level with the traceback of the current exception."""
     logging.exception(Event(name, fields))
--- a/src/merlinthread/metrics.py
+++ b/src/merlinthread/metrics.py
@@ -1,4 +1,4 @@
-"""The Prometheus metrics of every role; `/metrics` gives them out."""
+"""Prometheus metrics of all roles, served at `/metrics`."""
 
 import prometheus_client
 
@@ -63,7 +63,7 @@
 
 
 def expose() -> bytes:
-    """Return all metrics in Prometheus' text format."""
+    """Return all metrics in the Prometheus text format."""
     return prometheus_client.generate_latest()
 
 
--- a/src/merlinthread/protocol/retry_after.py
+++ b/src/merlinthread/protocol/retry_after.py
@@ -34,17 +34,17 @@
         return RetryAfter()
     text = value.strip()
     if DELAY_SECONDS.fullmatch(text):
-        return limit_delay(float(text))
+        return check_delay(float(text))
     retry_at = parse_http_date(text)
     if retry_at is None:
         return RetryAfter(problem="neither a number of seconds nor a date")
     response_date = parse_http_date((date or b"").strip())
     if response_date is None:
         return RetryAfter(problem="an HTTP date in a response without a valid Date header")
-    return limit_delay(max(0.0, (retry_at - response_date).total_seconds()))
+    return check_delay(max(0.0, (retry_at - response_date).total_seconds()))
 
 
-def limit_delay(seconds: float) -> RetryAfter:
+def check_delay(seconds: float) -> RetryAfter:
     """Return the delay, or a problem if it exceeds MAX_DELAY_S."""
     if seconds > MAX_DELAY_S:
         return RetryAfter(problem=f"more than {MAX_DELAY_S:.0f} s")
--- a/src/merlinthread/registry.py
+++ b/src/merlinthread/registry.py
@@ -1,4 +1,4 @@
-"""A table of named things that decorators fill: policies, roles, message types."""
+"""Registries of named objects, filled by decorators: policies, roles, message types."""
 
 from collections.abc import Callable, Iterator
 from typing import Generic, TypeVar
@@ -7,30 +7,30 @@
 
 
 class Registry(Generic[T]):
-    """Names mapped to objects of one sort; `what` names that sort in error messages."""
+    """A map of names to objects of one kind; `kind` names it in error messages."""
 
-    def __init__(self, what: str) -> None:
-        self.what = what
+    def __init__(self, kind: str) -> None:
+        self.kind = kind
         self.entries: dict[str, T] = {}
 
     def add(self, name: str) -> Callable[[T], T]:
-        """Return a decorator that files its object under `name`.
+        """Return a decorator that registers its object as `name`.
 
-        Raises ValueError if the name is taken.
+        The decorator raises ValueError if the name is already registered.
         """
 
-        def file_under_name(item: T) -> T:
+        def register(item: T) -> T:
             if name in self.entries:
-                raise ValueError(f"{self.what} {name!r} is registered twice")
+                raise ValueError(f"{self.kind} {name!r} is registered twice")
             self.entries[name] = item
             return item
 
-        return file_under_name
+        return register
 
     def get(self, name: str) -> T:
-        """Return the object filed under `name`; raise KeyError naming what there is."""
+        """Return the object registered as `name`; raise KeyError listing the known names."""
         if name not in self.entries:
-            raise KeyError(f"no {self.what} {name!r}; there is {', '.join(sorted(self.entries))}")
+            raise KeyError(f"no {self.kind} {name!r}; there is {', '.join(sorted(self.entries))}")
         return self.entries[name]
 
     def __iter__(self) -> Iterator[str]:
