--- a/src/merlinthread/nodes/attempts.py
+++ b/src/merlinthread/nodes/attempts.py
@@ -320,7 +320,7 @@
             for item in splitter.feed(bytes(event.data)):
                 self.pool.note_first(self.place)
                 await self.relay.give_event(item, head)
-        if splitter.rest.strip():
+        if splitter.buffer.strip():
             raise errors.ProtocolError("the stream ended inside an event")
         await self.relay.finish(head)
         return Outcome(State.DONE, "answered", head)
--- a/src/merlinthread/protocol/event_stream.py
+++ b/src/merlinthread/protocol/event_stream.py
@@ -19,15 +19,15 @@
     """Buffers bytes and returns the events that are complete."""
 
     def __init__(self) -> None:
-        self.rest = b""
+        self.buffer = b""
 
     def feed(self, data: bytes) -> list[RawEvent]:
         """Return the events that `data` completes.
 
         Raises ProtocolError if the incomplete event exceeds EVENT_BYTES_MAX.
         """
-        *complete, self.rest = (self.rest + data).split(b"\n\n")
-        if len(self.rest) > EVENT_BYTES_MAX:
+        *complete, self.buffer = (self.buffer + data).split(b"\n\n")
+        if len(self.buffer) > EVENT_BYTES_MAX:
             raise errors.ProtocolError(f"an event is longer than {EVENT_BYTES_MAX} bytes")
         return [RawEvent(text + b"\n\n", parse_event_id(text)) for text in complete]
 
--- a/tests/test_fleet_deciders.py
+++ b/tests/test_fleet_deciders.py
@@ -236,7 +236,7 @@
         for start in range(0, len(text), size):
             found += splitter.feed(text[start : start + size])
         assert [event.event_id for event in found] == ["1", "2"]
-        assert b"".join(event.data for event in found) + splitter.rest == text
+        assert b"".join(event.data for event in found) + splitter.buffer == text
 
 
 def make_zoned(me: str, names: dict[str, int]) -> fetch.FetchPlan:
