--- a/tests/test_border.py
+++ b/tests/test_border.py
@@ -1,4 +1,7 @@
-"""Bad settings, bundles and commands get one clear line: file, field, value, remedy."""
+"""Invalid settings, bundles and messages are rejected with a one-line error.
+
+The error names the file, the field, its value and the remedy.
+"""
 
 import json
 import pathlib
@@ -13,7 +16,7 @@
 from merlinthread.protocol import bundle_file, codec, error_responses, messages
 
 DIGEST = "0" * 64
-GOOD_SETTINGS = {
+VALID_SETTINGS = {
     "name": "entry-1",
     "availability_zone": "cuyo",
     "region": "west",
@@ -22,24 +25,24 @@
     "bus": "127.0.0.1:9000",
     "entry": {"controls": ["127.0.0.1:9100"]},
 }
-GOOD_BUNDLE = {
+VALID_BUNDLE = {
     "version": 1,
     "models": [{"name": "hint", "version": "v1", "manifest": DIGEST, "share_percent": 60}],
     "groups": [{"name": "solvers", "share_percent": 50, "accounts": ["a1"]}],
 }
 
 
-def changed(base: dict, path: str, value: object) -> dict:
-    """Return a copy with the value at a dotted path replaced; None removes it."""
+def with_value(base: dict, path: str, value: object) -> dict:
+    """Return a copy with the value at a dotted path replaced, or removed if it is None."""
     copy = json.loads(json.dumps(base))
-    place = copy
+    parent = copy
     *parents, last = path.split(".")
     for part in parents:
-        place = place[int(part) if part.isdigit() else part]
+        parent = parent[int(part) if part.isdigit() else part]
     if value is None:
-        del place[last]
+        del parent[last]
     else:
-        place[last] = value
+        parent[last] = value
     return copy
 
 
@@ -61,13 +64,13 @@
 )
 def test_bad_settings_name_file_key_value_and_remedy(path, value, expected):
     with pytest.raises(errors.SettingsError) as caught:
-        settings.parse(json.dumps(changed(GOOD_SETTINGS, path, value)), "entry.json")
+        settings.parse(json.dumps(with_value(VALID_SETTINGS, path, value)), "entry.json")
     assert caught.value.message.startswith("entry.json: ")
     assert expected in caught.value.message
 
 
 def test_settings_may_have_comments():
-    text = "// the entry of Cuyo\n" + json.dumps(GOOD_SETTINGS)
+    text = "// the entry of Cuyo\n" + json.dumps(VALID_SETTINGS)
     assert settings.parse(text, "entry.json").availability_zone == "cuyo"
 
 
@@ -86,17 +89,19 @@
 )
 def test_bad_bundles_name_the_field(path, value, field):
     with pytest.raises(errors.BundleError) as caught:
-        bundle_file.from_data(changed(GOOD_BUNDLE, path, value), "bundle.json")
+        bundle_file.from_data(with_value(VALID_BUNDLE, path, value), "bundle.json")
     assert caught.value.field == field
 
 
 def test_shares_over_100_percent_are_refused():
     more = [{"name": "crews", "share_percent": 51, "accounts": ["b1"]}]
     with pytest.raises(errors.BundleError, match="adds up to 101"):
-        bundle_file.from_data(dict(GOOD_BUNDLE, groups=GOOD_BUNDLE["groups"] + more), "bundle.json")
+        bundle_file.from_data(
+            dict(VALID_BUNDLE, groups=VALID_BUNDLE["groups"] + more), "bundle.json"
+        )
 
 
-JSON_LIKE = st.recursive(
+JSON_VALUES = st.recursive(
     st.none() | st.booleans() | st.integers() | st.floats() | st.text(max_size=20),
     lambda inner: st.lists(inner, max_size=4)
     | st.dictionaries(
@@ -108,13 +113,13 @@
 )
 
 
-@given(JSON_LIKE)
+@given(JSON_VALUES)
 def test_any_json_as_bundle_or_settings_gives_a_clear_error(data):
-    for read, kind in (
+    for read, error_type in (
         (lambda: bundle_file.from_data(data, "f"), errors.BundleError),
         (lambda: settings.parse(json.dumps(data), "f"), errors.SettingsError),
     ):
-        with pytest.raises(kind) as caught:
+        with pytest.raises(error_type) as caught:
             read()
         assert "\n" not in caught.value.message
 
@@ -135,15 +140,15 @@
 
 
 def test_a_changed_or_foreign_message_is_refused():
-    ours = messages.make_codec([codec.Key(b"k" * 32)])
-    frame = bytearray(ours.encode(messages.ManifestRequest("abc")))
-    assert ours.decode(bytes(frame)) == messages.ManifestRequest("abc")
+    trusted_codec = messages.make_codec([codec.Key(b"k" * 32)])
+    frame = bytearray(trusted_codec.encode(messages.ManifestRequest("abc")))
+    assert trusted_codec.decode(bytes(frame)) == messages.ManifestRequest("abc")
     frame[-1] ^= 1
     with pytest.raises(errors.ProtocolError, match="checksum"):
-        ours.decode(bytes(frame))
-    foreign = messages.make_codec([codec.Key(b"f" * 32)])
+        trusted_codec.decode(bytes(frame))
+    foreign_codec = messages.make_codec([codec.Key(b"f" * 32)])
     with pytest.raises(errors.ProtocolError, match="mesh_keys"):
-        ours.decode(foreign.encode(messages.ManifestRequest("abc")))
+        trusted_codec.decode(foreign_codec.encode(messages.ManifestRequest("abc")))
 
 
 def test_keys_rotate_without_a_gap():
@@ -165,7 +170,7 @@
         assert answer.exit_code != 0
 
 
-def run(*arguments: str) -> subprocess.CompletedProcess:
+def run_module(*arguments: str) -> subprocess.CompletedProcess:
     return subprocess.run(
         [sys.executable, "-m", *arguments], capture_output=True, text=True, timeout=60
     )
@@ -173,12 +178,12 @@
 
 def test_the_daemon_checks_and_explains_its_settings(tmp_path: pathlib.Path):
     path = tmp_path / "entry.json"
-    path.write_text(json.dumps(GOOD_SETTINGS))
-    done = run("merlinthread.daemon", "--config", str(path), "--check")
+    path.write_text(json.dumps(VALID_SETTINGS))
+    done = run_module("merlinthread.daemon", "--config", str(path), "--check")
     assert done.returncode == 0
     assert "entry.poll_every_s = 0.25" in done.stdout
-    path.write_text(json.dumps(changed(GOOD_SETTINGS, "http.port", 0)))
-    done = run("merlinthread.daemon", "--config", str(path), "--check")
+    path.write_text(json.dumps(with_value(VALID_SETTINGS, "http.port", 0)))
+    done = run_module("merlinthread.daemon", "--config", str(path), "--check")
     assert done.returncode == 2
     assert f"{path}: http.port: 0 is refused" in done.stderr
     assert "Traceback" not in done.stderr
@@ -186,14 +191,14 @@
 
 def test_the_command_line_refuses_a_bad_bundle_with_its_exit_code(tmp_path: pathlib.Path):
     path = tmp_path / "bundle.json"
-    path.write_text(json.dumps(changed(GOOD_BUNDLE, "models.0.share_percent", 200)))
-    done = run("merlinthread.cli.main", "bundle", "check", str(path), "--json")
+    path.write_text(json.dumps(with_value(VALID_BUNDLE, "models.0.share_percent", 200)))
+    done = run_module("merlinthread.cli.main", "bundle", "check", str(path), "--json")
     assert done.returncode == error_responses.RESPONSES[errors.ErrorKind.BAD_BUNDLE].exit_code
     assert json.loads(done.stdout)["field"] == "models.0.share_percent"
 
 
 def test_the_command_line_starts_without_the_daemon_s_libraries():
-    done = run("merlinthread.cli.main", "list")
+    done = run_module("merlinthread.cli.main", "list")
     assert "bundle" in done.stdout
     code = (
         "import sys; from merlinthread.cli import main; main.make_application();"
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -1,4 +1,4 @@
-"""From a failed request's id to its cause, over log lines kept from a played day."""
+"""`explain` finds the cause of a failed request by its id, in recorded log lines."""
 
 import pathlib
 
@@ -9,7 +9,7 @@
 LOGS = pathlib.Path(__file__).parent / "data" / "explain"
 
 
-def read_all() -> list[explain.Line]:
+def read_log_lines() -> list[explain.Line]:
     return [line for path in sorted(LOGS.iterdir()) for line in explain.read(path)]
 
 
@@ -23,17 +23,17 @@
     ],
 )
 def test_the_cause_stands_in_what_is_shown(request_id, cause):
-    found = explain.explain(read_all(), request_id)
-    text = "\n".join(explain.sentence(line) for line in found)
-    assert found[-1].fields["request"] == request_id
+    explained = explain.explain(read_log_lines(), request_id)
+    text = "\n".join(explain.sentence(line) for line in explained)
+    assert explained[-1].fields["request"] == request_id
     assert cause in text
 
 
 def test_what_the_entry_came_to_believe_before_is_shown_first():
-    found = explain.explain(read_all(), "59595bc069a2e844")
-    assert {line.fields["process"] for line in found} == {"front-nbo-c-1"}
-    assert [line.at for line in found] == sorted(line.at for line in found)
+    explained = explain.explain(read_log_lines(), "59595bc069a2e844")
+    assert {line.fields["process"] for line in explained} == {"front-nbo-c-1"}
+    assert [line.at for line in explained] == sorted(line.at for line in explained)
 
 
 def test_an_unknown_request_explains_nothing():
-    assert explain.explain(read_all(), "0000") == []
+    assert explain.explain(read_log_lines(), "0000") == []
--- a/tests/test_new_back_ends.py
+++ b/tests/test_new_back_ends.py
@@ -1,10 +1,7 @@
-"""A plain back end that has just started takes its part of the requests.
+"""A back end that has just started gets its share of the requests.
 
-What was seen: of some 370 requests of an entry in the 4 s after a plain back end had started, it
-got none or one, seven others 31 to 199 each, though all were idle enough. Cause: it was taken to
-need 0.1 s a request until answers told otherwise, so one that had a request running looked better
-than it, and no answer came. What proved it: with what the others need as its starting guess it gets
-as many as they do.
+Guards against an initial estimate of the service time so high that the back end is never chosen,
+and the estimate therefore never corrected.
 """
 
 import asyncio
@@ -18,14 +15,14 @@
 
 WORK_S = 0.03
 RATE_PER_S = 100
-PART_MIN = 0.25
+MIN_SHARE_OF_MEAN = 0.25
 
 
-async def press(fleet: fed_fleet.FedFleet, seconds: float) -> None:
+async def send_requests(fleet: fed_fleet.FedFleet, seconds: float) -> None:
     tasks = []
-    began = fleet.now()
+    started_at = fleet.now()
     for number in range(round(RATE_PER_S * seconds)):
-        await asyncio.sleep(began + number / RATE_PER_S - fleet.now())
+        await asyncio.sleep(started_at + number / RATE_PER_S - fleet.now())
         tasks.append(asyncio.create_task(fleet.ask()))
     assert {answer.status for answer in await asyncio.gather(*tasks)} == {200}
 
@@ -33,19 +30,19 @@
 def test_a_back_end_that_has_just_started_takes_its_part():
     async def scenario():
         fleet = await fed_fleet.FedFleet("safe", 8, WORK_S).start()
-        await press(fleet, 2.0)
+        await send_requests(fleet, 2.0)
         added = fleet_worker.Worker("i-new")
         added.behaviour.work_s = WORK_S
         await added.start()
         before = [len(worker.runs) for worker in fleet.workers]
         fleet.workers.append(added)
         fleet.feed(fleet.workers)
-        await press(fleet, 2.0)
-        others = [
+        await send_requests(fleet, 2.0)
+        request_counts = [
             len(worker.runs) - count for worker, count in zip(fleet.workers, before, strict=False)
         ]
-        mean = sum(others) / len(others)
-        assert len(added.runs) >= PART_MIN * mean, (len(added.runs), others)
+        mean = sum(request_counts) / len(request_counts)
+        assert len(added.runs) >= MIN_SHARE_OF_MEAN * mean, (len(added.runs), request_counts)
 
     asyncio.run(scenario())
 
@@ -79,8 +76,8 @@
     slower = backend_record.Backend("slower", "safe", "a:2", "zone", 0, 8)
     for backend, work_s in ((quicker, 0.0213), (slower, 0.0214)):
         backend.work = backend_record.WorkTime(work_s, answers=1000)
-    taken = [
+    chosen = [
         dispatch.choose([quicker, slower], dispatch.Demand("safe"), None, 0.0, rng).backend
         for _ in range(100)
     ]
-    assert 30 <= taken.count(slower) <= 70
+    assert 30 <= chosen.count(slower) <= 70
--- a/tests/test_unread_words.py
+++ b/tests/test_unread_words.py
@@ -1,7 +1,6 @@
-"""What back ends begin to say and nobody reads is told to operators by the entry that hears it.
+"""Entries log response headers of back ends that they do not know, once for each name.
 
-What was seen: back ends asked for less work, in words that were new in their answers, and got more;
-it showed in what they suffered. Cause: an answer's header without a reader passes in silence.
+Guards against back ends that ask for less work in headers which entries ignore silently.
 """
 
 import asyncio
@@ -14,23 +13,23 @@
 from tests import fed_fleet
 
 
-def unread(headers) -> frozenset[str]:
+def unread_headers(headers) -> frozenset[str]:
     return dialect.PlatformDialect().answer_facts(200, headers).unread
 
 
 def test_a_header_without_a_reader_is_found_and_those_of_http_are_none():
     headers = [(b"Server-Mood", b"3"), (b"Content-Length", b"0"), (b"Date", b"x")]
-    assert unread(headers) == {"server-mood"}
+    assert unread_headers(headers) == {"server-mood"}
 
 
 @pytest.mark.parametrize("name", sorted(names.READ_IN_ANSWERS | names.UNUSED_IN_ANSWERS))
 def test_what_is_read_or_known_is_not_told(name):
-    assert unread([(name, b"1")]) == frozenset()
+    assert unread_headers([(name, b"1")]) == frozenset()
 
 
 def test_each_new_word_of_answers_is_told_once_with_who_said_it(monkeypatch):
-    lines = []
-    monkeypatch.setattr(logs, "event", lambda name, **fields: lines.append((name, fields)))
+    events = []
+    monkeypatch.setattr(logs, "event", lambda name, **fields: events.append((name, fields)))
 
     async def scenario():
         fleet = await fed_fleet.FedFleet("safe", 2, work_s=0.0).start()
@@ -40,16 +39,16 @@
             assert (await fleet.ask()).status == 200
 
     asyncio.run(scenario())
-    told = [fields for name, fields in lines if name == "answer_word_unread"]
-    assert [line["header"] for line in told] == ["server-mood"]
-    assert told[0]["instance"] in ("i-0", "i-1") and told[0]["request"]
+    logged = [fields for name, fields in events if name == "answer_word_unread"]
+    assert [fields["header"] for fields in logged] == ["server-mood"]
+    assert logged[0]["instance"] in ("i-0", "i-1") and logged[0]["request"]
 
 
 def test_a_back_end_that_makes_up_names_fills_neither_memory_nor_log(monkeypatch):
-    lines = []
-    monkeypatch.setattr(logs, "event", lambda name, **fields: lines.append(name))
-    taker = signal_taker.SignalTaker(None, None, lambda: 0.0)  # type: ignore[arg-type]
+    events = []
+    monkeypatch.setattr(logs, "event", lambda name, **fields: events.append(name))
+    recorder = signal_taker.SignalTaker(None, None, lambda: 0.0)  # type: ignore[arg-type]
     for number in range(10 * signal_taker.UNREAD_MAX):
-        taker.note_unread([f"x-{number}"], "i-0", "id-1")
-    assert len(taker.unread) == len(lines) == signal_taker.UNREAD_MAX
+        recorder.note_unread([f"x-{number}"], "i-0", "id-1")
+    assert len(recorder.unread) == len(events) == signal_taker.UNREAD_MAX
     assert metrics.unread_words._value.get() == signal_taker.UNREAD_MAX
