--- a/bench/control.py
+++ b/bench/control.py
@@ -168,7 +168,7 @@
         while time.monotonic() < stop_at:
             key = f"bench {number} {counts[number]}"
             claim = commands.Claim(key, "0" * 64, "attempt", time.time())
-            name = mesh.names_by_type[commands.Claim]
+            name = mesh.names[commands.Claim]
             command = codec.msgspec.msgpack.encode((name, claim))
             caller.call(messages.CommandRequest(command), 5.0)
             counts[number] += 1
--- a/bench/release_bytes.py
+++ b/bench/release_bytes.py
@@ -71,7 +71,7 @@
 def write(path: pathlib.Path) -> None:
     """Write the samples of the build on the path."""
     found = commands()
-    frames = {name: CODEC.encode(sample(kind)).hex() for name, kind in CODEC.types_by_name.items()}
+    frames = {name: CODEC.encode(sample(kind)).hex() for name, kind in CODEC.types.items()}
     state = msgspec.msgpack.encode(sample(fleet_state.FleetState)).hex()
     samples = {
         "messages": frames,
@@ -98,7 +98,7 @@
 def is_message(name: str, text: str) -> bool:
     """Return whether a frame is read as the message of that name."""
     try:
-        return CODEC.names_by_type[type(CODEC.decode(bytes.fromhex(text)))] == name
+        return CODEC.names[type(CODEC.decode(bytes.fromhex(text)))] == name
     except errors.ProtocolError:
         return False
 
--- a/src/merlinthread/protocol/codec.py
+++ b/src/merlinthread/protocol/codec.py
@@ -50,13 +50,11 @@
     """
 
     def __init__(self, registries: list[registry.Registry[type]], keys: list[Key]) -> None:
-        self.types_by_name: dict[str, type] = {}
+        self.types: dict[str, type] = {}
         for message_registry in registries:
-            self.types_by_name.update(message_registry.entries)
-        self.names_by_type = {kind: name for name, kind in self.types_by_name.items()}
-        self.decoders = {
-            name: msgspec.msgpack.Decoder(kind) for name, kind in self.types_by_name.items()
-        }
+            self.types.update(message_registry.entries)
+        self.names = {kind: name for name, kind in self.types.items()}
+        self.decoders = {name: msgspec.msgpack.Decoder(kind) for name, kind in self.types.items()}
         self.envelope_decoder = msgspec.msgpack.Decoder(tuple[str, msgspec.Raw])
         self.set_keys(keys)
 
@@ -67,7 +65,7 @@
 
     def encode(self, message: Any) -> bytes:
         """Return the frame for `message`; raise KeyError if its type is not registered."""
-        name = self.names_by_type[type(message)]
+        name = self.names[type(message)]
         body = msgspec.msgpack.encode((name, message))
         body = UNCOMPRESSED + body if name in INCOMPRESSIBLE_MESSAGES else self.compress(body)
         if self.signing_key is None:
--- a/src/merlinthread/roles/entry.py
+++ b/src/merlinthread/roles/entry.py
@@ -270,7 +270,7 @@
         Raises ControlError (no_majority) if no leader took it before `deadline`, and
         outcome_unknown if one may have.
         """
-        name = self.parts.codec.names_by_type[type(command)]
+        name = self.parts.codec.names[type(command)]
         message = messages.CommandRequest(msgspec.msgpack.encode((name, command)))
         if not hasattr(self.local, "callers"):
             self.local.callers = bus.Callers(self.parts.codec)
--- a/src/merlinthread/roles/log_task.py
+++ b/src/merlinthread/roles/log_task.py
@@ -175,7 +175,7 @@
         """Put a command into the log; its answer comes when it is applied."""
         if now < self.full_until:
             raise errors.DiskFullError(f"{self.folder.path}: no room on the disk; free some space")
-        name = self.parts.codec.names_by_type[type(command)]
+        name = self.parts.codec.names[type(command)]
         index = self.raft.propose(msgspec.msgpack.encode((name, command)), now)
         self.waiting[index] = (self.raft.hard_state.term, answer)
 
