--- a/src/merlinthread/cli/bundle_commands.py
+++ b/src/merlinthread/cli/bundle_commands.py
@@ -67,7 +67,7 @@
     def act(self) -> int:
         """Propose the bundle."""
         bundle = read_bundle(self.argument("file"))
-        call = operator_calls.ProposeCall(
+        call = operator_calls.ProposeRequest(
             self.request_id(), self.operator(), msgspec.to_builtins(bundle)
         )
         return self.send("/v1/bundles", call)
@@ -75,7 +75,7 @@
     def send(self, path: str, call: Any) -> int:
         """Send a command and show its result."""
         result = msgspec.json.decode(
-            self.controls().call("POST", path, call), type=operator_calls.Result
+            self.controls().call("POST", path, call), type=operator_calls.CommandResult
         )
         rows = [("status", result.status), ("version", result.version), ("digest", result.digest)]
         if result.generation:
@@ -104,7 +104,7 @@
             raise errors.RequestError("--key: give the file with your private key")
         private = pathlib.Path(self.option("key")).read_text(encoding="utf-8")
         shown = msgspec.json.decode(
-            self.controls().call("GET", f"/v1/bundles/{version}"), type=operator_calls.BundleShown
+            self.controls().call("GET", f"/v1/bundles/{version}"), type=operator_calls.BundleDetails
         )
         bundle = bundle_file.from_data(shown.bundle, "the proposed bundle")
         digest = bundles.digest(bundle)
@@ -116,7 +116,7 @@
             )
         return self.send(
             "/v1/signatures",
-            operator_calls.SignCall(
+            operator_calls.SignRequest(
                 self.request_id(),
                 self.operator(),
                 version,
@@ -137,7 +137,7 @@
 
     def act(self) -> int:
         """Roll, and with --wait follow it."""
-        call = operator_calls.RollCall(
+        call = operator_calls.RollRequest(
             self.request_id(), self.operator(), self.version_argument(), self.is_back
         )
         code = self.send("/v1/rolls", call)
@@ -207,7 +207,7 @@
     def act(self) -> int:
         """Show the bundle."""
         data = self.controls().call("GET", f"/v1/bundles/{self.version_argument()}")
-        shown = msgspec.json.decode(data, type=operator_calls.BundleShown)
+        shown = msgspec.json.decode(data, type=operator_calls.BundleDetails)
         line = shown.line
         rows = [
             ("version", line.version),
@@ -252,6 +252,6 @@
         return 0
 
 
-def kind_of(roll: operator_calls.RollLine) -> str:
+def kind_of(roll: operator_calls.RollSummary) -> str:
     """Return the name of a roll's kind."""
     return "rollback" if roll.is_back else "roll"
--- a/src/merlinthread/daemon.py
+++ b/src/merlinthread/daemon.py
@@ -7,7 +7,7 @@
 import threading
 
 from merlinthread import __version__, errors, logs, settings
-from merlinthread.protocol import answers, codec, messages
+from merlinthread.protocol import codec, error_responses, messages
 from merlinthread.roles import agent, base, control, entry
 from merlinthread.transport import http_server
 
@@ -22,7 +22,7 @@
     def __init__(self, path: pathlib.Path, config: settings.Settings) -> None:
         self.path = path
         self.config = config
-        keys = [codec.key_from_hex(text) for text in config.mesh_keys]
+        keys = [codec.parse_key(text) for text in config.mesh_keys]
         server = http_server.Server(
             config.http.address, config.http.port, config.http.threads, config.http.body_bytes_max
         )
@@ -68,10 +68,10 @@
         try:
             changed = settings.load(self.path)
         except errors.SettingsError as error:
-            logs.warn("reload_refused", reason=error.message)
+            logs.warning("reload_refused", reason=error.message)
             return
-        self.parts.codec.set_keys([codec.key_from_hex(text) for text in changed.mesh_keys])
-        logs.set_up(changed.name, changed.log.level)
+        self.parts.codec.set_keys([codec.parse_key(text) for text in changed.mesh_keys])
+        logs.configure(changed.name, changed.log.level)
         for role in self.roles:
             role.reload(changed)
         logs.event("reloaded")
@@ -89,7 +89,7 @@
         ]
         is_drained = self.parts.in_flight.drain(max(timeouts, default=0.0))
         if not is_drained:
-            logs.warn("drain_timeout", in_flight=self.parts.in_flight.count)
+            logs.warning("drain_timeout", in_flight=self.parts.in_flight.count)
         self.parts.http.stop()
         for role in self.roles:
             role.stop()
@@ -117,11 +117,11 @@
             print("\n".join(settings.explain(config)))
             print("settings: ok")
             return 0
-        logs.set_up(config.name, config.log.level)
+        logs.configure(config.name, config.log.level)
         return Daemon(options.config, config).run()
     except errors.MerlinthreadError as error:
         print(f"merlinthreadd: {error.kind}: {error.message}", file=sys.stderr)
-        return answers.TABLE[error.kind].exit_code
+        return error_responses.RESPONSES[error.kind].exit_code
 
 
 if __name__ == "__main__":
--- a/src/merlinthread/nodes/agent_node.py
+++ b/src/merlinthread/nodes/agent_node.py
@@ -79,15 +79,15 @@
 
     def on_datagram(self, message: Any) -> None:
         """Take a note of an entry or another agent, or answer an entry's question."""
-        if isinstance(message, node_messages.Subscribe):
+        if isinstance(message, node_messages.LoadSubscription):
             self.subscribers[message.address] = self.clock() + SUBSCRIBED_S
-        elif isinstance(message, node_messages.AttemptNote):
+        elif isinstance(message, node_messages.AttemptNotice):
             self.on_attempt(message)
-        elif isinstance(message, node_messages.PieceNote | node_messages.PieceClaim):
+        elif isinstance(message, node_messages.PieceNotice | node_messages.PieceClaim):
             self.weights.on_note(message)
         elif isinstance(message, node_messages.LoadQuery) and self.told is not None:
             others = self.ledger.outstanding(message.address, self.clock())
-            answer = node_messages.LoadAnswer(
+            answer = node_messages.LoadReply(
                 message.number,
                 others.attempts,
                 others.unread,
@@ -97,20 +97,20 @@
             )
             self.datagrams.send(message.address, answer)
 
-    def on_attempt(self, note: node_messages.AttemptNote) -> None:
+    def on_attempt(self, note: node_messages.AttemptNotice) -> None:
         """Keep account of an attempt on the engine."""
-        if note.stage is node_messages.Stage.SENT:
+        if note.stage is node_messages.AttemptStage.SENT:
             self.ledger.began(note.entry, note.number, note.tokens, self.clock())
-        elif note.stage is node_messages.Stage.READ:
+        elif note.stage is node_messages.AttemptStage.READ:
             self.ledger.read(note.entry, note.number)
         else:
             self.ledger.ended(note.entry, note.number)
 
-    def load(self, report: fleet.EngineReport, entry: str) -> node_messages.Load:
+    def load(self, report: fleet.EngineReport, entry: str) -> node_messages.LoadUpdate:
         """Return the load as an entry is told it."""
         self.sequence += 1
         others = self.ledger.outstanding(entry, self.clock())
-        return node_messages.Load(self.settings.engine, self.sequence, report, others)
+        return node_messages.LoadUpdate(self.settings.engine, self.sequence, report, others)
 
     async def on_message(self, message: Any) -> Any:
         """Answer another agent."""
--- a/src/merlinthread/nodes/control_calls.py
+++ b/src/merlinthread/nodes/control_calls.py
@@ -9,7 +9,7 @@
 from merlinthread.coordination import fleet, fleet_state, instances
 from merlinthread.nodes import dialect as dialects
 from merlinthread.nodes import log_member
-from merlinthread.protocol import answers, node_messages
+from merlinthread.protocol import error_responses, node_messages
 from merlinthread.transport import http_messages, node_bus, stream_server
 
 # How long a call that is passed on to the leader may take, in seconds.
@@ -103,20 +103,22 @@
         body = zlib.decompress(reply.body)
         return http_messages.Response(200, [(b"content-type", b"application/json")], body)
 
-    async def read(self) -> node_messages.ReadReply:
+    async def read(self) -> node_messages.ConfigurationReply:
         """Return the newest configuration, from the leader."""
         if self.member.raft.is_leader():
             return self.read_here()
         leader = self.member.leader_address()
         if not leader or leader == self.member.address:
             raise errors.NotLeaderError("no leader is known", "")
-        return await self.caller.call(leader, node_messages.Read(), FORWARD_TIMEOUT_S)
+        return await self.caller.call(
+            leader, node_messages.ConfigurationRequest(), FORWARD_TIMEOUT_S
+        )
 
-    def read_here(self) -> node_messages.ReadReply:
+    def read_here(self) -> node_messages.ConfigurationReply:
         """Return the newest configuration if this member surely leads."""
         if not self.member.holds_lease():
             raise errors.NotLeaderError("this member does not surely lead", "")
-        return node_messages.ReadReply(self.member.state.version, self.member.state.body)
+        return node_messages.ConfigurationReply(self.member.state.version, self.member.state.body)
 
 
 def ok() -> http_messages.Response:
@@ -126,10 +128,10 @@
 
 def refusal(error: errors.MerlinthreadError) -> http_messages.Response:
     """Return the answer that tells `error`."""
-    body = answers.body_of(error)
+    body = error_responses.error_body(error)
     headers = [(b"content-type", b"application/json")]
     if body.retry_after_s is not None:
         headers.append((b"retry-after", b"%g" % body.retry_after_s))
     return http_messages.Response(
-        answers.TABLE[error.kind].status, headers, msgspec.json.encode(body)
+        error_responses.RESPONSES[error.kind].status, headers, msgspec.json.encode(body)
     )
--- a/src/merlinthread/nodes/control_node.py
+++ b/src/merlinthread/nodes/control_node.py
@@ -169,7 +169,7 @@
                 raise errors.NotLeaderError("no leader is known", "")
             self.member.check_leader_reads(encoded, leader)
             reply = await self.caller.call(
-                leader, node_messages.Submit(encoded), control_calls.FORWARD_TIMEOUT_S
+                leader, node_messages.CommandRequest(encoded), control_calls.FORWARD_TIMEOUT_S
             )
             return reply.is_applied
 
@@ -179,38 +179,38 @@
         """Answer an entry that asks for a permit."""
         if isinstance(message, node_messages.LoadQuery) and message.permit is not None:
             permit = self.permits.answer(message)
-            answer = node_messages.LoadAnswer(message.number, 0, 0, 0.0, permit=permit)
+            answer = node_messages.LoadReply(message.number, 0, 0, 0.0, permit=permit)
             self.datagrams.send(message.address, answer)
 
     async def on_message(self, message: Any) -> Any:
         """Answer one call of another node."""
-        if isinstance(message, node_messages.LogMessages):
+        if isinstance(message, node_messages.RaftFrames):
             self.member.receive(message.frames)
-            return node_messages.Ok(levels.NEWEST)
-        if isinstance(message, node_messages.Watch):
+            return node_messages.Acknowledgement(levels.NEWEST)
+        if isinstance(message, node_messages.WatchRequest):
             return await self.on_watch(message)
-        if isinstance(message, node_messages.Beats):
+        if isinstance(message, node_messages.HeartbeatBatch):
             for heartbeat in message.heartbeats:
                 self.take(heartbeat)
             self.limits.take(message.limits)
-            return node_messages.Ok(levels.NEWEST)
+            return node_messages.Acknowledgement(levels.NEWEST)
         if isinstance(message, node_messages.CrashReport):
             self.crashes.take(message)
             self.limits.take_heard(message.limits)
-            return node_messages.Ok(levels.NEWEST)
-        if isinstance(message, node_messages.Submit):
+            return node_messages.Acknowledgement(levels.NEWEST)
+        if isinstance(message, node_messages.CommandRequest):
             async with asyncio.timeout(control_calls.FORWARD_TIMEOUT_S):
                 is_changed = await self.member.propose(message.command)
-            return node_messages.Submitted(is_changed, self.member.state.version)
-        if isinstance(message, node_messages.Read):
+            return node_messages.CommandReply(is_changed, self.member.state.version)
+        if isinstance(message, node_messages.ConfigurationRequest):
             return self.calls.read_here()
-        if isinstance(message, node_messages.Join):
+        if isinstance(message, node_messages.JoinRequest):
             return await self.member.members.on_join(message)
-        if isinstance(message, node_messages.Resign):
+        if isinstance(message, node_messages.LeaveRequest):
             return await self.member.members.on_resign(message)
         raise errors.ProtocolError(f"a control VM does not answer {type(message).__name__}")
 
-    async def on_watch(self, watch: node_messages.Watch) -> node_messages.News:
+    async def on_watch(self, watch: node_messages.WatchRequest) -> node_messages.WatchReply:
         """Answer with what is new, at once or as soon as there is something."""
         deadline = self.clock() + min(watch.wait_s, WATCH_WAIT_MAX_S)
         while not self.has_news(watch):
@@ -222,7 +222,7 @@
                     await self.changed.wait()
         return self.news(watch)
 
-    def has_news(self, watch: node_messages.Watch) -> bool:
+    def has_news(self, watch: node_messages.WatchRequest) -> bool:
         """Return whether there is anything that the asker does not know."""
         if watch.feed != self.feed or watch.position < self.registry.position:
             return True
@@ -232,7 +232,7 @@
             return True
         return watch.configuration < self.member.state.version
 
-    def news(self, watch: node_messages.Watch) -> node_messages.News:
+    def news(self, watch: node_messages.WatchRequest) -> node_messages.WatchReply:
         """Return what the asker does not know."""
         now = self.clock()
         position = watch.position if watch.feed == self.feed else 0
@@ -242,7 +242,7 @@
         suspicions_from = watch.suspicions if watch.feed == self.feed else min(0, watch.suspicions)
         suspicions = self.crashes.ledger.since(suspicions_from, now) if suspicions_from >= 0 else []
         limits_from = watch.limits if watch.feed == self.feed else min(0, watch.limits)
-        return node_messages.News(
+        return node_messages.WatchReply(
             self.feed,
             self.registry.position,
             is_full,
@@ -295,12 +295,12 @@
                 continue
             heartbeats, self.outgoing = self.outgoing, []
             limits = self.limits.pop_outgoing()
-            message = node_messages.Beats(self.settings.name, heartbeats, limits)
+            message = node_messages.HeartbeatBatch(self.settings.name, heartbeats, limits)
             for address in self.member.member_addresses():
                 if address != self.member.address:
                     asyncio.get_running_loop().create_task(self.pass_on(address, message))
 
-    async def pass_on(self, address: str, message: node_messages.Beats) -> None:
+    async def pass_on(self, address: str, message: node_messages.HeartbeatBatch) -> None:
         """Send heartbeats to one control VM; the next beat makes good for a lost one."""
         with contextlib.suppress(errors.MerlinthreadError):
             await self.caller.call(address, message, control_calls.FORWARD_TIMEOUT_S)
--- a/src/merlinthread/nodes/entry_node.py
+++ b/src/merlinthread/nodes/entry_node.py
@@ -92,15 +92,15 @@
 
     def subscribe(self, agent: str) -> None:
         """Ask one agent for its engine's load."""
-        self.datagrams.send(agent, node_messages.Subscribe(self.address))
+        self.datagrams.send(agent, node_messages.LoadSubscription(self.address))
 
     def on_datagram(self, message: Any) -> None:
         """Take an agent's report, or an answer to a question of this entry."""
-        if isinstance(message, node_messages.Load):
+        if isinstance(message, node_messages.LoadUpdate):
             self.pool.take_load(message)
-        elif isinstance(message, node_messages.LoadAnswer) and message.permit is not None:
+        elif isinstance(message, node_messages.LoadReply) and message.permit is not None:
             self.permits.take(message.number, message.permit)
-        elif isinstance(message, node_messages.LoadAnswer):
+        elif isinstance(message, node_messages.LoadReply):
             self.prober.take(message)
 
     def on_news(self) -> None:
@@ -150,7 +150,7 @@
         while self.server.connections and self.clock() < deadline:
             await asyncio.sleep(0.05)
         if self.server.count_active_requests():
-            logs.warn("cut_off", requests=self.server.count_active_requests())
+            logs.warning("cut_off", requests=self.server.count_active_requests())
 
 
 @node_roles.NODES.add("entry")
--- a/src/merlinthread/nodes/load_prober.py
+++ b/src/merlinthread/nodes/load_prober.py
@@ -42,13 +42,15 @@
             agent: future.result() if future.done() else None for agent, future in futures.items()
         }
 
-    def take(self, answer: node_messages.LoadAnswer) -> None:
+    def take(self, answer: node_messages.LoadReply) -> None:
         """Take an agent's answer; one that comes too late is dropped."""
         future = self.waiting.pop(answer.number, None)
         if future is not None and not future.done():
             others = load_ledger.Outstanding(answer.attempts, answer.unread, answer.tokens)
             future.set_result(load_ledger.EngineNow(others, answer.is_busy, answer.pace))
 
-    def note(self, agent: str, number: int, stage: node_messages.Stage, tokens: float) -> None:
+    def note(
+        self, agent: str, number: int, stage: node_messages.AttemptStage, tokens: float
+    ) -> None:
         """Note at an agent how far an attempt is."""
-        self.send(agent, node_messages.AttemptNote(self.address, number, stage, tokens))
+        self.send(agent, node_messages.AttemptNotice(self.address, number, stage, tokens))
--- a/src/merlinthread/nodes/log_sender.py
+++ b/src/merlinthread/nodes/log_sender.py
@@ -48,17 +48,17 @@
             queue.is_filled.clear()
             messages, queue.messages = queue.messages, []
             frames = [self.codec.encode(message) for message in messages]
-            await self.call(raft_members.address_of(receiver), node_messages.LogMessages(frames))
+            await self.call(raft_members.address_of(receiver), node_messages.RaftFrames(frames))
 
-    async def call(self, address: str, message: node_messages.LogMessages) -> None:
+    async def call(self, address: str, message: node_messages.RaftFrames) -> None:
         """Send messages to a member, and take the level that its answer tells."""
         try:
             reply = await self.caller.call(address, message, SEND_TIMEOUT_S)
         except errors.MerlinthreadError:
             self.levels.note_lost(address)
             return
-        if not isinstance(reply, node_messages.Ok):
-            logs.warn("member_answer_unknown", member=address, answer=type(reply).__name__)
+        if not isinstance(reply, node_messages.Acknowledgement):
+            logs.warning("member_answer_unknown", member=address, answer=type(reply).__name__)
         elif self.levels.note_told(address, reply.level):
             logs.event("member_level", member=address, level=reply.level)
 
--- a/src/merlinthread/nodes/member_changes.py
+++ b/src/merlinthread/nodes/member_changes.py
@@ -86,41 +86,41 @@
         silence_s = 0.0 if member.is_leader() else now - member.heard_leader_at
         if member.is_voter() and silence_s < ASK_AFTER_SILENCE_S:
             return
-        join = node_messages.Join(member.name, levels.NEWEST)
+        join = node_messages.JoinRequest(member.name, levels.NEWEST)
         members = [raft_members.address_of(name) for name in member.log.voters.members()]
         for address in set(self.settings.control_nodes()) | set(members):
             if address != self.address:
                 asyncio.get_running_loop().create_task(self.send_join(address, join))
 
-    async def send_join(self, address: str, join: node_messages.Join) -> None:
+    async def send_join(self, address: str, join: node_messages.JoinRequest) -> None:
         """Ask one control VM."""
         try:
             reply = await self.caller.call(address, join, ASK_TIMEOUT_S)
         except errors.MerlinthreadError as error:
             if error.kind is errors.ErrorKind.MEMBERSHIP_CHANGE_REFUSED:
-                logs.warn("join_refused", control=address, reason=error.message)
+                logs.warning("join_refused", control=address, reason=error.message)
                 return
-            logs.detail("join_unanswered", control=address, reason=error.message)
+            logs.debug("join_unanswered", control=address, reason=error.message)
             return
         if reply.is_removed and join.name == self.current().name:
             self.on_removed()
 
-    async def on_join(self, join: node_messages.Join) -> node_messages.Joined:
+    async def on_join(self, join: node_messages.JoinRequest) -> node_messages.JoinReply:
         """Note a joiner if this member leads; else pass it on, since it may not know the leader."""
         member = self.current()
         now = self.clock()
         if member.holds_lease(now):
             if join.name in member.log.voters.retired:
-                return node_messages.Joined(True)
+                return node_messages.JoinReply(True)
             self.check_level(join)
             self.joiners[join.name] = now
-            return node_messages.Joined(False)
+            return node_messages.JoinReply(False)
         leader = raft_members.address_of(member.leader)
         if leader and leader != self.address:
             return await self.caller.call(leader, join, ASK_TIMEOUT_S)
         raise errors.NotLeaderError("no leader is known", "")
 
-    def check_level(self, join: node_messages.Join) -> None:
+    def check_level(self, join: node_messages.JoinRequest) -> None:
         """Raise ControlError if a joiner tells that it can't read what the log holds."""
         written = self.written_level()
         if 0 < join.level < written:
@@ -173,9 +173,11 @@
         if not leader or leader == self.address:
             return False
         try:
-            reply = await self.caller.call(leader, node_messages.Resign(member.name), ASK_TIMEOUT_S)
+            reply = await self.caller.call(
+                leader, node_messages.LeaveRequest(member.name), ASK_TIMEOUT_S
+            )
         except errors.MerlinthreadError as error:
-            logs.detail("resign_unanswered", control=leader, reason=error.message)
+            logs.debug("resign_unanswered", control=leader, reason=error.message)
             return False
         return reply.may_end
 
@@ -184,7 +186,7 @@
         number = len(member.log.voters.voters)
         return member.is_voter() and log_repair.is_spare(number, 1, self.policy())
 
-    async def on_resign(self, resign: node_messages.Resign) -> node_messages.Resigned:
+    async def on_resign(self, resign: node_messages.LeaveRequest) -> node_messages.LeaveReply:
         """Note a leaver if this member leads."""
         member = self.current()
         now = self.clock()
@@ -192,9 +194,9 @@
             raise errors.NotLeaderError("this member does not surely lead", member.leader)
         if resign.name not in member.log.voters.voters:
             has_settled = not member.log.has_voters_after(member.commit)
-            return node_messages.Resigned(has_settled)
+            return node_messages.LeaveReply(has_settled)
         self.leaving[resign.name] = now
-        return node_messages.Resigned(False)
+        return node_messages.LeaveReply(False)
 
     # The leader's repairs
 
@@ -209,7 +211,7 @@
         try:
             member.change_voters(change, now)
         except errors.ControlError as error:
-            logs.detail("members_unchanged", reason=error.message)
+            logs.debug("members_unchanged", reason=error.message)
             return
         self.wake()
         self.tell(change, member, now)
--- a/src/merlinthread/platform/main.py
+++ b/src/merlinthread/platform/main.py
@@ -9,7 +9,7 @@
 from merlinthread import errors, logs
 from merlinthread.nodes import node_daemon, node_policy, node_roles
 from merlinthread.platform import dialect, names, settings_file
-from merlinthread.protocol import answers
+from merlinthread.protocol import error_responses
 
 
 def main(arguments: list[str]) -> int:
@@ -25,14 +25,14 @@
         policy = node_policy.load(pathlib.Path(policy_path)) if policy_path else None
         load = functools.partial(settings_file.load, policy=policy)
         settings = load(path)
-        logs.set_up_stream(settings.name, "info")
+        logs.configure_stdout(settings.name, "info")
         gc.freeze()
         gc.enable()
         wire = dialect.PlatformDialect()
         return node_daemon.run(role, path, load, wire, int(port))
     except errors.MerlinthreadError as error:
         print(f"merlinthread: {error.kind}: {error.message}", file=sys.stderr)
-        return answers.TABLE[error.kind].exit_code
+        return error_responses.RESPONSES[error.kind].exit_code
 
 
 if __name__ == "__main__":
--- /dev/null
+++ b/src/merlinthread/protocol/event_stream.py
@@ -0,0 +1,50 @@
+"""Split the bytes of an event stream into events, unmodified (WHATWG HTML, section 9.2)."""
+
+import dataclasses
+
+from merlinthread import errors
+
+EVENT_BYTES_MAX = 1024 * 1024
+
+
+@dataclasses.dataclass(slots=True)
+class RawEvent:
+    """The bytes of one event and its id, which is empty if there is none."""
+
+    data: bytes
+    event_id: str
+
+
+class EventSplitter:
+    """Buffers bytes and returns the events that are complete."""
+
+    def __init__(self) -> None:
+        self.buffer = b""
+
+    def feed(self, data: bytes) -> list[RawEvent]:
+        """Return the events that `data` completes.
+
+        Raises ProtocolError if the incomplete event exceeds EVENT_BYTES_MAX.
+        """
+        *complete, self.buffer = (self.buffer + data).split(b"\n\n")
+        if len(self.buffer) > EVENT_BYTES_MAX:
+            raise errors.ProtocolError(f"an event is longer than {EVENT_BYTES_MAX} bytes")
+        return [RawEvent(text + b"\n\n", parse_event_id(text)) for text in complete]
+
+
+def parse_event_id(text: bytes) -> str:
+    """Return the id of an event, or an empty string if it has none."""
+    for line in text.split(b"\n"):
+        if line.startswith(b"id:"):
+            return line[3:].strip().decode("ascii", "replace")
+    return ""
+
+
+def is_after(event_id: str, last: str) -> bool:
+    """Return whether an event follows the one with id `last`.
+
+    Ids that are not numbers always do.
+    """
+    if not last.isdigit() or not event_id.isdigit():
+        return True
+    return int(event_id) > int(last)
--- a/src/merlinthread/protocol/messages.py
+++ b/src/merlinthread/protocol/messages.py
@@ -1,4 +1,4 @@
-"""Messages between our own processes, apart from those of the replicated log."""
+"""Messages between processes, apart from those of the replicated log."""
 
 import dataclasses
 
@@ -14,8 +14,8 @@
 
 @MESSAGES.add("refused")
 @dataclasses.dataclass(slots=True)
-class Refused:
-    """The receiver could not do what was asked; `kind` names an error kind."""
+class ErrorReply:
+    """The reply to a request that failed; `kind` is the value of an error kind."""
 
     kind: str
     message: str
@@ -24,7 +24,10 @@
 @MESSAGES.add("heartbeat")
 @dataclasses.dataclass(slots=True)
 class Heartbeat:
-    """An agent's report to an entry; `is_home` for the one entry that tells the leader of it."""
+    """An agent's report to an entry.
+
+    `is_home` is true for the one entry that forwards the report to the leader.
+    """
 
     report: agents_.AgentReport
     is_home: bool
@@ -32,8 +35,8 @@
 
 @MESSAGES.add("beat")
 @dataclasses.dataclass(slots=True)
-class Beat:
-    """A heartbeat of an agent that has only its load to tell since its last full one."""
+class LoadHeartbeat:
+    """A heartbeat of an agent of which only the load changed since its last Heartbeat."""
 
     name: str
     incarnation: int
@@ -47,12 +50,12 @@
 @MESSAGES.add("heartbeat_reply")
 @dataclasses.dataclass(slots=True)
 class HeartbeatReply:
-    """An entry's answer to a heartbeat; `directive` is there only if the agent's is older.
+    """An entry's reply to a heartbeat; `directive` is set only if the agent's is older.
 
-    `wants_full` if the entry lacks the report that a beat builds on.
+    `wants_full` is true if the entry lacks the report that a LoadHeartbeat refers to.
 
-    For `lease_s` seconds from when the heartbeat was sent, no later incarnation of the agent gives
-    its target orders.
+    For `lease_s` seconds after the heartbeat was sent, no later incarnation of the agent sends
+    orders to its target.
     """
 
     entry: str
@@ -63,8 +66,8 @@
 
 @MESSAGES.add("poll")
 @dataclasses.dataclass(slots=True)
-class Poll:
-    """An entry asks a control VM for news."""
+class PollRequest:
+    """An entry's request to a control VM for what is newer than `revision`."""
 
     entry: str
     revision: int
@@ -73,10 +76,10 @@
 @MESSAGES.add("poll_reply")
 @dataclasses.dataclass(slots=True)
 class PollReply:
-    """A control VM's answer.
+    """A control VM's reply to a poll.
 
-    `leader_age_s` says how long ago it heard from the leader; `controls` are the addresses of
-    control VMs that joined after the first ones.
+    `leader_age_s` is the time since it last heard from the leader; `controls` are the addresses of
+    control VMs that joined after the initial ones.
     """
 
     control: str
@@ -89,8 +92,8 @@
 
 @MESSAGES.add("exchange")
 @dataclasses.dataclass(slots=True)
-class Exchange:
-    """One entry tells another what it and others reach, and asks for the same."""
+class ExchangeRequest:
+    """An entry's summaries of what it and others can reach, and a request for the receiver's."""
 
     entry: str
     revision: int
@@ -100,7 +103,7 @@
 @MESSAGES.add("exchange_reply")
 @dataclasses.dataclass(slots=True)
 class ExchangeReply:
-    """The other entry's view."""
+    """The reply to an ExchangeRequest, with the receiver's own summaries."""
 
     revision: int
     directive: control_state.Directive | None
@@ -109,8 +112,11 @@
 
 @MESSAGES.add("tell")
 @dataclasses.dataclass(slots=True)
-class Tell:
-    """An entry tells the leader what changed among the agents whose home it is."""
+class AgentChanges:
+    """An entry's report to the leader of changes among the agents it is responsible for.
+
+    With `is_full`, `changed` lists all of them.
+    """
 
     entry: str
     changed: list[agents_.AgentReport]
@@ -120,8 +126,8 @@
 
 @MESSAGES.add("told")
 @dataclasses.dataclass(slots=True)
-class Told:
-    """The leader's answer; `listener` changes when it has forgotten what it was told."""
+class AgentChangesReply:
+    """The leader's reply; `listener` changes when it no longer has the earlier changes."""
 
     listener: str
     wants_full: bool
@@ -129,8 +135,8 @@
 
 @MESSAGES.add("join")
 @dataclasses.dataclass(slots=True)
-class Join:
-    """A new control VM asks to take the place of a lost one."""
+class JoinRequest:
+    """A request of a new control VM to replace a lost one."""
 
     name: str
     identity: str
@@ -141,42 +147,43 @@
 
 @MESSAGES.add("command")
 @dataclasses.dataclass(slots=True)
-class Submit:
-    """An entry asks the leading control VM to commit a claim or its completion."""
+class CommandRequest:
+    """An entry's request to the leader to commit a claim or the completion of one."""
 
     command: bytes
 
 
 @MESSAGES.add("command_answer")
 @dataclasses.dataclass(slots=True)
-class Submitted:
-    """What the committed command led to."""
+class CommandReply:
+    """The result of the committed command."""
 
     answer: commands.Answer
 
 
 @MESSAGES.add("manifest_wanted")
 @dataclasses.dataclass(slots=True)
-class ManifestWanted:
-    """An agent asks another for a manifest."""
+class ManifestRequest:
+    """An agent's request to another for a manifest."""
 
     digest: str
 
 
 @MESSAGES.add("manifest")
 @dataclasses.dataclass(slots=True)
-class ManifestFound:
-    """The manifest's bytes; empty if it is not here."""
+class ManifestReply:
+    """The bytes of the manifest; empty if the receiver does not have it."""
 
     data: bytes
 
 
 @MESSAGES.add("chunk_wanted")
 @dataclasses.dataclass(slots=True)
-class ChunkWanted:
-    """An agent asks another for any one chunk of `wanted` and says what it has itself.
+class ChunkRequest:
+    """An agent's request to another for any one chunk of `wanted`.
 
-    Both are bit sets over the manifest's chunks, lowest first.
+    `wanted` and `held`, the chunks that the sender has, are bit sets over the chunks of the
+    manifest, lowest bit first.
     """
 
     agent: str
@@ -187,10 +194,10 @@
 
 @MESSAGES.add("chunk")
 @dataclasses.dataclass(slots=True)
-class ChunkFound:
-    """One chunk; `index` is -1 if none of the wanted ones is here, -2 if all upload slots are busy.
+class ChunkReply:
+    """One chunk, or NO_CHUNK or NO_UPLOAD_SLOT as its `index`.
 
-    `held` is a bit set of what the sender has, so that the asker knows whom to ask next.
+    `held` is the bit set of the chunks that the sender has.
     """
 
     index: int
@@ -198,10 +205,11 @@
     held: bytes
 
 
-NOTHING = -1
-BUSY = -2
+# Values of ChunkReply.index if none of the wanted chunks is available, or no upload slot is free.
+NO_CHUNK = -1
+NO_UPLOAD_SLOT = -2
 
 
 def make_codec(keys: list[codec.Key]) -> codec.Codec:
-    """Return the codec of all messages between our own processes."""
+    """Return the codec for these messages, Raft messages and commands."""
     return codec.Codec([MESSAGES, raft_messages.MESSAGES, commands.COMMANDS], keys)
--- a/src/merlinthread/protocol/operator_calls.py
+++ b/src/merlinthread/protocol/operator_calls.py
@@ -1,12 +1,12 @@
-"""The JSON bodies between the command line and the control VMs."""
+"""JSON bodies of the HTTP API that control VMs offer to operators."""
 
 import dataclasses
 from typing import Any
 
 
 @dataclasses.dataclass(slots=True)
-class ProposeCall:
-    """Put a bundle forward; `bundle` is validated apart."""
+class ProposeRequest:
+    """Propose a bundle; `bundle` is validated separately."""
 
     request_id: str
     operator: str
@@ -14,8 +14,8 @@
 
 
 @dataclasses.dataclass(slots=True)
-class SignCall:
-    """Sign a version with a digest; the signature is Ed25519, hex."""
+class SignRequest:
+    """Sign the bundle with this version and digest; `signature` is Ed25519, in hex."""
 
     request_id: str
     operator: str
@@ -25,8 +25,8 @@
 
 
 @dataclasses.dataclass(slots=True)
-class RollCall:
-    """Put a signed version in force; `is_back` allows only one that was in force before."""
+class RollRequest:
+    """Roll out a signed version; with `is_back`, only one that was in force before is allowed."""
 
     request_id: str
     operator: str
@@ -35,15 +35,15 @@
 
 
 @dataclasses.dataclass(slots=True)
-class ResumeCall:
-    """Let the paused roll of `generation` go on."""
+class ResumeRequest:
+    """Resume the paused roll of `generation`."""
 
     generation: int
 
 
 @dataclasses.dataclass(slots=True)
-class Result:
-    """What a command led to."""
+class CommandResult:
+    """The result of a command, with the bundle it refers to."""
 
     status: str
     version: int
@@ -54,7 +54,10 @@
 
 @dataclasses.dataclass(slots=True)
 class MemberStatus:
-    """One member of the log; `entries_behind` is as the leader knows it."""
+    """A member of the replicated log.
+
+    `entries_behind` is the number of log entries it lacks, as far as the leader knows.
+    """
 
     name: str
     role: str
@@ -64,9 +67,9 @@
 
 @dataclasses.dataclass(slots=True)
 class AgentStatus:
-    """One target VM; `revision` and `generation` are what it enforces.
+    """A target VM; `revision` and `generation` are those that it enforces.
 
-    `is_done` says whether it serves exactly what it should.
+    `is_done` is true if it serves exactly the models assigned to it.
     """
 
     name: str
@@ -83,7 +86,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Status:
-    """The leader's view of the whole system."""
+    """The state of the deployment, as the leader sees it."""
 
     leader: str
     term: int
@@ -98,8 +101,8 @@
 
 
 @dataclasses.dataclass(slots=True)
-class BundleLine:
-    """A bundle in the history; `proposed_at` is in seconds since 1970."""
+class BundleSummary:
+    """A bundle in the history; `proposed_at` is in seconds since the epoch."""
 
     version: int
     digest: str
@@ -111,8 +114,8 @@
 
 
 @dataclasses.dataclass(slots=True)
-class RollLine:
-    """A roll in the history; `at` is in seconds since 1970."""
+class RollSummary:
+    """A roll in the history; `at` is in seconds since the epoch."""
 
     generation: int
     version: int
@@ -123,15 +126,15 @@
 
 @dataclasses.dataclass(slots=True)
 class History:
-    """All bundles and the last rolls, newest first."""
+    """All bundles and the most recent rolls, newest first."""
 
-    bundles: list[BundleLine]
-    rolls: list[RollLine]
+    bundles: list[BundleSummary]
+    rolls: list[RollSummary]
 
 
 @dataclasses.dataclass(slots=True)
-class BundleShown:
-    """One bundle whole."""
+class BundleDetails:
+    """A bundle with its full content."""
 
-    line: BundleLine
+    line: BundleSummary
     bundle: dict[str, Any]
--- a/src/merlinthread/roles/control.py
+++ b/src/merlinthread/roles/control.py
@@ -48,7 +48,7 @@
         voters = self.task.raft.log.voters
         if self.me.name in voters.voters and self.config.replaces in voters.retired:
             return
-        join = messages.Join(
+        join = messages.JoinRequest(
             self.me.name,
             self.task.journal.identity,
             self.me.log_bus,
@@ -60,17 +60,17 @@
 
     def handle(self, message: Any) -> Any:
         """Answer one call of an entry."""
-        if isinstance(message, messages.Poll):
+        if isinstance(message, messages.PollRequest):
             return self.on_poll(message)
-        if isinstance(message, messages.Tell):
+        if isinstance(message, messages.AgentChanges):
             return self.wait(log_task.Telling(message, futures.Future()))
-        if isinstance(message, messages.Submit):
-            name, raw = self.parts.codec.pair.decode(message.command)
+        if isinstance(message, messages.CommandRequest):
+            name, raw = self.parts.codec.envelope_decoder.decode(message.command)
             command = self.parts.codec.decoders[name].decode(raw)
-            return messages.Submitted(self.submit(command))
+            return messages.CommandReply(self.submit(command))
         raise errors.ProtocolError(f"a control VM does not answer {type(message).__name__}")
 
-    def on_poll(self, poll: messages.Poll) -> messages.PollReply:
+    def on_poll(self, poll: messages.PollRequest) -> messages.PollReply:
         """Answer an entry that asks for news."""
         standing = self.task.standing
         directive = standing.directive
--- a/src/merlinthread/roles/entry.py
+++ b/src/merlinthread/roles/entry.py
@@ -124,9 +124,9 @@
         """Answer one call of an agent or of another entry."""
         if isinstance(message, messages.Heartbeat):
             return self.on_heartbeat(message)
-        if isinstance(message, messages.Beat):
+        if isinstance(message, messages.LoadHeartbeat):
             return self.on_beat(message)
-        if isinstance(message, messages.Exchange):
+        if isinstance(message, messages.ExchangeRequest):
             return self.on_exchange(message)
         raise errors.ProtocolError(f"an entry does not answer {type(message).__name__}")
 
@@ -140,7 +140,7 @@
             self.publish()
         return self.reply_to(report)
 
-    def on_beat(self, beat: messages.Beat) -> messages.HeartbeatReply:
+    def on_beat(self, beat: messages.LoadHeartbeat) -> messages.HeartbeatReply:
         """Take an agent's load, if its last full report is known here."""
         order = (beat.incarnation, beat.counter)
         load = (beat.running, beat.queued, beat.queued_tokens)
@@ -162,7 +162,7 @@
             directive if directive.revision > report.revision else None,
         )
 
-    def on_exchange(self, exchange: messages.Exchange) -> messages.ExchangeReply:
+    def on_exchange(self, exchange: messages.ExchangeRequest) -> messages.ExchangeReply:
         """Swap views with another entry."""
         self.take(exchange.summaries)
         directive = self.directive
@@ -196,12 +196,12 @@
         known = self.known_addresses()
         address = known[self.position % len(known)]
         directive = self.zone.known.directive
-        poll = messages.Poll(self.zone.name, directive.revision)
+        poll = messages.PollRequest(self.zone.name, directive.revision)
         try:
             reply = self.callers.call(address, poll, CALL_TIMEOUT_S)
         except errors.MerlinthreadError as error:
             self.position += 1
-            logs.detail("control_unreached", address=address, reason=error.message)
+            logs.debug("control_unreached", address=address, reason=error.message)
             return
         self.names[reply.control] = address
         self.leader = reply.leader
@@ -216,7 +216,7 @@
         now = self.parts.clock()
         if not (changed or gone or is_full) and now < self.told_at + KEEP_ALIVE_S:
             return
-        told = self.find_leader(messages.Tell(self.zone.name, changed, gone, is_full))
+        told = self.find_leader(messages.AgentChanges(self.zone.name, changed, gone, is_full))
         if told is None:
             self.outgoing.forget()
             return
@@ -228,13 +228,13 @@
         self.told_at = now
         self.outgoing.confirm(changed, gone, self.listener)
 
-    def find_leader(self, tell: messages.Tell) -> messages.Told | None:
+    def find_leader(self, tell: messages.AgentChanges) -> messages.AgentChangesReply | None:
         """Return the leader's answer, whichever control VM it is, or None."""
         for address in self.addresses():
             try:
                 told = self.tell_callers.call(address, tell, CALL_TIMEOUT_S)
             except errors.MerlinthreadError as error:
-                logs.detail("not_told", address=address, reason=error.message)
+                logs.debug("not_told", address=address, reason=error.message)
                 continue
             self.leader_address = address
             return told
@@ -271,7 +271,7 @@
         outcome_unknown if one may have.
         """
         name = self.parts.codec.names[type(command)]
-        message = messages.Submit(msgspec.msgpack.encode((name, command)))
+        message = messages.CommandRequest(msgspec.msgpack.encode((name, command)))
         if not hasattr(self.local, "callers"):
             self.local.callers = bus.RpcClients(self.parts.codec)
         may_have_committed = False
@@ -332,13 +332,13 @@
         if not self.config.entries:
             return
         address = self.rng.choice(self.config.entries)
-        message = messages.Exchange(
+        message = messages.ExchangeRequest(
             self.zone.name, self.zone.known.directive.revision, self.zone.summaries()
         )
         try:
             reply = self.exchange_callers.call(address, message, CALL_TIMEOUT_S)
         except errors.MerlinthreadError as error:
-            logs.detail("entry_unreached", address=address, reason=error.message)
+            logs.debug("entry_unreached", address=address, reason=error.message)
             return
         self.zone.adopt(reply.directive, address)
         self.zone.take(reply.summaries)
@@ -350,7 +350,7 @@
             reply = self.client.request("GET", f"{self.config.platform_url}/v1/vms", timeout_s=2.0)
             listed = msgspec.json.decode(reply.body, type=PlatformList)
         except (errors.MerlinthreadError, msgspec.DecodeError) as error:
-            logs.detail("platform_unreached", reason=str(error))
+            logs.debug("platform_unreached", reason=str(error))
             return
         leaving = frozenset(vm.name for vm in listed.vms if vm.state == "leaving")
         if leaving != self.zone.leaving:
--- a/src/merlinthread/roles/forwarding.py
+++ b/src/merlinthread/roles/forwarding.py
@@ -25,8 +25,8 @@
 
     def on_request(self, request: http_server.Request) -> http_server.Response:
         """Pass one attempt on."""
-        attempt = attempts.read_attempt(request.headers)
-        attempts.check_tag(
+        attempt = attempts.parse_attempt(request.headers)
+        attempts.verify_tag(
             self.path.parts.codec, attempt, request.path, request.body, request.headers
         )
         self.path.parts.in_flight.enter()
--- a/src/merlinthread/roles/leader_duties.py
+++ b/src/merlinthread/roles/leader_duties.py
@@ -23,7 +23,7 @@
 
     def __init__(self, task: "log_task.LogTask") -> None:
         self.task = task
-        self.joiners: dict[str, tuple[messages.Join, float]] = {}
+        self.joiners: dict[str, tuple[messages.JoinRequest, float]] = {}
         self.placed_from = float("-inf")
 
     def begin(self, now: float) -> None:
@@ -61,7 +61,7 @@
         try:
             index = self.task.raft.change_voters(change, now)
         except errors.ControlError as error:
-            logs.detail("members_unchanged", reason=error.message)
+            logs.debug("members_unchanged", reason=error.message)
             return
         logs.event(
             "members_change",
@@ -101,7 +101,7 @@
             is_current = report.generation == self.task.state.generation
             if report.trouble and is_current and not self.task.state.paused:
                 reason = f"{report.name}: {report.trouble}"
-                logs.warn("roll_paused", generation=self.task.state.generation, reason=reason)
+                logs.warning("roll_paused", generation=self.task.state.generation, reason=reason)
                 command = commands.Pause(self.task.state.generation, reason)
                 self.task.propose(command, futures.Future(), now)
                 return
--- a/src/merlinthread/roles/log_task.py
+++ b/src/merlinthread/roles/log_task.py
@@ -40,7 +40,7 @@
 class Telling:
     """What an entry tells of its agents, with the place for the answer."""
 
-    tell: messages.Tell
+    tell: messages.AgentChanges
     answer: futures.Future
 
 
@@ -118,10 +118,10 @@
                         f"the data folder of {self.name!r} was lost: it has another identity than "
                         "the members know. Start this VM under a new name with control.replaces"
                     )
-                    logs.warn("identity_lost", reason=self.broken)
+                    logs.warning("identity_lost", reason=self.broken)
                     return
         except Exception as error:
-            logs.failure("log_task_failed")
+            logs.exception("log_task_failed")
             self.broken = repr(error)
 
     def turn(self) -> None:
@@ -155,7 +155,7 @@
         """Handle one item of the inbox."""
         if isinstance(item, Proposal):
             self.guarded(item.answer, lambda: self.propose(item.command, item.answer, now))
-        elif isinstance(item, messages.Join):
+        elif isinstance(item, messages.JoinRequest):
             self.duties.joiners[item.name] = (item, now)
         elif isinstance(item, Reading):
             self.guarded(item.answer, lambda: self.read(item, now))
@@ -185,7 +185,7 @@
         tell = telling.tell
         is_taken = self.incoming.take(tell.entry, tell.changed, tell.gone, tell.is_full, now)
         listener = f"{self.name} {self.raft.hard_state.term}"
-        telling.answer.set_result(messages.Told(listener, not is_taken))
+        telling.answer.set_result(messages.AgentChangesReply(listener, not is_taken))
 
     def read(self, reading: Reading, now: float) -> None:
         """Answer a question if this member surely leads."""
@@ -225,7 +225,7 @@
 
     def on_full_disk(self, error: errors.DiskFullError, now: float) -> None:
         """Give up leading, refuse what was not accepted, and try again a little later."""
-        logs.warn("disk_full", message=error.message)
+        logs.warning("disk_full", message=error.message)
         self.full_until = now + 1.0
         self.raft.drop_unsaved(now)
         for index, (_, answer) in list(self.waiting.items()):
@@ -249,7 +249,7 @@
             self.journal.compact(snapshot, kept)
         except errors.DiskFullError as error:
             self.full_until = now + 1.0
-            logs.warn("disk_full", message=error.message)
+            logs.warning("disk_full", message=error.message)
             return
         metrics.data_folder_bytes.set(self.journal.size_bytes())
         logs.event("compacted", index=snapshot.index, state_bytes=len(encoded))
@@ -264,7 +264,7 @@
         """Apply one committed entry and answer whoever waits for it."""
         result = commands.Answer(status="changed")
         if entry.kind == "command":
-            name, raw = self.parts.codec.pair.decode(entry.data)
+            name, raw = self.parts.codec.envelope_decoder.decode(entry.data)
             command = self.parts.codec.decoders[name].decode(raw)
             result = self.state.apply(command, entry.index)
             metrics.commands_total.labels(name).inc()
@@ -323,7 +323,7 @@
         if now < self.state_logged_at + 1.0:
             return
         self.state_logged_at = now
-        logs.detail(
+        logs.debug(
             "log_state",
             role=self.raft.role,
             term=self.raft.hard_state.term,
--- a/src/merlinthread/roles/operators_api.py
+++ b/src/merlinthread/roles/operators_api.py
@@ -22,13 +22,13 @@
 
     def propose(self, request: http_server.Request) -> http_server.Response:
         """Put a bundle forward."""
-        call = read_body(request, operator_calls.ProposeCall)
+        call = read_body(request, operator_calls.ProposeRequest)
         bundle = bundle_file.from_data(call.bundle, "bundle")
         return self.commit(commands.Propose(call.request_id, call.operator, self.now(), bundle))
 
     def sign(self, request: http_server.Request) -> http_server.Response:
         """Add a signature, if it is an operator's and valid."""
-        call = read_body(request, operator_calls.SignCall)
+        call = read_body(request, operator_calls.SignRequest)
         known = {operator.name: operator.public_key for operator in self.role.config.operators}
         if call.operator not in known:
             raise errors.BundleError(
@@ -56,7 +56,7 @@
 
     def roll(self, request: http_server.Request) -> http_server.Response:
         """Put a version in force."""
-        call = read_body(request, operator_calls.RollCall)
+        call = read_body(request, operator_calls.RollRequest)
         return self.commit(
             commands.Roll(
                 call.request_id,
@@ -70,7 +70,7 @@
 
     def resume(self, request: http_server.Request) -> http_server.Response:
         """Let a paused roll go on."""
-        call = read_body(request, operator_calls.ResumeCall)
+        call = read_body(request, operator_calls.ResumeRequest)
         return self.commit(commands.Pause(call.generation, ""))
 
     def show(self, request: http_server.Request) -> http_server.Response:
@@ -159,9 +159,9 @@
     )
 
 
-def to_result(answer: commands.Answer) -> operator_calls.Result:
+def to_result(answer: commands.Answer) -> operator_calls.CommandResult:
     """Return what operators see of an answer."""
-    return operator_calls.Result(
+    return operator_calls.CommandResult(
         answer.status, answer.version, answer.digest, answer.generation, answer.message
     )
 
@@ -176,14 +176,14 @@
 
 def show_bundle(
     state: control_state.ControlState, version: int, role: "control.ControlRole"
-) -> operator_calls.BundleShown:
+) -> operator_calls.BundleDetails:
     """Return one bundle with its state; raise ControlError if there is none."""
     record = state.records.get(version)
     if record is None:
         raise errors.ControlError(
             f"no bundle has version {version}", kind=errors.ErrorKind.UNKNOWN_VERSION
         )
-    return operator_calls.BundleShown(
+    return operator_calls.BundleDetails(
         line_of(state, record, role), msgspec.to_builtins(record.bundle)
     )
 
@@ -192,10 +192,10 @@
     state: control_state.ControlState,
     record: control_state.BundleRecord,
     role: "control.ControlRole",
-) -> operator_calls.BundleLine:
+) -> operator_calls.BundleSummary:
     """Return a bundle's line in the history."""
     bundle: bundles.Bundle = record.bundle
-    return operator_calls.BundleLine(
+    return operator_calls.BundleSummary(
         bundle.version,
         record.digest,
         state.status_of(bundle.version, role.config.signatures_required),
@@ -213,7 +213,7 @@
     lines = [line_of(state, record, role) for record in state.records.values()]
     lines.sort(key=lambda line: -line.version)
     rolls = [
-        operator_calls.RollLine(r.generation, r.version, r.operator, r.at, r.is_back)
+        operator_calls.RollSummary(r.generation, r.version, r.operator, r.at, r.is_back)
         for r in reversed(state.rolls[-100:])
     ]
     return operator_calls.History(lines, rolls)
--- a/src/merlinthread/roles/request_path.py
+++ b/src/merlinthread/roles/request_path.py
@@ -9,7 +9,7 @@
 from merlinthread import errors, logs, metrics
 from merlinthread import settings as settings_
 from merlinthread.coordination import agents, bundles, routing, summaries
-from merlinthread.protocol import answers, attempts
+from merlinthread.protocol import attempts, error_responses
 from merlinthread.roles import base, completion, service_call
 from merlinthread.transport import http_client, http_server
 
@@ -209,13 +209,13 @@
     ) -> http_client.StreamingResponse:
         """Send an attempt and return its answer's beginning; see `send`."""
         headers = attempt.headers()
-        headers.update(attempts.tag_headers(self.parts.codec, attempt, path, body))
+        headers.update(attempts.authentication_headers(self.parts.codec, attempt, path, body))
         left = max(0.001, attempt.deadline_ms / 1000)
         stream = self.client.open(method, report.http + path, body, headers, left)
         if stream.status >= 400 and attempts.ATTEMPT not in stream.headers:
             data = stream.read(self.config.answer_bytes_max)
             stream.release()
-            raise answers.error_from(data, stream.status)
+            raise error_responses.parse_error(data, stream.status)
         return stream
 
     # Generation
--- a/src/merlinthread/roles/service_call.py
+++ b/src/merlinthread/roles/service_call.py
@@ -10,7 +10,7 @@
 
 from merlinthread import errors, logs, metrics
 from merlinthread.coordination import agents, bundles, commands, routing
-from merlinthread.protocol import answers, attempts
+from merlinthread.protocol import attempts, error_responses
 from merlinthread.roles import base
 from merlinthread.transport import http_client, http_server
 
@@ -54,7 +54,7 @@
             try:
                 self.submitter.submit(complete, self.parts.clock() + CLAIM_WAIT_S)
             except errors.MerlinthreadError as error:
-                logs.detail("claim_not_settled", key=complete.key, reason=error.message)
+                logs.debug("claim_not_settled", key=complete.key, reason=error.message)
                 return
             with self.lock:
                 if self.waiting and self.waiting[0] is complete:
@@ -172,7 +172,7 @@
         complete.status = reply.status
         complete.body = reply.body if len(reply.body) <= ANSWER_KEPT_BYTES else b""
         if complete.body != reply.body:
-            complete.status = answers.TABLE[errors.ErrorKind.OUTCOME_UNKNOWN].status
+            complete.status = error_responses.RESPONSES[errors.ErrorKind.OUTCOME_UNKNOWN].status
         self.settle(complete)
         return self.to_response(reply)
 
@@ -256,7 +256,7 @@
         if error.kind in SURELY_NOT_RUN:
             complete.not_run = True
         else:
-            complete.status = answers.TABLE[errors.ErrorKind.OUTCOME_UNKNOWN].status
+            complete.status = error_responses.RESPONSES[errors.ErrorKind.OUTCOME_UNKNOWN].status
         self.settle(complete)
 
     def settle(self, complete: commands.Complete) -> None:
@@ -264,5 +264,5 @@
         try:
             self.path.submitter.submit(complete, self.path.parts.clock() + CLAIM_WAIT_S)
         except errors.MerlinthreadError as error:
-            logs.warn("claim_not_settled", key=complete.key, reason=error.message)
+            logs.warning("claim_not_settled", key=complete.key, reason=error.message)
             self.path.settler.add(complete)
--- a/src/merlinthread/roles/target.py
+++ b/src/merlinthread/roles/target.py
@@ -9,7 +9,7 @@
 from merlinthread import errors, logs, metrics
 from merlinthread import settings as settings_
 from merlinthread.coordination import bundles, control_state, fair_queue, switch
-from merlinthread.protocol import answers, attempts, engine_calls, events
+from merlinthread.protocol import attempts, engine_calls, error_responses, events
 from merlinthread.roles import base
 from merlinthread.transport import http_client, http_server
 
@@ -117,7 +117,7 @@
         self.client = http_client.Client(connections=config.slots + 4)
         self.line = Line(config.slots, config.queue_max, parts.clock)
         self.serving: dict[str, str] = {}
-        self.fence = engine_calls.Fence()
+        self.fence = engine_calls.FencingToken()
         self.is_reached = False
         self.is_leaving = False
 
@@ -156,7 +156,7 @@
     def note_unreached(self, reason: str) -> None:
         """Note that the target does not answer."""
         if self.is_reached:
-            logs.warn("target_unreached", reason=reason)
+            logs.warning("target_unreached", reason=reason)
         self.is_reached = False
         self.serving = {}
 
@@ -178,7 +178,7 @@
                 {"Content-Type": "application/json"},
                 ORDER_TIMEOUT_S,
             )
-            answer = msgspec.json.decode(reply.body, type=engine_calls.OrderAnswer)
+            answer = msgspec.json.decode(reply.body, type=engine_calls.OrderReply)
             if answer.digest != order.manifest:
                 raise errors.WeightsError(
                     f"the engine reports {answer.digest} for {order.name}, ordered was "
@@ -225,8 +225,8 @@
 
     def admit(self, request: http_server.Request, path: str) -> attempts.Attempt:
         """Return the attempt; raise RequestError if it is not for this incarnation or not ours."""
-        attempt = attempts.read_attempt(request.headers)
-        attempts.check_tag(self.parts.codec, attempt, path, request.body, request.headers)
+        attempt = attempts.parse_attempt(request.headers)
+        attempts.verify_tag(self.parts.codec, attempt, path, request.body, request.headers)
         if attempt.incarnation != self.incarnation:
             raise errors.RequestError(
                 f"the attempt is for incarnation {attempt.incarnation}, this is {self.incarnation}",
@@ -309,7 +309,7 @@
             )
         if stream.status >= 400:
             data = stream.read(65536)
-            raise answers.error_from(data, stream.status)
+            raise error_responses.parse_error(data, stream.status)
         if stream.headers.get(attempts.ATTEMPT) != attempt.id:
             metrics.late_answers_total.inc()
             stream.close()
@@ -353,7 +353,7 @@
                 STATUS_TIMEOUT_S,
             )
         except errors.MerlinthreadError as error:
-            logs.detail("cancel_failed", attempt=attempt, reason=error.message)
+            logs.debug("cancel_failed", attempt=attempt, reason=error.message)
 
     def call_service(self, request: http_server.Request) -> http_server.Response:
         """Run one call on a plain service and return its whole answer."""
--- a/src/merlinthread/roles/weights.py
+++ b/src/merlinthread/roles/weights.py
@@ -158,7 +158,7 @@
             try:
                 self.carry_out(job, callers)
             except Exception:
-                logs.failure("download_failed")
+                logs.exception("download_failed")
                 time.sleep(IDLE_WAIT_S)
         callers.close()
 
@@ -243,7 +243,7 @@
             data = self.read_manifest(download.digest, callers)
             manifest = manifests.decode(data, download.digest)
         except errors.MerlinthreadError as error:
-            logs.warn("manifest_failed", manifest=download.digest, reason=error.message)
+            logs.warning("manifest_failed", manifest=download.digest, reason=error.message)
             return None
         self.store.add(download.digest, data)
         return manifest
@@ -256,9 +256,9 @@
         peers.sort(key=lambda peer: peer.distance)
         for peer in peers[:2]:
             try:
-                found = callers.call(peer.bus, messages.ManifestWanted(digest), 1.0)
+                found = callers.call(peer.bus, messages.ManifestRequest(digest), 1.0)
             except errors.MerlinthreadError as error:
-                logs.detail("peer_failed", peer=peer.name, reason=error.message)
+                logs.debug("peer_failed", peer=peer.name, reason=error.message)
                 continue
             if found.data:
                 return found.data
@@ -285,7 +285,7 @@
             data = reply.body
         except errors.MerlinthreadError as error:
             metrics.chunk_failures_total.labels("origin").inc()
-            logs.warn("origin_failed", manifest=download.digest, reason=error.message)
+            logs.warning("origin_failed", manifest=download.digest, reason=error.message)
             wait = error.retry_after_s or ORIGIN_RETRY_S
             with self.lock:
                 plan.origin_failed(self.parts.clock(), wait)
@@ -311,7 +311,7 @@
                     "what was signed; restore the object or roll back"
                 )
         if download.trouble:
-            logs.warn("origin_changed", manifest=download.digest, index=index)
+            logs.warning("origin_changed", manifest=download.digest, index=index)
 
     def ask_peer(self, download: Download, action: fetch.FromPeer, callers: bus.RpcClients) -> None:
         """Ask another agent for a chunk."""
@@ -322,7 +322,7 @@
             held = plan.held
         if peer is None:
             return
-        wanted = messages.ChunkWanted(
+        wanted = messages.ChunkRequest(
             self.name,
             download.digest,
             fetch.to_bytes(action.wanted, count),
@@ -332,7 +332,7 @@
             found = callers.call(peer.bus, wanted, self.peer_timeout_s(manifest))
         except errors.MerlinthreadError as error:
             metrics.chunk_failures_total.labels("peer").inc()
-            logs.detail("peer_failed", peer=peer.name, reason=error.message)
+            logs.debug("peer_failed", peer=peer.name, reason=error.message)
             with self.lock:
                 plan.peer_failed(peer.name, self.parts.clock())
             return
@@ -348,23 +348,23 @@
         download: Download,
         plan: fetch.FetchPlan,
         peer: fetch.Peer,
-        found: messages.ChunkFound,
+        found: messages.ChunkReply,
         count: int,
     ) -> None:
         """Take what a peer answered."""
         now = self.parts.clock()
         with self.lock:
             plan.heard(peer.name, fetch.from_bytes(found.held, count), now)
-            if found.index == messages.BUSY:
+            if found.index == messages.NO_UPLOAD_SLOT:
                 plan.peer_busy(peer.name, now)
-            elif found.index == messages.NOTHING:
+            elif found.index == messages.NO_CHUNK:
                 plan.peer_empty(peer.name, now)
         if found.index < 0 or found.index >= count:
             return
         self.sleep_until(self.down.arrived(len(found.data), now))
         metrics.chunk_bytes_total.labels("peer").inc(len(found.data))
         if not self.keep(download, found.index, found.data, from_origin=False):
-            logs.warn("chunk_corrupt", peer=peer.name, manifest=download.digest)
+            logs.warning("chunk_corrupt", peer=peer.name, manifest=download.digest)
             with self.lock:
                 plan.peer_corrupt(peer.name, self.parts.clock())
 
@@ -379,7 +379,7 @@
         except errors.DiskFullError as error:
             with self.lock:
                 download.trouble = f"disk_full: {error.message}"
-            logs.warn("disk_full", message=error.message)
+            logs.warning("disk_full", message=error.message)
             return True
         now = self.parts.clock()
         with self.lock:
--- a/src/merlinthread/transport/bus.py
+++ b/src/merlinthread/transport/bus.py
@@ -70,7 +70,7 @@
             self.socket.close()
             self.socket = self.open_socket()
             raise errors.UnreachableError(f"{self.address}: {error}")
-        if isinstance(reply, messages.Refused):
+        if isinstance(reply, messages.ErrorReply):
             raise errors.MerlinthreadError(reply.message, kind=errors.ErrorKind(reply.kind))
         return reply
 
@@ -152,7 +152,7 @@
         except pynng.exceptions.Timeout:
             return
         except pynng.exceptions.NNGException as error:
-            logs.detail("bus_answer_failed", error=str(error))
+            logs.debug("bus_answer_failed", error=str(error))
 
     def handle(self, frame: bytes) -> bytes:
         """Decode a call, run the handler and return the encoded reply.
@@ -162,10 +162,10 @@
         try:
             reply = self.handler(self.codec.decode(frame))
         except errors.MerlinthreadError as error:
-            reply = messages.Refused(str(error.kind), error.message)
+            reply = messages.ErrorReply(str(error.kind), error.message)
         except Exception as error:
-            logs.failure("bus_handler_failed")
-            reply = messages.Refused(str(errors.ErrorKind.INTERNAL), repr(error))
+            logs.exception("bus_handler_failed")
+            reply = messages.ErrorReply(str(errors.ErrorKind.INTERNAL), repr(error))
         return self.codec.encode(reply)
 
     def stop(self) -> None:
@@ -204,9 +204,9 @@
             except pynng.exceptions.Closed:
                 return
             except pynng.exceptions.NNGException as error:
-                logs.detail("mailbox_receive_failed", error=str(error))
+                logs.debug("mailbox_receive_failed", error=str(error))
             except errors.ProtocolError as error:
-                logs.warn("message_refused", reason=error.message)
+                logs.warning("message_refused", reason=error.message)
 
     def stop(self) -> None:
         """Close the socket and wait for the receiving thread to end."""
--- a/src/merlinthread/transport/http_client.py
+++ b/src/merlinthread/transport/http_client.py
@@ -6,7 +6,7 @@
 import urllib3
 
 from merlinthread import errors
-from merlinthread.protocol import answers
+from merlinthread.protocol import error_responses
 
 CONNECT_TIMEOUT_S = 1.0
 READ_CHUNK_BYTES = 65536
@@ -167,5 +167,5 @@
         """Like `request`, but raise the error described by a response of status 400 or above."""
         response = self.request(method, url, body, headers, timeout_s)
         if response.status >= 400:
-            raise answers.error_from(response.body, response.status)
+            raise error_responses.parse_error(response.body, response.status)
         return response
--- a/src/merlinthread/transport/http_server.py
+++ b/src/merlinthread/transport/http_server.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from merlinthread import errors, logs, metrics
-from merlinthread.protocol import answers
+from merlinthread.protocol import error_responses
 
 DEFAULT_BODY_BYTES_MAX = 8 * 1024 * 1024
 SHUTDOWN_TIMEOUT_S = 2
@@ -53,10 +53,10 @@
 
 def error_response(error: errors.MerlinthreadError, detail: str = "") -> Response:
     """Return the response for `error`, with `detail` in its body."""
-    body = answers.body_of(error)
+    body = error_responses.error_body(error)
     body.detail = detail
-    status = answers.TABLE[error.kind].status
-    return Response(status, msgspec.json.encode(body), answers.headers_of(body))
+    status = error_responses.RESPONSES[error.kind].status
+    return Response(status, msgspec.json.encode(body), error_responses.error_headers(body))
 
 
 class Routes:
@@ -91,7 +91,7 @@
         match = self.find(request.method, request.path)
         if match is None:
             error = errors.RequestError(f"no route for {request.method} {request.path}")
-            return Response(404, msgspec.json.encode(answers.body_of(error)))
+            return Response(404, msgspec.json.encode(error_responses.error_body(error)))
         handler, request.subpath = match
         try:
             return handler(request)
@@ -99,7 +99,7 @@
             detail = error.leader if isinstance(error, errors.NotLeaderError) else ""
             return error_response(error, detail)
         except Exception as error:
-            logs.failure("http_handler_failed", path=request.path)
+            logs.exception("http_handler_failed", path=request.path)
             return error_response(errors.MerlinthreadError(repr(error)))
 
 
--- a/src/merlinthread/transport/node_bus.py
+++ b/src/merlinthread/transport/node_bus.py
@@ -56,7 +56,7 @@
         if response.status != 200:
             raise errors.UnreachableError(f"{address}: HTTP status {response.status}")
         reply = self.codec.decode(response.body)
-        if isinstance(reply, node_messages.Failed):
+        if isinstance(reply, node_messages.ErrorReply):
             raise errors.MerlinthreadError(reply.message, kind=parse_error_kind(reply.kind))
         return reply
 
@@ -126,12 +126,12 @@
         try:
             return await self.handler(self.codec.decode(body))
         except errors.MerlinthreadError as error:
-            return node_messages.Failed(str(error.kind), error.message)
+            return node_messages.ErrorReply(str(error.kind), error.message)
         except asyncio.CancelledError:
             raise
         except Exception as error:
-            logs.failure("node_call_failed")
-            return node_messages.Failed(str(errors.ErrorKind.INTERNAL), repr(error))
+            logs.exception("node_call_failed")
+            return node_messages.ErrorReply(str(errors.ErrorKind.INTERNAL), repr(error))
 
 
 class DatagramEndpoint(asyncio.DatagramProtocol):
@@ -156,7 +156,7 @@
         try:
             message = self.codec.decode(data)
         except errors.ProtocolError as error:
-            logs.detail("datagram_refused", reason=error.message)
+            logs.debug("datagram_refused", reason=error.message)
             return
         self.deliver(message)
 
--- a/stand_ins/engine.py
+++ b/stand_ins/engine.py
@@ -92,7 +92,7 @@
         self.options = options
         self.lock = threading.Condition()
         self.models: dict[str, Loaded] = {}
-        self.fence = engine_calls.Fence()
+        self.fence = engine_calls.FencingToken()
         self.waiting: list[Job] = []
         self.running: list[Job] = []
         self.runs: dict[str, Run] = {}
@@ -253,7 +253,7 @@
         with self.lock:
             self.models[order.name] = loaded
             self.orders.append({"action": "load", "name": order.name, "digest": loaded.digest})
-        return http_server.json_response(engine_calls.OrderAnswer(order.name, loaded.digest))
+        return http_server.json_response(engine_calls.OrderReply(order.name, loaded.digest))
 
     def check_fence(self, order: engine_calls.Order) -> None:
         """Refuse an order that is lower than one obeyed; engines that check none take all."""
@@ -265,14 +265,14 @@
                     f"{self.fence.generation}/{self.fence.epoch}",
                     kind=errors.ErrorKind.FENCED,
                 )
-            self.fence = engine_calls.Fence(order.generation, order.epoch)
+            self.fence = engine_calls.FencingToken(order.generation, order.epoch)
 
     def unload(self, order: engine_calls.Order) -> http_server.Response:
         """Drop a model; running requests keep their weights."""
         with self.lock:
             self.models.pop(order.name, None)
             self.orders.append({"action": "unload", "name": order.name, "digest": ""})
-        return http_server.json_response(engine_calls.OrderAnswer(order.name, ""))
+        return http_server.json_response(engine_calls.OrderReply(order.name, ""))
 
     def read_weights(self, order: engine_calls.Order) -> Loaded:
         """Read the weights and check every chunk."""
--- a/tests/test_bus.py
+++ b/tests/test_bus.py
@@ -9,7 +9,7 @@
 from merlinthread.transport import bus
 
 CODEC = messages.make_codec([])
-MESSAGE = messages.ManifestWanted("abc")
+MESSAGE = messages.ManifestRequest("abc")
 
 
 class StallingListener:
--- a/tests/test_control_nodes.py
+++ b/tests/test_control_nodes.py
@@ -85,7 +85,7 @@
             controls.kill(ip)
         alone = controls.ips[0]
         await controls.start(alone)
-        watch = node_messages.Watch("entry", "", 0, 0, 0.5)
+        watch = node_messages.WatchRequest("entry", "", 0, 0, 0.5)
         await fleet_nodes.until(
             lambda: controls.nodes[alone].news(watch).configuration_version >= 4, 3.0
         )
@@ -275,7 +275,7 @@
         caller = node_bus.RpcClient(fleet_nodes.make_codec())
         address = f"{controls.ips[0]}:{controls.port}"
         with pytest.raises(errors.MerlinthreadError):
-            await caller.call(address, node_messages.Subscribe("x"), 1.0)
+            await caller.call(address, node_messages.LoadSubscription("x"), 1.0)
 
     run(tmp_path, scenario)
 
@@ -309,7 +309,7 @@
     member = node.member
     command = member.encode_command(fleet_state.NameVersion("m", version))
     member.apply(journal.Entry(member.applied + 1, member.raft.hard_state.term, "command", command))
-    told = node.news(node_messages.Watch("entry", "", 0, 0, 0.0)).named
+    told = node.news(node_messages.WatchRequest("entry", "", 0, 0, 0.0)).named
     return next(named.age_s for named in told if named.model == "m")
 
 
@@ -334,7 +334,7 @@
         leader = controls.nodes[controls.leader()]
         leader.member.current_at = float("-inf")
         await controls.until_acknowledged("POST", "/version-put", {"model": "m", "version": 2})
-        told = leader.news(node_messages.Watch("entry", "", 0, 0, 0.0)).named
+        told = leader.news(node_messages.WatchRequest("entry", "", 0, 0, 0.0)).named
         assert told[0].age_s < 3.0
 
     run(tmp_path, scenario)
@@ -346,7 +346,7 @@
     def tell(age_s: float) -> None:
         named = [node_messages.NamedVersion("m", 2, age_s)]
         watcher.take_versions(
-            node_messages.News("f", 1, False, [], [], named, 0, b"", [], 0.0), 100.0
+            node_messages.WatchReply("f", 1, False, [], [], named, 0, b"", [], 0.0), 100.0
         )
 
     tell(60.0)
@@ -364,7 +364,7 @@
     def tell(instance: str, age_s: float, gone: list[str]) -> None:
         beat = dialect.bodies.heartbeat(instance, json.dumps(heartbeat(instance)).encode())
         told = [instances.Instance(beat, age_s)]
-        watcher.take(node_messages.News("f", 1, False, told, gone, [], 0, b"", [], 0.0))
+        watcher.take(node_messages.WatchReply("f", 1, False, told, gone, [], 0, b"", [], 0.0))
 
     tell("new", 0.5, [])
     tell("old", 0.0, [])
@@ -485,11 +485,11 @@
         await put(controls, 5)
         node = controls.nodes[controls.leader()]
         node.member.state.level = levels.NEWEST + 1
-        join = node_messages.Join("10.0.0.9:1#new", levels.NEWEST)
+        join = node_messages.JoinRequest("10.0.0.9:1#new", levels.NEWEST)
         with pytest.raises(errors.ControlError, match=r"reads up to level 2.* start a build"):
             await node.member.members.on_join(join)
         # A build that tells no level can't be judged.
-        old = node_messages.Join("10.0.0.9:1#old")
+        old = node_messages.JoinRequest("10.0.0.9:1#old")
         assert not (await node.member.members.on_join(old)).is_removed
 
     run(tmp_path, scenario)
@@ -500,13 +500,15 @@
         codec = fleet_nodes.make_codec()
 
         async def refuse(message):
-            return node_messages.Failed("of_tomorrow", "no")
+            return node_messages.ErrorReply("of_tomorrow", "no")
 
         listener = node_bus.RpcServer(codec, refuse)
         port = fleet_nodes.free_port()
         await listener.listen("127.0.0.1", port)
         with pytest.raises(errors.MerlinthreadError) as found:
-            await node_bus.RpcClient(codec).call(f"127.0.0.1:{port}", node_messages.Ok(), 1.0)
+            await node_bus.RpcClient(codec).call(
+                f"127.0.0.1:{port}", node_messages.Acknowledgement(), 1.0
+            )
         assert (found.value.kind, found.value.message) == (errors.ErrorKind.INTERNAL, "no")
         listener.server.listener.close()
 
--- a/tests/test_return_of_all.py
+++ b/tests/test_return_of_all.py
@@ -27,14 +27,14 @@
         self.up = up
         self.leader_age_s = leader_age_s
         self.near = near
-        self.asked: list[tuple[str, node_messages.Watch]] = []
+        self.asked: list[tuple[str, node_messages.WatchRequest]] = []
 
     async def call(self, address, watch, timeout_s):
         self.asked.append((address, watch))
         await asyncio.sleep(0.0 if address == self.near else 0.005)
         if address not in self.up:
             raise errors.UnreachableError("refused")
-        return node_messages.News(
+        return node_messages.WatchReply(
             f"feed of {address}", 7, not watch.feed, [], [], [], 0, b"", [], self.leader_age_s
         )
 
--- a/tests/test_stream_connections.py
+++ b/tests/test_stream_connections.py
@@ -261,7 +261,7 @@
         address = await raw_server(b"")
         client = node_bus.RpcClient(fleet_nodes.make_codec())
         with pytest.raises(errors.MerlinthreadError) as raised:
-            await client.call(address, node_messages.Read(), 2.0)
+            await client.call(address, node_messages.ConfigurationRequest(), 2.0)
         assert raised.value.kind is errors.ErrorKind.UNREACHABLE
 
     asyncio.run(scenario())
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -23,7 +23,7 @@
 def test_a_platform_without_that_clock_is_refused_at_the_start(monkeypatch):
     monkeypatch.delattr(time, "CLOCK_BOOTTIME")
     with pytest.raises(errors.SettingsError, match="CLOCK_BOOTTIME"):
-        clocks.check()
+        clocks.check_platform()
 
 
 def test_no_decider_imports_another_clock(tmp_path):
@@ -99,7 +99,7 @@
         entry, _ = await make(clock)
         watcher, pool = entry.node.watcher, entry.node.pool
         named = [node_messages.NamedVersion("m", 2, 0.0)]
-        watcher.take(node_messages.News("f", 9, False, [], [], named, 0, b"", [], 0.0))
+        watcher.take(node_messages.WatchReply("f", 9, False, [], [], named, 0, b"", [], 0.0))
         assert pool.required_version("m", clock()) == 0
         (backend,) = pool.backends.values()
         backend.answered_at = clock()
