--- a/bench/transfer.py
+++ b/bench/transfer.py
@@ -214,7 +214,7 @@
             plan.began(action)
             agent.began[id(action)] = self.now
             agent.incoming.reserve(self.shape.piece_bytes, self.now)
-            if isinstance(action, fetch.FromOrigin):
+            if isinstance(action, fetch.OriginRead):
                 self.claim(agent, action)
                 self.read_origin(agent, action)
             else:
@@ -231,7 +231,7 @@
             if isinstance(action, fetch.FromPeer):
                 agent.took_s[action.peer] = took_s
                 agent.window.note(took_s, self.now)
-            plan.got(index, isinstance(action, fetch.FromOrigin), self.now)
+            plan.got(index, isinstance(action, fetch.OriginRead), self.now)
             self.announce(agent, action, index)
         if plan.is_complete() and agent.whole_at is None:
             agent.whole_at = self.now
@@ -247,7 +247,7 @@
             when = self.now + DELAY_S[self.distance(agent, other)]
             self.at(when, lambda other=other: other.plan.announced(agent.name, index))
 
-    def claim(self, agent: Agent, action: fetch.FromOrigin) -> None:
+    def claim(self, agent: Agent, action: fetch.OriginRead) -> None:
         """Tell other readers which piece is being read."""
         for name in agent.plan.rivals():
             other = self.agents[name]
@@ -262,7 +262,7 @@
         """Return whether two zones can't reach each other now."""
         return one != other and (self.is_cut(one) or self.is_cut(other))
 
-    def read_origin(self, agent: Agent, action: fetch.FromOrigin) -> None:
+    def read_origin(self, agent: Agent, action: fetch.OriginRead) -> None:
         """Read a piece from the origin, which stands in zone 0."""
         delay = DELAY_S[0 if agent.zone == 0 else 2]
         is_down = self.fault.origin_down_from <= self.now < self.fault.origin_down_to
@@ -278,7 +278,7 @@
             ),
         )
 
-    def refused(self, agent: Agent, action: fetch.FromOrigin) -> None:
+    def refused(self, agent: Agent, action: fetch.OriginRead) -> None:
         """Note that the origin gave nothing."""
         agent.plan.origin_failed(self.now, piece_fetcher.ORIGIN_WAIT_S, action.index)
         self.end(agent, action, -1)
--- a/src/merlinthread/coordination/fetch.py
+++ b/src/merlinthread/coordination/fetch.py
@@ -38,7 +38,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class FromOrigin:
+class OriginRead:
     """Read the chunk `index` from the origin."""
 
     index: int
@@ -52,7 +52,7 @@
     wanted: int
 
 
-Action = FromOrigin | FromPeer
+Action = OriginRead | FromPeer
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -227,7 +227,7 @@
 
     def began(self, action: Action) -> None:
         """Note that `action` is being carried out."""
-        if isinstance(action, FromOrigin):
+        if isinstance(action, OriginRead):
             self.in_flight |= 1 << action.index
             self.origin_busy += 1
         else:
@@ -236,7 +236,7 @@
 
     def ended(self, action: Action) -> None:
         """Note that `action` is over, whatever came of it."""
-        if isinstance(action, FromOrigin):
+        if isinstance(action, OriginRead):
             self.in_flight &= ~(1 << action.index)
             self.origin_busy -= 1
         else:
--- a/src/merlinthread/coordination/fetch_claimed.py
+++ b/src/merlinthread/coordination/fetch_claimed.py
@@ -83,7 +83,7 @@
         if self.is_reader and self.may_read_origin(now):
             own = self.unread(now) & self.owned
             if own:
-                return fetch.FromOrigin(self.least_failed(own))
+                return fetch.OriginRead(self.least_failed(own))
             taken = self.take_over(now) if self.is_late else None
             if taken is not None:
                 return taken
@@ -101,13 +101,13 @@
         """Return a request to the peer whose word is most overdue."""
         return self.probe(self.needed(), now)
 
-    def rescue(self, needed: int, now: float) -> fetch.FromOrigin | None:
+    def rescue(self, needed: int, now: float) -> fetch.OriginRead | None:
         """Read a chunk whose owner does not deliver, unless the origin has just failed."""
         if now < self.rescue_not_before:
             return None
         return super().rescue(needed & ~self.claims_in_force(now), now)
 
-    def spare(self, needed: int, now: float) -> fetch.FromOrigin | None:
+    def spare(self, needed: int, now: float) -> fetch.OriginRead | None:
         """Read an unread chunk of another owner within this VM's share of the origin's link."""
         if not self.is_reader or now < self.spare_at or not self.may_read_origin(now):
             return None
@@ -120,16 +120,16 @@
             self.spare_at = now + self.spare_every_s
         return taken
 
-    def take_over(self, now: float) -> fetch.FromOrigin | None:
+    def take_over(self, now: float) -> fetch.OriginRead | None:
         """Return the reading of a chunk of another owner, or None if there is none to be read."""
         if now < self.rescue_not_before:
             return None
         unread = self.unread(now)
         if unread:
-            return fetch.FromOrigin(self.least_failed(unread))
+            return fetch.OriginRead(self.least_failed(unread))
         return self.read_again() if self.is_late else None
 
-    def read_again(self) -> fetch.FromOrigin | None:
+    def read_again(self) -> fetch.OriginRead | None:
         """Return the reading of a chunk that is out, but not known to be in this zone."""
         lacking = self.needed()
         for peer in self.peers.values():
@@ -137,7 +137,7 @@
                 lacking &= ~peer.held
         if not lacking:
             return None
-        return fetch.FromOrigin(min(fetch.bits(lacking), key=self.rank))
+        return fetch.OriginRead(min(fetch.bits(lacking), key=self.rank))
 
     def claims_in_force(self, now: float) -> int:
         """Return the chunks that other VMs said they read from the origin a moment ago."""
--- a/src/merlinthread/coordination/fetch_policies.py
+++ b/src/merlinthread/coordination/fetch_policies.py
@@ -41,7 +41,7 @@
             return None
         own = needed & self.owned
         if own and self.may_read_origin(now):
-            return fetch.FromOrigin(self.rng.choice(fetch.bits(own)))
+            return fetch.OriginRead(self.rng.choice(fetch.bits(own)))
         for peer in self.askable(now):
             action = self.ask(peer, now)
             if action is not None:
@@ -61,7 +61,7 @@
         part = self.rng.sample(indices, max(1, len(indices) // 4))
         return fetch.FromPeer(peer.name, sum(1 << index for index in part))
 
-    def rescue(self, needed: int, now: float) -> fetch.FromOrigin | None:
+    def rescue(self, needed: int, now: float) -> fetch.OriginRead | None:
         """Read a chunk whose owner does not deliver, if this VM is next to do so.
 
         Each VM of a zone waits longer the later it stands in the chunk's rendezvous order; so a
@@ -80,7 +80,7 @@
         ]
         if not due:
             return None
-        return fetch.FromOrigin(min(due, key=self.rank))
+        return fetch.OriginRead(min(due, key=self.rank))
 
     def rank(self, index: int) -> int:
         """Return this VM's place in its zone's rendezvous order for a chunk, from 0."""
@@ -110,21 +110,21 @@
         """Read what is owned, or what is missing if time presses; else as `Spread`."""
         needed = self.needed()
         if self.is_late and self.is_reader and needed and self.may_read_origin(now):
-            return fetch.FromOrigin(self.scarcest(needed & self.owned or needed))
+            return fetch.OriginRead(self.scarcest(needed & self.owned or needed))
         return super().next_action(now)
 
-    def rescue(self, needed: int, now: float) -> fetch.FromOrigin | None:
+    def rescue(self, needed: int, now: float) -> fetch.OriginRead | None:
         """Read a chunk whose owner does not deliver, or one within this VM's share."""
         return super().rescue(needed, now) or self.spare(needed, now)
 
-    def spare(self, needed: int, now: float) -> fetch.FromOrigin | None:
+    def spare(self, needed: int, now: float) -> fetch.OriginRead | None:
         """Read a chunk of another owner within this VM's share of the origin's link."""
         if not self.is_reader or now < self.spare_at or not self.may_read_origin(now):
             return None
         if self.spare_every_s == math.inf:
             return None
         self.spare_at = now + self.spare_every_s
-        return fetch.FromOrigin(self.scarcest(needed))
+        return fetch.OriginRead(self.scarcest(needed))
 
     def scarcest(self, needed: int) -> int:
         """Return a chunk of `needed` that no VM of the zone is known to have, if there is one.
--- a/src/merlinthread/nodes/piece_fetcher.py
+++ b/src/merlinthread/nodes/piece_fetcher.py
@@ -123,13 +123,13 @@
             if action is None:
                 return
             plan.began(action)
-            if isinstance(action, fetch.FromOrigin):
+            if isinstance(action, fetch.OriginRead):
                 self.claim(plan, manifest, action)
             self.incoming.reserve(self.facts.piece_bytes(), self.clock())
             running.add(loop.create_task(self.carry_out(plan, manifest, action)))
 
     def claim(
-        self, plan: fetch.FetchPlan, manifest: fleet.Manifest, action: fetch.FromOrigin
+        self, plan: fetch.FetchPlan, manifest: fleet.Manifest, action: fetch.OriginRead
     ) -> None:
         """Tell other readers of the origin which piece is being read."""
         claim = node_messages.PieceClaim(
@@ -162,7 +162,7 @@
         began = self.clock()
         index = -1
         try:
-            if isinstance(action, fetch.FromOrigin):
+            if isinstance(action, fetch.OriginRead):
                 index = await self.from_origin(plan, manifest, action)
             else:
                 index = await self.from_peer(plan, manifest, action)
@@ -172,7 +172,7 @@
                 self.incoming.give_back(self.facts.piece_bytes())
         if index < 0:
             return
-        is_from_origin = isinstance(action, fetch.FromOrigin)
+        is_from_origin = isinstance(action, fetch.OriginRead)
         if isinstance(action, fetch.FromPeer):
             self.took_s[action.peer] = round(self.clock() - began, 3)
             self.window.note(self.clock() - began, self.clock())
@@ -181,7 +181,7 @@
         self.announce(plan, manifest, action, index)
 
     async def from_origin(
-        self, plan: fetch.FetchPlan, manifest: fleet.Manifest, action: fetch.FromOrigin
+        self, plan: fetch.FetchPlan, manifest: fleet.Manifest, action: fetch.OriginRead
     ) -> int:
         """Get a piece from the origin and stage it; return its index, or -1."""
         try:
--- a/src/merlinthread/roles/weights.py
+++ b/src/merlinthread/roles/weights.py
@@ -192,7 +192,7 @@
             self.fetch_manifest(download, callers)
             return
         try:
-            if isinstance(action, fetch.FromOrigin):
+            if isinstance(action, fetch.OriginRead):
                 self.read_origin(download, action)
             else:
                 self.ask_peer(download, action, callers)
@@ -265,7 +265,7 @@
         url = f"{self.config.weight_store_url}/manifests/{digest}"
         return self.client.request_ok("GET", url, timeout_s=ORIGIN_TIMEOUT_S).body
 
-    def read_origin(self, download: Download, action: fetch.FromOrigin) -> None:
+    def read_origin(self, download: Download, action: fetch.OriginRead) -> None:
         """Read one chunk from the origin."""
         manifest, plan = download.manifest_and_plan(self.manifests)
         size = manifest.chunk_size(action.index)
--- a/tests/test_chunk_announcements.py
+++ b/tests/test_chunk_announcements.py
@@ -37,7 +37,7 @@
 
 def test_a_chunk_from_the_origin_is_told_to_the_own_zone_and_to_who_brings_it_into_each_other_one():
     plan = plan_of(7)
-    told = plan.audience(fetch.FromOrigin(11))
+    told = plan.audience(fetch.OriginRead(11))
     own = {vm for vm in told if zone_of(vm) == 2}
     others = [vm for vm in told if zone_of(vm) != 2]
     assert own == {name(n) for n in range(VMS) if n % ZONES == 2 and n != 7}
@@ -49,11 +49,11 @@
 
 def test_whoever_is_told_asks_for_it_at_once_also_if_it_knew_nothing_of_the_teller():
     reader = plan_of(7)
-    for vm in reader.audience(fetch.FromOrigin(11)):
+    for vm in reader.audience(fetch.OriginRead(11)):
         plan = plan_of(int(vm.split(".")[3].split(":")[0]))
         plan.announced(name(7), 11)
         action = plan.next_action(0.01)
-        if isinstance(action, fetch.FromOrigin):
+        if isinstance(action, fetch.OriginRead):
             plan.began(action)
             action = plan.next_action(0.01)
         assert action == fetch.FromPeer(name(7), 1 << 11)
@@ -111,7 +111,7 @@
         owned |= plan.owned
     assert owned == (1 << CHUNKS) - 1
     idle = next(plan for plan in plans if not plan.is_reader)
-    assert not isinstance(idle.next_action(0.01), fetch.FromOrigin)
+    assert not isinstance(idle.next_action(0.01), fetch.OriginRead)
 
 
 def test_a_busy_peer_is_asked_again_once_it_has_sent_what_it_promised():
--- a/tests/test_claimed_reads.py
+++ b/tests/test_claimed_reads.py
@@ -68,9 +68,9 @@
     own = fetch.bits(plan.owned)
     for index in range(CHUNKS):
         plan.claimed(index, 0.0)
-    assert not isinstance(plan.next_action(0.1), fetch.FromOrigin)
+    assert not isinstance(plan.next_action(0.1), fetch.OriginRead)
     action = plan.next_action(fetch_claimed.CLAIM_S)
-    assert isinstance(action, fetch.FromOrigin) and action.index in own
+    assert isinstance(action, fetch.OriginRead) and action.index in own
 
 
 def test_an_owner_does_not_read_what_another_zone_has():
@@ -78,7 +78,7 @@
     far = next(peer.name for peer in plan.peers.values() if peer.distance == fetch.FAR)
     for index in fetch.bits(plan.owned):
         plan.announced(far, index)
-    assert not isinstance(plan.next_action(0.1), fetch.FromOrigin)
+    assert not isinstance(plan.next_action(0.1), fetch.OriginRead)
 
 
 def test_what_only_a_lost_vm_had_is_read_again():
@@ -87,12 +87,12 @@
     for index in fetch.bits(plan.owned):
         plan.announced(far, index)
     plan.peer_failed(far, 0.1)
-    assert isinstance(plan.next_action(0.2), fetch.FromOrigin)
+    assert isinstance(plan.next_action(0.2), fetch.OriginRead)
 
 
 def test_all_readers_hear_what_the_origin_gave_and_who_reads_what():
     plan = reader()
-    told = plan.audience(fetch.FromOrigin(0))
+    told = plan.audience(fetch.OriginRead(0))
     assert len(told) == len(set(told))
     assert set(plan.readers) - {plan.me} <= set(told)
     assert set(plan.rivals()) == set(plan.readers) - {plan.me}
@@ -102,16 +102,16 @@
     plan = reader()
     own = fetch.bits(plan.owned)[0]
     plan.origin_failed(5.0, 0.3, own)
-    assert isinstance(plan.next_action(5.0 + fetch_claimed.OWN_RETRY_S), fetch.FromOrigin)
+    assert isinstance(plan.next_action(5.0 + fetch_claimed.OWN_RETRY_S), fetch.OriginRead)
     plan.held = plan.owned
     plan.is_late = True
-    assert isinstance(plan.next_action(6.0), fetch.FromOrigin), "takes over what is unread"
+    assert isinstance(plan.next_action(6.0), fetch.OriginRead), "takes over what is unread"
     other = fetch.bits(plan.needed())[0]
     plan.origin_failed(6.0, 0.3, other)
     assert not isinstance(
-        plan.next_action(6.0 + fetch_claimed.RESCUE_RETRY_S - 0.01), fetch.FromOrigin
+        plan.next_action(6.0 + fetch_claimed.RESCUE_RETRY_S - 0.01), fetch.OriginRead
     )
-    assert isinstance(plan.next_action(6.0 + 2 * fetch_claimed.RESCUE_RETRY_S), fetch.FromOrigin)
+    assert isinstance(plan.next_action(6.0 + 2 * fetch_claimed.RESCUE_RETRY_S), fetch.OriginRead)
 
 
 def test_a_claim_of_a_chunk_that_there_is_not_changes_nothing():
--- a/tests/test_fetch_machine.py
+++ b/tests/test_fetch_machine.py
@@ -45,7 +45,7 @@
     @stateful.rule(which=st.integers(0, 9), outcome=st.sampled_from("got empty fail lie".split()))
     def finish(self, which: int, outcome: str) -> None:
         action = self.under_way.pop(which % len(self.under_way))
-        if isinstance(action, fetch.FromOrigin):
+        if isinstance(action, fetch.OriginRead):
             if outcome == "got":
                 self.plan.got(action.index, True, self.now)
             else:
@@ -91,7 +91,7 @@
             action = self.plan.next_action(self.now)
             if action is not None:
                 self.plan.began(action)
-                assert isinstance(action, fetch.FromOrigin)
+                assert isinstance(action, fetch.OriginRead)
                 self.plan.got(action.index, True, self.now)
                 self.plan.ended(action)
         raise AssertionError(f"stuck with {self.plan.held:b}")
@@ -142,7 +142,7 @@
     if action is None:
         return
     plan.began(action)
-    if isinstance(action, fetch.FromOrigin):
+    if isinstance(action, fetch.OriginRead):
         plan.got(action.index, True, now)
     else:
         other = plans[action.peer]
--- a/tests/test_fleet_deciders.py
+++ b/tests/test_fleet_deciders.py
@@ -267,10 +267,10 @@
 def test_the_origin_is_read_for_what_is_missing_only_when_time_presses():
     plan = make_zoned("a", {"b": fetch.OWN_ZONE, "c": fetch.OWN_ZONE})
     plan.held = plan.owned
-    assert not isinstance(plan.next_action(0.0), fetch.FromOrigin)
+    assert not isinstance(plan.next_action(0.0), fetch.OriginRead)
     plan.is_late = True
     action = plan.next_action(0.0)
-    assert isinstance(action, fetch.FromOrigin) and not plan.held >> action.index & 1
+    assert isinstance(action, fetch.OriginRead) and not plan.held >> action.index & 1
 
 
 def test_a_ledger_tells_each_entry_what_the_others_have_to_be_read():
@@ -342,7 +342,7 @@
     found = []
     for now in (0.0, 0.3, 0.6, 0.9):
         action = plan.next_action(now)
-        if isinstance(action, fetch.FromOrigin):
+        if isinstance(action, fetch.OriginRead):
             found.append((now, action.index))
             plan.got(action.index, True, now)
     assert [now for now, _ in found] == [0.0, 0.6]
@@ -355,7 +355,7 @@
     read = []
     for now in range(48):
         action = plan.next_action(float(now))
-        assert isinstance(action, fetch.FromOrigin)
+        assert isinstance(action, fetch.OriginRead)
         read.append(action.index)
         if action.index in (3, 17):
             plan.origin_failed(float(now), 0.5, action.index)
