--- a/bench/transfer.py
+++ b/bench/transfer.py
@@ -228,7 +228,7 @@
         if index < 0:
             agent.incoming.give_back(self.shape.piece_bytes)
         else:
-            if isinstance(action, fetch.FromPeer):
+            if isinstance(action, fetch.PeerRequest):
                 agent.took_s[action.peer] = took_s
                 agent.window.note(took_s, self.now)
             plan.got(index, isinstance(action, fetch.OriginRead), self.now)
@@ -304,7 +304,7 @@
         when = self.now + gap_s if gap_s else through
         self.at(when, lambda: self.send(link, agent, delay, left, gap_s, done))
 
-    def ask(self, agent: Agent, action: fetch.FromPeer) -> None:
+    def ask(self, agent: Agent, action: fetch.PeerRequest) -> None:
         """Ask a peer for a piece."""
         peer = self.agents[action.peer]
         delay = DELAY_S[self.distance(agent, peer)]
@@ -316,13 +316,13 @@
         left = agent.link_out.carry(ASK_BYTES, self.now)
         self.at(left + delay, lambda: self.give(agent, peer, action, held, delay))
 
-    def failed(self, agent: Agent, action: fetch.FromPeer) -> None:
+    def failed(self, agent: Agent, action: fetch.PeerRequest) -> None:
         """Note that a peer did not answer."""
         agent.plan.peer_failed(action.peer, self.now)
         self.end(agent, action, -1)
 
     def give(
-        self, agent: Agent, peer: Agent, action: fetch.FromPeer, held: int, delay: float
+        self, agent: Agent, peer: Agent, action: fetch.PeerRequest, held: int, delay: float
     ) -> None:
         """Let a peer answer."""
         peer.plan.heard(agent.name, held, self.now)
@@ -346,7 +346,7 @@
 
         self.at(start, lambda: self.send(peer.link_out, agent, delay, 0, gap_s, done))
 
-    def nothing(self, agent: Agent, action: fetch.FromPeer, told: int, free_in_s: float) -> None:
+    def nothing(self, agent: Agent, action: fetch.PeerRequest, told: int, free_in_s: float) -> None:
         """Note that a peer is busy for so long, or (0) has nothing of what was asked."""
         self.counts["in vain"] += 1
         agent.plan.heard(action.peer, told, self.now)
--- a/src/merlinthread/coordination/fetch.py
+++ b/src/merlinthread/coordination/fetch.py
@@ -45,14 +45,14 @@
 
 
 @dataclasses.dataclass(slots=True)
-class FromPeer:
+class PeerRequest:
     """Ask `peer` for any one chunk of `wanted`."""
 
     peer: str
     wanted: int
 
 
-Action = OriginRead | FromPeer
+Action = OriginRead | PeerRequest
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -187,7 +187,7 @@
         chunk is known to all of a zone as soon as one has it, and each is announced there once.
         """
         near = [peer.name for peer in self.peers.values() if peer.distance == OWN_ZONE]
-        if isinstance(action, FromPeer):
+        if isinstance(action, PeerRequest):
             asked = self.peers.get(action.peer)
             return near if asked is not None and asked.distance != OWN_ZONE else []
         return near + [
@@ -322,7 +322,7 @@
         """Return whether an origin slot is free."""
         return self.origin_busy < self.origin_slots and now >= self.origin_not_before
 
-    def ask(self, peer: fetch_peers.PeerState, now: float) -> FromPeer | None:
+    def ask(self, peer: fetch_peers.PeerState, now: float) -> PeerRequest | None:
         """Return a request for the rarest chunks that `peer` is known to have."""
         needed = self.needed()
         useful = peer.held & needed
@@ -333,7 +333,7 @@
         chosen = 0
         for index in self.rarest(useful)[:count]:
             chosen |= 1 << index
-        return FromPeer(peer.name, chosen)
+        return PeerRequest(peer.name, chosen)
 
     def rarest(self, useful: int) -> list[int]:
         """Return up to CHUNKS_OFFERED chunks of `useful` that the fewest known VMs have."""
--- a/src/merlinthread/coordination/fetch_baselines.py
+++ b/src/merlinthread/coordination/fetch_baselines.py
@@ -37,7 +37,7 @@
         peer = self.peers[name]
         if peer.not_before > now or self.asking[name]:
             return None
-        return fetch.FromPeer(name, needed)
+        return fetch.PeerRequest(name, needed)
 
 
 @fetch.POLICIES.add("origin_only")
--- a/src/merlinthread/coordination/fetch_claimed.py
+++ b/src/merlinthread/coordination/fetch_claimed.py
@@ -51,7 +51,7 @@
     def audience(self, action: fetch.Action) -> list[str]:
         """Return whom to tell of a chunk that has come; all readers hear what the origin gave."""
         told = super().audience(action)
-        if isinstance(action, fetch.FromPeer):
+        if isinstance(action, fetch.PeerRequest):
             return told
         known = set(told)
         return told + [reader for reader in self.rivals() if reader not in known]
@@ -89,7 +89,7 @@
                 return taken
         return self.from_peers(now) or self.rescue(self.needed(), now) or self.ask_unsure(now)
 
-    def from_peers(self, now: float) -> fetch.FromPeer | None:
+    def from_peers(self, now: float) -> fetch.PeerRequest | None:
         """Return a request to the nearest peer that is known to have something needed."""
         for peer in self.askable(now):
             action = self.ask(peer, now)
@@ -97,7 +97,7 @@
                 return action
         return None
 
-    def ask_unsure(self, now: float) -> fetch.FromPeer | None:
+    def ask_unsure(self, now: float) -> fetch.PeerRequest | None:
         """Return a request to the peer whose word is most overdue."""
         return self.probe(self.needed(), now)
 
--- a/src/merlinthread/coordination/fetch_policies.py
+++ b/src/merlinthread/coordination/fetch_policies.py
@@ -48,7 +48,7 @@
                 return action
         return self.rescue(needed, now) or self.probe(needed, now)
 
-    def probe(self, needed: int, now: float) -> fetch.FromPeer | None:
+    def probe(self, needed: int, now: float) -> fetch.PeerRequest | None:
         """Ask the peer whose word is most overdue for a part of what is needed.
 
         Far peers are due less often, but they come: near ones may all lack the same chunks.
@@ -59,7 +59,7 @@
         peer = max(due, key=lambda peer: peer.overdue(now))
         indices = fetch.bits(needed)
         part = self.rng.sample(indices, max(1, len(indices) // 4))
-        return fetch.FromPeer(peer.name, sum(1 << index for index in part))
+        return fetch.PeerRequest(peer.name, sum(1 << index for index in part))
 
     def rescue(self, needed: int, now: float) -> fetch.OriginRead | None:
         """Read a chunk whose owner does not deliver, if this VM is next to do so.
@@ -141,7 +141,7 @@
             key=lambda index: (self.origin_failures[index], self.rank(index)),
         )
 
-    def ask(self, peer: fetch_peers.PeerState, now: float) -> fetch.FromPeer | None:
+    def ask(self, peer: fetch_peers.PeerState, now: float) -> fetch.PeerRequest | None:
         """Return a request; of a far peer only for what this VM is to bring into its zone."""
         if peer.distance == fetch.OWN_ZONE:
             return super().ask(peer, now)
@@ -154,7 +154,7 @@
         finally:
             peer.held = held
 
-    def probe(self, needed: int, now: float) -> fetch.FromPeer | None:
+    def probe(self, needed: int, now: float) -> fetch.PeerRequest | None:
         """Ask the peer whose word is most overdue; a far one only for what is to be brought."""
         brought = self.to_bring(now)
         due = [
@@ -165,7 +165,7 @@
         if not due:
             return None
         peer = max(due, key=lambda peer: peer.overdue(now))
-        return fetch.FromPeer(peer.name, needed if peer.distance == fetch.OWN_ZONE else brought)
+        return fetch.PeerRequest(peer.name, needed if peer.distance == fetch.OWN_ZONE else brought)
 
     def to_bring(self, now: float) -> int:
         """Return the chunks that this VM may ask far peers for."""
--- a/src/merlinthread/nodes/piece_fetcher.py
+++ b/src/merlinthread/nodes/piece_fetcher.py
@@ -173,7 +173,7 @@
         if index < 0:
             return
         is_from_origin = isinstance(action, fetch.OriginRead)
-        if isinstance(action, fetch.FromPeer):
+        if isinstance(action, fetch.PeerRequest):
             self.took_s[action.peer] = round(self.clock() - began, 3)
             self.window.note(self.clock() - began, self.clock())
         plan.got(index, is_from_origin, self.clock())
@@ -201,7 +201,7 @@
         return action.index
 
     async def from_peer(
-        self, plan: fetch.FetchPlan, manifest: fleet.Manifest, action: fetch.FromPeer
+        self, plan: fetch.FetchPlan, manifest: fleet.Manifest, action: fetch.PeerRequest
     ) -> int:
         """Get one of the wanted pieces from a peer and stage it; return its index, or -1."""
         reply = await self.ask(plan, manifest, action)
@@ -225,7 +225,7 @@
         return reply.index
 
     async def ask(
-        self, plan: fetch.FetchPlan, manifest: fleet.Manifest, action: fetch.FromPeer
+        self, plan: fetch.FetchPlan, manifest: fleet.Manifest, action: fetch.PeerRequest
     ) -> node_messages.PieceReply | None:
         """Return a peer's answer, or None if it gave none."""
         count = len(manifest.digests)
--- a/src/merlinthread/roles/weights.py
+++ b/src/merlinthread/roles/weights.py
@@ -311,7 +311,7 @@
         if download.trouble:
             logs.warn("origin_changed", manifest=download.digest, index=index)
 
-    def ask_peer(self, download: Download, action: fetch.FromPeer, callers: bus.Callers) -> None:
+    def ask_peer(self, download: Download, action: fetch.PeerRequest, callers: bus.Callers) -> None:
         """Ask another agent for a chunk."""
         manifest, plan = download.manifest_and_plan(self.manifests)
         count = len(manifest.chunks)
--- a/tests/test_chunk_announcements.py
+++ b/tests/test_chunk_announcements.py
@@ -56,16 +56,16 @@
         if isinstance(action, fetch.OriginRead):
             plan.began(action)
             action = plan.next_action(0.01)
-        assert action == fetch.FromPeer(name(7), 1 << 11)
+        assert action == fetch.PeerRequest(name(7), 1 << 11)
 
 
 def test_one_vm_of_a_zone_tells_the_zone():
     bringer = plan_of(8)
     bringer.announced(name(7), 11)
-    far = fetch.FromPeer(name(7), 1 << 11)
+    far = fetch.PeerRequest(name(7), 1 << 11)
     assert {zone_of(vm) for vm in bringer.audience(far)} == {3}
     # Who got it from its own zone tells nobody: all of the zone have been told.
-    assert bringer.audience(fetch.FromPeer(name(13), 1 << 11)) == []
+    assert bringer.audience(fetch.PeerRequest(name(13), 1 << 11)) == []
 
 
 def test_who_has_announced_stays_among_those_asked_in_a_large_group():
@@ -131,7 +131,7 @@
         plan.heard(peer.name, 0, 9.0 if peer.distance == fetch.OWN_ZONE else 1.0)
     plan.last_news_at = 10.0
     action = plan.next_action(10.5)
-    assert isinstance(action, fetch.FromPeer)
+    assert isinstance(action, fetch.PeerRequest)
     assert plan.peers[action.peer].distance == fetch.OWN_ZONE
 
 
--- a/tests/test_fetch_machine.py
+++ b/tests/test_fetch_machine.py
@@ -29,12 +29,12 @@
         action = self.plan.next_action(self.now)
         if action is None:
             return
-        if isinstance(action, fetch.FromPeer):
+        if isinstance(action, fetch.PeerRequest):
             assert action.wanted and not action.wanted & (self.plan.held | self.plan.in_flight)
             assert all(
                 other.peer != action.peer
                 for other in self.under_way
-                if isinstance(other, fetch.FromPeer)
+                if isinstance(other, fetch.PeerRequest)
             )
         else:
             assert not (self.plan.held | self.plan.in_flight) >> action.index & 1
@@ -62,7 +62,7 @@
         else:
             self.plan.peer_corrupt(action.peer, self.now)
             following = self.plan.next_action(self.now)
-            assert not isinstance(following, fetch.FromPeer) or following.peer != action.peer
+            assert not isinstance(following, fetch.PeerRequest) or following.peer != action.peer
         self.plan.ended(action)
 
     @stateful.rule(seconds=st.sampled_from([0.05, 1.0, 5.0]))
