--- a/src/merlinthread/coordination/fetch.py
+++ b/src/merlinthread/coordination/fetch.py
@@ -15,7 +15,7 @@
 from merlinthread import registry
 from merlinthread.coordination import fetch_peers
 
-OWN_ZONE = 0
+SAME_ZONE = 0
 OWN_REGION = 1
 FAR = 2
 
@@ -148,14 +148,14 @@
             return
         self.known_peers = peers
         self.participants = sorted({peer.name for peer in peers} | {self.me})
-        near = {peer.name for peer in peers if peer.distance == OWN_ZONE} | {self.me}
+        near = {peer.name for peer in peers if peer.distance == SAME_ZONE} | {self.me}
         if near != self.near:
             self.near = near
             self.ranks = {}
             self.rank_masks = {}
         self.far_zones = {}
         for peer in peers:
-            if peer.distance != OWN_ZONE:
+            if peer.distance != SAME_ZONE:
                 self.far_zones.setdefault(peer.zone, []).append(peer.name)
         chosen = {peer.name: peer for peer in self.neighbours(peers)}
         for name in set(self.peers) - set(chosen):
@@ -170,8 +170,8 @@
         if len(peers) <= NEIGHBOURS_MAX:
             return peers
         ordered = sorted(peers, key=lambda peer: weight(peer.name, self.me, 0))
-        near = [peer for peer in ordered if peer.distance == OWN_ZONE][: NEIGHBOURS_MAX * 2 // 3]
-        far = [peer for peer in ordered if peer.distance != OWN_ZONE]
+        near = [peer for peer in ordered if peer.distance == SAME_ZONE][: NEIGHBOURS_MAX * 2 // 3]
+        far = [peer for peer in ordered if peer.distance != SAME_ZONE]
         chosen = near + far[: NEIGHBOURS_MAX - len(near)]
         # Who has announced a chunk is asked as well: it may be the only one that has it.
         known = {peer.name for peer in chosen}
@@ -186,10 +186,10 @@
         the VM that brings the chunk there; what came from far, the neighbours in this zone. So a
         chunk is known to all of a zone as soon as one has it, and each is announced there once.
         """
-        near = [peer.name for peer in self.peers.values() if peer.distance == OWN_ZONE]
+        near = [peer.name for peer in self.peers.values() if peer.distance == SAME_ZONE]
         if isinstance(action, PeerRequest):
             asked = self.peers.get(action.peer)
-            return near if asked is not None and asked.distance != OWN_ZONE else []
+            return near if asked is not None and asked.distance != SAME_ZONE else []
         return near + [
             max(zone, key=lambda name: weight(name, self.manifest, action.index))
             for zone in self.far_zones.values()
@@ -201,7 +201,7 @@
             return
         self.announcers.add(peer)
         if peer not in self.peers:
-            self.peers[peer] = fetch_peers.PeerState(peer, OWN_ZONE if peer in self.near else FAR)
+            self.peers[peer] = fetch_peers.PeerState(peer, SAME_ZONE if peer in self.near else FAR)
         self.peers[peer].held |= 1 << index
 
     def rivals(self) -> list[str]:
--- a/src/merlinthread/coordination/fetch_claimed.py
+++ b/src/merlinthread/coordination/fetch_claimed.py
@@ -133,7 +133,7 @@
         """Return the reading of a chunk that is out, but not known to be in this zone."""
         lacking = self.needed()
         for peer in self.peers.values():
-            if peer.distance == fetch.OWN_ZONE:
+            if peer.distance == fetch.SAME_ZONE:
                 lacking &= ~peer.held
         if not lacking:
             return None
--- a/src/merlinthread/coordination/fetch_policies.py
+++ b/src/merlinthread/coordination/fetch_policies.py
@@ -134,7 +134,7 @@
         """
         missing = needed
         for peer in self.peers.values():
-            if peer.distance == fetch.OWN_ZONE:
+            if peer.distance == fetch.SAME_ZONE:
                 missing &= ~peer.held
         return min(
             fetch.bits(missing or needed),
@@ -143,7 +143,7 @@
 
     def ask(self, peer: fetch_peers.PeerState, now: float) -> fetch.PeerRequest | None:
         """Return a request; of a far peer only for what this VM is to bring into its zone."""
-        if peer.distance == fetch.OWN_ZONE:
+        if peer.distance == fetch.SAME_ZONE:
             return super().ask(peer, now)
         allowed = self.to_bring(now)
         if not allowed & peer.held:
@@ -160,12 +160,12 @@
         due = [
             peer
             for peer in self.askable(now)
-            if peer.overdue(now) > 1 and (peer.distance == fetch.OWN_ZONE or brought)
+            if peer.overdue(now) > 1 and (peer.distance == fetch.SAME_ZONE or brought)
         ]
         if not due:
             return None
         peer = max(due, key=lambda peer: peer.overdue(now))
-        return fetch.PeerRequest(peer.name, needed if peer.distance == fetch.OWN_ZONE else brought)
+        return fetch.PeerRequest(peer.name, needed if peer.distance == fetch.SAME_ZONE else brought)
 
     def to_bring(self, now: float) -> int:
         """Return the chunks that this VM may ask far peers for."""
--- a/src/merlinthread/nodes/manifest_finder.py
+++ b/src/merlinthread/nodes/manifest_finder.py
@@ -113,7 +113,7 @@
 
     def is_my_turn(self, peers: Sequence[fetch.Peer]) -> bool:
         """Return by lot whether to try the origin again: about one agent of a zone does."""
-        zone = sum(peer.distance == fetch.OWN_ZONE for peer in peers) + 1
+        zone = sum(peer.distance == fetch.SAME_ZONE for peer in peers) + 1
         return self.rng.random() * zone < 1
 
     async def from_some(
@@ -151,6 +151,6 @@
 
 def ahead_in_zone(me: str, manifest: str, peers: Sequence[fetch.Peer]) -> list[str]:
     """Return the agents of this zone that come before `me` in a manifest's rendezvous order."""
-    zone = [peer.name for peer in peers if peer.distance == fetch.OWN_ZONE] + [me]
+    zone = [peer.name for peer in peers if peer.distance == fetch.SAME_ZONE] + [me]
     zone.sort(key=lambda name: fetch.weight(name, manifest, -1), reverse=True)
     return zone[: zone.index(me)]
--- a/src/merlinthread/roles/agent.py
+++ b/src/merlinthread/roles/agent.py
@@ -232,7 +232,7 @@
     def distance(self, placed: commands.Placed) -> int:
         """Return how far another VM is."""
         if placed.availability_zone == self.parts.settings.availability_zone:
-            return fetch.OWN_ZONE
+            return fetch.SAME_ZONE
         if placed.region == self.parts.settings.region:
             return fetch.OWN_REGION
         return fetch.FAR
--- a/tests/test_weights_task.py
+++ b/tests/test_weights_task.py
@@ -144,7 +144,7 @@
     async def scenario(fleet):
         await fleet.until_all_hold(1)
         names = [f"{fleet_nodes.NETWORK}.{21 + number}:{fleet.port}" for number in range(3)]
-        peers = [fetch.Peer(name, name, fetch.OWN_ZONE) for name in names]
+        peers = [fetch.Peer(name, name, fetch.SAME_ZONE) for name in names]
         # The last one has the others ahead of it.
         orders = [
             manifest_finder.ahead_in_zone(name, "m@2", [p for p in peers if p.name != name])
