--- a/bench/swarm.py
+++ b/bench/swarm.py
@@ -95,7 +95,7 @@
                 if name == agent.weights.name:
                     continue
                 is_reached = (other == cut) == (zone == cut)
-                distance = fetch.SAME_ZONE if other == zone else fetch.OWN_REGION
+                distance = fetch.SAME_ZONE if other == zone else fetch.SAME_REGION
                 peers.append(fetch.Peer(name, address if is_reached else NOWHERE, distance))
             agent.weights.want({order["manifest"]: peers})
         return {}
--- a/src/merlinthread/coordination/fetch.py
+++ b/src/merlinthread/coordination/fetch.py
@@ -16,7 +16,7 @@
 from merlinthread.coordination import fetch_peers
 
 SAME_ZONE = 0
-OWN_REGION = 1
+SAME_REGION = 1
 FAR = 2
 
 BUSY_WAIT_S = 0.025
--- a/src/merlinthread/roles/agent.py
+++ b/src/merlinthread/roles/agent.py
@@ -234,7 +234,7 @@
         if placed.availability_zone == self.parts.settings.availability_zone:
             return fetch.SAME_ZONE
         if placed.region == self.parts.settings.region:
-            return fetch.OWN_REGION
+            return fetch.SAME_REGION
         return fetch.FAR
 
     # Orders
