--- a/bench/transfer.py
+++ b/bench/transfer.py
@@ -156,7 +156,7 @@
 
     def distance(self, one: Agent, other: Agent) -> int:
         """Return the distance between two agents."""
-        return fetch.SAME_ZONE if one.zone == other.zone else fetch.FAR
+        return fetch.SAME_ZONE if one.zone == other.zone else fetch.OTHER_REGION
 
     def at(self, when: float, do: Callable[[], None]) -> None:
         """Let something happen at a time."""
--- a/src/merlinthread/coordination/fetch.py
+++ b/src/merlinthread/coordination/fetch.py
@@ -17,7 +17,7 @@
 
 SAME_ZONE = 0
 SAME_REGION = 1
-FAR = 2
+OTHER_REGION = 2
 
 BUSY_WAIT_S = 0.025
 EMPTY_WAIT_S = 0.05
@@ -201,7 +201,9 @@
             return
         self.announcers.add(peer)
         if peer not in self.peers:
-            self.peers[peer] = fetch_peers.PeerState(peer, SAME_ZONE if peer in self.near else FAR)
+            self.peers[peer] = fetch_peers.PeerState(
+                peer, SAME_ZONE if peer in self.near else OTHER_REGION
+            )
         self.peers[peer].held |= 1 << index
 
     def rivals(self) -> list[str]:
--- a/src/merlinthread/roles/agent.py
+++ b/src/merlinthread/roles/agent.py
@@ -235,7 +235,7 @@
             return fetch.SAME_ZONE
         if placed.region == self.parts.settings.region:
             return fetch.SAME_REGION
-        return fetch.FAR
+        return fetch.OTHER_REGION
 
     # Orders
 
--- a/tests/test_chunk_announcements.py
+++ b/tests/test_chunk_announcements.py
@@ -22,7 +22,7 @@
     """Return the plan of one VM that knows all the others."""
     zone = number % ZONES
     peers = [
-        fetch.Peer(name(n), name(n), fetch.FAR * (n % ZONES != zone), f"z{n % ZONES}")
+        fetch.Peer(name(n), name(n), fetch.OTHER_REGION * (n % ZONES != zone), f"z{n % ZONES}")
         for n in range(vms)
         if n != number
     ]
@@ -73,7 +73,7 @@
     strangers = [vm for vm in plan.participants if vm not in plan.peers and vm != plan.me]
     plan.announced(strangers[0], 5)
     peers = [
-        fetch.Peer(name(n), name(n), fetch.FAR * (n % ZONES != 0), f"z{n % ZONES}")
+        fetch.Peer(name(n), name(n), fetch.OTHER_REGION * (n % ZONES != 0), f"z{n % ZONES}")
         for n in range(1, 300)
     ]
     plan.set_peers(peers)
--- a/tests/test_claimed_reads.py
+++ b/tests/test_claimed_reads.py
@@ -26,7 +26,7 @@
 def plan_of(number: int) -> fetch_claimed.Claimed:
     zone = number % ZONES
     peers = [
-        fetch.Peer(name(n), name(n), fetch.FAR * (n % ZONES != zone), f"z{n % ZONES}")
+        fetch.Peer(name(n), name(n), fetch.OTHER_REGION * (n % ZONES != zone), f"z{n % ZONES}")
         for n in range(VMS)
         if n != number
     ]
@@ -75,7 +75,7 @@
 
 def test_an_owner_does_not_read_what_another_zone_has():
     plan = reader()
-    far = next(peer.name for peer in plan.peers.values() if peer.distance == fetch.FAR)
+    far = next(peer.name for peer in plan.peers.values() if peer.distance == fetch.OTHER_REGION)
     for index in fetch.bits(plan.owned):
         plan.announced(far, index)
     assert not isinstance(plan.next_action(0.1), fetch.OriginRead)
@@ -83,7 +83,7 @@
 
 def test_what_only_a_lost_vm_had_is_read_again():
     plan = reader()
-    far = next(peer.name for peer in plan.peers.values() if peer.distance == fetch.FAR)
+    far = next(peer.name for peer in plan.peers.values() if peer.distance == fetch.OTHER_REGION)
     for index in fetch.bits(plan.owned):
         plan.announced(far, index)
     plan.peer_failed(far, 0.1)
--- a/tests/test_fleet_deciders.py
+++ b/tests/test_fleet_deciders.py
@@ -249,7 +249,7 @@
     zone = ["a", "b", "c"]
     asked = []
     for me in zone:
-        names = {name: fetch.SAME_ZONE for name in zone if name != me} | {"far": fetch.FAR}
+        names = {name: fetch.SAME_ZONE for name in zone if name != me} | {"far": fetch.OTHER_REGION}
         plan = make_zoned(me, names)
         plan.heard("far", plan.all, 0.0)
         asked.append(plan.to_bring(0.0))
@@ -258,7 +258,7 @@
 
 
 def test_a_vm_without_news_asks_far_zones_for_all_it_lacks():
-    names = {"b": fetch.SAME_ZONE, "far": fetch.FAR}
+    names = {"b": fetch.SAME_ZONE, "far": fetch.OTHER_REGION}
     plan = make_zoned("a", names)
     assert plan.to_bring(0.0) != plan.all
     assert plan.to_bring(3 * plan.origin_grace_s) == plan.all
@@ -334,7 +334,7 @@
 
 
 def test_the_origins_spare_link_is_shared_among_vms_for_what_the_zone_lacks():
-    plan = make_zoned("a", {"b": fetch.SAME_ZONE, "far": fetch.FAR})
+    plan = make_zoned("a", {"b": fetch.SAME_ZONE, "far": fetch.OTHER_REGION})
     plan.held = plan.owned
     plan.spare_every_s = 0.5
     plan.heard("b", plan.all & ~plan.owned & ~(1 << 7 | 1 << 9), 0.0)
--- a/tests/test_manifest_spreads.py
+++ b/tests/test_manifest_spreads.py
@@ -46,7 +46,7 @@
     def peers(self, name: str) -> list[fetch.Peer]:
         zone = name.split(".")[1]
         return [
-            fetch.Peer(other, other, fetch.FAR * (other.split(".")[1] != zone))
+            fetch.Peer(other, other, fetch.OTHER_REGION * (other.split(".")[1] != zone))
             for other in self.names
             if other != name
         ]
