--- a/src/merlinthread/coordination/fetch.py
+++ b/src/merlinthread/coordination/fetch.py
@@ -90,7 +90,7 @@
     return blake3.blake3(f"{name} {manifest} {index}".encode()).digest(8)
 
 
-def readers_for(origin_bytes_per_s: float, vm_bytes_per_s: float) -> int:
+def origin_reader_count(origin_bytes_per_s: float, vm_bytes_per_s: float) -> int:
     """Return how many VMs read an origin whose link carries so much; 0 if that is not told."""
     if not origin_bytes_per_s:
         return READERS_MAX
--- a/src/merlinthread/nodes/weights_task.py
+++ b/src/merlinthread/nodes/weights_task.py
@@ -159,7 +159,7 @@
         )
         plan.origin_grace_s = piece_fetcher.ORIGIN_GRACE_S
         plan.asks_per_peer = piece_fetcher.ASKS_PER_PEER
-        plan.readers_max = fetch.readers_for(
+        plan.readers_max = fetch.origin_reader_count(
             self.facts.origin_bytes_per_s(), self.fetcher.link_bytes_per_s
         )
         return plan
--- a/tests/test_chunk_announcements.py
+++ b/tests/test_chunk_announcements.py
@@ -91,10 +91,10 @@
 
 def test_no_more_vms_read_the_origin_than_fill_its_link():
     # The large site: the origin's link carries 7.3 Mbit/s, that of a VM 3.65.
-    assert fetch.readers_for(7.3e6 / 8, 3.65e6 / 8) == 16
-    assert fetch.readers_for(0.0, 3.65e6 / 8) == fetch.READERS_MAX
-    assert fetch.readers_for(1e12, 3.65e6 / 8) == fetch.READERS_MAX
-    assert fetch.readers_for(1.0, 3.65e6 / 8) == fetch.READERS_MIN
+    assert fetch.origin_reader_count(7.3e6 / 8, 3.65e6 / 8) == 16
+    assert fetch.origin_reader_count(0.0, 3.65e6 / 8) == fetch.READERS_MAX
+    assert fetch.origin_reader_count(1e12, 3.65e6 / 8) == fetch.READERS_MAX
+    assert fetch.origin_reader_count(1.0, 3.65e6 / 8) == fetch.READERS_MIN
 
 
 def test_all_chunks_have_a_reader_and_nobody_else_reads_while_time_presses():
