--- a/bench/transfer.py
+++ b/bench/transfer.py
@@ -328,7 +328,7 @@
         peer.plan.heard(agent.name, held, self.now)
         if agent.took_s.get(peer.name):
             peer.outgoing.note(agent.name, agent.took_s.pop(peer.name))
-        wanted = fetch.bits(action.wanted & peer.plan.held)
+        wanted = fetch.bit_positions(action.wanted & peer.plan.held)
         told = peer.plan.held
         free_in_s = peer.outgoing.wait_s(self.now) if wanted else 0.0
         if not wanted or free_in_s > piece_giver.UPLOAD_WAIT_S_MAX:
--- a/src/merlinthread/coordination/fetch.py
+++ b/src/merlinthread/coordination/fetch.py
@@ -65,7 +65,7 @@
     zone: str = ""
 
 
-def bits(value: int) -> list[int]:
+def bit_positions(value: int) -> list[int]:
     """Return the positions of the set bits, lowest first."""
     found = []
     while value:
@@ -352,7 +352,7 @@
         chosen: list[int] = []
         rest = useful
         for level in levels[1:] + [0]:
-            few = bits(rest & ~level)
+            few = bit_positions(rest & ~level)
             self.rng.shuffle(few)
             chosen.extend(few[: CHUNKS_OFFERED - len(chosen)])
             rest &= level
--- a/src/merlinthread/coordination/fetch_baselines.py
+++ b/src/merlinthread/coordination/fetch_baselines.py
@@ -33,7 +33,7 @@
         if not name:
             if not self.may_read_origin(now):
                 return None
-            return fetch.OriginRead(fetch.bits(needed)[0])
+            return fetch.OriginRead(fetch.bit_positions(needed)[0])
         peer = self.peers[name]
         if peer.not_before > now or self.asking[name]:
             return None
@@ -49,4 +49,4 @@
         needed = self.needed()
         if not needed or not self.may_read_origin(now):
             return None
-        return fetch.OriginRead(fetch.bits(needed)[0])
+        return fetch.OriginRead(fetch.bit_positions(needed)[0])
--- a/src/merlinthread/coordination/fetch_claimed.py
+++ b/src/merlinthread/coordination/fetch_claimed.py
@@ -137,7 +137,7 @@
                 lacking &= ~peer.held
         if not lacking:
             return None
-        return fetch.OriginRead(min(fetch.bits(lacking), key=self.rank))
+        return fetch.OriginRead(min(fetch.bit_positions(lacking), key=self.rank))
 
     def claims_in_force(self, now: float) -> int:
         """Return the chunks that other VMs said they read from the origin a moment ago."""
@@ -150,5 +150,6 @@
     def least_failed(self, chunks: int) -> int:
         """Return a chunk that the origin has failed to give least often, by lot among equals."""
         return min(
-            fetch.bits(chunks), key=lambda index: (self.origin_failures[index], self.rng.random())
+            fetch.bit_positions(chunks),
+            key=lambda index: (self.origin_failures[index], self.rng.random()),
         )
--- a/src/merlinthread/coordination/fetch_policies.py
+++ b/src/merlinthread/coordination/fetch_policies.py
@@ -41,7 +41,7 @@
             return None
         own = needed & self.owned
         if own and self.may_read_origin(now):
-            return fetch.OriginRead(self.rng.choice(fetch.bits(own)))
+            return fetch.OriginRead(self.rng.choice(fetch.bit_positions(own)))
         for peer in self.askable(now):
             action = self.ask(peer, now)
             if action is not None:
@@ -57,7 +57,7 @@
         if not due:
             return None
         peer = max(due, key=lambda peer: peer.overdue(now))
-        indices = fetch.bits(needed)
+        indices = fetch.bit_positions(needed)
         part = self.rng.sample(indices, max(1, len(indices) // 4))
         return fetch.PeerRequest(peer.name, sum(1 << index for index in part))
 
@@ -75,7 +75,7 @@
                 needed &= ~peer.held
         due = [
             index
-            for index in fetch.bits(needed)
+            for index in fetch.bit_positions(needed)
             if waited >= self.origin_grace_s * (1 + self.rank(index))
         ]
         if not due:
@@ -137,7 +137,7 @@
             if peer.distance == fetch.SAME_ZONE:
                 missing &= ~peer.held
         return min(
-            fetch.bits(missing or needed),
+            fetch.bit_positions(missing or needed),
             key=lambda index: (self.origin_failures[index], self.rank(index)),
         )
 
--- a/src/merlinthread/coordination/uploads.py
+++ b/src/merlinthread/coordination/uploads.py
@@ -24,7 +24,7 @@
 
     def choose(self, manifest: str, offered: int) -> int:
         """Return the chunk of `offered` that was sent least often, and count it."""
-        index = min(fetch.bits(offered), key=lambda i: self.sent.get((manifest, i), 0))
+        index = min(fetch.bit_positions(offered), key=lambda i: self.sent.get((manifest, i), 0))
         self.sent[(manifest, index)] = self.sent.get((manifest, index), 0) + 1
         return index
 
--- a/src/merlinthread/nodes/piece_giver.py
+++ b/src/merlinthread/nodes/piece_giver.py
@@ -54,7 +54,7 @@
             self.outgoing.note(request.sender, request.took_s)
         if request.sender:
             plan.heard(request.sender, fetch.from_bytes(request.held, count), self.clock())
-        wanted = fetch.bits(fetch.from_bytes(request.wanted, count) & plan.held)
+        wanted = fetch.bit_positions(fetch.from_bytes(request.wanted, count) & plan.held)
         if not wanted:
             return node_messages.PieceReply(-1, b"", held)
         now = self.clock()
--- a/tests/test_claimed_reads.py
+++ b/tests/test_claimed_reads.py
@@ -65,7 +65,7 @@
 
 def test_a_chunk_that_another_vm_reads_is_not_read_until_the_claim_is_old():
     plan = reader()
-    own = fetch.bits(plan.owned)
+    own = fetch.bit_positions(plan.owned)
     for index in range(CHUNKS):
         plan.claimed(index, 0.0)
     assert not isinstance(plan.next_action(0.1), fetch.OriginRead)
@@ -76,7 +76,7 @@
 def test_an_owner_does_not_read_what_another_zone_has():
     plan = reader()
     far = next(peer.name for peer in plan.peers.values() if peer.distance == fetch.OTHER_REGION)
-    for index in fetch.bits(plan.owned):
+    for index in fetch.bit_positions(plan.owned):
         plan.announced(far, index)
     assert not isinstance(plan.next_action(0.1), fetch.OriginRead)
 
@@ -84,7 +84,7 @@
 def test_what_only_a_lost_vm_had_is_read_again():
     plan = reader()
     far = next(peer.name for peer in plan.peers.values() if peer.distance == fetch.OTHER_REGION)
-    for index in fetch.bits(plan.owned):
+    for index in fetch.bit_positions(plan.owned):
         plan.announced(far, index)
     plan.peer_failed(far, 0.1)
     assert isinstance(plan.next_action(0.2), fetch.OriginRead)
@@ -100,13 +100,13 @@
 
 def test_an_origin_that_was_away_is_tried_by_owners_at_once_and_by_others_much_later():
     plan = reader()
-    own = fetch.bits(plan.owned)[0]
+    own = fetch.bit_positions(plan.owned)[0]
     plan.origin_failed(5.0, 0.3, own)
     assert isinstance(plan.next_action(5.0 + fetch_claimed.OWN_RETRY_S), fetch.OriginRead)
     plan.held = plan.owned
     plan.is_late = True
     assert isinstance(plan.next_action(6.0), fetch.OriginRead), "takes over what is unread"
-    other = fetch.bits(plan.needed())[0]
+    other = fetch.bit_positions(plan.needed())[0]
     plan.origin_failed(6.0, 0.3, other)
     assert not isinstance(
         plan.next_action(6.0 + fetch_claimed.RESCUE_RETRY_S - 0.01), fetch.OriginRead
--- a/tests/test_fetch_machine.py
+++ b/tests/test_fetch_machine.py
@@ -51,7 +51,7 @@
             else:
                 self.plan.origin_failed(self.now, 0.5)
         elif outcome == "got":
-            index = fetch.bits(action.wanted)[0]
+            index = fetch.bit_positions(action.wanted)[0]
             self.plan.heard(action.peer, action.wanted, self.now)
             self.plan.got(index, False, self.now)
         elif outcome == "empty":
--- a/tests/test_fleet_deciders.py
+++ b/tests/test_fleet_deciders.py
@@ -346,7 +346,7 @@
             found.append((now, action.index))
             plan.got(action.index, True, now)
     assert [now for now, _ in found] == [0.0, 0.6]
-    assert {index for _, index in found} <= {7, 9} - set(fetch.bits(plan.owned))
+    assert {index for _, index in found} <= {7, 9} - set(fetch.bit_positions(plan.owned))
 
 
 def test_a_chunk_that_the_origin_fails_to_give_does_not_hold_the_others_up():
