--- a/src/merlinthread/coordination/fetch.py
+++ b/src/merlinthread/coordination/fetch.py
@@ -75,7 +75,7 @@
     return found
 
 
-def to_bytes(value: int, count: int) -> bytes:
+def bitset_to_bytes(value: int, count: int) -> bytes:
     """Return a bit set over `count` chunks as bytes, lowest first."""
     return value.to_bytes((count + 7) // 8, "little")
 
--- a/src/merlinthread/nodes/piece_fetcher.py
+++ b/src/merlinthread/nodes/piece_fetcher.py
@@ -232,9 +232,9 @@
         request = node_messages.PieceRequest(
             manifest.model,
             manifest.version,
-            fetch.to_bytes(action.wanted, count),
+            fetch.bitset_to_bytes(action.wanted, count),
             self.facts.me,
-            fetch.to_bytes(plan.held, count),
+            fetch.bitset_to_bytes(plan.held, count),
             self.took_s.pop(action.peer, 0.0),
         )
         try:
--- a/src/merlinthread/nodes/piece_giver.py
+++ b/src/merlinthread/nodes/piece_giver.py
@@ -49,7 +49,7 @@
         if (manifest.model, manifest.version) != (request.model, request.version):
             return NOTHING
         count = len(manifest.digests)
-        held = fetch.to_bytes(plan.held, count)
+        held = fetch.bitset_to_bytes(plan.held, count)
         if request.took_s:
             self.outgoing.note(request.sender, request.took_s)
         if request.sender:
--- a/src/merlinthread/roles/chunk_giver.py
+++ b/src/merlinthread/roles/chunk_giver.py
@@ -41,7 +41,7 @@
             held = plan.held if plan else self.held_of(manifest)
             if plan is not None:
                 plan.heard(wanted.agent, fetch.from_bytes(wanted.held, count), now)
-            shown = fetch.to_bytes(held, count)
+            shown = fetch.bitset_to_bytes(held, count)
             offered = held & fetch.from_bytes(wanted.wanted, count)
             if not offered:
                 return messages.ChunkFound(messages.NOTHING, b"", shown)
--- a/src/merlinthread/roles/weights.py
+++ b/src/merlinthread/roles/weights.py
@@ -323,8 +323,8 @@
         wanted = messages.ChunkWanted(
             self.name,
             download.digest,
-            fetch.to_bytes(action.wanted, count),
-            fetch.to_bytes(held, count),
+            fetch.bitset_to_bytes(action.wanted, count),
+            fetch.bitset_to_bytes(held, count),
         )
         try:
             found = callers.call(peer.bus, wanted, self.peer_timeout_s(manifest))
