--- a/src/merlinthread/coordination/fetch.py
+++ b/src/merlinthread/coordination/fetch.py
@@ -80,7 +80,7 @@
     return value.to_bytes((count + 7) // 8, "little")
 
 
-def from_bytes(data: bytes, count: int) -> int:
+def bitset_from_bytes(data: bytes, count: int) -> int:
     """Return the bit set in `data`, cut to `count` chunks."""
     return int.from_bytes(data, "little") & ((1 << count) - 1)
 
--- a/src/merlinthread/nodes/piece_giver.py
+++ b/src/merlinthread/nodes/piece_giver.py
@@ -53,8 +53,8 @@
         if request.took_s:
             self.outgoing.note(request.sender, request.took_s)
         if request.sender:
-            plan.heard(request.sender, fetch.from_bytes(request.held, count), self.clock())
-        wanted = fetch.bit_positions(fetch.from_bytes(request.wanted, count) & plan.held)
+            plan.heard(request.sender, fetch.bitset_from_bytes(request.held, count), self.clock())
+        wanted = fetch.bit_positions(fetch.bitset_from_bytes(request.wanted, count) & plan.held)
         if not wanted:
             return node_messages.PieceReply(-1, b"", held)
         now = self.clock()
