--- a/src/merlinthread/coordination/fetch.py
+++ b/src/merlinthread/coordination/fetch.py
@@ -85,7 +85,7 @@
     return int.from_bytes(data, "little") & ((1 << count) - 1)
 
 
-def weight(name: str, manifest: str, index: int) -> bytes:
+def rendezvous_weight(name: str, manifest: str, index: int) -> bytes:
     """Return the rendezvous weight of VM `name` for a chunk (Thaler and Ravishankar 1998)."""
     return blake3.blake3(f"{name} {manifest} {index}".encode()).digest(8)
 
@@ -169,7 +169,7 @@
         """Return whom to ask: all of a small group, else some near, some far, always the same."""
         if len(peers) <= NEIGHBOURS_MAX:
             return peers
-        ordered = sorted(peers, key=lambda peer: weight(peer.name, self.me, 0))
+        ordered = sorted(peers, key=lambda peer: rendezvous_weight(peer.name, self.me, 0))
         near = [peer for peer in ordered if peer.distance == SAME_ZONE][: NEIGHBOURS_MAX * 2 // 3]
         far = [peer for peer in ordered if peer.distance != SAME_ZONE]
         chosen = near + far[: NEIGHBOURS_MAX - len(near)]
@@ -191,7 +191,7 @@
             asked = self.peers.get(action.peer)
             return near if asked is not None and asked.distance != SAME_ZONE else []
         return near + [
-            max(zone, key=lambda name: weight(name, self.manifest, action.index))
+            max(zone, key=lambda name: rendezvous_weight(name, self.manifest, action.index))
             for zone in self.far_zones.values()
         ]
 
--- a/src/merlinthread/coordination/fetch_policies.py
+++ b/src/merlinthread/coordination/fetch_policies.py
@@ -21,7 +21,9 @@
 
     def on_participants(self) -> None:
         """Find the chunks that this VM reads from the origin."""
-        ordered = sorted(self.participants, key=lambda name: fetch.weight(name, self.manifest, -1))
+        ordered = sorted(
+            self.participants, key=lambda name: fetch.rendezvous_weight(name, self.manifest, -1)
+        )
         self.readers = ordered[: self.readers_max]
         self.owned = 0
         self.is_reader = self.me in self.readers
@@ -29,7 +31,10 @@
             return
         for index in range(self.chunk_count):
             if (
-                max(self.readers, key=lambda name: fetch.weight(name, self.manifest, index))
+                max(
+                    self.readers,
+                    key=lambda name: fetch.rendezvous_weight(name, self.manifest, index),
+                )
                 == self.me
             ):
                 self.owned |= 1 << index
@@ -85,8 +90,12 @@
     def rank(self, index: int) -> int:
         """Return this VM's place in its zone's rendezvous order for a chunk, from 0."""
         if index not in self.ranks:
-            mine = fetch.weight(self.me, self.manifest, index)
-            ahead = [name for name in self.near if fetch.weight(name, self.manifest, index) > mine]
+            mine = fetch.rendezvous_weight(self.me, self.manifest, index)
+            ahead = [
+                name
+                for name in self.near
+                if fetch.rendezvous_weight(name, self.manifest, index) > mine
+            ]
             self.ranks[index] = len(ahead)
         return self.ranks[index]
 
--- a/src/merlinthread/nodes/manifest_finder.py
+++ b/src/merlinthread/nodes/manifest_finder.py
@@ -152,5 +152,5 @@
 def ahead_in_zone(me: str, manifest: str, peers: Sequence[fetch.Peer]) -> list[str]:
     """Return the agents of this zone that come before `me` in a manifest's rendezvous order."""
     zone = [peer.name for peer in peers if peer.distance == fetch.SAME_ZONE] + [me]
-    zone.sort(key=lambda name: fetch.weight(name, manifest, -1), reverse=True)
+    zone.sort(key=lambda name: fetch.rendezvous_weight(name, manifest, -1), reverse=True)
     return zone[: zone.index(me)]
--- a/src/merlinthread/roles/agent.py
+++ b/src/merlinthread/roles/agent.py
@@ -70,7 +70,7 @@
         """Return the entries to report to: a few of the zone's, others for other agents."""
         ordered = sorted(
             self.config.entries,
-            key=lambda address: fetch.weight(address, self.parts.settings.name, 0),
+            key=lambda address: fetch.rendezvous_weight(address, self.parts.settings.name, 0),
         )
         return ordered[: self.config.heartbeat_entries]
 
