--- a/src/merlinthread/coordination/fetch.py
+++ b/src/merlinthread/coordination/fetch.py
@@ -19,7 +19,7 @@
 SAME_REGION = 1
 OTHER_REGION = 2
 
-BUSY_WAIT_S = 0.025
+BUSY_RETRY_DELAY_S = 0.025
 EMPTY_WAIT_S = 0.05
 FAILED_WAIT_S = 1.0
 FAILED_WAIT_MAX_S = 8.0
@@ -132,7 +132,7 @@
         self.ranks: dict[int, int] = {}
         self.rank_masks: dict[int, int] = {}
         self.tally = fetch_peers.Tally()
-        self.busy_wait_s = BUSY_WAIT_S
+        self.busy_wait_s = BUSY_RETRY_DELAY_S
         self.rng = rng
         self.last_news_at = now
         self.origin_grace_s = ORIGIN_GRACE_S
