--- a/src/merlinthread/coordination/fetch.py
+++ b/src/merlinthread/coordination/fetch.py
@@ -132,7 +132,7 @@
         self.ranks: dict[int, int] = {}
         self.rank_masks: dict[int, int] = {}
         self.tally = fetch_peers.Tally()
-        self.busy_wait_s = BUSY_RETRY_DELAY_S
+        self.busy_retry_delay_s = BUSY_RETRY_DELAY_S
         self.rng = rng
         self.last_news_at = now
         self.origin_grace_s = ORIGIN_GRACE_S
@@ -263,7 +263,7 @@
         All who were refused would come back at that moment; they come up to as long again later.
         """
         self.tally.busy += 1
-        wait_s = self.rng.uniform(0.5, 1.5) * self.busy_wait_s
+        wait_s = self.rng.uniform(0.5, 1.5) * self.busy_retry_delay_s
         if free_in_s > 0:
             wait_s = self.rng.uniform(1.0, 2.0) * free_in_s
         self.hold_off(peer, now + wait_s)
--- a/src/merlinthread/roles/weights.py
+++ b/src/merlinthread/roles/weights.py
@@ -219,7 +219,7 @@
                 self.name, download.digest, len(manifest.chunks), held, 2, now, self.rng
             )
             chunk_s = manifest.chunk_bytes / self.config.link_bytes_per_s
-            download.plan.busy_wait_s = max(fetch.BUSY_RETRY_DELAY_S, 0.5 * chunk_s)
+            download.plan.busy_retry_delay_s = max(fetch.BUSY_RETRY_DELAY_S, 0.5 * chunk_s)
             download.plan.set_peers(list(self.peers.get(download.digest, {}).values()))
             self.repin()
             self.idle_until = 0.0
