--- a/bench/swarm.py
+++ b/bench/swarm.py
@@ -125,7 +125,7 @@
         for agent in self.agents.values():
             for download in agent.weights.downloads.values():
                 if download.plan is not None:
-                    total.update(dataclasses.asdict(download.plan.tally))
+                    total.update(dataclasses.asdict(download.plan.stats))
         return dict(total)
 
     def run(self) -> None:
--- a/src/merlinthread/coordination/fetch.py
+++ b/src/merlinthread/coordination/fetch.py
@@ -131,7 +131,7 @@
         self.announcers: set[str] = set()
         self.ranks: dict[int, int] = {}
         self.rank_masks: dict[int, int] = {}
-        self.tally = fetch_peers.Tally()
+        self.stats = fetch_peers.FetchStats()
         self.busy_retry_delay_s = BUSY_RETRY_DELAY_S
         self.rng = rng
         self.last_news_at = now
@@ -248,13 +248,13 @@
     def got(self, index: int, from_origin: bool, now: float) -> None:
         """Note a verified chunk."""
         if self.held >> index & 1:
-            self.tally.doubled += 1
+            self.stats.doubled += 1
             return
         self.held |= 1 << index
         if from_origin:
-            self.tally.from_origin += 1
+            self.stats.from_origin += 1
         else:
-            self.tally.from_peers += 1
+            self.stats.from_peers += 1
             self.last_news_at = now
 
     def peer_busy(self, peer: str, now: float, free_in_s: float = 0.0) -> None:
@@ -262,7 +262,7 @@
 
         All who were refused would come back at that moment; they come up to as long again later.
         """
-        self.tally.busy += 1
+        self.stats.busy += 1
         wait_s = self.rng.uniform(0.5, 1.5) * self.busy_retry_delay_s
         if free_in_s > 0:
             wait_s = self.rng.uniform(1.0, 2.0) * free_in_s
@@ -270,14 +270,14 @@
 
     def peer_empty(self, peer: str, now: float) -> None:
         """Note that a peer has nothing of what was asked: it holds what it told, no more."""
-        self.tally.empty += 1
+        self.stats.empty += 1
         if peer in self.peers:
             self.peers[peer].held = self.peers[peer].told
         self.hold_off(peer, now + EMPTY_WAIT_S)
 
     def peer_failed(self, peer: str, now: float) -> None:
         """Note that a peer did not answer."""
-        self.tally.failed += 1
+        self.stats.failed += 1
         state = self.peers.get(peer)
         if state is None:
             return
@@ -289,12 +289,12 @@
 
     def peer_corrupt(self, peer: str, now: float) -> None:
         """Note that a peer gave bytes with a wrong digest, and set it aside."""
-        self.tally.corrupt += 1
+        self.stats.corrupt += 1
         self.hold_off(peer, now + CORRUPT_WAIT_S)
 
     def origin_failed(self, now: float, wait_s: float, index: int | None = None) -> None:
         """Note that the origin refused or broke off, or gave chunk `index` wrong."""
-        self.tally.failed += 1
+        self.stats.failed += 1
         if index is not None:
             self.origin_failures[index] += 1
         self.origin_not_before = now + wait_s
--- a/src/merlinthread/coordination/fetch_peers.py
+++ b/src/merlinthread/coordination/fetch_peers.py
@@ -26,7 +26,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Tally:
+class FetchStats:
     """What one fetch has cost so far, in chunks."""
 
     from_origin: int = 0
--- a/src/merlinthread/roles/weights.py
+++ b/src/merlinthread/roles/weights.py
@@ -388,7 +388,7 @@
                 "fetch_complete",
                 manifest=download.digest,
                 seconds=round(now - download.started_at, 3),
-                **dataclasses.asdict(plan.tally),
+                **dataclasses.asdict(plan.stats),
             )
         return True
 
--- a/tests/test_fetch_machine.py
+++ b/tests/test_fetch_machine.py
@@ -75,7 +75,7 @@
 
     @stateful.invariant()
     def nothing_is_counted_twice(self) -> None:
-        tally = self.plan.tally
+        tally = self.plan.stats
         assert tally.from_origin + tally.from_peers == self.plan.held.bit_count()
         assert self.plan.origin_busy >= 0
 
@@ -164,18 +164,18 @@
 def test_a_fleet_reads_one_copy_from_the_origin(policy):
     plans = spread_out(30, policy)
     assert all(plan.is_complete() for plan in plans)
-    assert sum(plan.tally.from_origin for plan in plans) == 40
+    assert sum(plan.stats.from_origin for plan in plans) == 40
 
 
 def test_the_baseline_reads_a_copy_for_each_vm():
     plans = spread_out(5, "origin_only")
-    assert sum(plan.tally.from_origin for plan in plans) == 5 * 40
+    assert sum(plan.stats.from_origin for plan in plans) == 5 * 40
 
 
 def test_a_zone_cut_off_before_it_has_anything_reads_about_one_more_copy():
     plans = spread_out(20, "spread", cut_after=1)
     assert all(plan.is_complete() for plan in plans)
-    copies = sum(plan.tally.from_origin for plan in plans) / 40
+    copies = sum(plan.stats.from_origin for plan in plans) / 40
     assert copies <= 2.1, f"{copies} copies for two sides"
 
 
--- a/tests/test_weights_task.py
+++ b/tests/test_weights_task.py
@@ -260,7 +260,7 @@
         fleet.feed(1)
         await fleet.until_all_hold(1)
         assert all(fleet.engines[0].staged[index] == piece for index, piece in before.items())
-        tally = fleet.agents[0].weights.plan.tally
+        tally = fleet.agents[0].weights.plan.stats
         assert tally.from_origin + tally.from_peers <= PIECES - len(before)
 
     run(2, scenario)
