--- a/src/merlinthread/coordination/fetch.py
+++ b/src/merlinthread/coordination/fetch.py
@@ -122,7 +122,7 @@
         self.origin_not_before = float("-inf")
         self.origin_failures: collections.Counter[int] = collections.Counter()
         self.peers: dict[str, fetch_peers.PeerState] = {}
-        self.asking: collections.Counter[str] = collections.Counter()
+        self.open_requests: collections.Counter[str] = collections.Counter()
         self.asks_per_peer = 1
         self.known_peers: list[Peer] | None = None
         self.participants: list[str] = [me]
@@ -234,7 +234,7 @@
             self.origin_busy += 1
         else:
             self.in_flight |= action.wanted
-            self.asking[action.peer] += 1
+            self.open_requests[action.peer] += 1
 
     def ended(self, action: Action) -> None:
         """Note that `action` is over, whatever came of it."""
@@ -243,7 +243,7 @@
             self.origin_busy -= 1
         else:
             self.in_flight &= ~action.wanted
-            self.asking[action.peer] -= 1
+            self.open_requests[action.peer] -= 1
 
     def got(self, index: int, from_origin: bool, now: float) -> None:
         """Note a verified chunk."""
@@ -365,7 +365,7 @@
         found = [
             peer
             for peer in self.peers.values()
-            if peer.not_before <= now and self.asking[peer.name] < self.asks_per_peer
+            if peer.not_before <= now and self.open_requests[peer.name] < self.asks_per_peer
         ]
         self.rng.shuffle(found)
         found.sort(key=lambda peer: peer.distance)
--- a/src/merlinthread/coordination/fetch_baselines.py
+++ b/src/merlinthread/coordination/fetch_baselines.py
@@ -35,7 +35,7 @@
                 return None
             return fetch.OriginRead(fetch.bit_positions(needed)[0])
         peer = self.peers[name]
-        if peer.not_before > now or self.asking[name]:
+        if peer.not_before > now or self.open_requests[name]:
             return None
         return fetch.PeerRequest(name, needed)
 
--- a/src/merlinthread/nodes/piece_fetcher.py
+++ b/src/merlinthread/nodes/piece_fetcher.py
@@ -272,6 +272,6 @@
             empty=plan.stats.empty,
             doubled=plan.stats.doubled,
             window=round(self.window.size, 1),
-            asking=plan.asking.total(),
+            asking=plan.open_requests.total(),
             took_ms=round(1000 * self.window.last_s),
         )
