--- a/src/merlinthread/coordination/fetch.py
+++ b/src/merlinthread/coordination/fetch.py
@@ -123,7 +123,7 @@
         self.origin_failures: collections.Counter[int] = collections.Counter()
         self.peers: dict[str, fetch_peers.PeerState] = {}
         self.open_requests: collections.Counter[str] = collections.Counter()
-        self.asks_per_peer = 1
+        self.requests_per_peer = 1
         self.known_peers: list[Peer] | None = None
         self.participants: list[str] = [me]
         self.near: set[str] = {me}
@@ -365,7 +365,7 @@
         found = [
             peer
             for peer in self.peers.values()
-            if peer.not_before <= now and self.open_requests[peer.name] < self.asks_per_peer
+            if peer.not_before <= now and self.open_requests[peer.name] < self.requests_per_peer
         ]
         self.rng.shuffle(found)
         found.sort(key=lambda peer: peer.distance)
