--- a/bench/transfer.py
+++ b/bench/transfer.py
@@ -205,7 +205,7 @@
     def work(self, agent: Agent) -> None:
         """Begin what the plan says, as long as the pace allows."""
         plan = agent.plan
-        while agent.window.has_room(plan.open_requests.total() + plan.origin_busy):
+        while agent.window.has_room(plan.open_requests.total() + plan.origin_reads):
             if agent.incoming.wait_s(self.now):
                 return
             action = plan.next_action(self.now)
--- a/src/merlinthread/coordination/fetch.py
+++ b/src/merlinthread/coordination/fetch.py
@@ -118,7 +118,7 @@
         self.held = held
         self.in_flight = 0
         self.origin_slots = origin_slots
-        self.origin_busy = 0
+        self.origin_reads = 0
         self.origin_not_before = float("-inf")
         self.origin_failures: collections.Counter[int] = collections.Counter()
         self.peers: dict[str, fetch_peers.PeerState] = {}
@@ -231,7 +231,7 @@
         """Note that `action` is being carried out."""
         if isinstance(action, OriginRead):
             self.in_flight |= 1 << action.index
-            self.origin_busy += 1
+            self.origin_reads += 1
         else:
             self.in_flight |= action.wanted
             self.open_requests[action.peer] += 1
@@ -240,7 +240,7 @@
         """Note that `action` is over, whatever came of it."""
         if isinstance(action, OriginRead):
             self.in_flight &= ~(1 << action.index)
-            self.origin_busy -= 1
+            self.origin_reads -= 1
         else:
             self.in_flight &= ~action.wanted
             self.open_requests[action.peer] -= 1
@@ -322,7 +322,7 @@
 
     def may_read_origin(self, now: float) -> bool:
         """Return whether an origin slot is free."""
-        return self.origin_busy < self.origin_slots and now >= self.origin_not_before
+        return self.origin_reads < self.origin_slots and now >= self.origin_not_before
 
     def ask(self, peer: fetch_peers.PeerState, now: float) -> PeerRequest | None:
         """Return a request for the rarest chunks that `peer` is known to have."""
--- a/tests/test_fetch_machine.py
+++ b/tests/test_fetch_machine.py
@@ -77,7 +77,7 @@
     def nothing_is_counted_twice(self) -> None:
         tally = self.plan.stats
         assert tally.from_origin + tally.from_peers == self.plan.held.bit_count()
-        assert self.plan.origin_busy >= 0
+        assert self.plan.origin_reads >= 0
 
     def teardown(self) -> None:
         """With nobody else left, everything is read from the origin in the end."""
