--- a/src/merlinthread/coordination/fetch.py
+++ b/src/merlinthread/coordination/fetch.py
@@ -134,7 +134,7 @@
         self.stats = fetch_peers.FetchStats()
         self.busy_retry_delay_s = BUSY_RETRY_DELAY_S
         self.rng = rng
-        self.last_news_at = now
+        self.last_progress_at = now
         self.origin_grace_s = ORIGIN_GRACE_S
 
     # What the owner tells
@@ -255,7 +255,7 @@
             self.stats.from_origin += 1
         else:
             self.stats.from_peers += 1
-            self.last_news_at = now
+            self.last_progress_at = now
 
     def peer_busy(self, peer: str, now: float, free_in_s: float = 0.0) -> None:
         """Note that a peer has no upload slot free, and when it will have, if it tells.
--- a/src/merlinthread/coordination/fetch_policies.py
+++ b/src/merlinthread/coordination/fetch_policies.py
@@ -72,7 +72,7 @@
         Each VM of a zone waits longer the later it stands in the chunk's rendezvous order; so a
         zone that is cut off reads a chunk that it lacks about once.
         """
-        waited = now - self.last_news_at
+        waited = now - self.last_progress_at
         if waited < self.origin_grace_s or not self.may_read_origin(now):
             return None
         for peer in self.peers.values():
@@ -178,7 +178,7 @@
 
     def to_bring(self, now: float) -> int:
         """Return the chunks that this VM may ask far peers for."""
-        waited = now - self.last_news_at
+        waited = now - self.last_progress_at
         steps = int(waited / self.origin_grace_s)
         return self.needed() & self.up_to_rank(steps)
 
--- a/tests/test_chunk_announcements.py
+++ b/tests/test_chunk_announcements.py
@@ -129,7 +129,7 @@
     plan.held = plan.all & ~(1 << 40)
     for peer in plan.peers.values():
         plan.heard(peer.name, 0, 9.0 if peer.distance == fetch.SAME_ZONE else 1.0)
-    plan.last_news_at = 10.0
+    plan.last_progress_at = 10.0
     action = plan.next_action(10.5)
     assert isinstance(action, fetch.PeerRequest)
     assert plan.peers[action.peer].distance == fetch.SAME_ZONE
