--- a/src/merlinthread/coordination/fetch.py
+++ b/src/merlinthread/coordination/fetch.py
@@ -103,7 +103,7 @@
 
     def __init__(
         self,
-        me: str,
+        own_name: str,
         manifest: str,
         chunk_count: int,
         held: int,
@@ -111,7 +111,7 @@
         now: float,
         rng: random.Random,
     ) -> None:
-        self.me = me
+        self.own_name = own_name
         self.manifest = manifest
         self.chunk_count = chunk_count
         self.all = (1 << chunk_count) - 1
@@ -125,8 +125,8 @@
         self.open_requests: collections.Counter[str] = collections.Counter()
         self.requests_per_peer = 1
         self.known_peers: list[Peer] | None = None
-        self.participants: list[str] = [me]
-        self.near: set[str] = {me}
+        self.participants: list[str] = [own_name]
+        self.near: set[str] = {own_name}
         self.far_zones: dict[str, list[str]] = {}
         self.announcers: set[str] = set()
         self.ranks: dict[int, int] = {}
@@ -147,8 +147,8 @@
         if peers == self.known_peers:
             return
         self.known_peers = peers
-        self.participants = sorted({peer.name for peer in peers} | {self.me})
-        near = {peer.name for peer in peers if peer.distance == SAME_ZONE} | {self.me}
+        self.participants = sorted({peer.name for peer in peers} | {self.own_name})
+        near = {peer.name for peer in peers if peer.distance == SAME_ZONE} | {self.own_name}
         if near != self.near:
             self.near = near
             self.ranks = {}
@@ -169,7 +169,7 @@
         """Return whom to ask: all of a small group, else some near, some far, always the same."""
         if len(peers) <= NEIGHBOURS_MAX:
             return peers
-        ordered = sorted(peers, key=lambda peer: rendezvous_weight(peer.name, self.me, 0))
+        ordered = sorted(peers, key=lambda peer: rendezvous_weight(peer.name, self.own_name, 0))
         near = [peer for peer in ordered if peer.distance == SAME_ZONE][: NEIGHBOURS_MAX * 2 // 3]
         far = [peer for peer in ordered if peer.distance != SAME_ZONE]
         chosen = near + far[: NEIGHBOURS_MAX - len(near)]
--- a/src/merlinthread/coordination/fetch_baselines.py
+++ b/src/merlinthread/coordination/fetch_baselines.py
@@ -16,7 +16,7 @@
 
     def parent(self, now: float) -> str:
         """Return the nearest live VM above this one, or an empty string at the top."""
-        position = self.participants.index(self.me)
+        position = self.participants.index(self.own_name)
         while position > 0:
             position = (position - 1) // 2
             state = self.peers.get(self.participants[position])
--- a/src/merlinthread/coordination/fetch_claimed.py
+++ b/src/merlinthread/coordination/fetch_claimed.py
@@ -32,7 +32,7 @@
 
     def __init__(
         self,
-        me: str,
+        own_name: str,
         manifest: str,
         chunk_count: int,
         held: int,
@@ -40,13 +40,13 @@
         now: float,
         rng: random.Random,
     ) -> None:
-        super().__init__(me, manifest, chunk_count, held, origin_slots, now, rng)
+        super().__init__(own_name, manifest, chunk_count, held, origin_slots, now, rng)
         self.claims: dict[int, float] = {}
         self.rescue_not_before = -math.inf
 
     def rivals(self) -> list[str]:
         """Return whom to tell of a chunk that this VM begins to read from the origin."""
-        return [reader for reader in self.readers if reader != self.me]
+        return [reader for reader in self.readers if reader != self.own_name]
 
     def audience(self, action: fetch.Action) -> list[str]:
         """Return whom to tell of a chunk that has come; all readers hear what the origin gave."""
--- a/src/merlinthread/coordination/fetch_policies.py
+++ b/src/merlinthread/coordination/fetch_policies.py
@@ -26,7 +26,7 @@
         )
         self.readers = ordered[: self.readers_max]
         self.owned = 0
-        self.is_reader = self.me in self.readers
+        self.is_reader = self.own_name in self.readers
         if not self.is_reader:
             return
         for index in range(self.chunk_count):
@@ -35,7 +35,7 @@
                     self.readers,
                     key=lambda name: fetch.rendezvous_weight(name, self.manifest, index),
                 )
-                == self.me
+                == self.own_name
             ):
                 self.owned |= 1 << index
 
@@ -90,7 +90,7 @@
     def rank(self, index: int) -> int:
         """Return this VM's place in its zone's rendezvous order for a chunk, from 0."""
         if index not in self.ranks:
-            mine = fetch.rendezvous_weight(self.me, self.manifest, index)
+            mine = fetch.rendezvous_weight(self.own_name, self.manifest, index)
             ahead = [
                 name
                 for name in self.near
--- a/tests/test_chunk_announcements.py
+++ b/tests/test_chunk_announcements.py
@@ -70,7 +70,7 @@
 
 def test_who_has_announced_stays_among_those_asked_in_a_large_group():
     plan = plan_of(0, 300)
-    strangers = [vm for vm in plan.participants if vm not in plan.peers and vm != plan.me]
+    strangers = [vm for vm in plan.participants if vm not in plan.peers and vm != plan.own_name]
     plan.announced(strangers[0], 5)
     peers = [
         fetch.Peer(name(n), name(n), fetch.OTHER_REGION * (n % ZONES != 0), f"z{n % ZONES}")
