--- a/bench/transfer.py
+++ b/bench/transfer.py
@@ -241,7 +241,7 @@
         """Tell those whom it concerns of a piece."""
         if not self.announces:
             return
-        for name in agent.plan.audience(action):
+        for name in agent.plan.announcement_recipients(action):
             other = self.agents[name]
             self.counts["announced"] += 1
             when = self.now + DELAY_S[self.distance(agent, other)]
--- a/src/merlinthread/coordination/fetch.py
+++ b/src/merlinthread/coordination/fetch.py
@@ -179,7 +179,7 @@
             peer for peer in peers if peer.name in self.announcers and peer.name not in known
         ]
 
-    def audience(self, action: Action) -> list[str]:
+    def announcement_recipients(self, action: Action) -> list[str]:
         """Return whom to tell at once of the chunk that `action` has brought.
 
         What was read from the origin concerns the neighbours in this zone and, in each other zone,
--- a/src/merlinthread/coordination/fetch_claimed.py
+++ b/src/merlinthread/coordination/fetch_claimed.py
@@ -48,9 +48,9 @@
         """Return whom to tell of a chunk that this VM begins to read from the origin."""
         return [reader for reader in self.readers if reader != self.own_name]
 
-    def audience(self, action: fetch.Action) -> list[str]:
+    def announcement_recipients(self, action: fetch.Action) -> list[str]:
         """Return whom to tell of a chunk that has come; all readers hear what the origin gave."""
-        told = super().audience(action)
+        told = super().announcement_recipients(action)
         if isinstance(action, fetch.PeerRequest):
             return told
         known = set(told)
--- a/src/merlinthread/nodes/piece_fetcher.py
+++ b/src/merlinthread/nodes/piece_fetcher.py
@@ -251,7 +251,7 @@
     ) -> None:
         """Tell those whom it concerns that a piece is here."""
         note = node_messages.PieceNote(manifest.model, manifest.version, self.facts.me, index)
-        for peer in plan.audience(action):
+        for peer in plan.announcement_recipients(action):
             self.send(peer, note)
 
     def log_progress(
--- a/tests/test_chunk_announcements.py
+++ b/tests/test_chunk_announcements.py
@@ -37,7 +37,7 @@
 
 def test_a_chunk_from_the_origin_is_told_to_the_own_zone_and_to_who_brings_it_into_each_other_one():
     plan = plan_of(7)
-    told = plan.audience(fetch.OriginRead(11))
+    told = plan.announcement_recipients(fetch.OriginRead(11))
     own = {vm for vm in told if zone_of(vm) == 2}
     others = [vm for vm in told if zone_of(vm) != 2]
     assert own == {name(n) for n in range(VMS) if n % ZONES == 2 and n != 7}
@@ -49,7 +49,7 @@
 
 def test_whoever_is_told_asks_for_it_at_once_also_if_it_knew_nothing_of_the_teller():
     reader = plan_of(7)
-    for vm in reader.audience(fetch.OriginRead(11)):
+    for vm in reader.announcement_recipients(fetch.OriginRead(11)):
         plan = plan_of(int(vm.split(".")[3].split(":")[0]))
         plan.announced(name(7), 11)
         action = plan.next_action(0.01)
@@ -63,9 +63,9 @@
     bringer = plan_of(8)
     bringer.announced(name(7), 11)
     far = fetch.PeerRequest(name(7), 1 << 11)
-    assert {zone_of(vm) for vm in bringer.audience(far)} == {3}
+    assert {zone_of(vm) for vm in bringer.announcement_recipients(far)} == {3}
     # Who got it from its own zone tells nobody: all of the zone have been told.
-    assert bringer.audience(fetch.PeerRequest(name(13), 1 << 11)) == []
+    assert bringer.announcement_recipients(fetch.PeerRequest(name(13), 1 << 11)) == []
 
 
 def test_who_has_announced_stays_among_those_asked_in_a_large_group():
--- a/tests/test_claimed_reads.py
+++ b/tests/test_claimed_reads.py
@@ -92,7 +92,7 @@
 
 def test_all_readers_hear_what_the_origin_gave_and_who_reads_what():
     plan = reader()
-    told = plan.audience(fetch.OriginRead(0))
+    told = plan.announcement_recipients(fetch.OriginRead(0))
     assert len(told) == len(set(told))
     assert set(plan.readers) - {plan.own_name} <= set(told)
     assert set(plan.rivals()) == set(plan.readers) - {plan.own_name}
