--- a/bench/transfer.py
+++ b/bench/transfer.py
@@ -245,7 +245,7 @@
             other = self.agents[name]
             self.counts["announced"] += 1
             when = self.now + DELAY_S[self.distance(agent, other)]
-            self.at(when, lambda other=other: other.plan.announced(agent.name, index))
+            self.at(when, lambda other=other: other.plan.on_announcement(agent.name, index))
 
     def claim(self, agent: Agent, action: fetch.OriginRead) -> None:
         """Tell other readers which piece is being read."""
--- a/src/merlinthread/coordination/fetch.py
+++ b/src/merlinthread/coordination/fetch.py
@@ -195,7 +195,7 @@
             for zone in self.far_zones.values()
         ]
 
-    def announced(self, peer: str, index: int) -> None:
+    def on_announcement(self, peer: str, index: int) -> None:
         """Note that a peer tells of a chunk that it has just got."""
         if peer not in self.participants or index >= self.chunk_count:
             return
--- a/src/merlinthread/nodes/weights_task.py
+++ b/src/merlinthread/nodes/weights_task.py
@@ -273,4 +273,4 @@
         if isinstance(note, node_messages.PieceClaim):
             self.plan.claimed(note.index, self.clock())
         else:
-            self.plan.announced(note.sender, note.index)
+            self.plan.on_announcement(note.sender, note.index)
--- a/tests/test_chunk_announcements.py
+++ b/tests/test_chunk_announcements.py
@@ -51,7 +51,7 @@
     reader = plan_of(7)
     for vm in reader.announcement_recipients(fetch.OriginRead(11)):
         plan = plan_of(int(vm.split(".")[3].split(":")[0]))
-        plan.announced(name(7), 11)
+        plan.on_announcement(name(7), 11)
         action = plan.next_action(0.01)
         if isinstance(action, fetch.OriginRead):
             plan.began(action)
@@ -61,7 +61,7 @@
 
 def test_one_vm_of_a_zone_tells_the_zone():
     bringer = plan_of(8)
-    bringer.announced(name(7), 11)
+    bringer.on_announcement(name(7), 11)
     far = fetch.PeerRequest(name(7), 1 << 11)
     assert {zone_of(vm) for vm in bringer.announcement_recipients(far)} == {3}
     # Who got it from its own zone tells nobody: all of the zone have been told.
@@ -71,7 +71,7 @@
 def test_who_has_announced_stays_among_those_asked_in_a_large_group():
     plan = plan_of(0, 300)
     strangers = [vm for vm in plan.participants if vm not in plan.peers and vm != plan.own_name]
-    plan.announced(strangers[0], 5)
+    plan.on_announcement(strangers[0], 5)
     peers = [
         fetch.Peer(name(n), name(n), fetch.OTHER_REGION * (n % ZONES != 0), f"z{n % ZONES}")
         for n in range(1, 300)
@@ -83,8 +83,8 @@
 
 def test_a_word_of_a_stranger_or_of_no_chunk_changes_nothing():
     plan = plan_of(0)
-    plan.announced("10.9.9.9:7000", 5)
-    plan.announced(name(7), CHUNKS)
+    plan.on_announcement("10.9.9.9:7000", 5)
+    plan.on_announcement(name(7), CHUNKS)
     assert "10.9.9.9:7000" not in plan.peers
     assert not any(peer.held for peer in plan.peers.values())
 
@@ -137,7 +137,7 @@
 
 def test_an_answer_from_before_does_not_undo_an_announcement():
     plan = plan_of(0)
-    plan.announced(name(5), 7)
+    plan.on_announcement(name(5), 7)
     plan.heard(name(5), 0b1, 0.1)
     assert plan.peers[name(5)].held == 1 << 7 | 0b1
     # Who says that it has nothing of what was asked is believed.
--- a/tests/test_claimed_reads.py
+++ b/tests/test_claimed_reads.py
@@ -77,7 +77,7 @@
     plan = reader()
     far = next(peer.name for peer in plan.peers.values() if peer.distance == fetch.OTHER_REGION)
     for index in fetch.bit_positions(plan.owned):
-        plan.announced(far, index)
+        plan.on_announcement(far, index)
     assert not isinstance(plan.next_action(0.1), fetch.OriginRead)
 
 
@@ -85,7 +85,7 @@
     plan = reader()
     far = next(peer.name for peer in plan.peers.values() if peer.distance == fetch.OTHER_REGION)
     for index in fetch.bit_positions(plan.owned):
-        plan.announced(far, index)
+        plan.on_announcement(far, index)
     plan.peer_failed(far, 0.1)
     assert isinstance(plan.next_action(0.2), fetch.OriginRead)
 
