--- a/bench/transfer.py
+++ b/bench/transfer.py
@@ -249,7 +249,7 @@
 
     def claim(self, agent: Agent, action: fetch.OriginRead) -> None:
         """Tell other readers which piece is being read."""
-        for name in agent.plan.rivals():
+        for name in agent.plan.claim_recipients():
             other = self.agents[name]
             when = self.now + DELAY_S[self.distance(agent, other)]
             self.at(when, lambda other=other: other.plan.claimed(action.index, self.now))
--- a/src/merlinthread/coordination/fetch.py
+++ b/src/merlinthread/coordination/fetch.py
@@ -206,7 +206,7 @@
             )
         self.peers[peer].held |= 1 << index
 
-    def rivals(self) -> list[str]:
+    def claim_recipients(self) -> list[str]:
         """Return whom to tell of a chunk that this VM begins to read from the origin."""
         return []
 
--- a/src/merlinthread/coordination/fetch_claimed.py
+++ b/src/merlinthread/coordination/fetch_claimed.py
@@ -44,7 +44,7 @@
         self.claims: dict[int, float] = {}
         self.rescue_not_before = -math.inf
 
-    def rivals(self) -> list[str]:
+    def claim_recipients(self) -> list[str]:
         """Return whom to tell of a chunk that this VM begins to read from the origin."""
         return [reader for reader in self.readers if reader != self.own_name]
 
@@ -54,7 +54,7 @@
         if isinstance(action, fetch.PeerRequest):
             return told
         known = set(told)
-        return told + [reader for reader in self.rivals() if reader not in known]
+        return told + [reader for reader in self.claim_recipients() if reader not in known]
 
     def claimed(self, index: int, now: float) -> None:
         """Note that another VM reads a chunk from the origin now."""
--- a/src/merlinthread/nodes/piece_fetcher.py
+++ b/src/merlinthread/nodes/piece_fetcher.py
@@ -135,7 +135,7 @@
         claim = node_messages.PieceClaim(
             manifest.model, manifest.version, self.facts.me, action.index
         )
-        for rival in plan.rivals():
+        for rival in plan.claim_recipients():
             self.send(rival, claim)
 
     def spare_every_s(self, plan: fetch_policies.Zoned) -> float:
--- a/tests/test_claimed_reads.py
+++ b/tests/test_claimed_reads.py
@@ -95,7 +95,7 @@
     told = plan.announcement_recipients(fetch.OriginRead(0))
     assert len(told) == len(set(told))
     assert set(plan.readers) - {plan.own_name} <= set(told)
-    assert set(plan.rivals()) == set(plan.readers) - {plan.own_name}
+    assert set(plan.claim_recipients()) == set(plan.readers) - {plan.own_name}
 
 
 def test_an_origin_that_was_away_is_tried_by_owners_at_once_and_by_others_much_later():
