--- a/bench/transfer.py
+++ b/bench/transfer.py
@@ -252,7 +252,7 @@
         for name in agent.plan.claim_recipients():
             other = self.agents[name]
             when = self.now + DELAY_S[self.distance(agent, other)]
-            self.at(when, lambda other=other: other.plan.claimed(action.index, self.now))
+            self.at(when, lambda other=other: other.plan.on_claim(action.index, self.now))
 
     def is_cut(self, zone: int) -> bool:
         """Return whether a zone can't be reached from the others now."""
--- a/src/merlinthread/coordination/fetch.py
+++ b/src/merlinthread/coordination/fetch.py
@@ -210,7 +210,7 @@
         """Return whom to tell of a chunk that this VM begins to read from the origin."""
         return []
 
-    def claimed(self, index: int, now: float) -> None:
+    def on_claim(self, index: int, now: float) -> None:
         """Note that another VM begins to read a chunk from the origin."""
 
     def on_participants(self) -> None:
--- a/src/merlinthread/coordination/fetch_claimed.py
+++ b/src/merlinthread/coordination/fetch_claimed.py
@@ -56,7 +56,7 @@
         known = set(told)
         return told + [reader for reader in self.claim_recipients() if reader not in known]
 
-    def claimed(self, index: int, now: float) -> None:
+    def on_claim(self, index: int, now: float) -> None:
         """Note that another VM reads a chunk from the origin now."""
         if index < self.chunk_count:
             self.claims[index] = now
--- a/src/merlinthread/nodes/weights_task.py
+++ b/src/merlinthread/nodes/weights_task.py
@@ -271,6 +271,6 @@
         if (manifest.model, manifest.version) != (note.model, note.version):
             return
         if isinstance(note, node_messages.PieceClaim):
-            self.plan.claimed(note.index, self.clock())
+            self.plan.on_claim(note.index, self.clock())
         else:
             self.plan.on_announcement(note.sender, note.index)
--- a/tests/test_claimed_reads.py
+++ b/tests/test_claimed_reads.py
@@ -67,7 +67,7 @@
     plan = reader()
     own = fetch.bit_positions(plan.owned)
     for index in range(CHUNKS):
-        plan.claimed(index, 0.0)
+        plan.on_claim(index, 0.0)
     assert not isinstance(plan.next_action(0.1), fetch.OriginRead)
     action = plan.next_action(fetch_claimed.CLAIM_S)
     assert isinstance(action, fetch.OriginRead) and action.index in own
@@ -116,5 +116,5 @@
 
 def test_a_claim_of_a_chunk_that_there_is_not_changes_nothing():
     plan = reader()
-    plan.claimed(CHUNKS, 1.0)
+    plan.on_claim(CHUNKS, 1.0)
     assert not plan.claims
