--- a/src/merlinthread/coordination/fetch.py
+++ b/src/merlinthread/coordination/fetch.py
@@ -163,7 +163,7 @@
         for name, peer in chosen.items():
             if name not in self.peers:
                 self.peers[name] = fetch_peers.PeerState(name, peer.distance)
-        self.on_participants()
+        self.on_participants_changed()
 
     def neighbours(self, peers: list[Peer]) -> list[Peer]:
         """Return whom to ask: all of a small group, else some near, some far, always the same."""
@@ -213,7 +213,7 @@
     def on_claim(self, index: int, now: float) -> None:
         """Note that another VM begins to read a chunk from the origin."""
 
-    def on_participants(self) -> None:
+    def on_participants_changed(self) -> None:
         """Let a policy prepare for a changed set of VMs."""
 
     def heard(self, peer: str, held: int, now: float) -> None:
--- a/src/merlinthread/coordination/fetch_policies.py
+++ b/src/merlinthread/coordination/fetch_policies.py
@@ -19,7 +19,7 @@
     readers: Sequence[str] = ()
     readers_max = fetch.READERS_MAX
 
-    def on_participants(self) -> None:
+    def on_participants_changed(self) -> None:
         """Find the chunks that this VM reads from the origin."""
         ordered = sorted(
             self.participants, key=lambda name: fetch.rendezvous_weight(name, self.manifest, -1)
--- a/tests/test_chunk_announcements.py
+++ b/tests/test_chunk_announcements.py
@@ -101,7 +101,7 @@
     plans = [plan_of(number) for number in range(VMS)]
     for plan in plans:
         plan.readers_max = 8
-        plan.on_participants()
+        plan.on_participants_changed()
         plan.is_late = True
         plan.spare_every_s = 0.1
     assert sum(plan.is_reader for plan in plans) == 8
