--- a/bench/transfer.py
+++ b/bench/transfer.py
@@ -325,7 +325,7 @@
         self, agent: Agent, peer: Agent, action: fetch.PeerRequest, held: int, delay: float
     ) -> None:
         """Let a peer answer."""
-        peer.plan.heard(agent.name, held, self.now)
+        peer.plan.on_peer_report(agent.name, held, self.now)
         if agent.took_s.get(peer.name):
             peer.outgoing.note(agent.name, agent.took_s.pop(peer.name))
         wanted = fetch.bit_positions(action.wanted & peer.plan.held)
@@ -341,7 +341,7 @@
         gap_s = QUANTUM_BYTES / peer.outgoing.bytes_per_s
 
         def done() -> None:
-            agent.plan.heard(action.peer, told, self.now)
+            agent.plan.on_peer_report(action.peer, told, self.now)
             self.end(agent, action, index)
 
         self.at(start, lambda: self.send(peer.link_out, agent, delay, 0, gap_s, done))
@@ -349,7 +349,7 @@
     def nothing(self, agent: Agent, action: fetch.PeerRequest, told: int, free_in_s: float) -> None:
         """Note that a peer is busy for so long, or (0) has nothing of what was asked."""
         self.counts["in vain"] += 1
-        agent.plan.heard(action.peer, told, self.now)
+        agent.plan.on_peer_report(action.peer, told, self.now)
         if free_in_s:
             agent.plan.peer_busy(action.peer, self.now, free_in_s)
         else:
--- a/src/merlinthread/coordination/fetch.py
+++ b/src/merlinthread/coordination/fetch.py
@@ -216,7 +216,7 @@
     def on_participants_changed(self) -> None:
         """Let a policy prepare for a changed set of VMs."""
 
-    def heard(self, peer: str, held: int, now: float) -> None:
+    def on_peer_report(self, peer: str, held: int, now: float) -> None:
         """Note what a peer says it has."""
         state = self.peers.get(peer)
         if state is not None:
--- a/src/merlinthread/nodes/piece_fetcher.py
+++ b/src/merlinthread/nodes/piece_fetcher.py
@@ -243,7 +243,7 @@
             plan.peer_failed(action.peer, self.clock())
             logs.detail("peer_silent", peer=action.peer, reason=error.message)
             return None
-        plan.heard(action.peer, fetch.bitset_from_bytes(reply.held, count), self.clock())
+        plan.on_peer_report(action.peer, fetch.bitset_from_bytes(reply.held, count), self.clock())
         return reply
 
     def announce(
--- a/src/merlinthread/nodes/piece_giver.py
+++ b/src/merlinthread/nodes/piece_giver.py
@@ -53,7 +53,9 @@
         if request.took_s:
             self.outgoing.note(request.sender, request.took_s)
         if request.sender:
-            plan.heard(request.sender, fetch.bitset_from_bytes(request.held, count), self.clock())
+            plan.on_peer_report(
+                request.sender, fetch.bitset_from_bytes(request.held, count), self.clock()
+            )
         wanted = fetch.bit_positions(fetch.bitset_from_bytes(request.wanted, count) & plan.held)
         if not wanted:
             return node_messages.PieceReply(-1, b"", held)
--- a/src/merlinthread/roles/chunk_giver.py
+++ b/src/merlinthread/roles/chunk_giver.py
@@ -40,7 +40,7 @@
             plan = download.plan if download else None
             held = plan.held if plan else self.held_of(manifest)
             if plan is not None:
-                plan.heard(wanted.agent, fetch.bitset_from_bytes(wanted.held, count), now)
+                plan.on_peer_report(wanted.agent, fetch.bitset_from_bytes(wanted.held, count), now)
             shown = fetch.bitset_to_bytes(held, count)
             offered = held & fetch.bitset_from_bytes(wanted.wanted, count)
             if not offered:
--- a/src/merlinthread/roles/weights.py
+++ b/src/merlinthread/roles/weights.py
@@ -352,7 +352,7 @@
         """Take what a peer answered."""
         now = self.parts.clock()
         with self.lock:
-            plan.heard(peer.name, fetch.bitset_from_bytes(found.held, count), now)
+            plan.on_peer_report(peer.name, fetch.bitset_from_bytes(found.held, count), now)
             if found.index == messages.BUSY:
                 plan.peer_busy(peer.name, now)
             elif found.index == messages.NOTHING:
--- a/tests/test_chunk_announcements.py
+++ b/tests/test_chunk_announcements.py
@@ -116,7 +116,7 @@
 
 def test_a_busy_peer_is_asked_again_once_it_has_sent_what_it_promised():
     plan = plan_of(0)
-    plan.heard(name(5), plan.all, 0.0)
+    plan.on_peer_report(name(5), plan.all, 0.0)
     assert plan.peers[name(5)] in plan.askable(0.01)
     plan.peer_busy(name(5), 0.01, free_in_s=0.2)
     assert plan.peers[name(5)] not in plan.askable(0.2)
@@ -128,7 +128,7 @@
     plan = next(plan for plan in map(plan_of, range(VMS)) if plan.rank(40) > 3)
     plan.held = plan.all & ~(1 << 40)
     for peer in plan.peers.values():
-        plan.heard(peer.name, 0, 9.0 if peer.distance == fetch.SAME_ZONE else 1.0)
+        plan.on_peer_report(peer.name, 0, 9.0 if peer.distance == fetch.SAME_ZONE else 1.0)
     plan.last_progress_at = 10.0
     action = plan.next_action(10.5)
     assert isinstance(action, fetch.PeerRequest)
@@ -138,7 +138,7 @@
 def test_an_answer_from_before_does_not_undo_an_announcement():
     plan = plan_of(0)
     plan.on_announcement(name(5), 7)
-    plan.heard(name(5), 0b1, 0.1)
+    plan.on_peer_report(name(5), 0b1, 0.1)
     assert plan.peers[name(5)].held == 1 << 7 | 0b1
     # Who says that it has nothing of what was asked is believed.
     plan.peer_empty(name(5), 0.1)
--- a/tests/test_fetch_machine.py
+++ b/tests/test_fetch_machine.py
@@ -52,10 +52,10 @@
                 self.plan.origin_failed(self.now, 0.5)
         elif outcome == "got":
             index = fetch.bit_positions(action.wanted)[0]
-            self.plan.heard(action.peer, action.wanted, self.now)
+            self.plan.on_peer_report(action.peer, action.wanted, self.now)
             self.plan.got(index, False, self.now)
         elif outcome == "empty":
-            self.plan.heard(action.peer, 0, self.now)
+            self.plan.on_peer_report(action.peer, 0, self.now)
             self.plan.peer_empty(action.peer, self.now)
         elif outcome == "fail":
             self.plan.peer_failed(action.peer, self.now)
@@ -150,7 +150,7 @@
         if is_cut and crosses:
             plan.peer_failed(action.peer, now)
         else:
-            plan.heard(action.peer, other.held, now)
+            plan.on_peer_report(action.peer, other.held, now)
             offered = other.held & action.wanted
             if action.peer in busy or not offered:
                 plan.peer_empty(action.peer, now)
@@ -182,9 +182,9 @@
 def test_rarest_first_takes_what_the_fewest_have():
     plan = fetch_policies.Spread("me", "m", 8, 0, 2, 0.0, random.Random(1))
     plan.set_peers([fetch.Peer(name, "", 0) for name in PEERS])
-    plan.heard("vm-a", 0b1111, 0.0)
-    plan.heard("vm-b", 0b0111, 0.0)
-    plan.heard("vm-c", 0b0011, 0.0)
+    plan.on_peer_report("vm-a", 0b1111, 0.0)
+    plan.on_peer_report("vm-b", 0b0111, 0.0)
+    plan.on_peer_report("vm-c", 0b0011, 0.0)
     assert plan.rarest(0b1111)[:2] == [3, 2]
 
 
--- a/tests/test_fleet_deciders.py
+++ b/tests/test_fleet_deciders.py
@@ -251,7 +251,7 @@
     for me in zone:
         names = {name: fetch.SAME_ZONE for name in zone if name != me} | {"far": fetch.OTHER_REGION}
         plan = make_zoned(me, names)
-        plan.heard("far", plan.all, 0.0)
+        plan.on_peer_report("far", plan.all, 0.0)
         asked.append(plan.to_bring(0.0))
     assert asked[0] | asked[1] | asked[2] == make_zoned("a", {}).all
     assert asked[0] & asked[1] == asked[0] & asked[2] == asked[1] & asked[2] == 0
@@ -337,7 +337,7 @@
     plan = make_zoned("a", {"b": fetch.SAME_ZONE, "far": fetch.OTHER_REGION})
     plan.held = plan.owned
     plan.spare_every_s = 0.5
-    plan.heard("b", plan.all & ~plan.owned & ~(1 << 7 | 1 << 9), 0.0)
+    plan.on_peer_report("b", plan.all & ~plan.owned & ~(1 << 7 | 1 << 9), 0.0)
     plan.hold_off("b", 9.0)
     found = []
     for now in (0.0, 0.3, 0.6, 0.9):
