--- a/bench/transfer.py
+++ b/bench/transfer.py
@@ -211,7 +211,7 @@
             action = plan.next_action(self.now)
             if action is None:
                 return
-            plan.began(action)
+            plan.on_action_started(action)
             agent.began[id(action)] = self.now
             agent.incoming.reserve(self.shape.piece_bytes, self.now)
             if isinstance(action, fetch.OriginRead):
--- a/src/merlinthread/coordination/fetch.py
+++ b/src/merlinthread/coordination/fetch.py
@@ -227,7 +227,7 @@
             state.failures = 0
             state.lost_until = float("-inf")
 
-    def began(self, action: Action) -> None:
+    def on_action_started(self, action: Action) -> None:
         """Note that `action` is being carried out."""
         if isinstance(action, OriginRead):
             self.in_flight |= 1 << action.index
--- a/src/merlinthread/nodes/piece_fetcher.py
+++ b/src/merlinthread/nodes/piece_fetcher.py
@@ -122,7 +122,7 @@
             action = plan.next_action(self.clock())
             if action is None:
                 return
-            plan.began(action)
+            plan.on_action_started(action)
             if isinstance(action, fetch.OriginRead):
                 self.claim(plan, manifest, action)
             self.incoming.reserve(self.facts.piece_bytes(), self.clock())
--- a/src/merlinthread/roles/weights.py
+++ b/src/merlinthread/roles/weights.py
@@ -179,7 +179,7 @@
                 return download, None
             action = download.plan.next_action(now)
             if action is not None:
-                download.plan.began(action)
+                download.plan.on_action_started(action)
                 return download, action
         # Nothing changes by asking again at once; whoever changes something resets this.
         self.idle_until = now + IDLE_WAIT_S
--- a/tests/test_chunk_announcements.py
+++ b/tests/test_chunk_announcements.py
@@ -54,7 +54,7 @@
         plan.on_announcement(name(7), 11)
         action = plan.next_action(0.01)
         if isinstance(action, fetch.OriginRead):
-            plan.began(action)
+            plan.on_action_started(action)
             action = plan.next_action(0.01)
         assert action == fetch.PeerRequest(name(7), 1 << 11)
 
--- a/tests/test_fetch_machine.py
+++ b/tests/test_fetch_machine.py
@@ -38,7 +38,7 @@
             )
         else:
             assert not (self.plan.held | self.plan.in_flight) >> action.index & 1
-        self.plan.began(action)
+        self.plan.on_action_started(action)
         self.under_way.append(action)
 
     @stateful.precondition(lambda self: self.under_way)
@@ -90,7 +90,7 @@
             self.now += 0.5
             action = self.plan.next_action(self.now)
             if action is not None:
-                self.plan.began(action)
+                self.plan.on_action_started(action)
                 assert isinstance(action, fetch.OriginRead)
                 self.plan.got(action.index, True, self.now)
                 self.plan.ended(action)
@@ -141,7 +141,7 @@
     action = plan.next_action(now)
     if action is None:
         return
-    plan.began(action)
+    plan.on_action_started(action)
     if isinstance(action, fetch.OriginRead):
         plan.got(action.index, True, now)
     else:
