--- a/bench/transfer.py
+++ b/bench/transfer.py
@@ -223,7 +223,7 @@
     def end(self, agent: Agent, action: fetch.Action, index: int) -> None:
         """Close an action that brought the piece `index`, or none (-1)."""
         plan = agent.plan
-        plan.ended(action)
+        plan.on_action_finished(action)
         took_s = self.now - agent.began.pop(id(action))
         if index < 0:
             agent.incoming.give_back(self.shape.piece_bytes)
--- a/src/merlinthread/coordination/fetch.py
+++ b/src/merlinthread/coordination/fetch.py
@@ -236,7 +236,7 @@
             self.in_flight |= action.wanted
             self.open_requests[action.peer] += 1
 
-    def ended(self, action: Action) -> None:
+    def on_action_finished(self, action: Action) -> None:
         """Note that `action` is over, whatever came of it."""
         if isinstance(action, OriginRead):
             self.in_flight &= ~(1 << action.index)
--- a/src/merlinthread/nodes/piece_fetcher.py
+++ b/src/merlinthread/nodes/piece_fetcher.py
@@ -167,7 +167,7 @@
             else:
                 index = await self.from_peer(plan, manifest, action)
         finally:
-            plan.ended(action)
+            plan.on_action_finished(action)
             if index < 0:
                 self.incoming.give_back(self.facts.piece_bytes())
         if index < 0:
--- a/src/merlinthread/roles/weights.py
+++ b/src/merlinthread/roles/weights.py
@@ -199,7 +199,7 @@
         finally:
             with self.lock:
                 assert download.plan is not None
-                download.plan.ended(action)
+                download.plan.on_action_finished(action)
                 self.idle_until = 0.0
                 self.lock.notify()
 
--- a/tests/test_fetch_machine.py
+++ b/tests/test_fetch_machine.py
@@ -63,7 +63,7 @@
             self.plan.peer_corrupt(action.peer, self.now)
             following = self.plan.next_action(self.now)
             assert not isinstance(following, fetch.PeerRequest) or following.peer != action.peer
-        self.plan.ended(action)
+        self.plan.on_action_finished(action)
 
     @stateful.rule(seconds=st.sampled_from([0.05, 1.0, 5.0]))
     def time_passes(self, seconds: float) -> None:
@@ -82,7 +82,7 @@
     def teardown(self) -> None:
         """With nobody else left, everything is read from the origin in the end."""
         for action in self.under_way:
-            self.plan.ended(action)
+            self.plan.on_action_finished(action)
         self.plan.set_peers([])
         for _ in range(10_000):
             if self.plan.is_complete():
@@ -93,7 +93,7 @@
                 self.plan.on_action_started(action)
                 assert isinstance(action, fetch.OriginRead)
                 self.plan.got(action.index, True, self.now)
-                self.plan.ended(action)
+                self.plan.on_action_finished(action)
         raise AssertionError(f"stuck with {self.plan.held:b}")
 
 
@@ -157,7 +157,7 @@
             else:
                 busy.add(action.peer)
                 plan.got(sent[action.peer].choose("m", offered), False, now)
-    plan.ended(action)
+    plan.on_action_finished(action)
 
 
 @pytest.mark.parametrize("policy", ["spread", "tree"])
