--- a/bench/transfer.py
+++ b/bench/transfer.py
@@ -231,7 +231,7 @@
             if isinstance(action, fetch.PeerRequest):
                 agent.took_s[action.peer] = took_s
                 agent.window.note(took_s, self.now)
-            plan.got(index, isinstance(action, fetch.OriginRead), self.now)
+            plan.on_chunk_received(index, isinstance(action, fetch.OriginRead), self.now)
             self.announce(agent, action, index)
         if plan.is_complete() and agent.whole_at is None:
             agent.whole_at = self.now
--- a/src/merlinthread/coordination/fetch.py
+++ b/src/merlinthread/coordination/fetch.py
@@ -245,7 +245,7 @@
             self.in_flight &= ~action.wanted
             self.open_requests[action.peer] -= 1
 
-    def got(self, index: int, from_origin: bool, now: float) -> None:
+    def on_chunk_received(self, index: int, from_origin: bool, now: float) -> None:
         """Note a verified chunk."""
         if self.held >> index & 1:
             self.stats.doubled += 1
--- a/src/merlinthread/nodes/piece_fetcher.py
+++ b/src/merlinthread/nodes/piece_fetcher.py
@@ -176,7 +176,7 @@
         if isinstance(action, fetch.PeerRequest):
             self.took_s[action.peer] = round(self.clock() - began, 3)
             self.window.note(self.clock() - began, self.clock())
-        plan.got(index, is_from_origin, self.clock())
+        plan.on_chunk_received(index, is_from_origin, self.clock())
         metrics.pieces_total.labels("origin" if is_from_origin else "peer").inc()
         self.announce(plan, manifest, action, index)
 
--- a/src/merlinthread/roles/weights.py
+++ b/src/merlinthread/roles/weights.py
@@ -381,7 +381,7 @@
             return True
         now = self.parts.clock()
         with self.lock:
-            plan.got(index, from_origin, now)
+            plan.on_chunk_received(index, from_origin, now)
             is_complete = plan.is_complete()
         if is_complete:
             logs.event(
--- a/tests/test_fetch_machine.py
+++ b/tests/test_fetch_machine.py
@@ -47,13 +47,13 @@
         action = self.under_way.pop(which % len(self.under_way))
         if isinstance(action, fetch.OriginRead):
             if outcome == "got":
-                self.plan.got(action.index, True, self.now)
+                self.plan.on_chunk_received(action.index, True, self.now)
             else:
                 self.plan.origin_failed(self.now, 0.5)
         elif outcome == "got":
             index = fetch.bit_positions(action.wanted)[0]
             self.plan.on_peer_report(action.peer, action.wanted, self.now)
-            self.plan.got(index, False, self.now)
+            self.plan.on_chunk_received(index, False, self.now)
         elif outcome == "empty":
             self.plan.on_peer_report(action.peer, 0, self.now)
             self.plan.peer_empty(action.peer, self.now)
@@ -92,7 +92,7 @@
             if action is not None:
                 self.plan.on_action_started(action)
                 assert isinstance(action, fetch.OriginRead)
-                self.plan.got(action.index, True, self.now)
+                self.plan.on_chunk_received(action.index, True, self.now)
                 self.plan.on_action_finished(action)
         raise AssertionError(f"stuck with {self.plan.held:b}")
 
@@ -143,7 +143,7 @@
         return
     plan.on_action_started(action)
     if isinstance(action, fetch.OriginRead):
-        plan.got(action.index, True, now)
+        plan.on_chunk_received(action.index, True, now)
     else:
         other = plans[action.peer]
         crosses = (names.index(name) + names.index(action.peer)) % 2
@@ -156,7 +156,7 @@
                 plan.peer_empty(action.peer, now)
             else:
                 busy.add(action.peer)
-                plan.got(sent[action.peer].choose("m", offered), False, now)
+                plan.on_chunk_received(sent[action.peer].choose("m", offered), False, now)
     plan.on_action_finished(action)
 
 
--- a/tests/test_fleet_deciders.py
+++ b/tests/test_fleet_deciders.py
@@ -344,7 +344,7 @@
         action = plan.next_action(now)
         if isinstance(action, fetch.OriginRead):
             found.append((now, action.index))
-            plan.got(action.index, True, now)
+            plan.on_chunk_received(action.index, True, now)
     assert [now for now, _ in found] == [0.0, 0.6]
     assert {index for _, index in found} <= {7, 9} - set(fetch.bit_positions(plan.owned))
 
@@ -360,7 +360,7 @@
         if action.index in (3, 17):
             plan.origin_failed(float(now), 0.5, action.index)
         else:
-            plan.got(action.index, True, float(now))
+            plan.on_chunk_received(action.index, True, float(now))
     assert plan.held == plan.all & ~(1 << 3 | 1 << 17)
 
 
