--- a/bench/transfer.py
+++ b/bench/transfer.py
@@ -351,7 +351,7 @@
         self.counts["in vain"] += 1
         agent.plan.on_peer_report(action.peer, told, self.now)
         if free_in_s:
-            agent.plan.peer_busy(action.peer, self.now, free_in_s)
+            agent.plan.on_peer_busy(action.peer, self.now, free_in_s)
         else:
             agent.plan.peer_empty(action.peer, self.now)
         self.end(agent, action, -1)
--- a/src/merlinthread/coordination/fetch.py
+++ b/src/merlinthread/coordination/fetch.py
@@ -257,7 +257,7 @@
             self.stats.from_peers += 1
             self.last_progress_at = now
 
-    def peer_busy(self, peer: str, now: float, free_in_s: float = 0.0) -> None:
+    def on_peer_busy(self, peer: str, now: float, free_in_s: float = 0.0) -> None:
         """Note that a peer has no upload slot free, and when it will have, if it tells.
 
         All who were refused would come back at that moment; they come up to as long again later.
--- a/src/merlinthread/nodes/piece_fetcher.py
+++ b/src/merlinthread/nodes/piece_fetcher.py
@@ -209,7 +209,7 @@
             return -1
         now = self.clock()
         if reply.is_busy:
-            plan.peer_busy(action.peer, now, reply.free_in_s)
+            plan.on_peer_busy(action.peer, now, reply.free_in_s)
             return -1
         if reply.index < 0:
             plan.peer_empty(action.peer, now)
--- a/src/merlinthread/roles/weights.py
+++ b/src/merlinthread/roles/weights.py
@@ -354,7 +354,7 @@
         with self.lock:
             plan.on_peer_report(peer.name, fetch.bitset_from_bytes(found.held, count), now)
             if found.index == messages.BUSY:
-                plan.peer_busy(peer.name, now)
+                plan.on_peer_busy(peer.name, now)
             elif found.index == messages.NOTHING:
                 plan.peer_empty(peer.name, now)
         if found.index < 0 or found.index >= count:
--- a/tests/test_chunk_announcements.py
+++ b/tests/test_chunk_announcements.py
@@ -118,7 +118,7 @@
     plan = plan_of(0)
     plan.on_peer_report(name(5), plan.all, 0.0)
     assert plan.peers[name(5)] in plan.askable(0.01)
-    plan.peer_busy(name(5), 0.01, free_in_s=0.2)
+    plan.on_peer_busy(name(5), 0.01, free_in_s=0.2)
     assert plan.peers[name(5)] not in plan.askable(0.2)
     assert plan.peers[name(5)] in plan.askable(0.42)
 
