--- a/bench/transfer.py
+++ b/bench/transfer.py
@@ -353,7 +353,7 @@
         if free_in_s:
             agent.plan.on_peer_busy(action.peer, self.now, free_in_s)
         else:
-            agent.plan.peer_empty(action.peer, self.now)
+            agent.plan.on_peer_empty(action.peer, self.now)
         self.end(agent, action, -1)
 
     def bound_s(self) -> float:
--- a/src/merlinthread/coordination/fetch.py
+++ b/src/merlinthread/coordination/fetch.py
@@ -268,7 +268,7 @@
             wait_s = self.rng.uniform(1.0, 2.0) * free_in_s
         self.hold_off(peer, now + wait_s)
 
-    def peer_empty(self, peer: str, now: float) -> None:
+    def on_peer_empty(self, peer: str, now: float) -> None:
         """Note that a peer has nothing of what was asked: it holds what it told, no more."""
         self.stats.empty += 1
         if peer in self.peers:
--- a/src/merlinthread/nodes/piece_fetcher.py
+++ b/src/merlinthread/nodes/piece_fetcher.py
@@ -212,7 +212,7 @@
             plan.on_peer_busy(action.peer, now, reply.free_in_s)
             return -1
         if reply.index < 0:
-            plan.peer_empty(action.peer, now)
+            plan.on_peer_empty(action.peer, now)
             return -1
         if engine_client.digest_of(reply.data) != manifest.digests[reply.index]:
             plan.peer_corrupt(action.peer, now)
--- a/src/merlinthread/roles/weights.py
+++ b/src/merlinthread/roles/weights.py
@@ -356,7 +356,7 @@
             if found.index == messages.BUSY:
                 plan.on_peer_busy(peer.name, now)
             elif found.index == messages.NOTHING:
-                plan.peer_empty(peer.name, now)
+                plan.on_peer_empty(peer.name, now)
         if found.index < 0 or found.index >= count:
             return
         self.sleep_until(self.down.arrived(len(found.data), now))
--- a/tests/test_chunk_announcements.py
+++ b/tests/test_chunk_announcements.py
@@ -141,5 +141,5 @@
     plan.on_peer_report(name(5), 0b1, 0.1)
     assert plan.peers[name(5)].held == 1 << 7 | 0b1
     # Who says that it has nothing of what was asked is believed.
-    plan.peer_empty(name(5), 0.1)
+    plan.on_peer_empty(name(5), 0.1)
     assert plan.peers[name(5)].held == 0b1
--- a/tests/test_fetch_machine.py
+++ b/tests/test_fetch_machine.py
@@ -56,7 +56,7 @@
             self.plan.on_chunk_received(index, False, self.now)
         elif outcome == "empty":
             self.plan.on_peer_report(action.peer, 0, self.now)
-            self.plan.peer_empty(action.peer, self.now)
+            self.plan.on_peer_empty(action.peer, self.now)
         elif outcome == "fail":
             self.plan.peer_failed(action.peer, self.now)
         else:
@@ -153,7 +153,7 @@
             plan.on_peer_report(action.peer, other.held, now)
             offered = other.held & action.wanted
             if action.peer in busy or not offered:
-                plan.peer_empty(action.peer, now)
+                plan.on_peer_empty(action.peer, now)
             else:
                 busy.add(action.peer)
                 plan.on_chunk_received(sent[action.peer].choose("m", offered), False, now)
