--- a/bench/transfer.py
+++ b/bench/transfer.py
@@ -318,7 +318,7 @@
 
     def failed(self, agent: Agent, action: fetch.PeerRequest) -> None:
         """Note that a peer did not answer."""
-        agent.plan.peer_failed(action.peer, self.now)
+        agent.plan.on_peer_failed(action.peer, self.now)
         self.end(agent, action, -1)
 
     def give(
--- a/src/merlinthread/coordination/fetch.py
+++ b/src/merlinthread/coordination/fetch.py
@@ -275,7 +275,7 @@
             self.peers[peer].held = self.peers[peer].told
         self.hold_off(peer, now + EMPTY_WAIT_S)
 
-    def peer_failed(self, peer: str, now: float) -> None:
+    def on_peer_failed(self, peer: str, now: float) -> None:
         """Note that a peer did not answer."""
         self.stats.failed += 1
         state = self.peers.get(peer)
--- a/src/merlinthread/nodes/piece_fetcher.py
+++ b/src/merlinthread/nodes/piece_fetcher.py
@@ -240,7 +240,7 @@
         try:
             reply = await self.caller.call(action.peer, request, PEER_TIMEOUT_S)
         except errors.MerlinthreadError as error:
-            plan.peer_failed(action.peer, self.clock())
+            plan.on_peer_failed(action.peer, self.clock())
             logs.detail("peer_silent", peer=action.peer, reason=error.message)
             return None
         plan.on_peer_report(action.peer, fetch.bitset_from_bytes(reply.held, count), self.clock())
--- a/src/merlinthread/roles/weights.py
+++ b/src/merlinthread/roles/weights.py
@@ -332,7 +332,7 @@
             metrics.chunk_failures_total.labels("peer").inc()
             logs.detail("peer_failed", peer=peer.name, reason=error.message)
             with self.lock:
-                plan.peer_failed(peer.name, self.parts.clock())
+                plan.on_peer_failed(peer.name, self.parts.clock())
             return
         self.take_answer(download, plan, peer, found, count)
 
--- a/tests/test_claimed_reads.py
+++ b/tests/test_claimed_reads.py
@@ -86,7 +86,7 @@
     far = next(peer.name for peer in plan.peers.values() if peer.distance == fetch.OTHER_REGION)
     for index in fetch.bit_positions(plan.owned):
         plan.on_announcement(far, index)
-    plan.peer_failed(far, 0.1)
+    plan.on_peer_failed(far, 0.1)
     assert isinstance(plan.next_action(0.2), fetch.OriginRead)
 
 
--- a/tests/test_fetch_machine.py
+++ b/tests/test_fetch_machine.py
@@ -58,7 +58,7 @@
             self.plan.on_peer_report(action.peer, 0, self.now)
             self.plan.on_peer_empty(action.peer, self.now)
         elif outcome == "fail":
-            self.plan.peer_failed(action.peer, self.now)
+            self.plan.on_peer_failed(action.peer, self.now)
         else:
             self.plan.peer_corrupt(action.peer, self.now)
             following = self.plan.next_action(self.now)
@@ -148,7 +148,7 @@
         other = plans[action.peer]
         crosses = (names.index(name) + names.index(action.peer)) % 2
         if is_cut and crosses:
-            plan.peer_failed(action.peer, now)
+            plan.on_peer_failed(action.peer, now)
         else:
             plan.on_peer_report(action.peer, other.held, now)
             offered = other.held & action.wanted
