--- a/src/merlinthread/coordination/fetch.py
+++ b/src/merlinthread/coordination/fetch.py
@@ -287,7 +287,7 @@
         state.not_before = now + wait
         state.lost_until = now + wait + LOST_S
 
-    def peer_corrupt(self, peer: str, now: float) -> None:
+    def on_corrupt_chunk(self, peer: str, now: float) -> None:
         """Note that a peer gave bytes with a wrong digest, and set it aside."""
         self.stats.corrupt += 1
         self.hold_off(peer, now + CORRUPT_WAIT_S)
--- a/src/merlinthread/nodes/piece_fetcher.py
+++ b/src/merlinthread/nodes/piece_fetcher.py
@@ -215,7 +215,7 @@
             plan.on_peer_empty(action.peer, now)
             return -1
         if engine_client.digest_of(reply.data) != manifest.digests[reply.index]:
-            plan.peer_corrupt(action.peer, now)
+            plan.on_corrupt_chunk(action.peer, now)
             return -1
         try:
             await self.store.put(manifest.model, reply.index, reply.data)
--- a/src/merlinthread/roles/weights.py
+++ b/src/merlinthread/roles/weights.py
@@ -364,7 +364,7 @@
         if not self.keep(download, found.index, found.data, from_origin=False):
             logs.warn("chunk_corrupt", peer=peer.name, manifest=download.digest)
             with self.lock:
-                plan.peer_corrupt(peer.name, self.parts.clock())
+                plan.on_corrupt_chunk(peer.name, self.parts.clock())
 
     def keep(self, download: Download, index: int, data: bytes, from_origin: bool) -> bool:
         """Store a chunk; return whether its digest was right."""
--- a/tests/test_fetch_machine.py
+++ b/tests/test_fetch_machine.py
@@ -60,7 +60,7 @@
         elif outcome == "fail":
             self.plan.on_peer_failed(action.peer, self.now)
         else:
-            self.plan.peer_corrupt(action.peer, self.now)
+            self.plan.on_corrupt_chunk(action.peer, self.now)
             following = self.plan.next_action(self.now)
             assert not isinstance(following, fetch.PeerRequest) or following.peer != action.peer
         self.plan.on_action_finished(action)
