--- a/src/merlinthread/coordination/fetch.py
+++ b/src/merlinthread/coordination/fetch.py
@@ -292,7 +292,7 @@
         self.stats.corrupt += 1
         self.hold_off(peer, now + CORRUPT_WAIT_S)
 
-    def origin_failed(self, now: float, wait_s: float, index: int | None = None) -> None:
+    def on_origin_failed(self, now: float, wait_s: float, index: int | None = None) -> None:
         """Note that the origin refused or broke off, or gave chunk `index` wrong."""
         self.stats.failed += 1
         if index is not None:
--- a/src/merlinthread/coordination/fetch_claimed.py
+++ b/src/merlinthread/coordination/fetch_claimed.py
@@ -61,10 +61,10 @@
         if index < self.chunk_count:
             self.claims[index] = now
 
-    def origin_failed(self, now: float, wait_s: float, index: int | None = None) -> None:
+    def on_origin_failed(self, now: float, wait_s: float, index: int | None = None) -> None:
         """Note that the origin gave nothing; owners try again soon, others much later."""
         is_own = index is not None and bool(self.owned >> index & 1)
-        super().origin_failed(now, OWN_RETRY_S if is_own else wait_s, index)
+        super().on_origin_failed(now, OWN_RETRY_S if is_own else wait_s, index)
         if not is_own:
             self.rescue_not_before = now + RESCUE_RETRY_S * self.rng.uniform(1.0, 2.0)
 
--- a/src/merlinthread/nodes/piece_fetcher.py
+++ b/src/merlinthread/nodes/piece_fetcher.py
@@ -189,7 +189,7 @@
             await self.store.put(manifest.model, action.index, data)
         except errors.MerlinthreadError as error:
             wait_s = max(ORIGIN_WAIT_S, engine_client.origin_rest_s(error))
-            plan.origin_failed(self.clock(), wait_s, action.index)
+            plan.on_origin_failed(self.clock(), wait_s, action.index)
             logs.detail(
                 "piece_failed",
                 index=action.index,
--- a/src/merlinthread/roles/weights.py
+++ b/src/merlinthread/roles/weights.py
@@ -286,7 +286,7 @@
             logs.warn("origin_failed", manifest=download.digest, reason=error.message)
             wait = error.retry_after_s or ORIGIN_RETRY_S
             with self.lock:
-                plan.origin_failed(self.parts.clock(), wait)
+                plan.on_origin_failed(self.parts.clock(), wait)
             return
         metrics.chunk_bytes_total.labels("origin").inc(len(data))
         now = self.parts.clock()
--- a/tests/test_claimed_reads.py
+++ b/tests/test_claimed_reads.py
@@ -101,13 +101,13 @@
 def test_an_origin_that_was_away_is_tried_by_owners_at_once_and_by_others_much_later():
     plan = reader()
     own = fetch.bit_positions(plan.owned)[0]
-    plan.origin_failed(5.0, 0.3, own)
+    plan.on_origin_failed(5.0, 0.3, own)
     assert isinstance(plan.next_action(5.0 + fetch_claimed.OWN_RETRY_S), fetch.OriginRead)
     plan.held = plan.owned
     plan.is_late = True
     assert isinstance(plan.next_action(6.0), fetch.OriginRead), "takes over what is unread"
     other = fetch.bit_positions(plan.needed())[0]
-    plan.origin_failed(6.0, 0.3, other)
+    plan.on_origin_failed(6.0, 0.3, other)
     assert not isinstance(
         plan.next_action(6.0 + fetch_claimed.RESCUE_RETRY_S - 0.01), fetch.OriginRead
     )
--- a/tests/test_fetch_machine.py
+++ b/tests/test_fetch_machine.py
@@ -49,7 +49,7 @@
             if outcome == "got":
                 self.plan.on_chunk_received(action.index, True, self.now)
             else:
-                self.plan.origin_failed(self.now, 0.5)
+                self.plan.on_origin_failed(self.now, 0.5)
         elif outcome == "got":
             index = fetch.bit_positions(action.wanted)[0]
             self.plan.on_peer_report(action.peer, action.wanted, self.now)
--- a/tests/test_fleet_deciders.py
+++ b/tests/test_fleet_deciders.py
@@ -358,7 +358,7 @@
         assert isinstance(action, fetch.OriginRead)
         read.append(action.index)
         if action.index in (3, 17):
-            plan.origin_failed(float(now), 0.5, action.index)
+            plan.on_origin_failed(float(now), 0.5, action.index)
         else:
             plan.on_chunk_received(action.index, True, float(now))
     assert plan.held == plan.all & ~(1 << 3 | 1 << 17)
