--- a/src/merlinthread/coordination/fetch.py
+++ b/src/merlinthread/coordination/fetch.py
@@ -266,14 +266,14 @@
         wait_s = self.rng.uniform(0.5, 1.5) * self.busy_retry_delay_s
         if free_in_s > 0:
             wait_s = self.rng.uniform(1.0, 2.0) * free_in_s
-        self.hold_off(peer, now + wait_s)
+        self.postpone_requests(peer, now + wait_s)
 
     def on_peer_empty(self, peer: str, now: float) -> None:
         """Note that a peer has nothing of what was asked: it holds what it told, no more."""
         self.stats.empty += 1
         if peer in self.peers:
             self.peers[peer].held = self.peers[peer].told
-        self.hold_off(peer, now + EMPTY_WAIT_S)
+        self.postpone_requests(peer, now + EMPTY_WAIT_S)
 
     def on_peer_failed(self, peer: str, now: float) -> None:
         """Note that a peer did not answer."""
@@ -290,7 +290,7 @@
     def on_corrupt_chunk(self, peer: str, now: float) -> None:
         """Note that a peer gave bytes with a wrong digest, and set it aside."""
         self.stats.corrupt += 1
-        self.hold_off(peer, now + CORRUPT_WAIT_S)
+        self.postpone_requests(peer, now + CORRUPT_WAIT_S)
 
     def on_origin_failed(self, now: float, wait_s: float, index: int | None = None) -> None:
         """Note that the origin refused or broke off, or gave chunk `index` wrong."""
@@ -299,7 +299,7 @@
             self.origin_failures[index] += 1
         self.origin_not_before = now + wait_s
 
-    def hold_off(self, peer: str, until: float) -> None:
+    def postpone_requests(self, peer: str, until: float) -> None:
         """Ask `peer` for nothing before `until`."""
         if peer in self.peers:
             self.peers[peer].not_before = until
--- a/tests/test_fleet_deciders.py
+++ b/tests/test_fleet_deciders.py
@@ -338,7 +338,7 @@
     plan.held = plan.owned
     plan.spare_every_s = 0.5
     plan.on_peer_report("b", plan.all & ~plan.owned & ~(1 << 7 | 1 << 9), 0.0)
-    plan.hold_off("b", 9.0)
+    plan.postpone_requests("b", 9.0)
     found = []
     for now in (0.0, 0.3, 0.6, 0.9):
         action = plan.next_action(now)
