--- a/src/merlinthread/coordination/fetch.py
+++ b/src/merlinthread/coordination/fetch.py
@@ -333,11 +333,11 @@
         # Near the end, one request must not hold all that is left.
         count = max(1, min(CHUNKS_OFFERED, needed.bit_count() // 8))
         chosen = 0
-        for index in self.rarest(useful)[:count]:
+        for index in self.rarest_chunks(useful)[:count]:
             chosen |= 1 << index
         return PeerRequest(peer.name, chosen)
 
-    def rarest(self, useful: int) -> list[int]:
+    def rarest_chunks(self, useful: int) -> list[int]:
         """Return up to CHUNKS_OFFERED chunks of `useful` that the fewest known VMs have."""
         # Bit-parallel counting: levels[k] holds the chunks that at least k+1 peers have.
         levels: list[int] = []
--- a/tests/test_fetch_machine.py
+++ b/tests/test_fetch_machine.py
@@ -185,7 +185,7 @@
     plan.on_peer_report("vm-a", 0b1111, 0.0)
     plan.on_peer_report("vm-b", 0b0111, 0.0)
     plan.on_peer_report("vm-c", 0b0011, 0.0)
-    assert plan.rarest(0b1111)[:2] == [3, 2]
+    assert plan.rarest_chunks(0b1111)[:2] == [3, 2]
 
 
 def test_a_paced_link_keeps_its_rate():
