--- a/src/merlinthread/coordination/fetch.py
+++ b/src/merlinthread/coordination/fetch.py
@@ -360,7 +360,7 @@
                 break
         return chosen
 
-    def askable(self, now: float) -> list[fetch_peers.PeerState]:
+    def available_peers(self, now: float) -> list[fetch_peers.PeerState]:
         """Return the peers that may be asked now, nearest first, in random order otherwise."""
         found = [
             peer
--- a/src/merlinthread/coordination/fetch_claimed.py
+++ b/src/merlinthread/coordination/fetch_claimed.py
@@ -91,7 +91,7 @@
 
     def from_peers(self, now: float) -> fetch.PeerRequest | None:
         """Return a request to the nearest peer that is known to have something needed."""
-        for peer in self.askable(now):
+        for peer in self.available_peers(now):
             action = self.ask(peer, now)
             if action is not None:
                 return action
--- a/src/merlinthread/coordination/fetch_policies.py
+++ b/src/merlinthread/coordination/fetch_policies.py
@@ -47,7 +47,7 @@
         own = needed & self.owned
         if own and self.may_read_origin(now):
             return fetch.OriginRead(self.rng.choice(fetch.bit_positions(own)))
-        for peer in self.askable(now):
+        for peer in self.available_peers(now):
             action = self.ask(peer, now)
             if action is not None:
                 return action
@@ -58,7 +58,7 @@
 
         Far peers are due less often, but they come: near ones may all lack the same chunks.
         """
-        due = [peer for peer in self.askable(now) if peer.overdue(now) > 1]
+        due = [peer for peer in self.available_peers(now) if peer.overdue(now) > 1]
         if not due:
             return None
         peer = max(due, key=lambda peer: peer.overdue(now))
@@ -168,7 +168,7 @@
         brought = self.to_bring(now)
         due = [
             peer
-            for peer in self.askable(now)
+            for peer in self.available_peers(now)
             if peer.overdue(now) > 1 and (peer.distance == fetch.SAME_ZONE or brought)
         ]
         if not due:
--- a/tests/test_chunk_announcements.py
+++ b/tests/test_chunk_announcements.py
@@ -117,10 +117,10 @@
 def test_a_busy_peer_is_asked_again_once_it_has_sent_what_it_promised():
     plan = plan_of(0)
     plan.on_peer_report(name(5), plan.all, 0.0)
-    assert plan.peers[name(5)] in plan.askable(0.01)
+    assert plan.peers[name(5)] in plan.available_peers(0.01)
     plan.on_peer_busy(name(5), 0.01, free_in_s=0.2)
-    assert plan.peers[name(5)] not in plan.askable(0.2)
-    assert plan.peers[name(5)] in plan.askable(0.42)
+    assert plan.peers[name(5)] not in plan.available_peers(0.2)
+    assert plan.peers[name(5)] in plan.available_peers(0.42)
 
 
 def test_a_peer_of_the_own_zone_is_asked_though_words_from_far_are_older():
