--- a/src/merlinthread/coordination/fetch_claimed.py
+++ b/src/merlinthread/coordination/fetch_claimed.py
@@ -111,13 +111,13 @@
         """Read an unread chunk of another owner within this VM's share of the origin's link."""
         if not self.is_reader or now < self.spare_at or not self.may_read_origin(now):
             return None
-        if self.spare_every_s == math.inf:
+        if self.extra_read_interval_s == math.inf:
             return None
         taken = self.take_over(now)
         if taken is None:
             taken = self.read_again()
         if taken is not None:
-            self.spare_at = now + self.spare_every_s
+            self.spare_at = now + self.extra_read_interval_s
         return taken
 
     def take_over(self, now: float) -> fetch.OriginRead | None:
--- a/src/merlinthread/coordination/fetch_policies.py
+++ b/src/merlinthread/coordination/fetch_policies.py
@@ -107,12 +107,12 @@
     A chunk is asked of a far peer only by the VM that is first for it in its zone; the others get
     it from that one. The longer a VM has heard nothing new, the more chunks it may ask for itself.
     Two bounds let a reader read the origin for what is not its own, and the owner sets both: one
-    chunk each `spare_every_s`, its share of the origin's link, if no peer can serve it now; and
-    with `is_late` as fast as the origin gives.
+    chunk each `extra_read_interval_s`, its share of the origin's link, if no peer can
+    serve it now; and with `is_late` as fast as the origin gives.
     """
 
     is_late = False
-    spare_every_s = math.inf
+    extra_read_interval_s = math.inf
     spare_at = float("-inf")
 
     def next_action(self, now: float) -> fetch.Action | None:
@@ -130,9 +130,9 @@
         """Read a chunk of another owner within this VM's share of the origin's link."""
         if not self.is_reader or now < self.spare_at or not self.may_read_origin(now):
             return None
-        if self.spare_every_s == math.inf:
+        if self.extra_read_interval_s == math.inf:
             return None
-        self.spare_at = now + self.spare_every_s
+        self.spare_at = now + self.extra_read_interval_s
         return fetch.OriginRead(self.scarcest(needed))
 
     def scarcest(self, needed: int) -> int:
