--- a/src/merlinthread/coordination/fetch_policies.py
+++ b/src/merlinthread/coordination/fetch_policies.py
@@ -154,7 +154,7 @@
         """Return a request; of a far peer only for what this VM is to bring into its zone."""
         if peer.distance == fetch.SAME_ZONE:
             return super().ask(peer, now)
-        allowed = self.to_bring(now)
+        allowed = self.cross_zone_chunks(now)
         if not allowed & peer.held:
             return None
         held, peer.held = peer.held, peer.held & allowed
@@ -165,7 +165,7 @@
 
     def probe(self, needed: int, now: float) -> fetch.PeerRequest | None:
         """Ask the peer whose word is most overdue; a far one only for what is to be brought."""
-        brought = self.to_bring(now)
+        brought = self.cross_zone_chunks(now)
         due = [
             peer
             for peer in self.available_peers(now)
@@ -176,7 +176,7 @@
         peer = max(due, key=lambda peer: peer.overdue(now))
         return fetch.PeerRequest(peer.name, needed if peer.distance == fetch.SAME_ZONE else brought)
 
-    def to_bring(self, now: float) -> int:
+    def cross_zone_chunks(self, now: float) -> int:
         """Return the chunks that this VM may ask far peers for."""
         waited = now - self.last_progress_at
         steps = int(waited / self.origin_grace_s)
--- a/tests/test_fleet_deciders.py
+++ b/tests/test_fleet_deciders.py
@@ -252,7 +252,7 @@
         names = {name: fetch.SAME_ZONE for name in zone if name != me} | {"far": fetch.OTHER_REGION}
         plan = make_zoned(me, names)
         plan.on_peer_report("far", plan.all, 0.0)
-        asked.append(plan.to_bring(0.0))
+        asked.append(plan.cross_zone_chunks(0.0))
     assert asked[0] | asked[1] | asked[2] == make_zoned("a", {}).all
     assert asked[0] & asked[1] == asked[0] & asked[2] == asked[1] & asked[2] == 0
 
@@ -260,8 +260,8 @@
 def test_a_vm_without_news_asks_far_zones_for_all_it_lacks():
     names = {"b": fetch.SAME_ZONE, "far": fetch.OTHER_REGION}
     plan = make_zoned("a", names)
-    assert plan.to_bring(0.0) != plan.all
-    assert plan.to_bring(3 * plan.origin_grace_s) == plan.all
+    assert plan.cross_zone_chunks(0.0) != plan.all
+    assert plan.cross_zone_chunks(3 * plan.origin_grace_s) == plan.all
 
 
 def test_the_origin_is_read_for_what_is_missing_only_when_time_presses():
