--- a/src/merlinthread/coordination/fetch_claimed.py
+++ b/src/merlinthread/coordination/fetch_claimed.py
@@ -10,7 +10,7 @@
 
 # How long a claim holds. Reckoned: a chunk of 24 KB takes 0.45 s of an origin of 4.38 Mbit/s that
 # ten VMs read at once, and 1.1 s when it is back after a while and 24 VMs turn to it.
-CLAIM_S = 1.2
+CLAIM_LIFETIME_S = 1.2
 # An origin that was away is tried again by the owners of chunks: a refusal costs 3 packets, and at
 # this pace half of the pause, 0.05 s, is lost when it is back.
 OWN_RETRY_S = 0.1
@@ -143,7 +143,7 @@
         """Return the chunks that other VMs said they read from the origin a moment ago."""
         reading = 0
         for index, claimed_at in self.claims.items():
-            if now - claimed_at < CLAIM_S:
+            if now - claimed_at < CLAIM_LIFETIME_S:
                 reading |= 1 << index
         return reading
 
--- a/tests/test_claimed_reads.py
+++ b/tests/test_claimed_reads.py
@@ -69,7 +69,7 @@
     for index in range(CHUNKS):
         plan.on_claim(index, 0.0)
     assert not isinstance(plan.next_action(0.1), fetch.OriginRead)
-    action = plan.next_action(fetch_claimed.CLAIM_S)
+    action = plan.next_action(fetch_claimed.CLAIM_LIFETIME_S)
     assert isinstance(action, fetch.OriginRead) and action.index in own
 
 
