--- a/src/merlinthread/coordination/fetch_claimed.py
+++ b/src/merlinthread/coordination/fetch_claimed.py
@@ -13,7 +13,7 @@
 CLAIM_LIFETIME_S = 1.2
 # An origin that was away is tried again by the owners of chunks: a refusal costs 3 packets, and at
 # this pace half of the pause, 0.05 s, is lost when it is back.
-OWN_RETRY_S = 0.1
+OWNED_CHUNK_RETRY_S = 0.1
 # Others try it again after once to twice as long, so that the owners' reads are not shared out
 # among all VMs when it is back (reckoned for 24 VMs: the first new chunk after 1.1 s, not 0.45 s).
 RESCUE_RETRY_S = 1.0
@@ -64,7 +64,7 @@
     def on_origin_failed(self, now: float, wait_s: float, index: int | None = None) -> None:
         """Note that the origin gave nothing; owners try again soon, others much later."""
         is_own = index is not None and bool(self.owned >> index & 1)
-        super().on_origin_failed(now, OWN_RETRY_S if is_own else wait_s, index)
+        super().on_origin_failed(now, OWNED_CHUNK_RETRY_S if is_own else wait_s, index)
         if not is_own:
             self.rescue_not_before = now + RESCUE_RETRY_S * self.rng.uniform(1.0, 2.0)
 
--- a/tests/test_claimed_reads.py
+++ b/tests/test_claimed_reads.py
@@ -102,7 +102,7 @@
     plan = reader()
     own = fetch.bit_positions(plan.owned)[0]
     plan.on_origin_failed(5.0, 0.3, own)
-    assert isinstance(plan.next_action(5.0 + fetch_claimed.OWN_RETRY_S), fetch.OriginRead)
+    assert isinstance(plan.next_action(5.0 + fetch_claimed.OWNED_CHUNK_RETRY_S), fetch.OriginRead)
     plan.held = plan.owned
     plan.is_late = True
     assert isinstance(plan.next_action(6.0), fetch.OriginRead), "takes over what is unread"
