--- a/src/merlinthread/coordination/fetch_claimed.py
+++ b/src/merlinthread/coordination/fetch_claimed.py
@@ -16,7 +16,7 @@
 OWNED_CHUNK_RETRY_S = 0.1
 # Others try it again after once to twice as long, so that the owners' reads are not shared out
 # among all VMs when it is back (reckoned for 24 VMs: the first new chunk after 1.1 s, not 0.45 s).
-RESCUE_RETRY_S = 1.0
+FALLBACK_RETRY_S = 1.0
 
 
 @fetch.POLICIES.add("claimed")
@@ -66,7 +66,7 @@
         is_own = index is not None and bool(self.owned >> index & 1)
         super().on_origin_failed(now, OWNED_CHUNK_RETRY_S if is_own else wait_s, index)
         if not is_own:
-            self.rescue_not_before = now + RESCUE_RETRY_S * self.rng.uniform(1.0, 2.0)
+            self.rescue_not_before = now + FALLBACK_RETRY_S * self.rng.uniform(1.0, 2.0)
 
     def unread(self, now: float) -> int:
         """Return the needed chunks that no live VM is known to have or to be reading."""
--- a/tests/test_claimed_reads.py
+++ b/tests/test_claimed_reads.py
@@ -109,9 +109,9 @@
     other = fetch.bit_positions(plan.needed())[0]
     plan.on_origin_failed(6.0, 0.3, other)
     assert not isinstance(
-        plan.next_action(6.0 + fetch_claimed.RESCUE_RETRY_S - 0.01), fetch.OriginRead
+        plan.next_action(6.0 + fetch_claimed.FALLBACK_RETRY_S - 0.01), fetch.OriginRead
     )
-    assert isinstance(plan.next_action(6.0 + 2 * fetch_claimed.RESCUE_RETRY_S), fetch.OriginRead)
+    assert isinstance(plan.next_action(6.0 + 2 * fetch_claimed.FALLBACK_RETRY_S), fetch.OriginRead)
 
 
 def test_a_claim_of_a_chunk_that_there_is_not_changes_nothing():
