--- a/src/merlinthread/coordination/pacing.py
+++ b/src/merlinthread/coordination/pacing.py
@@ -33,7 +33,7 @@
         self.free_at = max(self.free_at, now) + size / self.bytes_per_s
         return wait_s
 
-    def through_at(self, size: int, now: float) -> float:
+    def reserve_until(self, size: int, now: float) -> float:
         """Take the next place for `size` bytes; return when the link is through with them."""
         self.reserve(size, now)
         return self.free_at
--- a/src/merlinthread/roles/chunk_giver.py
+++ b/src/merlinthread/roles/chunk_giver.py
@@ -48,7 +48,7 @@
             if not self.slots.take():
                 return messages.ChunkFound(messages.BUSY, b"", shown)
             index = self.slots.choose(wanted.manifest, offered)
-            ready_at = self.up.through_at(manifest.chunk_size(index), now)
+            ready_at = self.up.reserve_until(manifest.chunk_size(index), now)
         try:
             data = self.weights.store.read(manifest.chunks[index])
             if data is None:
--- a/stand_ins/origin.py
+++ b/stand_ins/origin.py
@@ -64,7 +64,7 @@
         for start in range(0, len(data), PIECE_BYTES):
             piece = data[start : start + PIECE_BYTES]
             with self.lock:
-                ready_at = self.pace.through_at(len(piece), time.monotonic())
+                ready_at = self.pace.reserve_until(len(piece), time.monotonic())
                 self.sent_bytes += len(piece)
                 self.sent_by_object[name] = self.sent_by_object.get(name, 0) + len(piece)
             time.sleep(max(0.0, ready_at - time.monotonic()))
--- a/tests/test_fetch_machine.py
+++ b/tests/test_fetch_machine.py
@@ -190,6 +190,6 @@
 
 def test_a_paced_link_keeps_its_rate():
     pace = pacing.Pacer(1000.0)
-    ends = [pace.through_at(100, now=5.0) for _ in range(10)]
+    ends = [pace.reserve_until(100, now=5.0) for _ in range(10)]
     assert ends[-1] == pytest.approx(6.0)
-    assert pace.through_at(100, now=20.0) == pytest.approx(20.1)
+    assert pace.reserve_until(100, now=20.0) == pytest.approx(20.1)
