--- a/src/merlinthread/coordination/pacing.py
+++ b/src/merlinthread/coordination/pacing.py
@@ -38,7 +38,7 @@
         self.reserve(size, now)
         return self.free_at
 
-    def arrived(self, size: int, now: float) -> float:
+    def record_arrival(self, size: int, now: float) -> float:
         """Return when the link is through with `size` bytes that were on it until `now`.
 
         They occupied it while they came, so bytes that came no faster than the rate are through
--- a/src/merlinthread/roles/weights.py
+++ b/src/merlinthread/roles/weights.py
@@ -290,7 +290,9 @@
             return
         metrics.chunk_bytes_total.labels("origin").inc(len(data))
         now = self.parts.clock()
-        self.sleep_until(max(self.origin_pace.arrived(size, now), self.down.arrived(size, now)))
+        self.sleep_until(
+            max(self.origin_pace.record_arrival(size, now), self.down.record_arrival(size, now))
+        )
         if not self.keep(download, action.index, data, from_origin=True):
             self.note_wrong_origin(download, action.index, data)
 
@@ -359,7 +361,7 @@
                 plan.on_peer_empty(peer.name, now)
         if found.index < 0 or found.index >= count:
             return
-        self.sleep_until(self.down.arrived(len(found.data), now))
+        self.sleep_until(self.down.record_arrival(len(found.data), now))
         metrics.chunk_bytes_total.labels("peer").inc(len(found.data))
         if not self.keep(download, found.index, found.data, from_origin=False):
             logs.warn("chunk_corrupt", peer=peer.name, manifest=download.digest)
