--- a/bench/transfer.py
+++ b/bench/transfer.py
@@ -226,7 +226,7 @@
         plan.on_action_finished(action)
         took_s = self.now - agent.began.pop(id(action))
         if index < 0:
-            agent.incoming.give_back(self.shape.piece_bytes)
+            agent.incoming.cancel_reservation(self.shape.piece_bytes)
         else:
             if isinstance(action, fetch.PeerRequest):
                 agent.took_s[action.peer] = took_s
--- a/src/merlinthread/coordination/pacing.py
+++ b/src/merlinthread/coordination/pacing.py
@@ -48,7 +48,7 @@
         self.free_at = begun + size / self.bytes_per_s
         return self.free_at
 
-    def give_back(self, size: int) -> None:
+    def cancel_reservation(self, size: int) -> None:
         """Return the place of a transfer that did not happen."""
         self.free_at -= size / self.bytes_per_s
 
--- a/src/merlinthread/nodes/piece_fetcher.py
+++ b/src/merlinthread/nodes/piece_fetcher.py
@@ -169,7 +169,7 @@
         finally:
             plan.on_action_finished(action)
             if index < 0:
-                self.incoming.give_back(self.facts.piece_bytes())
+                self.incoming.cancel_reservation(self.facts.piece_bytes())
         if index < 0:
             return
         is_from_origin = isinstance(action, fetch.OriginRead)
--- a/tests/test_fleet_deciders.py
+++ b/tests/test_fleet_deciders.py
@@ -224,7 +224,7 @@
 def test_a_pace_spreads_transfers_and_takes_back_what_did_not_happen():
     pacer = pacing.Pacer(100.0, 0.0)
     assert [pacer.reserve(50, 0.0) for _ in range(3)] == [0.0, 0.5, 1.0]
-    pacer.give_back(50)
+    pacer.cancel_reservation(50)
     assert pacer.reserve(50, 0.0) == 1.0
 
 
