--- a/src/merlinthread/coordination/pacing.py
+++ b/src/merlinthread/coordination/pacing.py
@@ -97,7 +97,7 @@
         self.target_s = target_s
         self.last: collections.deque[tuple[str, bool]] = collections.deque(maxlen=FEEDBACKS)
 
-    def set_most(self, bytes_per_s: float) -> None:
+    def set_full_rate(self, bytes_per_s: float) -> None:
         """Change the full rate; what was learnt of the link stays as a share of it."""
         self.bytes_per_s *= bytes_per_s / self.most
         self.most = bytes_per_s
--- a/src/merlinthread/nodes/piece_giver.py
+++ b/src/merlinthread/nodes/piece_giver.py
@@ -40,7 +40,7 @@
     def note_serving(self, is_serving: bool) -> None:
         """Set the pace by whether the engine serves requests beside the pieces."""
         share = OUT_SHARE if is_serving else OUT_SHARE_ALONE
-        self.outgoing.set_most(share * self.link_bytes_per_s)
+        self.outgoing.set_full_rate(share * self.link_bytes_per_s)
 
     async def give(
         self, plan: fetch.FetchPlan, manifest: fleet.Manifest, request: node_messages.PieceRequest
