--- a/bench/transfer.py
+++ b/bench/transfer.py
@@ -189,7 +189,7 @@
 
     def tick(self, agent: Agent) -> None:
         """Let an agent look for work, again and again."""
-        agent.rate.note(agent.plan.held.bit_count(), self.now)
+        agent.rate.record(agent.plan.held.bit_count(), self.now)
         agent.plan.is_late = self.is_late(agent)
         self.work(agent)
         if agent.whole_at is None:
@@ -230,7 +230,7 @@
         else:
             if isinstance(action, fetch.PeerRequest):
                 agent.took_s[action.peer] = took_s
-                agent.window.note(took_s, self.now)
+                agent.window.record(took_s, self.now)
             plan.on_chunk_received(index, isinstance(action, fetch.OriginRead), self.now)
             self.announce(agent, action, index)
         if plan.is_complete() and agent.whole_at is None:
@@ -327,7 +327,7 @@
         """Let a peer answer."""
         peer.plan.on_peer_report(agent.name, held, self.now)
         if agent.took_s.get(peer.name):
-            peer.outgoing.note(agent.name, agent.took_s.pop(peer.name))
+            peer.outgoing.record(agent.name, agent.took_s.pop(peer.name))
         wanted = fetch.bit_positions(action.wanted & peer.plan.held)
         told = peer.plan.held
         free_in_s = peer.outgoing.wait_s(self.now) if wanted else 0.0
--- a/src/merlinthread/coordination/pacing.py
+++ b/src/merlinthread/coordination/pacing.py
@@ -73,7 +73,7 @@
         """Return whether one more may begin beside those under way."""
         return under_way < int(self.size)
 
-    def note(self, took_s: float, now: float) -> None:
+    def record(self, took_s: float, now: float) -> None:
         """Note how long a transfer took; one that began before the last halving tells nothing."""
         self.last_s = took_s
         if took_s <= self.target_s:
@@ -102,7 +102,7 @@
         self.bytes_per_s *= bytes_per_s / self.most
         self.most = bytes_per_s
 
-    def note(self, receiver: str, took_s: float) -> None:
+    def record(self, receiver: str, took_s: float) -> None:
         """Note what a receiver tells of its last transfer from here."""
         self.last.append((receiver, took_s > self.target_s))
         slow = {name for name, is_slow in self.last if is_slow}
@@ -121,7 +121,7 @@
         self.window_s = window_s
         self.samples: collections.deque[tuple[float, int]] = collections.deque()
 
-    def note(self, count: int, now: float) -> None:
+    def record(self, count: int, now: float) -> None:
         """Note what the count is now."""
         self.samples.append((now, count))
         while len(self.samples) > 1 and self.samples[1][0] <= now - self.window_s:
--- a/src/merlinthread/nodes/piece_fetcher.py
+++ b/src/merlinthread/nodes/piece_fetcher.py
@@ -108,7 +108,7 @@
         self.incoming.bytes_per_s = share * self.link_bytes_per_s
         plan.set_peers(self.facts.peers())
         plan.extra_read_interval_s = self.spare_every_s(plan)
-        self.rate.note(plan.held.bit_count(), self.clock())
+        self.rate.record(plan.held.bit_count(), self.clock())
         plan.is_late = self.is_late(plan, manifest, started)
 
     def begin_transfers(
@@ -175,7 +175,7 @@
         is_from_origin = isinstance(action, fetch.OriginRead)
         if isinstance(action, fetch.PeerRequest):
             self.took_s[action.peer] = round(self.clock() - began, 3)
-            self.window.note(self.clock() - began, self.clock())
+            self.window.record(self.clock() - began, self.clock())
         plan.on_chunk_received(index, is_from_origin, self.clock())
         metrics.pieces_total.labels("origin" if is_from_origin else "peer").inc()
         self.announce(plan, manifest, action, index)
--- a/src/merlinthread/nodes/piece_giver.py
+++ b/src/merlinthread/nodes/piece_giver.py
@@ -51,7 +51,7 @@
         count = len(manifest.digests)
         held = fetch.bitset_to_bytes(plan.held, count)
         if request.took_s:
-            self.outgoing.note(request.sender, request.took_s)
+            self.outgoing.record(request.sender, request.took_s)
         if request.sender:
             plan.on_peer_report(
                 request.sender, fetch.bitset_from_bytes(request.held, count), self.clock()
--- a/tests/test_fleet_deciders.py
+++ b/tests/test_fleet_deciders.py
@@ -368,7 +368,7 @@
     rate = pacing.RecentRate(1.0)
     assert rate.per_s() == 0.0
     for tenth in range(30):
-        rate.note(tenth if tenth < 15 else 15 + 3 * (tenth - 15), tenth / 10)
+        rate.record(tenth if tenth < 15 else 15 + 3 * (tenth - 15), tenth / 10)
     assert rate.per_s() == pytest.approx(30.0, rel=0.2)
 
 
--- a/tests/test_transfer_model.py
+++ b/tests/test_transfer_model.py
@@ -44,7 +44,7 @@
     shape = transfer.Shape(agents=40, holders=24)
     found = transfer.Rollout(shape, transfer.FAULTS["a slow agent"]).run().figures()
     assert found["request_wait_ms_worst_link"] <= 300.0
-    monkeypatch.setattr(pacing.FeedbackPacer, "note", lambda self, receiver, took_s: None)
+    monkeypatch.setattr(pacing.FeedbackPacer, "record", lambda self, receiver, took_s: None)
     found = transfer.Rollout(shape, transfer.FAULTS["a slow agent"]).run().figures()
     assert found["request_wait_ms_worst_link"] >= 450.0, "what receivers tell makes no difference"
 
@@ -70,35 +70,35 @@
 def test_a_window_halves_once_for_what_was_under_way_and_grows_again():
     window = pacing.TransferWindow(8, 0.4)
     for took_s in (1.0, 1.1, 1.2):
-        window.note(took_s, 10.0 + took_s)
+        window.record(took_s, 10.0 + took_s)
     assert window.size == 4.0, "all three had begun before the first halving"
-    window.note(1.0, 12.5)
+    window.record(1.0, 12.5)
     assert window.size == 2.0
     assert window.has_room(1) and not window.has_room(2)
     for number in range(40):
-        window.note(0.1, 13.0 + number)
+        window.record(0.1, 13.0 + number)
     assert window.size == 8.0
 
 
 def test_a_window_never_closes():
     window = pacing.TransferWindow(8, 0.4)
     for number in range(20):
-        window.note(5.0, 10.0 * number)
+        window.record(5.0, 10.0 * number)
     assert window.has_room(0)
 
 
 def test_a_sender_slows_down_when_most_receivers_say_so_and_speeds_up_again():
     pacer = pacing.FeedbackPacer(1000.0, 0.0, 0.4)
     for receiver in ("a", "b", "a"):
-        pacer.note(receiver, 1.0)
+        pacer.record(receiver, 1.0)
     assert pacer.bytes_per_s == 500.0
     for _ in range(20):
-        pacer.note("a", 0.1)
+        pacer.record("a", 0.1)
     assert pacer.bytes_per_s == 1000.0
 
 
 def test_one_receiver_with_a_slow_link_of_its_own_does_not_slow_a_sender_down():
     pacer = pacing.FeedbackPacer(1000.0, 0.0, 0.4)
     for _ in range(20):
-        pacer.note("a", 1.0)
+        pacer.record("a", 1.0)
     assert pacer.bytes_per_s == 1000.0
