--- a/src/merlinthread/coordination/pacing.py
+++ b/src/merlinthread/coordination/pacing.py
@@ -67,7 +67,7 @@
         self.target_s = target_s
         self.size = float(most)
         self.halved_at = float("-inf")
-        self.last_s = 0.0
+        self.last_duration_s = 0.0
 
     def has_room(self, under_way: int) -> bool:
         """Return whether one more may begin beside those under way."""
@@ -75,7 +75,7 @@
 
     def record(self, took_s: float, now: float) -> None:
         """Note how long a transfer took; one that began before the last halving tells nothing."""
-        self.last_s = took_s
+        self.last_duration_s = took_s
         if took_s <= self.target_s:
             self.size = min(self.most, self.size + 1 / self.size)
         elif now - took_s >= self.halved_at:
--- a/src/merlinthread/nodes/piece_fetcher.py
+++ b/src/merlinthread/nodes/piece_fetcher.py
@@ -273,5 +273,5 @@
             doubled=plan.stats.doubled,
             window=round(self.window.size, 1),
             asking=plan.open_requests.total(),
-            took_ms=round(1000 * self.window.last_s),
+            took_ms=round(1000 * self.window.last_duration_s),
         )
