--- a/src/merlinthread/coordination/change_over.py
+++ b/src/merlinthread/coordination/change_over.py
@@ -13,7 +13,7 @@
 GROUPS = 4
 # How long before the bound of the old weights nothing is sent to them any more: a request may take
 # that long on its way and at the engine before it begins (docs/incidents/0002: 0.8 and 1.5 s seen).
-LEAVE_S = 1.0
+EXPIRY_MARGIN_S = 1.0
 # From a whole copy until the engine serves with it: what runs ends (about a second), then it loads
 # (0.3 s); reckoned.
 CHANGE_S = 1.25
@@ -48,7 +48,7 @@
 
     `bound_at` is when the old weights may be used no more.
     """
-    span_s = max(0.0, bound_at - LEAVE_S - whole_at)
+    span_s = max(0.0, bound_at - EXPIRY_MARGIN_S - whole_at)
     return whole_at + span_s * group / (GROUPS - 1)
 
 
--- a/src/merlinthread/nodes/backend_pool.py
+++ b/src/merlinthread/nodes/backend_pool.py
@@ -197,7 +197,7 @@
         The newest one named is required some time before its bound, since a request may wait at the
         back end.
         """
-        bound_s = self.settings.bounds.version_s - change_over.LEAVE_S
+        bound_s = self.settings.bounds.version_s - change_over.EXPIRY_MARGIN_S
         return self.watcher.version_due(model, now, bound_s)
 
     def version_soon(self, model: str, now: float) -> int:
--- a/src/merlinthread/nodes/piece_fetcher.py
+++ b/src/merlinthread/nodes/piece_fetcher.py
@@ -150,7 +150,7 @@
         if not self.facts.named(manifest.model) or now - started < RATE_AFTER_S:
             return False
         missing = plan.chunk_count - plan.held.bit_count()
-        leave_at = self.facts.bound_at(manifest) - change_over.LEAVE_S
+        leave_at = self.facts.bound_at(manifest) - change_over.EXPIRY_MARGIN_S
         return now + missing / max(self.rate.per_s(), 1.0) > leave_at
 
     # One piece
--- a/src/merlinthread/nodes/weights_facts.py
+++ b/src/merlinthread/nodes/weights_facts.py
@@ -89,7 +89,7 @@
 
     def is_usable(self, model: str, version: int) -> bool:
         """Return whether entries still send requests to engines that hold a version."""
-        bound_s = self.settings.bounds.version_s - change_over.LEAVE_S
+        bound_s = self.settings.bounds.version_s - change_over.EXPIRY_MARGIN_S
         return self.clock() < self.watcher.usable_until(model, version, bound_s)
 
     def bound_at(self, manifest: fleet.Manifest) -> float:
--- a/tests/test_change_over.py
+++ b/tests/test_change_over.py
@@ -22,7 +22,7 @@
         whole = rng.uniform(first_whole_s, last_whole_s)
         begins = change_over.turn_at(change_over.group_of(name, engines), whole, BOUND_S)
         away.append((begins, begins + CHANGE_S))
-    leave = BOUND_S - change_over.LEAVE_S
+    leave = BOUND_S - change_over.EXPIRY_MARGIN_S
     shares = []
     for step in range(int(13 / 0.05)):
         now = step * 0.05
