--- a/src/merlinthread/coordination/change_over.py
+++ b/src/merlinthread/coordination/change_over.py
@@ -16,7 +16,7 @@
 EXPIRY_MARGIN_S = 1.0
 # From a whole copy until the engine serves with it: what runs ends (about a second), then it loads
 # (0.3 s); reckoned.
-CHANGE_S = 1.25
+RELOAD_S = 1.25
 READY_STEP_S = 0.25
 
 
@@ -36,11 +36,11 @@
     of READY_STEP_S, so that it is not told anew each time.
     """
     if is_changing:
-        return CHANGE_S
+        return RELOAD_S
     if not per_s and missing:
         return None
     fetched_in_s = missing / per_s if missing else 0.0
-    return round((fetched_in_s + CHANGE_S) / READY_STEP_S) * READY_STEP_S
+    return round((fetched_in_s + RELOAD_S) / READY_STEP_S) * READY_STEP_S
 
 
 def turn_at(group: int, whole_at: float, bound_at: float) -> float:
--- a/tests/test_return_times.py
+++ b/tests/test_return_times.py
@@ -67,8 +67,8 @@
 
 def test_an_engine_forecasts_when_it_serves_from_what_it_lacks_and_how_fast_that_comes():
     assert change_over.ready_in_s(45, 15.0, False) == 4.25
-    assert change_over.ready_in_s(0, 0.0, False) == change_over.CHANGE_S
-    assert change_over.ready_in_s(45, 15.0, True) == change_over.CHANGE_S
+    assert change_over.ready_in_s(0, 0.0, False) == change_over.RELOAD_S
+    assert change_over.ready_in_s(45, 15.0, True) == change_over.RELOAD_S
     assert change_over.ready_in_s(45, 0.0, False) is None, "the origin is away: nobody knows"
 
 
