--- a/src/merlinthread/coordination/change_over.py
+++ b/src/merlinthread/coordination/change_over.py
@@ -10,7 +10,7 @@
 # In the model of tests/test_change_over.py (weights whole 6.0 to 6.6 s after a naming, 0.77 of the
 # engines needed) 2, 3, 4 and 6 groups lack 0.84, 0.68, 0.69 and 0.75 fleet seconds, and 0.50, 0.33,
 # 0.45 and 0.38 of the engines serve at the worst moment.
-GROUPS = 4
+GROUP_COUNT = 4
 # How long before the bound of the old weights nothing is sent to them any more: a request may take
 # that long on its way and at the engine before it begins (docs/incidents/0002: 0.8 and 1.5 s seen).
 EXPIRY_MARGIN_S = 1.0
@@ -26,7 +26,7 @@
     Neighbours in the order by zone go in different groups, so that each zone keeps some that serve.
     """
     names = [name for _, name in sorted(engines)]
-    return names.index(me) % GROUPS
+    return names.index(me) % GROUP_COUNT
 
 
 def ready_in_s(missing: int, per_s: float, is_changing: bool) -> float | None:
@@ -49,7 +49,7 @@
     `bound_at` is when the old weights may be used no more.
     """
     span_s = max(0.0, bound_at - EXPIRY_MARGIN_S - whole_at)
-    return whole_at + span_s * group / (GROUPS - 1)
+    return whole_at + span_s * group / (GROUP_COUNT - 1)
 
 
 # Ends of an engine during the same load that are put down to something else: engines end for many
--- a/tests/test_change_over.py
+++ b/tests/test_change_over.py
@@ -46,9 +46,9 @@
     engines = [(f"zone-{n % 5}", f"engine-{n}") for n in range(60)]
     for zone in range(5):
         groups = {change_over.group_of(name, engines) for z, name in engines if z == f"zone-{zone}"}
-        assert groups == set(range(change_over.GROUPS))
+        assert groups == set(range(change_over.GROUP_COUNT))
 
 
 def test_the_last_group_is_through_with_the_old_weights_when_they_are_left():
-    assert change_over.turn_at(change_over.GROUPS - 1, 6.0, BOUND_S) == 9.0
+    assert change_over.turn_at(change_over.GROUP_COUNT - 1, 6.0, BOUND_S) == 9.0
     assert change_over.turn_at(0, 6.0, BOUND_S) == 6.0
