--- a/src/merlinthread/coordination/change_over.py
+++ b/src/merlinthread/coordination/change_over.py
@@ -43,7 +43,7 @@
     return round((fetched_in_s + RELOAD_S) / READY_STEP_S) * READY_STEP_S
 
 
-def turn_at(group: int, whole_at: float, bound_at: float) -> float:
+def reload_time(group: int, whole_at: float, bound_at: float) -> float:
     """Return when an engine of `group` changes over whose new weights were whole at `whole_at`.
 
     `bound_at` is when the old weights may be used no more.
--- a/src/merlinthread/nodes/weights_task.py
+++ b/src/merlinthread/nodes/weights_task.py
@@ -222,7 +222,7 @@
         if not self.is_serving():
             return
         group, bound_at = self.facts.group(), self.facts.bound_at(manifest)
-        turn_at = change_over.turn_at(group, self.clock(), bound_at)
+        turn_at = change_over.reload_time(group, self.clock(), bound_at)
         await asyncio.sleep(max(0.0, turn_at - self.clock()))
 
     async def await_next_try(self, manifest: fleet.Manifest) -> None:
--- a/tests/test_change_over.py
+++ b/tests/test_change_over.py
@@ -20,7 +20,7 @@
     away = []
     for _, name in engines:
         whole = rng.uniform(first_whole_s, last_whole_s)
-        begins = change_over.turn_at(change_over.group_of(name, engines), whole, BOUND_S)
+        begins = change_over.reload_time(change_over.group_of(name, engines), whole, BOUND_S)
         away.append((begins, begins + CHANGE_S))
     leave = BOUND_S - change_over.EXPIRY_MARGIN_S
     shares = []
@@ -39,7 +39,7 @@
 
 
 def test_weights_that_come_after_the_old_ones_are_left_are_taken_at_once():
-    assert change_over.turn_at(2, 9.7, BOUND_S) == 9.7
+    assert change_over.reload_time(2, 9.7, BOUND_S) == 9.7
 
 
 def test_every_zone_keeps_engines_that_serve():
@@ -50,5 +50,5 @@
 
 
 def test_the_last_group_is_through_with_the_old_weights_when_they_are_left():
-    assert change_over.turn_at(change_over.GROUP_COUNT - 1, 6.0, BOUND_S) == 9.0
-    assert change_over.turn_at(0, 6.0, BOUND_S) == 6.0
+    assert change_over.reload_time(change_over.GROUP_COUNT - 1, 6.0, BOUND_S) == 9.0
+    assert change_over.reload_time(0, 6.0, BOUND_S) == 6.0
