--- a/src/merlinthread/coordination/change_over.py
+++ b/src/merlinthread/coordination/change_over.py
@@ -59,7 +59,7 @@
 LOAD_AGAIN_MAX_S = 60.0
 
 
-def load_again_s(ends: int) -> float:
+def load_retry_delay_s(ends: int) -> float:
     """Return how long to wait before weights are ordered under which an engine ended `ends` times.
 
     The wait doubles (as of restarts in cluster managers), so that weights that end whoever loads
--- a/src/merlinthread/nodes/weights_task.py
+++ b/src/merlinthread/nodes/weights_task.py
@@ -227,7 +227,7 @@
 
     async def await_next_try(self, manifest: fleet.Manifest) -> None:
         """Wait before weights are ordered again under which the engine ended several times."""
-        wait_s = change_over.load_again_s(self.ends_in_load)
+        wait_s = change_over.load_retry_delay_s(self.ends_in_load)
         if wait_s:
             logs.warn(
                 "load_put_off", version=manifest.version, ends=self.ends_in_load, wait_s=wait_s
