--- a/src/merlinthread/coordination/change_over.py
+++ b/src/merlinthread/coordination/change_over.py
@@ -54,7 +54,7 @@
 
 # Ends of an engine during the same load that are put down to something else: engines end for many
 # reasons, and each order put off is seconds in which an engine serves nothing.
-LOAD_ENDS_FREE = 2
+LOAD_CRASHES_BEFORE_BACKOFF = 2
 LOAD_AGAIN_S = 2.0
 LOAD_AGAIN_MAX_S = 60.0
 
@@ -65,6 +65,6 @@
     The wait doubles (as of restarts in cluster managers), so that weights that end whoever loads
     them cost an engine a restart a minute, and other versions can still come.
     """
-    if ends <= LOAD_ENDS_FREE:
+    if ends <= LOAD_CRASHES_BEFORE_BACKOFF:
         return 0.0
-    return min(LOAD_AGAIN_MAX_S, LOAD_AGAIN_S * 2 ** (ends - LOAD_ENDS_FREE - 1))
+    return min(LOAD_AGAIN_MAX_S, LOAD_AGAIN_S * 2 ** (ends - LOAD_CRASHES_BEFORE_BACKOFF - 1))
--- a/tests/test_weights_task.py
+++ b/tests/test_weights_task.py
@@ -470,7 +470,7 @@
     async def scenario(fleet):
         engine = fleet.engines[0]
         agent = fleet.agents[0]
-        ends = change_over.LOAD_ENDS_FREE + 1
+        ends = change_over.LOAD_CRASHES_BEFORE_BACKOFF + 1
         carry_out = engine.carry_out
 
         def end_instead(order):
