--- a/src/merlinthread/coordination/change_over.py
+++ b/src/merlinthread/coordination/change_over.py
@@ -55,8 +55,8 @@
 # Ends of an engine during the same load that are put down to something else: engines end for many
 # reasons, and each order put off is seconds in which an engine serves nothing.
 LOAD_CRASHES_BEFORE_BACKOFF = 2
-LOAD_AGAIN_S = 2.0
-LOAD_AGAIN_MAX_S = 60.0
+LOAD_RETRY_S = 2.0
+LOAD_RETRY_MAX_S = 60.0
 
 
 def load_retry_delay_s(ends: int) -> float:
@@ -67,4 +67,4 @@
     """
     if ends <= LOAD_CRASHES_BEFORE_BACKOFF:
         return 0.0
-    return min(LOAD_AGAIN_MAX_S, LOAD_AGAIN_S * 2 ** (ends - LOAD_CRASHES_BEFORE_BACKOFF - 1))
+    return min(LOAD_RETRY_MAX_S, LOAD_RETRY_S * 2 ** (ends - LOAD_CRASHES_BEFORE_BACKOFF - 1))
--- a/tests/test_weights_task.py
+++ b/tests/test_weights_task.py
@@ -465,7 +465,7 @@
 def test_weights_that_end_the_engine_that_loads_them_are_ordered_less_and_less_often(monkeypatch):
     """Seen by reading: an engine that ends while it loads was ordered to load again at once, for
     ever. The same cause as of a request that ends whoever runs it: nothing counted the ends."""
-    monkeypatch.setattr(change_over, "LOAD_AGAIN_S", 30.0)
+    monkeypatch.setattr(change_over, "LOAD_RETRY_S", 30.0)
 
     async def scenario(fleet):
         engine = fleet.engines[0]
