--- a/src/merlinthread/coordination/switch.py
+++ b/src/merlinthread/coordination/switch.py
@@ -6,7 +6,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Wanted:
+class WantedModel:
     """One model or adapter that an engine should serve; `base` is an adapter's model."""
 
     name: str
@@ -19,7 +19,7 @@
 class Load:
     """Order the engine to load a version that is here whole and verified."""
 
-    item: Wanted
+    item: WantedModel
 
 
 @dataclasses.dataclass(slots=True)
@@ -32,7 +32,7 @@
 Step = Load | Unload
 
 
-def wanted_of(directive: control_state.Directive, agent: str) -> list[Wanted]:
+def wanted_of(directive: control_state.Directive, agent: str) -> list[WantedModel]:
     """Return what `agent`'s engine should serve: its models, each before its adapters."""
     if directive.bundle is None:
         return []
@@ -42,18 +42,18 @@
         model = directive.bundle.model(name)
         if model is None:
             continue
-        found.append(Wanted(model.name, model.version, model.manifest))
+        found.append(WantedModel(model.name, model.version, model.manifest))
         found.extend(adapter_of(model, adapter) for adapter in model.adapters)
     return found
 
 
-def adapter_of(model: bundles.Model, adapter: bundles.Adapter) -> Wanted:
+def adapter_of(model: bundles.Model, adapter: bundles.Adapter) -> WantedModel:
     """Return what to load for an adapter."""
-    return Wanted(adapter.name, adapter.version, adapter.manifest, base=model.name)
+    return WantedModel(adapter.name, adapter.version, adapter.manifest, base=model.name)
 
 
 def next_step(
-    wanted: list[Wanted], serving: dict[str, str], complete: set[str], is_paused: bool
+    wanted: list[WantedModel], serving: dict[str, str], complete: set[str], is_paused: bool
 ) -> Step | None:
     """Return the next order, or None if there is nothing to order now.
 
--- a/src/merlinthread/roles/agent.py
+++ b/src/merlinthread/roles/agent.py
@@ -211,7 +211,7 @@
         for task in self.beats:
             task.wake.set()
 
-    def wanted(self, directive: control_state.Directive) -> list[switch.Wanted]:
+    def wanted(self, directive: control_state.Directive) -> list[switch.WantedModel]:
         """Return what the engine should serve."""
         if self.config.target_kind == bundles.SERVICE:
             return []
--- a/tests/test_deciders.py
+++ b/tests/test_deciders.py
@@ -159,7 +159,7 @@
 
 
 def test_weights_are_loaded_whole_adapter_after_model_and_old_ones_last():
-    item, adapter = switch.Wanted("m", "v2", B), switch.Wanted("x", "v1", C, base="m")
+    item, adapter = switch.WantedModel("m", "v2", B), switch.WantedModel("x", "v1", C, base="m")
     wanted = [item, adapter]
     assert switch.next_step(wanted, {"m": A, "old": A}, set(), False) is None
     assert switch.next_step(wanted, {"m": A}, {C}, False) is None
