--- a/src/merlinthread/coordination/switch.py
+++ b/src/merlinthread/coordination/switch.py
@@ -32,7 +32,7 @@
 Step = Load | Unload
 
 
-def wanted_of(directive: control_state.Directive, agent: str) -> list[WantedModel]:
+def wanted_models(directive: control_state.Directive, agent: str) -> list[WantedModel]:
     """Return what `agent`'s engine should serve: its models, each before its adapters."""
     if directive.bundle is None:
         return []
--- a/src/merlinthread/roles/agent.py
+++ b/src/merlinthread/roles/agent.py
@@ -215,7 +215,7 @@
         """Return what the engine should serve."""
         if self.config.target_kind == bundles.SERVICE:
             return []
-        return switch.wanted_of(directive, self.parts.settings.name)
+        return switch.wanted_models(directive, self.parts.settings.name)
 
     def participants(self, directive: control_state.Directive) -> dict[str, list[fetch.Peer]]:
         """Return the manifests wanted here, each with the other VMs that should hold it."""
@@ -224,7 +224,7 @@
             if name == self.parts.settings.name:
                 continue
             peer = fetch.Peer(name, placed.bus, self.distance(placed))
-            for item in switch.wanted_of(directive, name):
+            for item in switch.wanted_models(directive, name):
                 if item.manifest in found:
                     found[item.manifest].append(peer)
         return found
@@ -249,7 +249,7 @@
         if self.trouble and now < self.tried_at + REFUSED_WAIT_S:
             return
         directive = self.directive
-        wanted = switch.wanted_of(directive, self.parts.settings.name)
+        wanted = switch.wanted_models(directive, self.parts.settings.name)
         step = switch.next_step(
             wanted, self.target.serving, self.weights.complete(), bool(directive.paused)
         )
--- a/src/merlinthread/roles/operators_api.py
+++ b/src/merlinthread/roles/operators_api.py
@@ -140,7 +140,7 @@
     report: agents.AgentReport,
 ) -> operator_calls.AgentStatus:
     """Return what operators see of one target VM."""
-    wanted = switch.wanted_of(directive, report.name)
+    wanted = switch.wanted_models(directive, report.name)
     placed = state.placement.get(report.name)
     is_done = report.kind == bundles.SERVICE or report.serving == {
         item.name: item.manifest for item in wanted
