--- a/src/merlinthread/coordination/placement.py
+++ b/src/merlinthread/coordination/placement.py
@@ -13,7 +13,7 @@
     reason: str
 
 
-def wanted_counts(models: list[bundles.Model], engines: int) -> dict[str, int]:
+def engines_per_model(models: list[bundles.Model], engines: int) -> dict[str, int]:
     """Return how many of a zone's `engines` each model gets.
 
     Shares are rounded by largest remainder; each model gets `replicas_min` while engines last.
@@ -51,7 +51,7 @@
     models: list[bundles.Model], names: list[str], present: dict[str, list[str]]
 ) -> dict[str, list[str]]:
     """Return the changes for one zone's engines `names`: keep what fits, move the fewest."""
-    counts = wanted_counts(models, len(names))
+    counts = engines_per_model(models, len(names))
     free: list[str] = []
     for name in sorted(names):
         held = present.get(name, [])
--- a/tests/test_deciders.py
+++ b/tests/test_deciders.py
@@ -136,7 +136,7 @@
         assert set(held) == {f"m{i}" for i in range(len(shares))}
     left = [r for i, r in enumerate(live) if i not in lost]
     second = placement.plan(bundle, left, first.changes)
-    wanted = placement.wanted_counts(bundle.models, len(left))
+    wanted = placement.engines_per_model(bundle.models, len(left))
     kept = sum(1 for r in left if r.name in first.changes and r.name not in second.changes)
     assert kept >= sum(
         min(
