--- a/src/merlinthread/coordination/summaries.py
+++ b/src/merlinthread/coordination/summaries.py
@@ -49,7 +49,7 @@
     load.busy += report.running + report.queued
 
 
-def fill(summary: Summary, reports: list[agents.AgentReport]) -> Summary:
+def add_reports(summary: Summary, reports: list[agents.AgentReport]) -> Summary:
     """Add up the targets that take new work."""
     for report in reports:
         if report.is_leaving:
--- a/src/merlinthread/roles/entry.py
+++ b/src/merlinthread/roles/entry.py
@@ -117,7 +117,7 @@
         )
         if not self.parts.in_flight.is_leaving:
             live = [report for report in known.live if report.name not in known.leaving]
-            summaries.fill(summary, live)
+            summaries.add_reports(summary, live)
         return [summary, *known.others]
 
     def handle(self, message: Any) -> Any:
--- a/tests/test_deciders.py
+++ b/tests/test_deciders.py
@@ -296,7 +296,7 @@
         report("b", serving={"m": A}, slots=4, running=1),
         report("c", serving={"m": A}, slots=4, is_leaving=True),
     ]
-    summaries.fill(summary, reports)
+    summaries.add_reports(summary, reports)
     assert summary.engines["m"] == summaries.Load(8, 4)
     assert summaries.as_target(summary, "generate", "m", "x") is not None
     assert summaries.as_target(summary, "generate", "m", "y") is None
