--- a/src/merlinthread/coordination/summaries.py
+++ b/src/merlinthread/coordination/summaries.py
@@ -84,7 +84,7 @@
         self.per_zone = per_zone
         self.heard: dict[str, Heard] = {}
 
-    def take(self, summary: Summary, now: float) -> bool:
+    def add(self, summary: Summary, now: float) -> bool:
         """Take in a summary; return whether it was news."""
         known = self.heard.get(summary.entry)
         if known and summary.order() <= known.summary.order():
--- a/src/merlinthread/roles/entry.py
+++ b/src/merlinthread/roles/entry.py
@@ -77,7 +77,7 @@
         with self.lock:
             for summary in heard:
                 if summary.entry != self.name:
-                    self.others.take(summary, now)
+                    self.others.add(summary, now)
             self.publish()
 
     def set_leaving(self, names: frozenset[str]) -> None:
