--- a/src/merlinthread/coordination/summaries.py
+++ b/src/merlinthread/coordination/summaries.py
@@ -10,7 +10,7 @@
 
 from merlinthread.coordination import agents, bundles
 
-PER_ZONE = 4
+SUMMARIES_PER_ZONE = 4
 
 
 @dataclasses.dataclass(slots=True)
@@ -78,7 +78,7 @@
     entries are known to some.
     """
 
-    def __init__(self, me: str, lost_after_s: float, per_zone: int = PER_ZONE) -> None:
+    def __init__(self, me: str, lost_after_s: float, per_zone: int = SUMMARIES_PER_ZONE) -> None:
         self.me = me
         self.lost_after_s = lost_after_s
         self.per_zone = per_zone
--- a/tests/test_deciders.py
+++ b/tests/test_deciders.py
@@ -309,7 +309,7 @@
         for number in range(100):
             zone = f"z{number % 2}"
             table.add(summaries.Summary(f"entry-{number}", 1, 1, zone, "r", ""), 0.0)
-        assert len(table.live(0.0)) == 2 * summaries.PER_ZONE
+        assert len(table.live(0.0)) == 2 * summaries.SUMMARIES_PER_ZONE
         assert not table.add(table.live(0.0)[0], 0.0)
         kept.append({summary.entry for summary in table.live(0.0)})
     assert kept[0] != kept[1] != kept[2]
