--- a/src/merlinthread/coordination/uploads.py
+++ b/src/merlinthread/coordination/uploads.py
@@ -11,7 +11,7 @@
         self.busy = 0
         self.sent: dict[tuple[str, int], int] = {}
 
-    def take(self) -> bool:
+    def acquire(self) -> bool:
         """Take a slot; return whether there was one."""
         if self.busy >= self.slots:
             return False
--- a/src/merlinthread/roles/chunk_giver.py
+++ b/src/merlinthread/roles/chunk_giver.py
@@ -45,7 +45,7 @@
             offered = held & fetch.bitset_from_bytes(wanted.wanted, count)
             if not offered:
                 return messages.ChunkFound(messages.NOTHING, b"", shown)
-            if not self.slots.take():
+            if not self.slots.acquire():
                 return messages.ChunkFound(messages.BUSY, b"", shown)
             index = self.slots.choose(wanted.manifest, offered)
             ready_at = self.up.reserve_until(manifest.chunk_size(index), now)
