--- a/src/merlinthread/coordination/uploads.py
+++ b/src/merlinthread/coordination/uploads.py
@@ -22,7 +22,7 @@
         """Give a slot back."""
         self.busy -= 1
 
-    def choose(self, manifest: str, offered: int) -> int:
+    def choose_chunk(self, manifest: str, offered: int) -> int:
         """Return the chunk of `offered` that was sent least often, and count it."""
         index = min(fetch.bit_positions(offered), key=lambda i: self.sent.get((manifest, i), 0))
         self.sent[(manifest, index)] = self.sent.get((manifest, index), 0) + 1
--- a/src/merlinthread/roles/chunk_giver.py
+++ b/src/merlinthread/roles/chunk_giver.py
@@ -47,7 +47,7 @@
                 return messages.ChunkFound(messages.NOTHING, b"", shown)
             if not self.slots.acquire():
                 return messages.ChunkFound(messages.BUSY, b"", shown)
-            index = self.slots.choose(wanted.manifest, offered)
+            index = self.slots.choose_chunk(wanted.manifest, offered)
             ready_at = self.up.reserve_until(manifest.chunk_size(index), now)
         try:
             data = self.weights.store.read(manifest.chunks[index])
--- a/tests/test_fetch_machine.py
+++ b/tests/test_fetch_machine.py
@@ -156,7 +156,7 @@
                 plan.on_peer_empty(action.peer, now)
             else:
                 busy.add(action.peer)
-                plan.on_chunk_received(sent[action.peer].choose("m", offered), False, now)
+                plan.on_chunk_received(sent[action.peer].choose_chunk("m", offered), False, now)
     plan.on_action_finished(action)
 
 
