--- a/src/merlinthread/roles/chunk_giver.py
+++ b/src/merlinthread/roles/chunk_giver.py
@@ -63,7 +63,9 @@
     def held_of(self, manifest: manifests.Manifest) -> int:
         """Return which chunks of an older manifest are still here."""
         return sum(
-            1 << i for i, digest in enumerate(manifest.chunks) if digest in self.weights.store.held
+            1 << i
+            for i, digest in enumerate(manifest.chunks)
+            if digest in self.weights.store.chunks
         )
 
     def read_all(self, digest: str) -> Iterator[bytes]:
--- a/src/merlinthread/state/chunks.py
+++ b/src/merlinthread/state/chunks.py
@@ -36,7 +36,7 @@
     def __init__(self, folder: pathlib.Path | None, bound_bytes: int) -> None:
         self.folder = folder
         self.bound_bytes = bound_bytes
-        self.held: dict[str, Held] = {}
+        self.chunks: dict[str, Held] = {}
         self.unverified: set[str] = set()
         self.pinned: set[str] = set()
         self.used_bytes = 0
@@ -52,7 +52,7 @@
                 path.unlink()
                 continue
             size = path.stat().st_size
-            self.held[path.name] = Held(size, None)
+            self.chunks[path.name] = Held(size, None)
             self.unverified.add(path.name)
             self.used_bytes += size
 
@@ -60,12 +60,12 @@
         """Return whether the chunk is here and sound."""
         if digest in self.unverified:
             return self.read(digest) is not None
-        return digest in self.held
+        return digest in self.chunks
 
     def read(self, digest: str) -> bytes | None:
         """Return the chunk, or None; a file that does not match its digest is removed."""
         with self.lock:
-            held = self.held.get(digest)
+            held = self.chunks.get(digest)
         if held is None:
             return None
         if held.data is not None:
@@ -92,12 +92,12 @@
         if found != digest:
             raise errors.WeightsError(f"chunk {digest} was asked for, its bytes have {found}")
         with self.lock:
-            if digest in self.held:
+            if digest in self.chunks:
                 return
             self.make_room(len(data))
             if self.folder is not None:
                 self.write_file(self.folder, digest, data)
-            self.held[digest] = Held(len(data), None if self.folder is not None else data)
+            self.chunks[digest] = Held(len(data), None if self.folder is not None else data)
             self.used_bytes += len(data)
 
     def write_file(self, folder: pathlib.Path, digest: str, data: bytes) -> None:
@@ -112,7 +112,7 @@
 
     def make_room(self, size: int) -> None:
         """Remove unpinned chunks, oldest first, until `size` more bytes fit."""
-        for digest in list(self.held):
+        for digest in list(self.chunks):
             if self.used_bytes + size <= self.bound_bytes:
                 return
             if digest not in self.pinned:
@@ -135,7 +135,7 @@
 
     def drop(self, digest: str) -> None:
         """Remove one chunk; the caller holds the lock."""
-        held = self.held.pop(digest, None)
+        held = self.chunks.pop(digest, None)
         self.unverified.discard(digest)
         if held is None:
             return
