--- a/src/merlinthread/state/journal.py
+++ b/src/merlinthread/state/journal.py
@@ -43,7 +43,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Image:
+class SnapshotFile:
     """All that a snapshot file holds: the snapshot, the vote, and the entries that follow it.
 
     `commit` is an index known to be committed; the entries up to it may be applied at a restart.
@@ -112,7 +112,7 @@
         path = self.image_path(self.sequence)
         if not path.exists():
             return
-        image = msgspec.msgpack.decode(records.read_whole(path), type=Image)
+        image = msgspec.msgpack.decode(records.read_whole(path), type=SnapshotFile)
         self.snapshot = image.snapshot
         self.hard_state = image.hard_state
         self.entries = image.entries
@@ -157,7 +157,7 @@
     def compact(self, snapshot: Snapshot, follows: list[Entry]) -> None:
         """Replace the log by `snapshot` and the entries that follow it; raise DiskFullError."""
         commit = max(self.commit, snapshot.index)
-        image = Image(snapshot, self.hard_state, follows, commit)
+        image = SnapshotFile(snapshot, self.hard_state, follows, commit)
         following = self.sequence + 1
         records.write_whole(self.image_path(following), msgspec.msgpack.encode(image))
         self.file.close()
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -141,7 +141,9 @@
 def test_a_crash_between_the_two_files_of_a_compaction_loses_nothing(tmp_path):
     found = journal.Journal(tmp_path)
     found.save(None, [entry(i) for i in range(1, 6)])
-    image = journal.Image(journal.Snapshot(3, 1, b"", b"s"), found.hard_state, found.entries[3:])
+    image = journal.SnapshotFile(
+        journal.Snapshot(3, 1, b"", b"s"), found.hard_state, found.entries[3:]
+    )
     records.write_whole(found.image_path(1), journal.msgspec.msgpack.encode(image))
     found.close()
     again = journal.Journal(tmp_path)
