--- a/src/merlinthread/state/journal.py
+++ b/src/merlinthread/state/journal.py
@@ -94,7 +94,7 @@
         records.write_whole(path, identity.encode("ascii"))
         return identity
 
-    def image_path(self, sequence: int) -> pathlib.Path:
+    def snapshot_path(self, sequence: int) -> pathlib.Path:
         """Return the snapshot file's path for `sequence`."""
         return self.folder / f"snapshot-{sequence:08d}.bin"
 
@@ -109,7 +109,7 @@
 
     def load_image(self) -> None:
         """Read the newest snapshot file, if there is one."""
-        path = self.image_path(self.sequence)
+        path = self.snapshot_path(self.sequence)
         if not path.exists():
             return
         image = msgspec.msgpack.decode(records.read_whole(path), type=SnapshotFile)
@@ -159,7 +159,7 @@
         commit = max(self.commit, snapshot.index)
         image = SnapshotFile(snapshot, self.hard_state, follows, commit)
         following = self.sequence + 1
-        records.write_whole(self.image_path(following), msgspec.msgpack.encode(image))
+        records.write_whole(self.snapshot_path(following), msgspec.msgpack.encode(image))
         self.file.close()
         self.file = records.RecordFile(self.log_path(following))
         self.sequence = following
