--- a/src/merlinthread/nodes/membership.py
+++ b/src/merlinthread/nodes/membership.py
@@ -49,5 +49,5 @@
         found = Membership(address, voters, levels.NEWEST)
     else:
         found = Membership(f"{address}#{identity[:12]}", [])
-    records.write_whole(path, msgspec.json.encode(found))
+    records.write_atomic(path, msgspec.json.encode(found))
     return found
--- a/src/merlinthread/state/journal.py
+++ b/src/merlinthread/state/journal.py
@@ -91,7 +91,7 @@
         if path.exists():
             return records.read_whole(path).decode("ascii")
         identity = secrets.token_hex(16)
-        records.write_whole(path, identity.encode("ascii"))
+        records.write_atomic(path, identity.encode("ascii"))
         return identity
 
     def snapshot_path(self, sequence: int) -> pathlib.Path:
@@ -159,7 +159,7 @@
         commit = max(self.commit, snapshot.index)
         image = SnapshotFile(snapshot, self.hard_state, follows, commit)
         following = self.sequence + 1
-        records.write_whole(self.snapshot_path(following), msgspec.msgpack.encode(image))
+        records.write_atomic(self.snapshot_path(following), msgspec.msgpack.encode(image))
         self.file.close()
         self.file = records.RecordFile(self.log_path(following))
         self.sequence = following
--- a/src/merlinthread/state/records.py
+++ b/src/merlinthread/state/records.py
@@ -85,7 +85,7 @@
         os.close(handle)
 
 
-def write_whole(path: pathlib.Path, payload: bytes) -> None:
+def write_atomic(path: pathlib.Path, payload: bytes) -> None:
     """Replace `path` by a file of one record, durably and all at once.
 
     Raises DiskFullError; then the earlier file is intact.
@@ -104,7 +104,7 @@
 
 
 def read_whole(path: pathlib.Path) -> bytes:
-    """Return the payload of a file made by `write_whole`; raise LogDamagedError otherwise."""
+    """Return the payload of a file made by `write_atomic`; raise LogDamagedError otherwise."""
     payloads, _ = scan(path.read_bytes(), path)
     if len(payloads) != 1:
         raise damaged(path, 0, "payload")
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -144,7 +144,7 @@
     image = journal.SnapshotFile(
         journal.Snapshot(3, 1, b"", b"s"), found.hard_state, found.entries[3:]
     )
-    records.write_whole(found.snapshot_path(1), journal.msgspec.msgpack.encode(image))
+    records.write_atomic(found.snapshot_path(1), journal.msgspec.msgpack.encode(image))
     found.close()
     again = journal.Journal(tmp_path)
     assert again.snapshot.index == 3
