--- a/src/merlinthread/nodes/membership.py
+++ b/src/merlinthread/nodes/membership.py
@@ -42,7 +42,7 @@
     """
     path = folder / FILE
     if path.exists():
-        return msgspec.json.decode(records.read_whole(path), type=Membership)
+        return msgspec.json.decode(records.read_single(path), type=Membership)
     seeds = settings.control_nodes()
     if is_first_start:
         voters = seeds if address in seeds else []
--- a/src/merlinthread/state/journal.py
+++ b/src/merlinthread/state/journal.py
@@ -89,7 +89,7 @@
         """Return the folder's identity: random, made at the first start, kept ever after."""
         path = self.folder / "identity"
         if path.exists():
-            return records.read_whole(path).decode("ascii")
+            return records.read_single(path).decode("ascii")
         identity = secrets.token_hex(16)
         records.write_atomic(path, identity.encode("ascii"))
         return identity
@@ -112,7 +112,7 @@
         path = self.snapshot_path(self.sequence)
         if not path.exists():
             return
-        image = msgspec.msgpack.decode(records.read_whole(path), type=SnapshotFile)
+        image = msgspec.msgpack.decode(records.read_single(path), type=SnapshotFile)
         self.snapshot = image.snapshot
         self.hard_state = image.hard_state
         self.entries = image.entries
--- a/src/merlinthread/state/records.py
+++ b/src/merlinthread/state/records.py
@@ -103,7 +103,7 @@
     sync_folder(path.parent)
 
 
-def read_whole(path: pathlib.Path) -> bytes:
+def read_single(path: pathlib.Path) -> bytes:
     """Return the payload of a file made by `write_atomic`; raise LogDamagedError otherwise."""
     payloads, _ = scan(path.read_bytes(), path)
     if len(payloads) != 1:
