--- a/src/merlinthread/state/records.py
+++ b/src/merlinthread/state/records.py
@@ -23,7 +23,7 @@
     return HEADER.pack(MAGIC, len(payload), body_sum, head_sum) + payload
 
 
-def scan(data: bytes, path: pathlib.Path) -> tuple[list[bytes], int]:
+def read_records(data: bytes, path: pathlib.Path) -> tuple[list[bytes], int]:
     """Return the payloads of `data` and the length of its sound part.
 
     Each append is one record and is synced before the next. So an unsound last record is a write
@@ -105,7 +105,7 @@
 
 def read_single(path: pathlib.Path) -> bytes:
     """Return the payload of a file made by `write_atomic`; raise LogDamagedError otherwise."""
-    payloads, _ = scan(path.read_bytes(), path)
+    payloads, _ = read_records(path.read_bytes(), path)
     if len(payloads) != 1:
         raise damaged(path, 0, "payload")
     return payloads[0]
@@ -128,7 +128,7 @@
         self.payloads: list[bytes] = []
         existed = path.exists()
         if existed:
-            self.payloads, self.length = scan(path.read_bytes(), path)
+            self.payloads, self.length = read_records(path.read_bytes(), path)
         else:
             self.length = 0
         self.handle = os.open(path, os.O_RDWR | os.O_CREAT, 0o644)
--- a/tests/test_control_failures.py
+++ b/tests/test_control_failures.py
@@ -275,7 +275,7 @@
     ana.bring_in(bundle(2))
     path = next((fleet.folder / "data" / hurt.name).glob("log-*.bin"))
     processes.wait_for(
-        "a second record", lambda: len(records.scan(path.read_bytes(), path)[0]) > 1, 15
+        "a second record", lambda: len(records.read_records(path.read_bytes(), path)[0]) > 1, 15
     )
     hurt.process.kill()
     data = bytearray(path.read_bytes())
