--- a/src/merlinthread/state/chunks.py
+++ b/src/merlinthread/state/chunks.py
@@ -107,7 +107,7 @@
             part.write_bytes(data)
         except OSError as error:
             part.unlink(missing_ok=True)
-            raise records.full_or_same(error, part)
+            raise records.as_disk_full(error, part)
         os.replace(part, folder / digest)
 
     def make_room(self, size: int) -> None:
--- a/src/merlinthread/state/records.py
+++ b/src/merlinthread/state/records.py
@@ -98,7 +98,7 @@
             os.fsync(file.fileno())
     except OSError as error:
         scratch.unlink(missing_ok=True)
-        raise full_or_same(error, path)
+        raise as_disk_full(error, path)
     os.replace(scratch, path)
     sync_folder(path.parent)
 
@@ -111,7 +111,7 @@
     return payloads[0]
 
 
-def full_or_same(error: OSError, path: pathlib.Path) -> Exception:
+def as_disk_full(error: OSError, path: pathlib.Path) -> Exception:
     """Translate a full disk into DiskFullError; return any other error unchanged."""
     if error.errno in (errno.ENOSPC, errno.EDQUOT, errno.EFBIG):
         return errors.DiskFullError(
@@ -150,7 +150,7 @@
                 written += os.pwrite(self.handle, data[written:], self.length + written)
         except OSError as error:
             os.ftruncate(self.handle, self.length)
-            raise full_or_same(error, self.path)
+            raise as_disk_full(error, self.path)
         os.fsync(self.handle)
         self.length += len(data)
 
