--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -360,7 +360,7 @@
         """Put an object of random bytes at the origin and return its manifest's digest."""
         path = self.folder / "origin" / "objects" / name
         path.write_bytes(random.Random(f"{name} {seed}").randbytes(size_bytes))
-        manifest = manifests.make(path, name, chunk_bytes)
+        manifest = manifests.from_file(path, name, chunk_bytes)
         digest = manifests.digest_of(manifest)
         (self.folder / "origin" / "manifests" / digest).write_bytes(manifests.encode(manifest))
         return digest
--- a/src/merlinthread/cli/other_commands.py
+++ b/src/merlinthread/cli/other_commands.py
@@ -117,7 +117,7 @@
         text = self.option("chunk-bytes")
         if not text.isdigit() or int(text) < 1:
             raise errors.RequestError(f"--chunk-bytes: {text!r} is no positive number of bytes")
-        manifest = manifests.make(path, self.option("object") or path.name, int(text))
+        manifest = manifests.from_file(path, self.option("object") or path.name, int(text))
         digest = manifests.digest_of(manifest)
         folder = pathlib.Path(self.argument("folder"))
         folder.mkdir(parents=True, exist_ok=True)
--- a/src/merlinthread/state/manifests.py
+++ b/src/merlinthread/state/manifests.py
@@ -61,7 +61,7 @@
     return manifest
 
 
-def make(path: pathlib.Path, name: str, chunk_bytes: int) -> Manifest:
+def from_file(path: pathlib.Path, name: str, chunk_bytes: int) -> Manifest:
     """Return the manifest of the file `path`, to be published as object `name`.
 
     Raises WeightsError for an empty file.
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -205,7 +205,7 @@
 def test_a_manifest_is_bound_to_its_digest_and_its_size(tmp_path):
     path = tmp_path / "weights"
     path.write_bytes(random.Random(1).randbytes(1000))
-    made = manifests.make(path, "hint-1", 300)
+    made = manifests.from_file(path, "hint-1", 300)
     assert [made.chunk_size(i) for i in range(4)] == [300, 300, 300, 100]
     data, digest = manifests.encode(made), manifests.digest_of(made)
     assert manifests.decode(data, digest) == made
