--- a/src/merlinthread/roles/agent.py
+++ b/src/merlinthread/roles/agent.py
@@ -262,7 +262,7 @@
         """Give one order and note what came of it."""
         layout = None
         if isinstance(step, switch.Load):
-            layout = manifests.to_layout(self.weights.manifests[step.item.manifest])
+            layout = manifests.to_dict(self.weights.manifests[step.item.manifest])
         try:
             self.target.order(step, directive.generation, layout)
             self.trouble = ""
--- a/src/merlinthread/state/manifests.py
+++ b/src/merlinthread/state/manifests.py
@@ -77,7 +77,7 @@
     return Manifest(name, size, chunk_bytes, tuple(chunks))
 
 
-def to_layout(manifest: Manifest) -> dict[str, object]:
+def to_dict(manifest: Manifest) -> dict[str, object]:
     """Return the manifest as plain data, for orders to engines."""
     return {
         "object": manifest.object,
