--- a/src/merlinthread/coordination/fetch.py
+++ b/src/merlinthread/coordination/fetch.py
@@ -1,8 +1,8 @@
-"""Where a VM gets the chunks of a manifest from: policies over what is known of the other VMs.
+"""Peer-to-peer download of the chunks of a manifest: scheduling state shared by all policies.
 
-A `FetchPlan` belongs to one VM and one manifest. It answers one question, `next_action`: what to
-ask of whom now. Its owner carries the action out and tells it what came of it. Chunk sets are
-Python integers used as bit sets.
+A `FetchPlan` schedules the download of one manifest to one VM and does no I/O. Its owner calls
+`next_action`, executes the returned action and reports the outcome through the `on_` methods.
+Sets of chunks are integers used as bit sets.
 """
 
 import collections
@@ -20,33 +20,31 @@
 OTHER_REGION = 2
 
 BUSY_RETRY_DELAY_S = 0.025
-EMPTY_WAIT_S = 0.05
-FAILED_WAIT_S = 1.0
-FAILED_WAIT_MAX_S = 8.0
-CORRUPT_WAIT_S = 30.0
-LOST_S = 4.0
+EMPTY_RETRY_DELAY_S = 0.05
+FAILURE_BACKOFF_S = 1.0
+FAILURE_BACKOFF_MAX_S = 8.0
+CORRUPT_PEER_DELAY_S = 30.0
+UNAVAILABLE_S = 4.0
 NEIGHBOURS_MAX = 40
 READERS_MAX = 32
-# Readers fill the origin's link this many times over if each reads at its own link's rate: some are
-# slow, and what those own comes late. In the model (40 agents, a quarter of the readers slow) with
-# 4, 8, 16 all others are whole at 2.53, 1.75, 2.00 of the bound; without a fault at 1.38, 1.32 and
-# 1.33.
-READERS_PER_LINK = 8
+# Ratio of the readers' combined link rate to the origin's, so that slow readers don't leave the
+# origin idle.
+READER_OVERSUBSCRIPTION = 8
 READERS_MIN = 4
 ORIGIN_GRACE_S = 3.0
-CHUNKS_OFFERED = 4
+CHUNKS_PER_REQUEST = 4
 
 
 @dataclasses.dataclass(slots=True)
 class OriginRead:
-    """Read the chunk `index` from the origin."""
+    """Read the chunk at `index` from the origin."""
 
     index: int
 
 
 @dataclasses.dataclass(slots=True)
 class PeerRequest:
-    """Ask `peer` for any one chunk of `wanted`."""
+    """Request any one chunk of the bit set `wanted` from `peer`."""
 
     peer: str
     wanted: int
@@ -57,7 +55,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Peer:
-    """Another VM that should hold the same manifest; `bus` is "IP:port"."""
+    """Another VM that is assigned the same manifest; `bus` is its address, "IP:port"."""
 
     name: str
     bus: str
@@ -66,7 +64,7 @@
 
 
 def bit_positions(value: int) -> list[int]:
-    """Return the positions of the set bits, lowest first."""
+    """Return the positions of the set bits in ascending order."""
     found = []
     while value:
         low = value & -value
@@ -76,30 +74,36 @@
 
 
 def bitset_to_bytes(value: int, count: int) -> bytes:
-    """Return a bit set over `count` chunks as bytes, lowest first."""
+    """Encode a bit set of `count` chunks as little-endian bytes."""
     return value.to_bytes((count + 7) // 8, "little")
 
 
 def bitset_from_bytes(data: bytes, count: int) -> int:
-    """Return the bit set in `data`, cut to `count` chunks."""
+    """Decode a bit set, ignoring bits at or above `count`."""
     return int.from_bytes(data, "little") & ((1 << count) - 1)
 
 
 def rendezvous_weight(name: str, manifest: str, index: int) -> bytes:
-    """Return the rendezvous weight of VM `name` for a chunk (Thaler and Ravishankar 1998)."""
+    """Return the rendezvous hash of a VM and a chunk (Thaler and Ravishankar 1998)."""
     return blake3.blake3(f"{name} {manifest} {index}".encode()).digest(8)
 
 
 def origin_reader_count(origin_bytes_per_s: float, vm_bytes_per_s: float) -> int:
-    """Return how many VMs read an origin whose link carries so much; 0 if that is not told."""
+    """Return how many VMs read from the origin.
+
+    An `origin_bytes_per_s` of 0 means that the rate is unknown and gives READERS_MAX.
+    """
     if not origin_bytes_per_s:
         return READERS_MAX
-    needed = math.ceil(READERS_PER_LINK * origin_bytes_per_s / vm_bytes_per_s)
+    needed = math.ceil(READER_OVERSUBSCRIPTION * origin_bytes_per_s / vm_bytes_per_s)
     return max(READERS_MIN, min(READERS_MAX, needed))
 
 
 class FetchPlan:
-    """What all policies share: what is here, what is on its way, what the others have."""
+    """Download state of one manifest on one VM, and the base class of all fetch policies.
+
+    Tracks the chunks that are held, those in flight, and those that each peer reported.
+    """
 
     def __init__(
         self,
@@ -126,8 +130,8 @@
         self.requests_per_peer = 1
         self.known_peers: list[Peer] | None = None
         self.participants: list[str] = [own_name]
-        self.near: set[str] = {own_name}
-        self.far_zones: dict[str, list[str]] = {}
+        self.zone_members: set[str] = {own_name}
+        self.other_zones: dict[str, list[str]] = {}
         self.announcers: set[str] = set()
         self.ranks: dict[int, int] = {}
         self.rank_masks: dict[int, int] = {}
@@ -137,27 +141,27 @@
         self.last_progress_at = now
         self.origin_grace_s = ORIGIN_GRACE_S
 
-    # What the owner tells
+    # Input from the owner
 
     def set_peers(self, peers: list[Peer]) -> None:
-        """Set which other VMs should hold the manifest; the nearest few are the ones to ask.
+        """Set the other VMs that are assigned the manifest, and select neighbours among them.
 
-        It is called before each choice; nothing is done while nothing has changed.
+        Does nothing if `peers` is unchanged, so it may be called before every action.
         """
         if peers == self.known_peers:
             return
         self.known_peers = peers
         self.participants = sorted({peer.name for peer in peers} | {self.own_name})
         near = {peer.name for peer in peers if peer.distance == SAME_ZONE} | {self.own_name}
-        if near != self.near:
-            self.near = near
+        if near != self.zone_members:
+            self.zone_members = near
             self.ranks = {}
             self.rank_masks = {}
-        self.far_zones = {}
+        self.other_zones = {}
         for peer in peers:
             if peer.distance != SAME_ZONE:
-                self.far_zones.setdefault(peer.zone, []).append(peer.name)
-        chosen = {peer.name: peer for peer in self.neighbours(peers)}
+                self.other_zones.setdefault(peer.zone, []).append(peer.name)
+        chosen = {peer.name: peer for peer in self.select_neighbours(peers)}
         for name in set(self.peers) - set(chosen):
             del self.peers[name]
         for name, peer in chosen.items():
@@ -165,26 +169,30 @@
                 self.peers[name] = fetch_peers.PeerState(name, peer.distance)
         self.on_participants_changed()
 
-    def neighbours(self, peers: list[Peer]) -> list[Peer]:
-        """Return whom to ask: all of a small group, else some near, some far, always the same."""
+    def select_neighbours(self, peers: list[Peer]) -> list[Peer]:
+        """Return the peers to request chunks from.
+
+        That is all peers of a small group, otherwise a stable selection of up to NEIGHBOURS_MAX
+        from this zone and the others, plus every peer that has announced a chunk.
+        """
         if len(peers) <= NEIGHBOURS_MAX:
             return peers
         ordered = sorted(peers, key=lambda peer: rendezvous_weight(peer.name, self.own_name, 0))
         near = [peer for peer in ordered if peer.distance == SAME_ZONE][: NEIGHBOURS_MAX * 2 // 3]
         far = [peer for peer in ordered if peer.distance != SAME_ZONE]
         chosen = near + far[: NEIGHBOURS_MAX - len(near)]
-        # Who has announced a chunk is asked as well: it may be the only one that has it.
+        # A peer that announced a chunk may be the only one that holds it.
         known = {peer.name for peer in chosen}
         return chosen + [
             peer for peer in peers if peer.name in self.announcers and peer.name not in known
         ]
 
     def announcement_recipients(self, action: Action) -> list[str]:
-        """Return whom to tell at once of the chunk that `action` has brought.
+        """Return the VMs to notify of the chunk that `action` has fetched.
 
-        What was read from the origin concerns the neighbours in this zone and, in each other zone,
-        the VM that brings the chunk there; what came from far, the neighbours in this zone. So a
-        chunk is known to all of a zone as soon as one has it, and each is announced there once.
+        A chunk from the origin is announced to the neighbours in this zone and to one VM in each
+        other zone, the first in rendezvous order. A chunk from another zone is announced to the
+        neighbours in this zone, and a chunk from this zone to nobody.
         """
         near = [peer.name for peer in self.peers.values() if peer.distance == SAME_ZONE]
         if isinstance(action, PeerRequest):
@@ -192,43 +200,43 @@
             return near if asked is not None and asked.distance != SAME_ZONE else []
         return near + [
             max(zone, key=lambda name: rendezvous_weight(name, self.manifest, action.index))
-            for zone in self.far_zones.values()
+            for zone in self.other_zones.values()
         ]
 
     def on_announcement(self, peer: str, index: int) -> None:
-        """Note that a peer tells of a chunk that it has just got."""
+        """Record that a peer announced a chunk; ignore unknown peers and invalid indexes."""
         if peer not in self.participants or index >= self.chunk_count:
             return
         self.announcers.add(peer)
         if peer not in self.peers:
             self.peers[peer] = fetch_peers.PeerState(
-                peer, SAME_ZONE if peer in self.near else OTHER_REGION
+                peer, SAME_ZONE if peer in self.zone_members else OTHER_REGION
             )
         self.peers[peer].held |= 1 << index
 
     def claim_recipients(self) -> list[str]:
-        """Return whom to tell of a chunk that this VM begins to read from the origin."""
+        """Return the VMs to notify when this VM starts to read a chunk from the origin."""
         return []
 
     def on_claim(self, index: int, now: float) -> None:
-        """Note that another VM begins to read a chunk from the origin."""
+        """Record that another VM has started to read a chunk from the origin."""
 
     def on_participants_changed(self) -> None:
-        """Let a policy prepare for a changed set of VMs."""
+        """Update state that a policy derives from the set of participants."""
 
     def on_peer_report(self, peer: str, held: int, now: float) -> None:
-        """Note what a peer says it has."""
+        """Record the set of chunks that a peer reports as held."""
         state = self.peers.get(peer)
         if state is not None:
-            # An answer may be older than an announcement that has come meanwhile.
+            # A report may have been sent before an announcement that is already recorded.
             state.held |= held
-            state.told = held
-            state.heard_at = now
+            state.reported = held
+            state.reported_at = now
             state.failures = 0
-            state.lost_until = float("-inf")
+            state.unavailable_until = float("-inf")
 
     def on_action_started(self, action: Action) -> None:
-        """Note that `action` is being carried out."""
+        """Mark the chunks of `action` as in flight."""
         if isinstance(action, OriginRead):
             self.in_flight |= 1 << action.index
             self.origin_reads += 1
@@ -237,7 +245,7 @@
             self.open_requests[action.peer] += 1
 
     def on_action_finished(self, action: Action) -> None:
-        """Note that `action` is over, whatever came of it."""
+        """Release the chunks and the slot of `action`, whether it succeeded or failed."""
         if isinstance(action, OriginRead):
             self.in_flight &= ~(1 << action.index)
             self.origin_reads -= 1
@@ -246,7 +254,7 @@
             self.open_requests[action.peer] -= 1
 
     def on_chunk_received(self, index: int, from_origin: bool, now: float) -> None:
-        """Note a verified chunk."""
+        """Record a chunk that was received and verified."""
         if self.held >> index & 1:
             self.stats.doubled += 1
             return
@@ -258,9 +266,10 @@
             self.last_progress_at = now
 
     def on_peer_busy(self, peer: str, now: float, free_in_s: float = 0.0) -> None:
-        """Note that a peer has no upload slot free, and when it will have, if it tells.
+        """Record that a peer refused a request for lack of an upload slot.
 
-        All who were refused would come back at that moment; they come up to as long again later.
+        `free_in_s` is the delay that the peer advised, or 0 if it gave none. The retry is jittered,
+        so that refused VMs don't all return at once.
         """
         self.stats.busy += 1
         wait_s = self.rng.uniform(0.5, 1.5) * self.busy_retry_delay_s
@@ -269,77 +278,80 @@
         self.postpone_requests(peer, now + wait_s)
 
     def on_peer_empty(self, peer: str, now: float) -> None:
-        """Note that a peer has nothing of what was asked: it holds what it told, no more."""
+        """Record that a peer holds none of the requested chunks, and drop its announcements."""
         self.stats.empty += 1
         if peer in self.peers:
-            self.peers[peer].held = self.peers[peer].told
-        self.postpone_requests(peer, now + EMPTY_WAIT_S)
+            self.peers[peer].held = self.peers[peer].reported
+        self.postpone_requests(peer, now + EMPTY_RETRY_DELAY_S)
 
     def on_peer_failed(self, peer: str, now: float) -> None:
-        """Note that a peer did not answer."""
+        """Record a failed request to a peer, and back off exponentially."""
         self.stats.failed += 1
         state = self.peers.get(peer)
         if state is None:
             return
-        wait = min(FAILED_WAIT_MAX_S, FAILED_WAIT_S * 2**state.failures)
+        wait = min(FAILURE_BACKOFF_MAX_S, FAILURE_BACKOFF_S * 2**state.failures)
         state.failures += 1
-        state.heard_at = now
+        state.reported_at = now
         state.not_before = now + wait
-        state.lost_until = now + wait + LOST_S
+        state.unavailable_until = now + wait + UNAVAILABLE_S
 
     def on_corrupt_chunk(self, peer: str, now: float) -> None:
-        """Note that a peer gave bytes with a wrong digest, and set it aside."""
+        """Record that a peer sent a chunk with a wrong digest, and suspend requests to it."""
         self.stats.corrupt += 1
-        self.postpone_requests(peer, now + CORRUPT_WAIT_S)
+        self.postpone_requests(peer, now + CORRUPT_PEER_DELAY_S)
 
     def on_origin_failed(self, now: float, wait_s: float, index: int | None = None) -> None:
-        """Note that the origin refused or broke off, or gave chunk `index` wrong."""
+        """Record a failed read from the origin, of chunk `index` if it is given.
+
+        No further reads start for `wait_s`.
+        """
         self.stats.failed += 1
         if index is not None:
             self.origin_failures[index] += 1
         self.origin_not_before = now + wait_s
 
     def postpone_requests(self, peer: str, until: float) -> None:
-        """Ask `peer` for nothing before `until`."""
+        """Send no request to `peer` before `until`."""
         if peer in self.peers:
             self.peers[peer].not_before = until
 
-    # What the owner asks
+    # Queries from the owner
 
     def is_complete(self) -> bool:
-        """Return whether every chunk is here."""
+        """Return whether every chunk is held."""
         return self.held == self.all
 
     def needed(self) -> int:
-        """Return what is neither here nor on its way."""
+        """Return the chunks that are neither held nor in flight."""
         return self.all & ~self.held & ~self.in_flight
 
     def next_action(self, now: float) -> Action | None:
-        """Return what to do next, or None if there is nothing for the moment."""
+        """Return the next action, or None if none can start now."""
         raise NotImplementedError
 
-    # Parts for policies
+    # Helpers for policies
 
     def may_read_origin(self, now: float) -> bool:
-        """Return whether an origin slot is free."""
+        """Return whether an origin slot is free and no retry delay is running."""
         return self.origin_reads < self.origin_slots and now >= self.origin_not_before
 
-    def ask(self, peer: fetch_peers.PeerState, now: float) -> PeerRequest | None:
-        """Return a request for the rarest chunks that `peer` is known to have."""
+    def build_request(self, peer: fetch_peers.PeerState, now: float) -> PeerRequest | None:
+        """Return a request for the rarest needed chunks that `peer` holds, or None."""
         needed = self.needed()
         useful = peer.held & needed
         if not useful:
             return None
-        # Near the end, one request must not hold all that is left.
-        count = max(1, min(CHUNKS_OFFERED, needed.bit_count() // 8))
+        # Near the end, a single request must not reserve all remaining chunks.
+        count = max(1, min(CHUNKS_PER_REQUEST, needed.bit_count() // 8))
         chosen = 0
         for index in self.rarest_chunks(useful)[:count]:
             chosen |= 1 << index
         return PeerRequest(peer.name, chosen)
 
     def rarest_chunks(self, useful: int) -> list[int]:
-        """Return up to CHUNKS_OFFERED chunks of `useful` that the fewest known VMs have."""
-        # Bit-parallel counting: levels[k] holds the chunks that at least k+1 peers have.
+        """Return up to CHUNKS_PER_REQUEST chunks of `useful`, those held by the fewest peers."""
+        # Bit-parallel counters: levels[k] is the set of chunks that at least k+1 peers hold.
         levels: list[int] = []
         for peer in self.peers.values():
             carry = peer.held & useful
@@ -354,14 +366,14 @@
         for level in levels[1:] + [0]:
             few = bit_positions(rest & ~level)
             self.rng.shuffle(few)
-            chosen.extend(few[: CHUNKS_OFFERED - len(chosen)])
+            chosen.extend(few[: CHUNKS_PER_REQUEST - len(chosen)])
             rest &= level
-            if len(chosen) >= CHUNKS_OFFERED:
+            if len(chosen) >= CHUNKS_PER_REQUEST:
                 break
         return chosen
 
     def available_peers(self, now: float) -> list[fetch_peers.PeerState]:
-        """Return the peers that may be asked now, nearest first, in random order otherwise."""
+        """Return the peers that may get a request now, nearest first, shuffled per distance."""
         found = [
             peer
             for peer in self.peers.values()
@@ -372,5 +384,5 @@
         return found
 
 
-Maker = type[FetchPlan]
-POLICIES: registry.Registry[Maker] = registry.Registry("fetch policy")
+PolicyClass = type[FetchPlan]
+POLICIES: registry.Registry[PolicyClass] = registry.Registry("fetch policy")
--- a/src/merlinthread/coordination/fetch_baselines.py
+++ b/src/merlinthread/coordination/fetch_baselines.py
@@ -1,31 +1,31 @@
-"""Simple fetch policies, kept to compare `spread` with: a tree, and everything from the origin."""
+"""Baseline fetch policies for benchmarks: a distribution tree, and the origin alone."""
 
 from merlinthread.coordination import fetch
 
 
 @fetch.POLICIES.add("tree")
 class Tree(fetch.FetchPlan):
-    """A binary tree over the participants: the root reads all, each VM asks only its parent.
+    """A binary tree: the root reads from the origin, every other VM from its parent.
 
-    A simple baseline; while the parent is lost, its parent is asked.
+    While the parent is unavailable, its nearest available ancestor takes its place.
     """
 
-    def neighbours(self, peers: list[fetch.Peer]) -> list[fetch.Peer]:
-        """Return everybody: any may become the parent."""
+    def select_neighbours(self, peers: list[fetch.Peer]) -> list[fetch.Peer]:
+        """Return all peers: any of them may become the parent."""
         return peers
 
     def parent(self, now: float) -> str:
-        """Return the nearest live VM above this one, or an empty string at the top."""
+        """Return the nearest available ancestor, or an empty string if there is none."""
         position = self.participants.index(self.own_name)
         while position > 0:
             position = (position - 1) // 2
             state = self.peers.get(self.participants[position])
-            if state is not None and state.lost_until < now:
+            if state is not None and state.unavailable_until < now:
                 return self.participants[position]
         return ""
 
     def next_action(self, now: float) -> fetch.Action | None:
-        """Ask the parent, or the origin at the top."""
+        """Request needed chunks from the parent, or read them from the origin at the root."""
         needed = self.needed()
         if not needed:
             return None
@@ -42,10 +42,10 @@
 
 @fetch.POLICIES.add("origin_only")
 class OriginOnly(fetch.FetchPlan):
-    """Every VM reads everything from the origin; a baseline that its link can't carry."""
+    """Every VM reads every chunk from the origin."""
 
     def next_action(self, now: float) -> fetch.Action | None:
-        """Read the next chunk from the origin."""
+        """Read the first needed chunk from the origin."""
         needed = self.needed()
         if not needed or not self.may_read_origin(now):
             return None
--- a/src/merlinthread/coordination/fetch_peers.py
+++ b/src/merlinthread/coordination/fetch_peers.py
@@ -1,33 +1,35 @@
-"""What one VM knows of each of the others while it fetches, and what its fetch has cost so far."""
+"""Per-peer state and statistics of a download."""
 
 import dataclasses
 
-# How old a peer's word may get, by distance. New chunks are announced (`FetchPlan.audience`); this
-# is for announcements that were lost.
+# Age at which a peer's report is refreshed, by distance. Covers announcements that were lost.
 STALE_AFTER_S = (0.5, 1.0, 1.5)
 
 
 @dataclasses.dataclass(slots=True)
 class PeerState:
-    """What is known of one other VM: `told` is what it said last, `held` also what it announced."""
+    """State of one peer.
+
+    `reported` is the set of chunks in its last report, `held` includes later announcements.
+    """
 
     name: str
     distance: int
     held: int = 0
-    told: int = 0
-    heard_at: float = float("-inf")
+    reported: int = 0
+    reported_at: float = float("-inf")
     not_before: float = float("-inf")
-    lost_until: float = float("-inf")
+    unavailable_until: float = float("-inf")
     failures: int = 0
 
-    def overdue(self, now: float) -> float:
-        """Return how old its word is, in units of how old it may get; a failure counts as word."""
-        return (now - self.heard_at) / STALE_AFTER_S[self.distance]
+    def staleness(self, now: float) -> float:
+        """Return the age of the last report or failure, as a multiple of STALE_AFTER_S."""
+        return (now - self.reported_at) / STALE_AFTER_S[self.distance]
 
 
 @dataclasses.dataclass(slots=True)
 class FetchStats:
-    """What one fetch has cost so far, in chunks."""
+    """Counts of the outcomes of one download; `doubled` counts duplicate chunks."""
 
     from_origin: int = 0
     from_peers: int = 0
--- a/src/merlinthread/coordination/fetch_policies.py
+++ b/src/merlinthread/coordination/fetch_policies.py
@@ -1,4 +1,4 @@
-"""The policies of `fetch` in force: `spread`, and `zoned` where links between zones are dear."""
+"""Fetch policies: `spread`, and `zoned`, which limits traffic between availability zones."""
 
 import math
 from collections.abc import Sequence
@@ -8,10 +8,11 @@
 
 @fetch.POLICIES.add("spread")
 class Spread(fetch.FetchPlan):
-    """Each chunk is read from the origin by one VM, its owner; the rest passes between VMs.
+    """One VM, the owner, reads a chunk from the origin; the others get it from peers.
 
-    The owner is first in rendezvous order among the readers, a few participants that are the same
-    for everybody. A chunk that is nowhere to be had for `origin_grace_s` is read by another VM.
+    The owner is the first in rendezvous order among the readers, a subset of the participants
+    that every VM computes alike. If no chunk comes from a peer for `origin_grace_s`, another VM
+    reads the missing chunks from the origin.
     """
 
     owned = 0
@@ -20,7 +21,7 @@
     readers_max = fetch.READERS_MAX
 
     def on_participants_changed(self) -> None:
-        """Find the chunks that this VM reads from the origin."""
+        """Recompute the readers and the chunks that this VM owns."""
         ordered = sorted(
             self.participants, key=lambda name: fetch.rendezvous_weight(name, self.manifest, -1)
         )
@@ -40,7 +41,7 @@
                 self.owned |= 1 << index
 
     def next_action(self, now: float) -> fetch.Action | None:
-        """Read what is owned, else ask the nearest peer for what is rarest."""
+        """Read an owned chunk, else request the rarest chunks from the nearest peer."""
         needed = self.needed()
         if not needed:
             return None
@@ -48,35 +49,36 @@
         if own and self.may_read_origin(now):
             return fetch.OriginRead(self.rng.choice(fetch.bit_positions(own)))
         for peer in self.available_peers(now):
-            action = self.ask(peer, now)
+            action = self.build_request(peer, now)
             if action is not None:
                 return action
-        return self.rescue(needed, now) or self.probe(needed, now)
+        return self.fallback_read(needed, now) or self.probe(needed, now)
 
     def probe(self, needed: int, now: float) -> fetch.PeerRequest | None:
-        """Ask the peer whose word is most overdue for a part of what is needed.
+        """Request a sample of the needed chunks from the peer with the stalest report.
 
-        Far peers are due less often, but they come: near ones may all lack the same chunks.
+        Reports from other zones may grow older, but are refreshed too: the peers of this zone may
+        all lack the same chunks.
         """
-        due = [peer for peer in self.available_peers(now) if peer.overdue(now) > 1]
+        due = [peer for peer in self.available_peers(now) if peer.staleness(now) > 1]
         if not due:
             return None
-        peer = max(due, key=lambda peer: peer.overdue(now))
+        peer = max(due, key=lambda peer: peer.staleness(now))
         indices = fetch.bit_positions(needed)
         part = self.rng.sample(indices, max(1, len(indices) // 4))
         return fetch.PeerRequest(peer.name, sum(1 << index for index in part))
 
-    def rescue(self, needed: int, now: float) -> fetch.OriginRead | None:
-        """Read a chunk whose owner does not deliver, if this VM is next to do so.
+    def fallback_read(self, needed: int, now: float) -> fetch.OriginRead | None:
+        """Read a chunk whose owner has not delivered it in time, or return None.
 
-        Each VM of a zone waits longer the later it stands in the chunk's rendezvous order; so a
-        zone that is cut off reads a chunk that it lacks about once.
+        The delay grows with this VM's rank for the chunk in its zone, so that a partitioned zone
+        reads each missing chunk about once.
         """
         waited = now - self.last_progress_at
         if waited < self.origin_grace_s or not self.may_read_origin(now):
             return None
         for peer in self.peers.values():
-            if peer.lost_until < now:
+            if peer.unavailable_until < now:
                 needed &= ~peer.held
         due = [
             index
@@ -88,12 +90,12 @@
         return fetch.OriginRead(min(due, key=self.rank))
 
     def rank(self, index: int) -> int:
-        """Return this VM's place in its zone's rendezvous order for a chunk, from 0."""
+        """Return this VM's position in its zone's rendezvous order for a chunk, from 0."""
         if index not in self.ranks:
             mine = fetch.rendezvous_weight(self.own_name, self.manifest, index)
             ahead = [
                 name
-                for name in self.near
+                for name in self.zone_members
                 if fetch.rendezvous_weight(name, self.manifest, index) > mine
             ]
             self.ranks[index] = len(ahead)
@@ -102,44 +104,45 @@
 
 @fetch.POLICIES.add("zoned")
 class Zoned(Spread):
-    """As `Spread`, but each chunk crosses into a zone about once.
+    """Like `Spread`, but transfers each chunk into a zone about once.
 
-    A chunk is asked of a far peer only by the VM that is first for it in its zone; the others get
-    it from that one. The longer a VM has heard nothing new, the more chunks it may ask for itself.
-    Two bounds let a reader read the origin for what is not its own, and the owner sets both: one
-    chunk each `extra_read_interval_s`, its share of the origin's link, if no peer can
-    serve it now; and with `is_late` as fast as the origin gives.
+    Only the VM that ranks first for a chunk in its zone requests it from another zone. The longer
+    a VM makes no progress, the higher the rank up to which it may request chunks.
+
+    The owner of the plan sets two limits on reading chunks of other owners from the origin. A
+    reader may read one each `extra_read_interval_s` while no peer can serve it. With `is_late` it
+    reads without that limit.
     """
 
     is_late = False
     extra_read_interval_s = math.inf
-    spare_at = float("-inf")
+    next_extra_read_at = float("-inf")
 
     def next_action(self, now: float) -> fetch.Action | None:
-        """Read what is owned, or what is missing if time presses; else as `Spread`."""
+        """Read any needed chunk, owned ones first, if late; otherwise act like `Spread`."""
         needed = self.needed()
         if self.is_late and self.is_reader and needed and self.may_read_origin(now):
-            return fetch.OriginRead(self.scarcest(needed & self.owned or needed))
+            return fetch.OriginRead(self.scarcest_in_zone(needed & self.owned or needed))
         return super().next_action(now)
 
-    def rescue(self, needed: int, now: float) -> fetch.OriginRead | None:
-        """Read a chunk whose owner does not deliver, or one within this VM's share."""
-        return super().rescue(needed, now) or self.spare(needed, now)
+    def fallback_read(self, needed: int, now: float) -> fetch.OriginRead | None:
+        """Read an overdue chunk, or else one within this VM's share of the origin's link."""
+        return super().fallback_read(needed, now) or self.extra_read(needed, now)
 
-    def spare(self, needed: int, now: float) -> fetch.OriginRead | None:
-        """Read a chunk of another owner within this VM's share of the origin's link."""
-        if not self.is_reader or now < self.spare_at or not self.may_read_origin(now):
+    def extra_read(self, needed: int, now: float) -> fetch.OriginRead | None:
+        """Read a chunk of another owner, at most one each `extra_read_interval_s`."""
+        if not self.is_reader or now < self.next_extra_read_at or not self.may_read_origin(now):
             return None
         if self.extra_read_interval_s == math.inf:
             return None
-        self.spare_at = now + self.extra_read_interval_s
-        return fetch.OriginRead(self.scarcest(needed))
+        self.next_extra_read_at = now + self.extra_read_interval_s
+        return fetch.OriginRead(self.scarcest_in_zone(needed))
 
-    def scarcest(self, needed: int) -> int:
-        """Return a chunk of `needed` that no VM of the zone is known to have, if there is one.
+    def scarcest_in_zone(self, needed: int) -> int:
+        """Return a chunk of `needed`, preferably one that no VM of this zone is known to hold.
 
-        Of several it is the one for which this VM is first, so that VMs do not read the same; one
-        that the origin failed to give goes last.
+        Chunks with the fewest failed origin reads come first, then those for which this VM has the
+        lowest rank, so that the VMs of a zone read different chunks.
         """
         missing = needed
         for peer in self.peers.values():
@@ -150,41 +153,44 @@
             key=lambda index: (self.origin_failures[index], self.rank(index)),
         )
 
-    def ask(self, peer: fetch_peers.PeerState, now: float) -> fetch.PeerRequest | None:
-        """Return a request; of a far peer only for what this VM is to bring into its zone."""
+    def build_request(self, peer: fetch_peers.PeerState, now: float) -> fetch.PeerRequest | None:
+        """Return a request, limited to `cross_zone_chunks` if the peer is in another zone."""
         if peer.distance == fetch.SAME_ZONE:
-            return super().ask(peer, now)
+            return super().build_request(peer, now)
         allowed = self.cross_zone_chunks(now)
         if not allowed & peer.held:
             return None
         held, peer.held = peer.held, peer.held & allowed
         try:
-            return super().ask(peer, now)
+            return super().build_request(peer, now)
         finally:
             peer.held = held
 
     def probe(self, needed: int, now: float) -> fetch.PeerRequest | None:
-        """Ask the peer whose word is most overdue; a far one only for what is to be brought."""
-        brought = self.cross_zone_chunks(now)
+        """Request needed chunks from the peer with the stalest report.
+
+        A request to another zone is limited to `cross_zone_chunks`.
+        """
+        allowed = self.cross_zone_chunks(now)
         due = [
             peer
             for peer in self.available_peers(now)
-            if peer.overdue(now) > 1 and (peer.distance == fetch.SAME_ZONE or brought)
+            if peer.staleness(now) > 1 and (peer.distance == fetch.SAME_ZONE or allowed)
         ]
         if not due:
             return None
-        peer = max(due, key=lambda peer: peer.overdue(now))
-        return fetch.PeerRequest(peer.name, needed if peer.distance == fetch.SAME_ZONE else brought)
+        peer = max(due, key=lambda peer: peer.staleness(now))
+        return fetch.PeerRequest(peer.name, needed if peer.distance == fetch.SAME_ZONE else allowed)
 
     def cross_zone_chunks(self, now: float) -> int:
-        """Return the chunks that this VM may ask far peers for."""
+        """Return the chunks that this VM may request from other zones."""
         waited = now - self.last_progress_at
         steps = int(waited / self.origin_grace_s)
-        return self.needed() & self.up_to_rank(steps)
+        return self.needed() & self.chunks_up_to_rank(steps)
 
-    def up_to_rank(self, rank: int) -> int:
-        """Return the chunks for which this VM's place in its zone's order is `rank` or less."""
-        key = min(rank, len(self.near))
+    def chunks_up_to_rank(self, rank: int) -> int:
+        """Return the chunks for which this VM's rank in its zone is at most `rank`."""
+        key = min(rank, len(self.zone_members))
         if key not in self.rank_masks:
             self.rank_masks[key] = sum(
                 1 << index for index in range(self.chunk_count) if self.rank(index) <= key
--- a/tests/test_fleet_deciders.py
+++ b/tests/test_fleet_deciders.py
@@ -239,7 +239,7 @@
         assert b"".join(event.data for event in found) + splitter.rest == text
 
 
-def make_zoned(me: str, names: dict[str, int]) -> fetch.FetchPlan:
+def make_zoned(me: str, names: dict[str, int]) -> fetch_policies.Zoned:
     plan = fetch_policies.Zoned(me, "m@2", 24, 0, 1, 0.0, random.Random(1))
     plan.set_peers([fetch.Peer(name, name, distance) for name, distance in names.items()])
     return plan
