--- a/src/merlinthread/coordination/fetch_claimed.py
+++ b/src/merlinthread/coordination/fetch_claimed.py
@@ -43,7 +43,7 @@
         return [reader for reader in self.readers if reader != self.own_name]
 
     def announcement_recipients(self, action: fetch.Action) -> list[str]:
-        """Return the VMs to notify of a fetched chunk; for an origin read, all other readers too."""
+        """Return the VMs to notify of a fetched chunk; an origin read concerns all readers."""
         recipients = super().announcement_recipients(action)
         if isinstance(action, fetch.PeerRequest):
             return recipients
