--- a/src/merlinthread/coordination/change_over.py
+++ b/src/merlinthread/coordination/change_over.py
@@ -1,70 +1,65 @@
-"""When an engine leaves its old weights for new ones that lie ready beside it.
+"""Schedule of the reloads by which engines replace their weights.
 
-While it changes over, an engine takes no new work: it ends what runs (about a second) and loads
-(0.3 s). If all did so at once, nothing would be served for that long; so they go in groups, spread
-over the time from when the new weights are whole to when the old ones may no longer be used.
+An engine accepts no requests while it drains and loads. To keep part of the fleet serving, engines
+reload in groups, spread from the time when the new weights are complete to the time when the old
+ones expire.
 """
 
 from collections.abc import Sequence
 
-# In the model of tests/test_change_over.py (weights whole 6.0 to 6.6 s after a naming, 0.77 of the
-# engines needed) 2, 3, 4 and 6 groups lack 0.84, 0.68, 0.69 and 0.75 fleet seconds, and 0.50, 0.33,
-# 0.45 and 0.38 of the engines serve at the worst moment.
 GROUP_COUNT = 4
-# How long before the bound of the old weights nothing is sent to them any more: a request may take
-# that long on its way and at the engine before it begins (docs/incidents/0002: 0.8 and 1.5 s seen).
+# Old weights get no requests this long before they expire: a request may wait in transit and in the
+# engine's queue before it starts.
 EXPIRY_MARGIN_S = 1.0
-# From a whole copy until the engine serves with it: what runs ends (about a second), then it loads
-# (0.3 s); reckoned.
+# Time to drain the engine and load the new weights.
 RELOAD_S = 1.25
-READY_STEP_S = 0.25
+READY_ROUNDING_S = 0.25
 
 
-def group_of(me: str, engines: Sequence[tuple[str, str]]) -> int:
-    """Return the group of the engine `me` among all, given as pairs of availability zone and name.
+def group_of(own_name: str, engines: Sequence[tuple[str, str]]) -> int:
+    """Return the reload group of the engine `own_name`.
 
-    Neighbours in the order by zone go in different groups, so that each zone keeps some that serve.
+    `engines` are pairs of availability zone and name. Engines are assigned to groups round-robin in
+    sorted order, so that the groups are spread over each zone.
     """
     names = [name for _, name in sorted(engines)]
-    return names.index(me) % GROUP_COUNT
+    return names.index(own_name) % GROUP_COUNT
 
 
-def ready_in_s(missing: int, per_s: float, is_changing: bool) -> float | None:
-    """Return when an engine without usable weights will have them, None if that is not known.
+def ready_in_s(missing: int, per_s: float, is_reloading: bool) -> float | None:
+    """Estimate the seconds until an engine without usable weights serves; None if unknown.
 
-    It lacks `missing` pieces, which have come at `per_s` a second lately. The result is a multiple
-    of READY_STEP_S, so that it is not told anew each time.
+    `missing` is the number of pieces left to fetch, `per_s` the recent rate in pieces per second.
+    The estimate is rounded to a multiple of READY_ROUNDING_S, so that it changes rarely.
     """
-    if is_changing:
+    if is_reloading:
         return RELOAD_S
     if not per_s and missing:
         return None
     fetched_in_s = missing / per_s if missing else 0.0
-    return round((fetched_in_s + RELOAD_S) / READY_STEP_S) * READY_STEP_S
+    return round((fetched_in_s + RELOAD_S) / READY_ROUNDING_S) * READY_ROUNDING_S
 
 
-def reload_time(group: int, whole_at: float, bound_at: float) -> float:
-    """Return when an engine of `group` changes over whose new weights were whole at `whole_at`.
+def reload_time(group: int, complete_at: float, expires_at: float) -> float:
+    """Return when an engine of `group` starts to reload.
 
-    `bound_at` is when the old weights may be used no more.
+    `complete_at` is when its new weights were complete, `expires_at` when the old ones expire.
     """
-    span_s = max(0.0, bound_at - EXPIRY_MARGIN_S - whole_at)
-    return whole_at + span_s * group / (GROUP_COUNT - 1)
+    window_s = max(0.0, expires_at - EXPIRY_MARGIN_S - complete_at)
+    return complete_at + window_s * group / (GROUP_COUNT - 1)
 
 
-# Ends of an engine during the same load that are put down to something else: engines end for many
-# reasons, and each order put off is seconds in which an engine serves nothing.
+# Crashes during a load that are attributed to other causes than the weights.
 LOAD_CRASHES_BEFORE_BACKOFF = 2
 LOAD_RETRY_S = 2.0
 LOAD_RETRY_MAX_S = 60.0
 
 
-def load_retry_delay_s(ends: int) -> float:
-    """Return how long to wait before weights are ordered under which an engine ended `ends` times.
+def load_retry_delay_s(crashes: int) -> float:
+    """Return the delay before the next attempt to load weights, after `crashes` failed ones.
 
-    The wait doubles (as of restarts in cluster managers), so that weights that end whoever loads
-    them cost an engine a restart a minute, and other versions can still come.
+    Exponential backoff, starting after LOAD_CRASHES_BEFORE_BACKOFF crashes.
     """
-    if ends <= LOAD_CRASHES_BEFORE_BACKOFF:
+    if crashes <= LOAD_CRASHES_BEFORE_BACKOFF:
         return 0.0
-    return min(LOAD_RETRY_MAX_S, LOAD_RETRY_S * 2 ** (ends - LOAD_CRASHES_BEFORE_BACKOFF - 1))
+    return min(LOAD_RETRY_MAX_S, LOAD_RETRY_S * 2 ** (crashes - LOAD_CRASHES_BEFORE_BACKOFF - 1))
--- a/src/merlinthread/coordination/placement.py
+++ b/src/merlinthread/coordination/placement.py
@@ -1,4 +1,4 @@
-"""Which VMs hold which models: shares of each zone's engines, changed in few moves."""
+"""Assignment of models to VMs, by each model's share of the engines in an availability zone."""
 
 import dataclasses
 
@@ -7,17 +7,17 @@
 
 @dataclasses.dataclass(slots=True)
 class Plan:
-    """Changes to make, by agent, and why."""
+    """Placement changes by agent name, with a summary for the log."""
 
     changes: dict[str, commands.Placed]
     reason: str
 
 
 def engines_per_model(models: list[bundles.Model], engines: int) -> dict[str, int]:
-    """Return how many of a zone's `engines` each model gets.
+    """Return how many of the `engines` in a zone each model gets.
 
-    Shares are rounded by largest remainder; each model gets `replicas_min` while engines last.
-    Engines beyond the shares' sum stay with whoever has them.
+    Shares are rounded by the largest remainder method, then raised to `replicas_min` as far as
+    there are engines. Engines beyond the sum of the shares are not counted.
     """
     exact = {model.name: model.share_percent * engines / 100 for model in models}
     counts = {name: int(value) for name, value in exact.items()}
@@ -34,7 +34,10 @@
 def raise_to_minimum(
     model: bundles.Model, models: list[bundles.Model], counts: dict[str, int], engines: int
 ) -> None:
-    """Give `model` its minimum from free engines, then from the models furthest over theirs."""
+    """Raise `model` to `replicas_min`, from unassigned engines first.
+
+    After those, engines are taken from the models with the largest surplus over their minimum.
+    """
     minimum = {m.name: m.replicas_min for m in models}
     while counts[model.name] < model.replicas_min:
         if sum(counts.values()) < engines:
@@ -50,7 +53,7 @@
 def plan_zone(
     models: list[bundles.Model], names: list[str], present: dict[str, list[str]]
 ) -> dict[str, list[str]]:
-    """Return the changes for one zone's engines `names`: keep what fits, move the fewest."""
+    """Return the placement changes for the engines `names` of one zone, with the fewest moves."""
     counts = engines_per_model(models, len(names))
     free: list[str] = []
     for name in sorted(names):
@@ -74,10 +77,10 @@
     live: list[agents.AgentReport],
     present: dict[str, commands.Placed],
 ) -> Plan:
-    """Return what to change so that every zone's live engines follow the bundle's shares.
+    """Return the changes that bring the live engines of every zone to the bundle's shares.
 
-    VMs that are not live keep their models in the placement until another takes over: a zone that
-    is cut off goes on as it was.
+    VMs that are not live keep their placement, so a partitioned zone continues unchanged. Models
+    that the bundle no longer contains are removed from all placements.
     """
     zones: dict[str, list[str]] = {}
     engines: dict[str, agents.AgentReport] = {}
@@ -89,10 +92,10 @@
     wanted: dict[str, list[str]] = {}
     for names in zones.values():
         wanted.update(plan_zone(bundle.models, names, held))
-    changes = {name: placed_at(engines[name], models) for name, models in wanted.items()}
+    changes = {name: make_placement(engines[name], models) for name, models in wanted.items()}
     for name, report in engines.items():
         if name not in changes and name in present and present[name].bus != report.bus:
-            changes[name] = placed_at(report, present[name].models)
+            changes[name] = make_placement(report, present[name].models)
     known = {model.name for model in bundle.models}
     for name, placed in present.items():
         if name not in changes and any(model not in known for model in placed.models):
@@ -101,6 +104,6 @@
     return Plan(changes, reason)
 
 
-def placed_at(report: agents.AgentReport, models: list[str]) -> commands.Placed:
-    """Return what a VM should hold, with where it is."""
+def make_placement(report: agents.AgentReport, models: list[str]) -> commands.Placed:
+    """Return the placement of `models` on the VM that sent `report`."""
     return commands.Placed(models, report.availability_zone, report.region, report.bus)
--- a/src/merlinthread/coordination/summaries.py
+++ b/src/merlinthread/coordination/summaries.py
@@ -1,7 +1,7 @@
-"""What an entry tells the others of what it reaches: load by model, not agent by agent.
+"""Load summaries that entries exchange: totals by model instead of one report per agent.
 
-Entries of other zones send a request on to such an entry, which chooses the target. So what crosses
-zones grows with entries and models, not with agents.
+An entry of another zone forwards a request to the summarised entry, which selects the target.
+The exchanged data grows with the number of entries and models, not of agents.
 """
 
 import dataclasses
@@ -15,7 +15,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Load:
-    """The targets behind one entry that serve one name: how many places, how many taken."""
+    """Total slots, and those in use, of the targets of one entry that serve one name."""
 
     slots: int
     busy: int
@@ -23,9 +23,10 @@
 
 @dataclasses.dataclass(slots=True)
 class Summary:
-    """What one entry reaches; `counter` grows with each summary of one `incarnation`.
+    """The load of the targets that one entry can reach.
 
-    `engines` is by model or adapter name, `services` by service name.
+    `counter` increases with each summary of one `incarnation`. `engines` is keyed by model or
+    adapter name, `services` by service name.
     """
 
     entry: str
@@ -37,20 +38,20 @@
     engines: dict[str, Load] = dataclasses.field(default_factory=dict)
     services: dict[str, Load] = dataclasses.field(default_factory=dict)
 
-    def order(self) -> tuple[int, int]:
-        """Return what newer summaries of the same entry are higher in."""
+    def sort_key(self) -> tuple[int, int]:
+        """Return a sort key that increases with each summary of the same entry."""
         return (self.incarnation, self.counter)
 
 
 def add_load(table: dict[str, Load], name: str, report: agents.AgentReport) -> None:
-    """Add a target's places to those of a name."""
+    """Add the slots and the load of a target to the totals of `name`."""
     load = table.setdefault(name, Load(0, 0))
     load.slots += report.slots
     load.busy += report.running + report.queued
 
 
 def add_reports(summary: Summary, reports: list[agents.AgentReport]) -> Summary:
-    """Add up the targets that take new work."""
+    """Add the load of all targets that accept new work to `summary`, and return it."""
     for report in reports:
         if report.is_leaving:
             continue
@@ -63,60 +64,62 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Heard:
-    """A summary and when it was heard, on the listener's clock."""
+class ReceivedSummary:
+    """A summary and the time of its arrival on the receiver's clock."""
 
     summary: Summary
-    heard_at: float
+    received_at: float
 
 
 class SummaryTable:
-    """The newest summaries of some other entries.
+    """The latest summaries of some of the other entries.
 
-    Keeps `per_zone` of each availability zone, so that neither memory nor messages grow with the
-    number of entries; which ones differs from listener to listener (rendezvous order), so that all
-    entries are known to some.
+    Keeps at most `per_zone` entries of each availability zone, which bounds memory and message
+    size. They are selected by a rendezvous hash that differs between receivers, so that every
+    entry is likely to be known to some receiver.
     """
 
-    def __init__(self, me: str, lost_after_s: float, per_zone: int = SUMMARIES_PER_ZONE) -> None:
-        self.me = me
+    def __init__(
+        self, own_name: str, lost_after_s: float, per_zone: int = SUMMARIES_PER_ZONE
+    ) -> None:
+        self.own_name = own_name
         self.lost_after_s = lost_after_s
         self.per_zone = per_zone
-        self.heard: dict[str, Heard] = {}
+        self.received: dict[str, ReceivedSummary] = {}
 
     def add(self, summary: Summary, now: float) -> bool:
-        """Take in a summary; return whether it was news."""
-        known = self.heard.get(summary.entry)
-        if known and summary.order() <= known.summary.order():
+        """Store a summary; return False if a summary at least as new is known."""
+        known = self.received.get(summary.entry)
+        if known and summary.sort_key() <= known.summary.sort_key():
             return False
-        self.heard[summary.entry] = Heard(summary, now)
-        self.trim(summary.availability_zone, now)
+        self.received[summary.entry] = ReceivedSummary(summary, now)
+        self.evict_excess(summary.availability_zone, now)
         return True
 
-    def trim(self, zone: str, now: float) -> None:
-        """Drop what is over the bound in a zone: lost entries first, then by rendezvous order."""
-        names = [n for n, h in self.heard.items() if h.summary.availability_zone == zone]
+    def evict_excess(self, zone: str, now: float) -> None:
+        """Evict entries of a zone beyond `per_zone`, lost ones first, then by rendezvous hash."""
+        names = [n for n, r in self.received.items() if r.summary.availability_zone == zone]
         if len(names) <= self.per_zone:
             return
-        names.sort(key=lambda name: (self.is_lost(name, now), self.distance(name)))
+        names.sort(key=lambda name: (self.is_lost(name, now), self.rendezvous_hash(name)))
         for name in names[self.per_zone :]:
-            del self.heard[name]
+            del self.received[name]
 
     def is_lost(self, name: str, now: float) -> bool:
-        """Return whether an entry has been silent for too long."""
-        return now - self.heard[name].heard_at >= self.lost_after_s
+        """Return whether the last summary of an entry is `lost_after_s` old or older."""
+        return now - self.received[name].received_at >= self.lost_after_s
 
-    def distance(self, name: str) -> bytes:
-        """Return the rendezvous order of an entry for this listener."""
-        return blake3.blake3(f"{self.me} {name}".encode()).digest(8)
+    def rendezvous_hash(self, name: str) -> bytes:
+        """Return the hash that orders entries for this receiver."""
+        return blake3.blake3(f"{self.own_name} {name}".encode()).digest(8)
 
     def live(self, now: float) -> list[Summary]:
-        """Return the summaries that are not too old."""
-        return [h.summary for name, h in self.heard.items() if not self.is_lost(name, now)]
+        """Return the summaries of all entries that are not lost."""
+        return [r.summary for name, r in self.received.items() if not self.is_lost(name, now)]
 
 
 def as_target(summary: Summary, kind: str, name: str, adapter: str) -> agents.AgentReport | None:
-    """Return the entry as a target for a request, or None if it reaches nobody who serves it."""
+    """Return the entry as a target for a request, or None if it reaches no suitable target."""
     table = summary.services if kind == bundles.SERVICE else summary.engines
     load = table.get(name)
     if load is None or (adapter and adapter not in table):
--- a/src/merlinthread/coordination/switch.py
+++ b/src/merlinthread/coordination/switch.py
@@ -1,4 +1,4 @@
-"""The order in which a target goes from what it serves to what it should serve."""
+"""Steps that bring an engine from the models it serves to those it should serve."""
 
 import dataclasses
 
@@ -7,7 +7,7 @@
 
 @dataclasses.dataclass(slots=True)
 class WantedModel:
-    """One model or adapter that an engine should serve; `base` is an adapter's model."""
+    """A model or adapter that an engine should serve; `base` is the model of an adapter."""
 
     name: str
     version: str
@@ -17,14 +17,14 @@
 
 @dataclasses.dataclass(slots=True)
 class Load:
-    """Order the engine to load a version that is here whole and verified."""
+    """Load a version whose weights are complete and verified on this VM."""
 
     item: WantedModel
 
 
 @dataclasses.dataclass(slots=True)
 class Unload:
-    """Order the engine to drop a model or adapter once its work in progress is done."""
+    """Unload a model or adapter once its requests in progress have finished."""
 
     name: str
 
@@ -33,7 +33,7 @@
 
 
 def wanted_models(directive: control_state.Directive, agent: str) -> list[WantedModel]:
-    """Return what `agent`'s engine should serve: its models, each before its adapters."""
+    """Return what the engine of `agent` should serve, each model followed by its adapters."""
     if directive.bundle is None:
         return []
     found = []
@@ -43,23 +43,23 @@
         if model is None:
             continue
         found.append(WantedModel(model.name, model.version, model.manifest))
-        found.extend(adapter_of(model, adapter) for adapter in model.adapters)
+        found.extend(wanted_adapter(model, adapter) for adapter in model.adapters)
     return found
 
 
-def adapter_of(model: bundles.Model, adapter: bundles.Adapter) -> WantedModel:
-    """Return what to load for an adapter."""
+def wanted_adapter(model: bundles.Model, adapter: bundles.Adapter) -> WantedModel:
+    """Return the entry for an adapter of `model`."""
     return WantedModel(adapter.name, adapter.version, adapter.manifest, base=model.name)
 
 
 def next_step(
     wanted: list[WantedModel], serving: dict[str, str], complete: set[str], is_paused: bool
 ) -> Step | None:
-    """Return the next order, or None if there is nothing to order now.
+    """Return the next step, or None if there is none to take now.
 
-    A version is loaded only when it is in `complete`, and an adapter only on the wanted version of
-    its model. What is no longer wanted goes last, so that a VM does not stand empty meanwhile. A
-    paused roll loads nothing and takes nothing away.
+    A version is loaded only if its manifest is in `complete`, and an adapter only while the engine
+    serves the wanted version of its model. Models that are no longer wanted are unloaded last, so
+    that the engine serves throughout. While the rollout is paused there are no steps.
     """
     if is_paused:
         return None
