--- a/src/merlinthread/state/__init__.py
+++ b/src/merlinthread/state/__init__.py
@@ -1,1 +1,1 @@
-"""Durable state: record files, the journal of a replicated log, and the chunk store."""
+"""Persistent state: record files, the journal of the replicated log, and the chunk store."""
--- a/src/merlinthread/state/chunks.py
+++ b/src/merlinthread/state/chunks.py
@@ -1,4 +1,4 @@
-"""The chunks that a target VM holds: files in a folder, or memory, within a bound."""
+"""Bounded, content-addressed store of chunks, in a directory or in memory."""
 
 import dataclasses
 import os
@@ -13,63 +13,66 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Held:
-    """One chunk; `data` is None if it is in a file."""
+class StoredChunk:
+    """A chunk in the store; `data` is None if the chunk is in a file."""
 
     size: int
     data: bytes | None
 
 
 def digest_of(data: bytes) -> str:
-    """Return the digest that a manifest lists for a chunk."""
+    """Return the BLAKE3 digest of a chunk in hex, as listed in manifests."""
     return blake3.blake3(data).hexdigest()
 
 
 class ChunkStore:
-    """Verified chunks by digest.
+    """Verified chunks by digest, at most `capacity_bytes` in total.
 
-    Keeps at most `bound_bytes`; pinned chunks never go, others go oldest first. Files that were
-    left by an earlier process are verified when first read, so a restart reads nothing again from
-    the network that is sound. Safe to use from several threads.
+    Unpinned chunks are evicted oldest first; pinned ones are kept. Files of an earlier process are
+    verified on first access, so intact chunks are not downloaded again after a restart. Instances
+    may be shared between threads.
     """
 
-    def __init__(self, folder: pathlib.Path | None, bound_bytes: int) -> None:
+    def __init__(self, folder: pathlib.Path | None, capacity_bytes: int) -> None:
         self.folder = folder
-        self.bound_bytes = bound_bytes
-        self.chunks: dict[str, Held] = {}
+        self.capacity_bytes = capacity_bytes
+        self.chunks: dict[str, StoredChunk] = {}
         self.unverified: set[str] = set()
         self.pinned: set[str] = set()
         self.used_bytes = 0
         self.lock = threading.Lock()
         if folder is not None:
-            self.find_files(folder)
+            self.index_files(folder)
 
-    def find_files(self, folder: pathlib.Path) -> None:
-        """List the chunk files of an earlier process and remove half-written ones."""
+    def index_files(self, folder: pathlib.Path) -> None:
+        """Index the chunk files of an earlier process, and remove partially written ones."""
         folder.mkdir(parents=True, exist_ok=True)
         for path in sorted(folder.iterdir(), key=lambda path: path.stat().st_mtime):
             if path.suffix == ".part":
                 path.unlink()
                 continue
             size = path.stat().st_size
-            self.chunks[path.name] = Held(size, None)
+            self.chunks[path.name] = StoredChunk(size, None)
             self.unverified.add(path.name)
             self.used_bytes += size
 
     def has(self, digest: str) -> bool:
-        """Return whether the chunk is here and sound."""
+        """Return whether the chunk is stored; verify it if it is of an earlier process."""
         if digest in self.unverified:
             return self.read(digest) is not None
         return digest in self.chunks
 
     def read(self, digest: str) -> bytes | None:
-        """Return the chunk, or None; a file that does not match its digest is removed."""
+        """Return the data of a chunk, or None if it is not stored.
+
+        Files of an earlier process that do not match their digest are removed.
+        """
         with self.lock:
-            held = self.chunks.get(digest)
-        if held is None:
+            stored = self.chunks.get(digest)
+        if stored is None:
             return None
-        if held.data is not None:
-            return held.data
+        if stored.data is not None:
+            return stored.data
         assert self.folder is not None
         try:
             data = (self.folder / digest).read_bytes()
@@ -83,25 +86,25 @@
         return data
 
     def add(self, digest: str, data: bytes) -> None:
-        """Keep a chunk.
+        """Store a chunk, evicting others if needed.
 
-        Raises WeightsError if `data` has another digest, DiskFullError if neither the bound nor the
-        disk leaves room for it.
+        Raises WeightsError if `data` does not match `digest`, and DiskFullError if the capacity or
+        the disk is exhausted.
         """
         found = digest_of(data)
         if found != digest:
-            raise errors.WeightsError(f"chunk {digest} was asked for, its bytes have {found}")
+            raise errors.WeightsError(f"chunk {digest}: the received data has digest {found}")
         with self.lock:
             if digest in self.chunks:
                 return
             self.make_room(len(data))
             if self.folder is not None:
                 self.write_file(self.folder, digest, data)
-            self.chunks[digest] = Held(len(data), None if self.folder is not None else data)
+            self.chunks[digest] = StoredChunk(len(data), None if self.folder is not None else data)
             self.used_bytes += len(data)
 
     def write_file(self, folder: pathlib.Path, digest: str, data: bytes) -> None:
-        """Write one chunk file all at once; its digest shows later whether it is whole."""
+        """Write a chunk file atomically but without fsync; a later process verifies its digest."""
         part = folder / f"{digest}.part"
         try:
             part.write_bytes(data)
@@ -111,34 +114,37 @@
         os.replace(part, folder / digest)
 
     def make_room(self, size: int) -> None:
-        """Remove unpinned chunks, oldest first, until `size` more bytes fit."""
+        """Evict unpinned chunks, oldest first, until `size` more bytes fit.
+
+        Raises DiskFullError if the pinned chunks leave too little space. The caller holds the lock.
+        """
         for digest in list(self.chunks):
-            if self.used_bytes + size <= self.bound_bytes:
+            if self.used_bytes + size <= self.capacity_bytes:
                 return
             if digest not in self.pinned:
-                self.drop(digest)
-        if self.used_bytes + size > self.bound_bytes:
+                self.remove_locked(digest)
+        if self.used_bytes + size > self.capacity_bytes:
             raise errors.DiskFullError(
-                f"the chunk store holds {self.used_bytes} of {self.bound_bytes} bytes, all in use; "
-                f"raise store_bytes"
+                f"the chunk store uses {self.used_bytes} of {self.capacity_bytes} bytes, all "
+                f"pinned; raise store_bytes"
             )
 
     def pin(self, digests: Iterable[str]) -> None:
-        """Make `digests` the only chunks that must stay."""
+        """Replace the set of pinned chunks."""
         with self.lock:
             self.pinned = set(digests)
 
     def remove(self, digest: str) -> None:
-        """Remove one chunk."""
+        """Remove a chunk, if it is stored."""
         with self.lock:
-            self.drop(digest)
+            self.remove_locked(digest)
 
-    def drop(self, digest: str) -> None:
-        """Remove one chunk; the caller holds the lock."""
-        held = self.chunks.pop(digest, None)
+    def remove_locked(self, digest: str) -> None:
+        """Remove a chunk, if it is stored; the caller holds the lock."""
+        stored = self.chunks.pop(digest, None)
         self.unverified.discard(digest)
-        if held is None:
+        if stored is None:
             return
-        self.used_bytes -= held.size
+        self.used_bytes -= stored.size
         if self.folder is not None:
             (self.folder / digest).unlink(missing_ok=True)
--- a/src/merlinthread/state/folder.py
+++ b/src/merlinthread/state/folder.py
@@ -1,4 +1,4 @@
-"""The data folder: one process at a time."""
+"""Exclusive lock on the data folder."""
 
 import fcntl
 import os
@@ -6,27 +6,28 @@
 
 from merlinthread import errors
 
-LOCK_NAME = "lock"
+LOCK_FILE_NAME = "lock"
 
 
 class DataFolder:
-    """A folder held by this process until `release`, also across a crash of the process.
+    """The data folder, created if missing and locked by this process until `release`.
 
-    Raises FolderInUseError if another process holds it.
+    The operating system drops the lock when the process ends. Raises FolderInUseError if another
+    process holds the lock.
     """
 
     def __init__(self, path: pathlib.Path) -> None:
         self.path = path
         path.mkdir(parents=True, exist_ok=True)
-        self.handle = os.open(path / LOCK_NAME, os.O_RDWR | os.O_CREAT, 0o644)
+        self.fd = os.open(path / LOCK_FILE_NAME, os.O_RDWR | os.O_CREAT, 0o644)
         try:
-            fcntl.flock(self.handle, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            fcntl.flock(self.fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError:
-            os.close(self.handle)
+            os.close(self.fd)
             raise errors.FolderInUseError(
-                f"{path}: another process holds this data folder; stop it first, or set another one"
+                f"{path}: another process has locked this data folder; stop it or set another one"
             )
 
     def release(self) -> None:
-        """Let another process have the folder."""
-        os.close(self.handle)
+        """Release the lock."""
+        os.close(self.fd)
--- a/src/merlinthread/state/journal.py
+++ b/src/merlinthread/state/journal.py
@@ -1,7 +1,7 @@
-"""The durable half of one member of a replicated log: its vote, its entries and its snapshot.
+"""Persistent state of one member of a Raft group: term, vote, log entries and snapshot.
 
-One snapshot file and one record file are live at a time; compaction writes the next pair and then
-removes the last, so the folder's size follows the state, not the history.
+A snapshot file and a log file with the same sequence number are in use at a time. Compaction writes
+the pair with the next number and removes the previous one.
 """
 
 import dataclasses
@@ -16,7 +16,7 @@
 
 @dataclasses.dataclass(slots=True)
 class HardState:
-    """What a member must remember about elections: its term and whom it voted for in it."""
+    """The current term, and the candidate that got this member's vote in it, if any."""
 
     term: int = 0
     voted_for: str = ""
@@ -24,7 +24,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Entry:
-    """One entry of the log; `kind` is "command", "voters" or "empty"."""
+    """A log entry; `kind` is "command", "voters" or "empty"."""
 
     index: int
     term: int
@@ -34,7 +34,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Snapshot:
-    """The applied state up to and including `index`, with the voters in force there."""
+    """The state after applying the entry at `index`, and the voters at that point."""
 
     index: int = 0
     term: int = 0
@@ -44,9 +44,9 @@
 
 @dataclasses.dataclass(slots=True)
 class SnapshotFile:
-    """All that a snapshot file holds: the snapshot, the vote, and the entries that follow it.
+    """The contents of a snapshot file: the snapshot, the vote and the entries after the snapshot.
 
-    `commit` is an index known to be committed; the entries up to it may be applied at a restart.
+    `commit` is an index known to be committed; entries up to it may be applied after a restart.
     """
 
     snapshot: Snapshot
@@ -56,10 +56,10 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Append:
-    """What one append makes durable: a changed vote, new entries, or both.
+class AppendRecord:
+    """A record of the log file: a changed term or vote, new entries, or both.
 
-    `commit` is an index that was known to be committed when it was written.
+    `commit` is an index known to be committed at the time of the write.
     """
 
     hard_state: HardState | None
@@ -68,7 +68,11 @@
 
 
 class Journal:
-    """Entries, votes and snapshots under `folder`; every method returns only after a sync."""
+    """Log entries, votes and snapshots under `folder`.
+
+    Methods that change the state return after the data has been synced to disk. Raises
+    LogDamagedError if a stored record is damaged.
+    """
 
     def __init__(self, folder: pathlib.Path) -> None:
         self.folder = folder
@@ -78,15 +82,15 @@
         self.entries: list[Entry] = []
         self.commit = 0
         self.sequence = self.latest_sequence()
-        self.load_image()
+        self.load_snapshot()
         self.file = records.RecordFile(self.log_path(self.sequence))
         for payload in self.file.payloads:
             self.replay(payload)
         self.file.payloads = []
-        self.remove_others()
+        self.remove_stale_files()
 
     def load_identity(self) -> str:
-        """Return the folder's identity: random, made at the first start, kept ever after."""
+        """Return the random identity of the folder, creating it on the first start."""
         path = self.folder / "identity"
         if path.exists():
             return records.read_single(path).decode("ascii")
@@ -95,93 +99,93 @@
         return identity
 
     def snapshot_path(self, sequence: int) -> pathlib.Path:
-        """Return the snapshot file's path for `sequence`."""
+        """Return the path of the snapshot file with number `sequence`."""
         return self.folder / f"snapshot-{sequence:08d}.bin"
 
     def log_path(self, sequence: int) -> pathlib.Path:
-        """Return the record file's path for `sequence`."""
+        """Return the path of the log file with number `sequence`."""
         return self.folder / f"log-{sequence:08d}.bin"
 
     def latest_sequence(self) -> int:
-        """Return the number of the newest snapshot file, or 0 if there is none."""
+        """Return the sequence number of the latest snapshot file, or 0 if there is none."""
         numbers = [int(path.stem.split("-")[1]) for path in self.folder.glob("snapshot-*.bin")]
         return max(numbers, default=0)
 
-    def load_image(self) -> None:
-        """Read the newest snapshot file, if there is one."""
+    def load_snapshot(self) -> None:
+        """Load the current snapshot file, if it exists."""
         path = self.snapshot_path(self.sequence)
         if not path.exists():
             return
-        image = msgspec.msgpack.decode(records.read_single(path), type=SnapshotFile)
-        self.snapshot = image.snapshot
-        self.hard_state = image.hard_state
-        self.entries = image.entries
-        self.commit = image.commit
+        contents = msgspec.msgpack.decode(records.read_single(path), type=SnapshotFile)
+        self.snapshot = contents.snapshot
+        self.hard_state = contents.hard_state
+        self.entries = contents.entries
+        self.commit = contents.commit
 
     def replay(self, payload: bytes) -> None:
-        """Apply one record that was read back."""
+        """Apply a record of the log file to the state in memory."""
         try:
-            append = msgspec.msgpack.decode(payload, type=Append)
+            append = msgspec.msgpack.decode(payload, type=AppendRecord)
         except msgspec.DecodeError as error:
-            raise errors.LogDamagedError(f"{self.file.path}: a record does not decode: {error}")
+            raise errors.LogDamagedError(f"{self.file.path}: cannot decode a record: {error}")
         if append.hard_state is not None:
             self.hard_state = append.hard_state
         for entry in append.entries:
-            self.place(entry)
+            self.put_entry(entry)
         self.commit = max(self.commit, append.commit)
 
-    def place(self, entry: Entry) -> None:
-        """Put `entry` at its index and drop what a former leader had put there and after it."""
-        keep = entry.index - self.snapshot.index - 1
-        if keep < 0 or keep > len(self.entries):
+    def put_entry(self, entry: Entry) -> None:
+        """Store `entry` at its index, removing any conflicting entries from there on."""
+        keep_count = entry.index - self.snapshot.index - 1
+        if keep_count < 0 or keep_count > len(self.entries):
             raise errors.LogDamagedError(
-                f"{self.folder}: entry {entry.index} leaves a gap after "
+                f"{self.folder}: entry {entry.index} is out of sequence after entry "
                 f"{self.snapshot.index + len(self.entries)}"
             )
-        del self.entries[keep:]
+        del self.entries[keep_count:]
         self.entries.append(entry)
 
     def save(self, hard_state: HardState | None, entries: list[Entry], commit: int = 0) -> None:
-        """Append a changed vote and new entries with one sync; raise DiskFullError.
+        """Append a changed vote and new entries in one synced record.
 
-        `commit` is what is known to be committed now, or 0.
+        `commit` is an index known to be committed, or 0. Raises DiskFullError.
         """
         commit = max(commit, self.commit)
-        self.file.append(msgspec.msgpack.encode(Append(hard_state, entries, commit)))
+        self.file.append(msgspec.msgpack.encode(AppendRecord(hard_state, entries, commit)))
         self.commit = commit
         if hard_state is not None:
             self.hard_state = dataclasses.replace(hard_state)
         for entry in entries:
-            self.place(entry)
+            self.put_entry(entry)
 
-    def compact(self, snapshot: Snapshot, follows: list[Entry]) -> None:
-        """Replace the log by `snapshot` and the entries that follow it; raise DiskFullError."""
+    def compact(self, snapshot: Snapshot, later_entries: list[Entry]) -> None:
+        """Replace the log with `snapshot` and the entries after it; raise DiskFullError."""
         commit = max(self.commit, snapshot.index)
-        image = SnapshotFile(snapshot, self.hard_state, follows, commit)
-        following = self.sequence + 1
-        records.write_atomic(self.snapshot_path(following), msgspec.msgpack.encode(image))
+        contents = SnapshotFile(snapshot, self.hard_state, later_entries, commit)
+        next_sequence = self.sequence + 1
+        records.write_atomic(self.snapshot_path(next_sequence), msgspec.msgpack.encode(contents))
         self.file.close()
-        self.file = records.RecordFile(self.log_path(following))
-        self.sequence = following
+        self.file = records.RecordFile(self.log_path(next_sequence))
+        self.sequence = next_sequence
         self.snapshot = snapshot
         self.commit = commit
-        self.entries = list(follows)
-        self.remove_others()
+        self.entries = list(later_entries)
+        self.remove_stale_files()
 
-    def remove_others(self) -> None:
-        """Remove files of other sequences than the present one.
+    def remove_stale_files(self) -> None:
+        """Remove all files with other sequence numbers than the current one.
 
-        A snapshot file is durable before its record file is made. So later record files are left
-        over from a folder that was emptied and came back in part after a loss of power.
+        A snapshot file is durable before its log file is created. A log file with a higher number
+        than the latest snapshot is therefore left over from an earlier use of the folder.
         """
         for path in self.folder.glob("*-*.bin"):
             if int(path.stem.split("-")[1]) != self.sequence:
                 path.unlink()
 
     def size_bytes(self) -> int:
-        """Return the bytes of the live files."""
+        """Return the total size of the snapshot and log files."""
         return sum(path.stat().st_size for path in self.folder.glob("*-*.bin"))
 
     def close(self) -> None:
-        """Close the record file."""
+        """Close the log file."""
         self.file.close()
--- a/src/merlinthread/state/records.py
+++ b/src/merlinthread/state/records.py
@@ -1,7 +1,7 @@
 """Checksummed records in append-only files.
 
-A record is a header (magic, payload length, payload CRC-32, header CRC-32) and a payload. The
-header has its own checksum, so that a flipped length can't pass for a torn tail.
+A record is a header (magic, payload length, payload CRC-32, header CRC-32) followed by a payload.
+The checksum of the header distinguishes a corrupt length from an incomplete last record.
 """
 
 import errno
@@ -16,50 +16,52 @@
 MAGIC = b"MTR1"
 
 
-def frame(payload: bytes) -> bytes:
-    """Return the bytes of one record."""
-    body_sum = zlib.crc32(payload)
-    head_sum = zlib.crc32(MAGIC + struct.pack("<II", len(payload), body_sum))
-    return HEADER.pack(MAGIC, len(payload), body_sum, head_sum) + payload
+def encode_record(payload: bytes) -> bytes:
+    """Encode a payload as a record."""
+    payload_crc = zlib.crc32(payload)
+    header_crc = zlib.crc32(MAGIC + struct.pack("<II", len(payload), payload_crc))
+    return HEADER.pack(MAGIC, len(payload), payload_crc, header_crc) + payload
 
 
 def read_records(data: bytes, path: pathlib.Path) -> tuple[list[bytes], int]:
-    """Return the payloads of `data` and the length of its sound part.
+    """Return the payloads of all valid records in `data`, and the total length of these records.
 
-    Each append is one record and is synced before the next. So an unsound last record is a write
-    that a loss of power tore, and is left out; an unsound one that a sound one follows was synced
-    once: raises LogDamagedError with file and offset, because dropping it could drop an
-    acknowledged entry.
+    Every record is synced before the next is written. An invalid record at the end is therefore an
+    interrupted write and is ignored. An invalid record with a valid one after it had been synced:
+    raises LogDamagedError, because ignoring it could lose an acknowledged entry.
     """
     payloads: list[bytes] = []
     offset = 0
     while offset < len(data):
-        part, body = read_record(data, offset)
+        part, record_payload = read_record(data, offset)
         if part:
-            if has_sound_record(data, offset + 1):
-                raise damaged(path, offset, part)
+            if has_valid_record(data, offset + 1):
+                raise damage_error(path, offset, part)
             break
-        payloads.append(body)
-        offset += HEADER.size + len(body)
+        payloads.append(record_payload)
+        offset += HEADER.size + len(record_payload)
     return payloads, offset
 
 
 def read_record(data: bytes, offset: int) -> tuple[str, bytes]:
-    """Return the payload at `offset`, or the part that is not sound ("header" or "payload")."""
+    """Read the record at `offset`; return its invalid part and its payload.
+
+    The invalid part is "header", "payload", or an empty string if the record is valid.
+    """
     header = data[offset : offset + HEADER.size]
     if len(header) < HEADER.size:
         return "header", b""
-    magic, length, body_sum, head_sum = HEADER.unpack(header)
-    if head_sum != zlib.crc32(header[:12]) or magic != MAGIC:
+    magic, length, payload_crc, header_crc = HEADER.unpack(header)
+    if header_crc != zlib.crc32(header[:12]) or magic != MAGIC:
         return "header", b""
-    body = data[offset + HEADER.size : offset + HEADER.size + length]
-    if len(body) < length or zlib.crc32(body) != body_sum:
+    record_payload = data[offset + HEADER.size : offset + HEADER.size + length]
+    if len(record_payload) < length or zlib.crc32(record_payload) != payload_crc:
         return "payload", b""
-    return "", body
+    return "", record_payload
 
 
-def has_sound_record(data: bytes, start: int) -> bool:
-    """Return whether a whole record lies anywhere from `start` on."""
+def has_valid_record(data: bytes, start: int) -> bool:
+    """Return whether there is a valid record at or after `start`."""
     offset = data.find(MAGIC, start)
     while offset >= 0:
         if not read_record(data, offset)[0]:
@@ -68,60 +70,66 @@
     return False
 
 
-def damaged(path: pathlib.Path, offset: int, part: str) -> errors.LogDamagedError:
-    """Return the error for a record whose `part` fails its checksum."""
+def damage_error(path: pathlib.Path, offset: int, part: str) -> errors.LogDamagedError:
+    """Build the error for a record whose `part` has a wrong checksum."""
     return errors.LogDamagedError(
-        f"{path}: the {part} of the record at byte {offset} fails its checksum; leave the file: "
-        "replace this control VM under a new name (docs/operators/control.md)"
+        f"{path}: the {part} of the record at byte {offset} has a wrong checksum; keep the file "
+        "and replace this control VM under a new name (docs/operators/control.md)"
     )
 
 
-def sync_folder(folder: pathlib.Path) -> None:
-    """Make renames and creations in `folder` durable."""
-    handle = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
+def fsync_directory(folder: pathlib.Path) -> None:
+    """Sync a directory, which makes files created or renamed in it durable."""
+    fd = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
     try:
-        os.fsync(handle)
+        os.fsync(fd)
     finally:
-        os.close(handle)
+        os.close(fd)
 
 
 def write_atomic(path: pathlib.Path, payload: bytes) -> None:
-    """Replace `path` by a file of one record, durably and all at once.
+    """Atomically replace `path` with a synced file that holds a single record.
 
-    Raises DiskFullError; then the earlier file is intact.
+    Raises DiskFullError, and leaves the existing file unchanged in that case.
     """
-    scratch = path.with_suffix(".tmp")
+    temporary = path.with_suffix(".tmp")
     try:
-        with open(scratch, "wb") as file:
-            file.write(frame(payload))
+        with open(temporary, "wb") as file:
+            file.write(encode_record(payload))
             file.flush()
             os.fsync(file.fileno())
     except OSError as error:
-        scratch.unlink(missing_ok=True)
+        temporary.unlink(missing_ok=True)
         raise as_disk_full(error, path)
-    os.replace(scratch, path)
-    sync_folder(path.parent)
+    os.replace(temporary, path)
+    fsync_directory(path.parent)
 
 
 def read_single(path: pathlib.Path) -> bytes:
-    """Return the payload of a file made by `write_atomic`; raise LogDamagedError otherwise."""
+    """Return the payload of a file written by `write_atomic`.
+
+    Raises LogDamagedError if the file does not hold exactly one valid record.
+    """
     payloads, _ = read_records(path.read_bytes(), path)
     if len(payloads) != 1:
-        raise damaged(path, 0, "payload")
+        raise damage_error(path, 0, "payload")
     return payloads[0]
 
 
 def as_disk_full(error: OSError, path: pathlib.Path) -> Exception:
-    """Translate a full disk into DiskFullError; return any other error unchanged."""
+    """Convert an OSError for lack of disk space to DiskFullError; return others unchanged."""
     if error.errno in (errno.ENOSPC, errno.EDQUOT, errno.EFBIG):
         return errors.DiskFullError(
-            f"{path}: no room on the disk; free some space, nothing is lost"
+            f"{path}: no space left on the disk; free some space, stored data is intact"
         )
     return error
 
 
 class RecordFile:
-    """An append-only file of records; each `append` is one record, one write and one sync."""
+    """An append-only file of records.
+
+    Opening a file reads the existing records into `payloads` and truncates an incomplete last one.
+    """
 
     def __init__(self, path: pathlib.Path) -> None:
         self.path = path
@@ -131,29 +139,29 @@
             self.payloads, self.length = read_records(path.read_bytes(), path)
         else:
             self.length = 0
-        self.handle = os.open(path, os.O_RDWR | os.O_CREAT, 0o644)
-        os.ftruncate(self.handle, self.length)
-        os.fsync(self.handle)
+        self.fd = os.open(path, os.O_RDWR | os.O_CREAT, 0o644)
+        os.ftruncate(self.fd, self.length)
+        os.fsync(self.fd)
         if not existed:
-            sync_folder(path.parent)
+            fsync_directory(path.parent)
 
     def append(self, payload: bytes) -> None:
-        """Write and sync one record.
+        """Append and sync a record.
 
-        Raises DiskFullError after taking back what was written of them. A failed sync leaves the
-        file's state unknown, so that error is passed on and the owner must stop.
+        Raises DiskFullError after truncating a partial write. An OSError from the sync leaves the
+        state of the file unknown; the process must not continue to use it.
         """
-        data = frame(payload)
+        data = encode_record(payload)
         written = 0
         try:
             while written < len(data):
-                written += os.pwrite(self.handle, data[written:], self.length + written)
+                written += os.pwrite(self.fd, data[written:], self.length + written)
         except OSError as error:
-            os.ftruncate(self.handle, self.length)
+            os.ftruncate(self.fd, self.length)
             raise as_disk_full(error, self.path)
-        os.fsync(self.handle)
+        os.fsync(self.fd)
         self.length += len(data)
 
     def close(self) -> None:
         """Close the file."""
-        os.close(self.handle)
+        os.close(self.fd)
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -107,7 +107,7 @@
         return written
 
     monkeypatch.setattr(os, "pwrite", pwrite)
-    with pytest.raises(errors.DiskFullError, match="no room"):
+    with pytest.raises(errors.DiskFullError, match="no space left"):
         found.save(None, [entry(2)])
     monkeypatch.undo()
     found.save(None, [entry(2)])
