--- a/tests/test_change_over.py
+++ b/tests/test_change_over.py
@@ -1,8 +1,6 @@
-"""How much of a fleet serves while its engines change over: no network is needed.
+"""Serving capacity of a fleet while its engines reload, without a network.
 
-The pattern: 102 engines in 5 zones become whole 6.0 to 6.6 s after a naming, the old weights may be
-used for 10 s, a change takes 1.7 s (what runs ends in a second, loading 0.3 s, telling 0.4 s; the
-users' published figures of the large site).
+Guards against reloads that overlap so much that too few engines serve.
 """
 
 import random
@@ -10,32 +8,36 @@
 from merlinthread.coordination import change_over
 
 BOUND_S = 10.0
-CHANGE_S = 1.7
+RELOAD_S = 1.7
 
 
 def serving_shares(count: int, first_whole_s: float, last_whole_s: float) -> list[float]:
-    """Return the shares of the engines that serve, each 50 ms after the naming."""
+    """Return the share of serving engines in steps of 50 ms after a version is published."""
     rng = random.Random(1)
     engines = [(f"zone-{n % 5}", f"engine-{n}") for n in range(count)]
-    away = []
+    out_of_service = []
     for _, name in engines:
-        whole = rng.uniform(first_whole_s, last_whole_s)
-        begins = change_over.reload_time(change_over.group_of(name, engines), whole, BOUND_S)
-        away.append((begins, begins + CHANGE_S))
-    leave = BOUND_S - change_over.EXPIRY_MARGIN_S
+        complete_at = rng.uniform(first_whole_s, last_whole_s)
+        begins = change_over.reload_time(change_over.group_of(name, engines), complete_at, BOUND_S)
+        out_of_service.append((begins, begins + RELOAD_S))
+    retire_at = BOUND_S - change_over.EXPIRY_MARGIN_S
     shares = []
     for step in range(int(13 / 0.05)):
         now = step * 0.05
-        gone = sum(begins <= now < ends or leave <= now < begins for begins, ends in away)
+        gone = sum(
+            begins <= now < ends or retire_at <= now < begins for begins, ends in out_of_service
+        )
         shares.append(1 - gone / count)
     return shares
 
 
 def test_some_engines_serve_at_every_moment_of_a_change_over():
     shares = serving_shares(102, 6.0, 6.6)
-    assert min(shares) >= 0.4, f"at worst {min(shares):.2f} of the engines serve"
-    away_s = sum(1 - share for share in shares) * 0.05
-    assert away_s <= CHANGE_S * 1.02, f"an engine is away for {away_s:.2f} s in the mean"
+    assert min(shares) >= 0.4, f"only {min(shares):.2f} of the engines serve"
+    out_of_service_s = sum(1 - share for share in shares) * 0.05
+    assert (
+        out_of_service_s <= RELOAD_S * 1.02
+    ), f"an engine is out of service for {out_of_service_s:.2f} s on average"
 
 
 def test_weights_that_come_after_the_old_ones_are_left_are_taken_at_once():
--- a/tests/test_chunk_announcements.py
+++ b/tests/test_chunk_announcements.py
@@ -1,8 +1,6 @@
-"""Who is told of a chunk that has just come, at 60 VMs in 5 zones: no network is needed.
+"""Announcements of fetched chunks among 60 VMs in 5 zones, without a network.
 
-The pattern: a version is named, the origin gives 38 chunks a second, and each VM could take 18;
-with words of others 0.25 to 0.75 s old it took 11 in the first two seconds (log of the small twin
-of the large site, scale-1: 22 of 96 chunks after 1.94 s).
+Guards against VMs that stay idle because they learn late which peers hold new chunks.
 """
 
 import random
@@ -18,8 +16,8 @@
     return f"10.{number % ZONES}.0.{number}:7000"
 
 
-def plan_of(number: int, vms: int = VMS) -> fetch_policies.Zoned:
-    """Return the plan of one VM that knows all the others."""
+def make_plan(number: int, vms: int = VMS) -> fetch_policies.Zoned:
+    """Build the plan of a VM whose peers are all the others."""
     zone = number % ZONES
     peers = [
         fetch.Peer(name(n), name(n), fetch.OTHER_REGION * (n % ZONES != zone), f"z{n % ZONES}")
@@ -36,21 +34,21 @@
 
 
 def test_a_chunk_from_the_origin_is_told_to_the_own_zone_and_to_who_brings_it_into_each_other_one():
-    plan = plan_of(7)
-    told = plan.announcement_recipients(fetch.OriginRead(11))
-    own = {vm for vm in told if zone_of(vm) == 2}
-    others = [vm for vm in told if zone_of(vm) != 2]
+    plan = make_plan(7)
+    recipients = plan.announcement_recipients(fetch.OriginRead(11))
+    own = {vm for vm in recipients if zone_of(vm) == 2}
+    others = [vm for vm in recipients if zone_of(vm) != 2]
     assert own == {name(n) for n in range(VMS) if n % ZONES == 2 and n != 7}
     assert sorted(zone_of(vm) for vm in others) == [0, 1, 3, 4]
     for vm in others:
         number = int(vm.split(".")[3].split(":")[0])
-        assert plan_of(number).rank(11) == 0, "not the one that brings it into its zone"
+        assert make_plan(number).rank(11) == 0, "not the first in rendezvous order of its zone"
 
 
 def test_whoever_is_told_asks_for_it_at_once_also_if_it_knew_nothing_of_the_teller():
-    reader = plan_of(7)
+    reader = make_plan(7)
     for vm in reader.announcement_recipients(fetch.OriginRead(11)):
-        plan = plan_of(int(vm.split(".")[3].split(":")[0]))
+        plan = make_plan(int(vm.split(".")[3].split(":")[0]))
         plan.on_announcement(name(7), 11)
         action = plan.next_action(0.01)
         if isinstance(action, fetch.OriginRead):
@@ -60,16 +58,16 @@
 
 
 def test_one_vm_of_a_zone_tells_the_zone():
-    bringer = plan_of(8)
-    bringer.on_announcement(name(7), 11)
+    importer = make_plan(8)
+    importer.on_announcement(name(7), 11)
     far = fetch.PeerRequest(name(7), 1 << 11)
-    assert {zone_of(vm) for vm in bringer.announcement_recipients(far)} == {3}
-    # Who got it from its own zone tells nobody: all of the zone have been told.
-    assert bringer.announcement_recipients(fetch.PeerRequest(name(13), 1 << 11)) == []
+    assert {zone_of(vm) for vm in importer.announcement_recipients(far)} == {3}
+    # A chunk from the own zone has already been announced there.
+    assert importer.announcement_recipients(fetch.PeerRequest(name(13), 1 << 11)) == []
 
 
 def test_who_has_announced_stays_among_those_asked_in_a_large_group():
-    plan = plan_of(0, 300)
+    plan = make_plan(0, 300)
     strangers = [vm for vm in plan.participants if vm not in plan.peers and vm != plan.own_name]
     plan.on_announcement(strangers[0], 5)
     peers = [
@@ -82,7 +80,7 @@
 
 
 def test_a_word_of_a_stranger_or_of_no_chunk_changes_nothing():
-    plan = plan_of(0)
+    plan = make_plan(0)
     plan.on_announcement("10.9.9.9:7000", 5)
     plan.on_announcement(name(7), CHUNKS)
     assert "10.9.9.9:7000" not in plan.peers
@@ -90,7 +88,6 @@
 
 
 def test_no_more_vms_read_the_origin_than_fill_its_link():
-    # The large site: the origin's link carries 7.3 Mbit/s, that of a VM 3.65.
     assert fetch.origin_reader_count(7.3e6 / 8, 3.65e6 / 8) == 16
     assert fetch.origin_reader_count(0.0, 3.65e6 / 8) == fetch.READERS_MAX
     assert fetch.origin_reader_count(1e12, 3.65e6 / 8) == fetch.READERS_MAX
@@ -98,7 +95,7 @@
 
 
 def test_all_chunks_have_a_reader_and_nobody_else_reads_while_time_presses():
-    plans = [plan_of(number) for number in range(VMS)]
+    plans = [make_plan(number) for number in range(VMS)]
     for plan in plans:
         plan.readers_max = 8
         plan.on_participants_changed()
@@ -115,7 +112,7 @@
 
 
 def test_a_busy_peer_is_asked_again_once_it_has_sent_what_it_promised():
-    plan = plan_of(0)
+    plan = make_plan(0)
     plan.on_peer_report(name(5), plan.all, 0.0)
     assert plan.peers[name(5)] in plan.available_peers(0.01)
     plan.on_peer_busy(name(5), 0.01, free_in_s=0.2)
@@ -124,8 +121,8 @@
 
 
 def test_a_peer_of_the_own_zone_is_asked_though_words_from_far_are_older():
-    # The last chunk of a VM that may not bring it into its zone: only its zone can give it.
-    plan = next(plan for plan in map(plan_of, range(VMS)) if plan.rank(40) > 3)
+    # The VM may not request its last chunk from another zone.
+    plan = next(plan for plan in map(make_plan, range(VMS)) if plan.rank(40) > 3)
     plan.held = plan.all & ~(1 << 40)
     for peer in plan.peers.values():
         plan.on_peer_report(peer.name, 0, 9.0 if peer.distance == fetch.SAME_ZONE else 1.0)
@@ -136,10 +133,10 @@
 
 
 def test_an_answer_from_before_does_not_undo_an_announcement():
-    plan = plan_of(0)
+    plan = make_plan(0)
     plan.on_announcement(name(5), 7)
     plan.on_peer_report(name(5), 0b1, 0.1)
     assert plan.peers[name(5)].held == 1 << 7 | 0b1
-    # Who says that it has nothing of what was asked is believed.
+    # A reply without a chunk overrides earlier announcements.
     plan.on_peer_empty(name(5), 0.1)
     assert plan.peers[name(5)].held == 0b1
--- a/tests/test_fetch_machine.py
+++ b/tests/test_fetch_machine.py
@@ -1,4 +1,4 @@
-"""Fetch policies: any order of answers, losses and lies, and a fleet of plans in fast motion."""
+"""Fetch policies under any order of replies, failures and corrupt chunks, and in a fleet."""
 
 import random
 
@@ -15,14 +15,14 @@
 
 
 class FetchMachine(stateful.RuleBasedStateMachine):
-    """One plan against peers that answer, lie, fail and come back."""
+    """One plan whose peers reply, fail, send corrupt chunks, leave and return."""
 
     def __init__(self) -> None:
         super().__init__()
         self.now = 10.0
         self.plan = fetch_policies.Spread("me", "m", CHUNKS, 0, 2, self.now, random.Random(1))
         self.plan.set_peers([fetch.Peer(name, "127.0.0.1:1", 0) for name in PEERS])
-        self.under_way: list[fetch.Action] = []
+        self.in_flight: list[fetch.Action] = []
 
     @stateful.rule()
     def act(self) -> None:
@@ -33,18 +33,18 @@
             assert action.wanted and not action.wanted & (self.plan.held | self.plan.in_flight)
             assert all(
                 other.peer != action.peer
-                for other in self.under_way
+                for other in self.in_flight
                 if isinstance(other, fetch.PeerRequest)
             )
         else:
             assert not (self.plan.held | self.plan.in_flight) >> action.index & 1
         self.plan.on_action_started(action)
-        self.under_way.append(action)
+        self.in_flight.append(action)
 
-    @stateful.precondition(lambda self: self.under_way)
+    @stateful.precondition(lambda self: self.in_flight)
     @stateful.rule(which=st.integers(0, 9), outcome=st.sampled_from("got empty fail lie".split()))
     def finish(self, which: int, outcome: str) -> None:
-        action = self.under_way.pop(which % len(self.under_way))
+        action = self.in_flight.pop(which % len(self.in_flight))
         if isinstance(action, fetch.OriginRead):
             if outcome == "got":
                 self.plan.on_chunk_received(action.index, True, self.now)
@@ -75,13 +75,13 @@
 
     @stateful.invariant()
     def nothing_is_counted_twice(self) -> None:
-        tally = self.plan.stats
-        assert tally.from_origin + tally.from_peers == self.plan.held.bit_count()
+        stats = self.plan.stats
+        assert stats.from_origin + stats.from_peers == self.plan.held.bit_count()
         assert self.plan.origin_reads >= 0
 
     def teardown(self) -> None:
-        """With nobody else left, everything is read from the origin in the end."""
-        for action in self.under_way:
+        """Without any peers, all chunks must be read from the origin."""
+        for action in self.in_flight:
             self.plan.on_action_finished(action)
         self.plan.set_peers([])
         for _ in range(10_000):
@@ -103,8 +103,8 @@
 TestFetchMachine = FetchMachine.TestCase
 
 
-def spread_out(count: int, policy: str, cut_after: int = 0) -> list[fetch.FetchPlan]:
-    """Let a fleet of plans fetch in rounds, one chunk in and out a VM a round; return them."""
+def simulate_fleet(count: int, policy: str, cut_after: int = 0) -> list[fetch.FetchPlan]:
+    """Simulate a fleet in rounds of one upload and one download per VM; return the plans."""
     rng = random.Random(3)
     names = [f"vm-{number:03d}" for number in range(count)]
     peers = [fetch.Peer(n, "", 0 if i % 2 else 1) for i, n in enumerate(names)]
@@ -112,7 +112,7 @@
         name: fetch.POLICIES.get(policy)(name, "m", 40, 0, 2, 0.0, random.Random(number))
         for number, name in enumerate(names)
     }
-    sent = {name: uploads.UploadSlots(1) for name in names}
+    upload_slots = {name: uploads.UploadSlots(1) for name in names}
     for name, plan in plans.items():
         zone = names.index(name) % 2
         plan.set_peers(
@@ -129,14 +129,16 @@
         order = list(names)
         rng.shuffle(order)
         for name in order:
-            step(plans, sent, name, busy, now, is_cut=0 < cut_after <= number, names=names)
+            run_action(
+                plans, upload_slots, name, busy, now, is_cut=0 < cut_after <= number, names=names
+            )
         if all(plan.is_complete() for plan in plans.values()):
             break
     return list(plans.values())
 
 
-def step(plans, sent, name, busy, now, is_cut, names) -> None:
-    """One VM does one action."""
+def run_action(plans, upload_slots, name, busy, now, is_cut, names) -> None:
+    """Run one action of one VM."""
     plan = plans[name]
     action = plan.next_action(now)
     if action is None:
@@ -156,24 +158,26 @@
                 plan.on_peer_empty(action.peer, now)
             else:
                 busy.add(action.peer)
-                plan.on_chunk_received(sent[action.peer].choose_chunk("m", offered), False, now)
+                plan.on_chunk_received(
+                    upload_slots[action.peer].choose_chunk("m", offered), False, now
+                )
     plan.on_action_finished(action)
 
 
 @pytest.mark.parametrize("policy", ["spread", "tree"])
 def test_a_fleet_reads_one_copy_from_the_origin(policy):
-    plans = spread_out(30, policy)
+    plans = simulate_fleet(30, policy)
     assert all(plan.is_complete() for plan in plans)
     assert sum(plan.stats.from_origin for plan in plans) == 40
 
 
 def test_the_baseline_reads_a_copy_for_each_vm():
-    plans = spread_out(5, "origin_only")
+    plans = simulate_fleet(5, "origin_only")
     assert sum(plan.stats.from_origin for plan in plans) == 5 * 40
 
 
 def test_a_zone_cut_off_before_it_has_anything_reads_about_one_more_copy():
-    plans = spread_out(20, "spread", cut_after=1)
+    plans = simulate_fleet(20, "spread", cut_after=1)
     assert all(plan.is_complete() for plan in plans)
     copies = sum(plan.stats.from_origin for plan in plans) / 40
     assert copies <= 2.1, f"{copies} copies for two sides"
@@ -189,7 +193,7 @@
 
 
 def test_a_paced_link_keeps_its_rate():
-    pace = pacing.Pacer(1000.0)
-    ends = [pace.reserve_until(100, now=5.0) for _ in range(10)]
+    pacer = pacing.Pacer(1000.0)
+    ends = [pacer.reserve_until(100, now=5.0) for _ in range(10)]
     assert ends[-1] == pytest.approx(6.0)
-    assert pace.reserve_until(100, now=20.0) == pytest.approx(20.1)
+    assert pacer.reserve_until(100, now=20.0) == pytest.approx(20.1)
--- a/tests/test_manifest_spreads.py
+++ b/tests/test_manifest_spreads.py
@@ -1,8 +1,6 @@
-"""How the manifest of a version reaches all agents when the origin comes back: no network needed.
+"""Distribution of a manifest to 30 agents after an origin outage, without a network.
 
-The pattern: a version is named half a second after the origin went away for 6 s; 30 agents in three
-zones want its manifest, then its pieces. On a twin of such a day ten agents tried and waited by
-themselves, and the last zone had it 1.2 s after the origin was back.
+Guards against agents that all poll the origin, or wait for it, instead of asking their peers.
 """
 
 import asyncio
@@ -21,7 +19,7 @@
 
 
 class World:
-    """Thirty finders; `is_origin_up` and how often the origin was tried and gave."""
+    """Engine and network of all agents, with counts of attempted and successful origin reads."""
 
     def __init__(self) -> None:
         self.is_origin_up = False
@@ -74,7 +72,7 @@
         world.is_origin_up = True
         await asyncio.gather(*tasks)
         assert world.have == set(world.names)
-        # The others have it from peers: the origin's link is for pieces.
+        # Most agents must get the manifest from peers, to leave the origin's link to pieces.
         assert world.given <= AGENTS // 3
 
     asyncio.run(scenario())
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -1,4 +1,4 @@
-"""Files: torn tails are repaired, damage is refused by name, a full disk loses nothing."""
+"""Persistent files: incomplete writes, corruption, full disks, compaction and chunk storage."""
 
 import errno
 import os
@@ -17,7 +17,7 @@
     return journal.Entry(index, term, "command", f"data {index}".encode())
 
 
-def filled(path: pathlib.Path, count: int = 5) -> pathlib.Path:
+def write_journal(path: pathlib.Path, count: int = 5) -> pathlib.Path:
     found = journal.Journal(path)
     found.save(journal.HardState(1, "c0"), [entry(1)])
     for index in range(2, count + 1):
@@ -29,7 +29,7 @@
 @given(cut=st.integers(1, 60))
 def test_a_torn_tail_is_cut_off_and_the_rest_is_kept(tmp_path_factory, cut):
     path = tmp_path_factory.mktemp("journal")
-    file = filled(path)
+    file = write_journal(path)
     data = file.read_bytes()
     file.write_bytes(data[:-cut])
     found = journal.Journal(path)
@@ -59,7 +59,7 @@
     tmp_path_factory, seed
 ):
     path = tmp_path_factory.mktemp("journal")
-    file = filled(path)
+    file = write_journal(path)
     data = bytearray(file.read_bytes())
     last = data.rfind(records.MAGIC)
     rng = random.Random(seed)
@@ -73,9 +73,9 @@
 
 @given(seed=st.integers(0, 10_000))
 def test_a_torn_last_write_is_left_out_and_nothing_before_it_is_lost(tmp_path_factory, seed):
-    # A write that was not synced may be torn in any way; it was never acknowledged.
+    # An unsynced write may be corrupted in any way; it was never acknowledged.
     path = tmp_path_factory.mktemp("journal")
-    file = filled(path)
+    file = write_journal(path)
     data = bytearray(file.read_bytes())
     last = data.rfind(records.MAGIC)
     rng = random.Random(seed)
@@ -87,7 +87,7 @@
 
 
 def test_zeros_after_the_last_record_count_as_torn(tmp_path):
-    file = filled(tmp_path)
+    file = write_journal(tmp_path)
     with open(file, "ab") as handle:
         handle.write(bytes(100))
     assert len(journal.Journal(tmp_path).entries) == 5
@@ -132,10 +132,10 @@
     assert len(list(tmp_path.glob("*.bin"))) == 2
     identity = found.identity
     found.close()
-    again = journal.Journal(tmp_path)
-    assert again.snapshot.index == 2990
-    assert [e.index for e in again.entries] == list(range(2991, 3001))
-    assert again.identity == identity
+    reopened = journal.Journal(tmp_path)
+    assert reopened.snapshot.index == 2990
+    assert [e.index for e in reopened.entries] == list(range(2991, 3001))
+    assert reopened.identity == identity
 
 
 def test_a_crash_between_the_two_files_of_a_compaction_loses_nothing(tmp_path):
@@ -146,15 +146,15 @@
     )
     records.write_atomic(found.snapshot_path(1), journal.msgspec.msgpack.encode(image))
     found.close()
-    again = journal.Journal(tmp_path)
-    assert again.snapshot.index == 3
-    assert [e.index for e in again.entries] == [4, 5]
+    reopened = journal.Journal(tmp_path)
+    assert reopened.snapshot.index == 3
+    assert [e.index for e in reopened.entries] == [4, 5]
 
 
 def test_a_record_file_left_over_from_an_emptied_folder_is_not_taken_up(tmp_path):
     before = tmp_path / "before"
     before.mkdir()
-    left_over = filled(before)
+    left_over = write_journal(before)
     folder_path = tmp_path / "now"
     folder_path.mkdir()
     left_over.rename(folder_path / "log-00000001.bin")
@@ -163,8 +163,8 @@
     found.compact(journal.Snapshot(1, 7, b"", b"s"), [])
     found.save(None, [entry(2, term=7)])
     found.close()
-    again = journal.Journal(folder_path)
-    assert [(e.index, e.term) for e in again.entries] == [(2, 7)]
+    reopened = journal.Journal(folder_path)
+    assert [(e.index, e.term) for e in reopened.entries] == [(2, 7)]
 
 
 def test_chunks_survive_a_restart_and_a_damaged_one_is_dropped(tmp_path):
@@ -174,8 +174,8 @@
         store.add(digest, bytes([i]) * 100)
     (tmp_path / digests[1]).write_bytes(b"x" * 100)
     (tmp_path / "half.part").write_bytes(b"half")
-    again = chunks.ChunkStore(tmp_path, 1000)
-    assert [again.has(digest) for digest in digests] == [True, False, True]
+    reopened = chunks.ChunkStore(tmp_path, 1000)
+    assert [reopened.has(digest) for digest in digests] == [True, False, True]
     assert not (tmp_path / "half.part").exists()
 
 
--- a/tests/test_transfer_model.py
+++ b/tests/test_transfer_model.py
@@ -1,8 +1,6 @@
-"""Weights beside requests, in the model of `bench/transfer.py`: no network is needed.
+"""Weight distribution in the simulation of `bench/transfer.py`, without a network.
 
-The patterns: a version is named and all engines fetch it (links of the large site); one engine's
-link carries a quarter of what it is told to (`link_squeeze` of the users' days), where requests
-were seen to take 0.8 to 3.3 s on their way (docs/findings.md, VERSION).
+Guards against slow rollouts, and against requests that are delayed by transfers on a slow link.
 """
 
 import pytest
@@ -12,13 +10,13 @@
 from merlinthread.nodes import piece_fetcher
 
 
-def play(agents: int, fault: str, seed: int = 1) -> dict[str, float]:
+def simulate(agents: int, fault: str, seed: int = 1) -> dict[str, float]:
     shape = transfer.Shape(agents=agents, seed=seed)
     return transfer.Rollout(shape, transfer.FAULTS[fault]).run().figures()
 
 
 def test_a_fleet_is_whole_within_half_of_the_bound_more_and_reads_the_origin_twice_at_most():
-    found = play(40, "none")
+    found = simulate(40, "none")
     assert found["half"] <= 1.4
     assert found["last"] <= 1.6
     assert found["origin_copies"] <= 2.0
@@ -26,31 +24,30 @@
 
 def test_without_announcements_it_takes_longer():
     shape = transfer.Shape(agents=20)
-    told = transfer.Rollout(shape, transfer.Fault()).run().figures()
-    untold = transfer.Rollout(shape, transfer.Fault(), announces=False).run().figures()
-    assert told["half"] < untold["half"] - 0.1
+    announced = transfer.Rollout(shape, transfer.Fault()).run().figures()
+    unannounced = transfer.Rollout(shape, transfer.Fault(), announces=False).run().figures()
+    assert announced["half"] < unannounced["half"] - 0.1
 
 
 def test_requests_wait_little_at_a_link_that_carries_less_than_it_should(monkeypatch):
-    found = play(20, "a slow agent")
+    found = simulate(20, "a slow agent")
     assert found["request_wait_ms_worst_link"] <= 300.0
     monkeypatch.setattr(piece_fetcher, "TRANSFER_TARGET_S", 1e9)
-    found = play(20, "a slow agent")
-    assert found["request_wait_ms_worst_link"] >= 800.0, "the window makes no difference"
+    found = simulate(20, "a slow agent")
+    assert found["request_wait_ms_worst_link"] >= 800.0, "the window has no effect"
 
 
 def test_events_wait_little_at_the_link_of_an_engine_that_gives_more_than_it_carries(monkeypatch):
-    # 16 engines join beside 24 that hold all; the link of one of these is narrowed.
+    # 24 engines hold all pieces, one of them has a slow link; 16 others fetch.
     shape = transfer.Shape(agents=40, holders=24)
     found = transfer.Rollout(shape, transfer.FAULTS["a slow agent"]).run().figures()
     assert found["request_wait_ms_worst_link"] <= 300.0
     monkeypatch.setattr(pacing.FeedbackPacer, "record", lambda self, receiver, took_s: None)
     found = transfer.Rollout(shape, transfer.FAULTS["a slow agent"]).run().figures()
-    assert found["request_wait_ms_worst_link"] >= 450.0, "what receivers tell makes no difference"
+    assert found["request_wait_ms_worst_link"] >= 450.0, "the receivers' feedback has no effect"
 
 
 def test_slow_readers_of_the_origin_do_not_hold_all_others_up():
-    # scale-1 of the large site: links of one zone lose packets when the origin is back.
     rollout = transfer.Rollout(transfer.Shape(agents=40), transfer.Fault())
     readers = [agent for agent in rollout.agents.values() if agent.plan.is_reader]
     slow = readers[: len(readers) // 4]
@@ -63,7 +60,7 @@
 
 @pytest.mark.parametrize("fault", ["a lost agent", "a zone cut off for 3 s"])
 def test_all_that_can_be_reached_are_whole_under_a_fault(fault):
-    found = play(20, fault)
+    found = simulate(20, fault)
     assert found["last"] <= 3.0
 
 
@@ -71,7 +68,7 @@
     window = pacing.TransferWindow(8, 0.4)
     for took_s in (1.0, 1.1, 1.2):
         window.record(took_s, 10.0 + took_s)
-    assert window.size == 4.0, "all three had begun before the first halving"
+    assert window.size == 4.0, "all three started before the first decrease"
     window.record(1.0, 12.5)
     assert window.size == 2.0
     assert window.has_room(1) and not window.has_room(2)
