--- a/src/merlinthread/nodes/piece_fetcher.py
+++ b/src/merlinthread/nodes/piece_fetcher.py
@@ -107,7 +107,7 @@
         share = IN_SHARE if serves else IN_SHARE_ALONE
         self.incoming.bytes_per_s = share * self.link_bytes_per_s
         plan.set_peers(self.facts.peers())
-        plan.extra_read_interval_s = self.spare_every_s(plan)
+        plan.spare_every_s = self.spare_every_s(plan)
         self.rate.record(plan.held.bit_count(), self.clock())
         plan.is_late = self.is_late(plan, manifest, started)
 
