--- a/bench/transfer.py
+++ b/bench/transfer.py
@@ -140,7 +140,7 @@
             agent = Agent(number, shape, rate)
             agent.is_dead = number == fault.dead_agent
             if number < shape.holders:
-                agent.plan.held = agent.plan.all
+                agent.plan.held = agent.plan.all_chunks
                 agent.whole_at = 0.0
             self.agents[agent.name] = agent
         for agent in self.agents.values():
--- a/src/merlinthread/coordination/fetch.py
+++ b/src/merlinthread/coordination/fetch.py
@@ -118,7 +118,7 @@
         self.own_name = own_name
         self.manifest = manifest
         self.chunk_count = chunk_count
-        self.all = (1 << chunk_count) - 1
+        self.all_chunks = (1 << chunk_count) - 1
         self.held = held
         self.in_flight = 0
         self.origin_slots = origin_slots
@@ -320,11 +320,11 @@
 
     def is_complete(self) -> bool:
         """Return whether every chunk is held."""
-        return self.held == self.all
+        return self.held == self.all_chunks
 
     def needed(self) -> int:
         """Return the chunks that are neither held nor in flight."""
-        return self.all & ~self.held & ~self.in_flight
+        return self.all_chunks & ~self.held & ~self.in_flight
 
     def next_action(self, now: float) -> Action | None:
         """Return the next action, or None if none can start now."""
--- a/src/merlinthread/nodes/weights_task.py
+++ b/src/merlinthread/nodes/weights_task.py
@@ -202,8 +202,8 @@
         await self.store.flush(manifest.model)
         if self.clock() - self.found_at > FOUND_FOR_S:
             held = await self.find_staged(manifest)
-            if held != plan.all:
-                logs.event("pieces_rotten", count=(plan.all & ~held).bit_count())
+            if held != plan.all_chunks:
+                logs.event("pieces_rotten", count=(plan.all_chunks & ~held).bit_count())
                 plan.held = held
                 return
         await self.await_turn(manifest)
--- a/tests/test_chunk_announcements.py
+++ b/tests/test_chunk_announcements.py
@@ -113,7 +113,7 @@
 
 def test_a_busy_peer_is_asked_again_once_it_has_sent_what_it_promised():
     plan = make_plan(0)
-    plan.on_peer_report(name(5), plan.all, 0.0)
+    plan.on_peer_report(name(5), plan.all_chunks, 0.0)
     assert plan.peers[name(5)] in plan.available_peers(0.01)
     plan.on_peer_busy(name(5), 0.01, free_in_s=0.2)
     assert plan.peers[name(5)] not in plan.available_peers(0.2)
@@ -123,7 +123,7 @@
 def test_a_peer_of_the_own_zone_is_asked_though_words_from_far_are_older():
     # The VM may not request its last chunk from another zone.
     plan = next(plan for plan in map(make_plan, range(VMS)) if plan.rank(40) > 3)
-    plan.held = plan.all & ~(1 << 40)
+    plan.held = plan.all_chunks & ~(1 << 40)
     for peer in plan.peers.values():
         plan.on_peer_report(peer.name, 0, 9.0 if peer.distance == fetch.SAME_ZONE else 1.0)
     plan.last_progress_at = 10.0
--- a/tests/test_fleet_deciders.py
+++ b/tests/test_fleet_deciders.py
@@ -251,17 +251,17 @@
     for me in zone:
         names = {name: fetch.SAME_ZONE for name in zone if name != me} | {"far": fetch.OTHER_REGION}
         plan = make_zoned(me, names)
-        plan.on_peer_report("far", plan.all, 0.0)
+        plan.on_peer_report("far", plan.all_chunks, 0.0)
         asked.append(plan.cross_zone_chunks(0.0))
-    assert asked[0] | asked[1] | asked[2] == make_zoned("a", {}).all
+    assert asked[0] | asked[1] | asked[2] == make_zoned("a", {}).all_chunks
     assert asked[0] & asked[1] == asked[0] & asked[2] == asked[1] & asked[2] == 0
 
 
 def test_a_vm_without_news_asks_far_zones_for_all_it_lacks():
     names = {"b": fetch.SAME_ZONE, "far": fetch.OTHER_REGION}
     plan = make_zoned("a", names)
-    assert plan.cross_zone_chunks(0.0) != plan.all
-    assert plan.cross_zone_chunks(3 * plan.origin_grace_s) == plan.all
+    assert plan.cross_zone_chunks(0.0) != plan.all_chunks
+    assert plan.cross_zone_chunks(3 * plan.origin_grace_s) == plan.all_chunks
 
 
 def test_the_origin_is_read_for_what_is_missing_only_when_time_presses():
@@ -337,7 +337,7 @@
     plan = make_zoned("a", {"b": fetch.SAME_ZONE, "far": fetch.OTHER_REGION})
     plan.held = plan.owned
     plan.spare_every_s = 0.5
-    plan.on_peer_report("b", plan.all & ~plan.owned & ~(1 << 7 | 1 << 9), 0.0)
+    plan.on_peer_report("b", plan.all_chunks & ~plan.owned & ~(1 << 7 | 1 << 9), 0.0)
     plan.postpone_requests("b", 9.0)
     found = []
     for now in (0.0, 0.3, 0.6, 0.9):
@@ -361,7 +361,7 @@
             plan.on_origin_failed(float(now), 0.5, action.index)
         else:
             plan.on_chunk_received(action.index, True, float(now))
-    assert plan.held == plan.all & ~(1 << 3 | 1 << 17)
+    assert plan.held == plan.all_chunks & ~(1 << 3 | 1 << 17)
 
 
 def test_a_rate_is_that_of_the_last_moment():
