--- a/bench/swarm.py
+++ b/bench/swarm.py
@@ -95,7 +95,7 @@
                 if name == agent.weights.name:
                     continue
                 is_reached = (other == cut) == (zone == cut)
-                distance = fetch.OWN_ZONE if other == zone else fetch.OWN_REGION
+                distance = fetch.SAME_ZONE if other == zone else fetch.SAME_REGION
                 peers.append(fetch.Peer(name, address if is_reached else NOWHERE, distance))
             agent.weights.want({order["manifest"]: peers})
         return {}
@@ -125,7 +125,7 @@
         for agent in self.agents.values():
             for download in agent.weights.downloads.values():
                 if download.plan is not None:
-                    total.update(dataclasses.asdict(download.plan.tally))
+                    total.update(dataclasses.asdict(download.plan.stats))
         return dict(total)
 
     def run(self) -> None:
--- a/bench/transfer.py
+++ b/bench/transfer.py
@@ -112,8 +112,8 @@
             random.Random(shape.seed * 1000 + number),
         )
         self.plan.origin_grace_s = piece_fetcher.ORIGIN_GRACE_S
-        self.plan.asks_per_peer = piece_fetcher.ASKS_PER_PEER
-        self.plan.readers_max = fetch.readers_for(shape.origin_rate, shape.link_rate)
+        self.plan.requests_per_peer = piece_fetcher.ASKS_PER_PEER
+        self.plan.readers_max = fetch.origin_reader_count(shape.origin_rate, shape.link_rate)
         self.window = pacing.TransferWindow(piece_fetcher.PARALLEL, piece_fetcher.TRANSFER_TARGET_S)
         self.rate = pacing.RecentRate(piece_fetcher.RATE_WINDOW_S)
         self.began: dict[int, float] = {}
@@ -140,7 +140,7 @@
             agent = Agent(number, shape, rate)
             agent.is_dead = number == fault.dead_agent
             if number < shape.holders:
-                agent.plan.held = agent.plan.all
+                agent.plan.held = agent.plan.all_chunks
                 agent.whole_at = 0.0
             self.agents[agent.name] = agent
         for agent in self.agents.values():
@@ -156,7 +156,7 @@
 
     def distance(self, one: Agent, other: Agent) -> int:
         """Return the distance between two agents."""
-        return fetch.OWN_ZONE if one.zone == other.zone else fetch.FAR
+        return fetch.SAME_ZONE if one.zone == other.zone else fetch.OTHER_REGION
 
     def at(self, when: float, do: Callable[[], None]) -> None:
         """Let something happen at a time."""
@@ -189,7 +189,7 @@
 
     def tick(self, agent: Agent) -> None:
         """Let an agent look for work, again and again."""
-        agent.rate.note(agent.plan.held.bit_count(), self.now)
+        agent.rate.record(agent.plan.held.bit_count(), self.now)
         agent.plan.is_late = self.is_late(agent)
         self.work(agent)
         if agent.whole_at is None:
@@ -205,16 +205,16 @@
     def work(self, agent: Agent) -> None:
         """Begin what the plan says, as long as the pace allows."""
         plan = agent.plan
-        while agent.window.has_room(plan.asking.total() + plan.origin_busy):
+        while agent.window.has_room(plan.open_requests.total() + plan.origin_reads):
             if agent.incoming.wait_s(self.now):
                 return
             action = plan.next_action(self.now)
             if action is None:
                 return
-            plan.began(action)
+            plan.on_action_started(action)
             agent.began[id(action)] = self.now
             agent.incoming.reserve(self.shape.piece_bytes, self.now)
-            if isinstance(action, fetch.FromOrigin):
+            if isinstance(action, fetch.OriginRead):
                 self.claim(agent, action)
                 self.read_origin(agent, action)
             else:
@@ -223,15 +223,15 @@
     def end(self, agent: Agent, action: fetch.Action, index: int) -> None:
         """Close an action that brought the piece `index`, or none (-1)."""
         plan = agent.plan
-        plan.ended(action)
+        plan.on_action_finished(action)
         took_s = self.now - agent.began.pop(id(action))
         if index < 0:
-            agent.incoming.give_back(self.shape.piece_bytes)
+            agent.incoming.cancel_reservation(self.shape.piece_bytes)
         else:
-            if isinstance(action, fetch.FromPeer):
+            if isinstance(action, fetch.PeerRequest):
                 agent.took_s[action.peer] = took_s
-                agent.window.note(took_s, self.now)
-            plan.got(index, isinstance(action, fetch.FromOrigin), self.now)
+                agent.window.record(took_s, self.now)
+            plan.on_chunk_received(index, isinstance(action, fetch.OriginRead), self.now)
             self.announce(agent, action, index)
         if plan.is_complete() and agent.whole_at is None:
             agent.whole_at = self.now
@@ -241,18 +241,18 @@
         """Tell those whom it concerns of a piece."""
         if not self.announces:
             return
-        for name in agent.plan.audience(action):
+        for name in agent.plan.announcement_recipients(action):
             other = self.agents[name]
             self.counts["announced"] += 1
             when = self.now + DELAY_S[self.distance(agent, other)]
-            self.at(when, lambda other=other: other.plan.announced(agent.name, index))
+            self.at(when, lambda other=other: other.plan.on_announcement(agent.name, index))
 
-    def claim(self, agent: Agent, action: fetch.FromOrigin) -> None:
+    def claim(self, agent: Agent, action: fetch.OriginRead) -> None:
         """Tell other readers which piece is being read."""
-        for name in agent.plan.rivals():
+        for name in agent.plan.claim_recipients():
             other = self.agents[name]
             when = self.now + DELAY_S[self.distance(agent, other)]
-            self.at(when, lambda other=other: other.plan.claimed(action.index, self.now))
+            self.at(when, lambda other=other: other.plan.on_claim(action.index, self.now))
 
     def is_cut(self, zone: int) -> bool:
         """Return whether a zone can't be reached from the others now."""
@@ -262,7 +262,7 @@
         """Return whether two zones can't reach each other now."""
         return one != other and (self.is_cut(one) or self.is_cut(other))
 
-    def read_origin(self, agent: Agent, action: fetch.FromOrigin) -> None:
+    def read_origin(self, agent: Agent, action: fetch.OriginRead) -> None:
         """Read a piece from the origin, which stands in zone 0."""
         delay = DELAY_S[0 if agent.zone == 0 else 2]
         is_down = self.fault.origin_down_from <= self.now < self.fault.origin_down_to
@@ -278,9 +278,9 @@
             ),
         )
 
-    def refused(self, agent: Agent, action: fetch.FromOrigin) -> None:
+    def refused(self, agent: Agent, action: fetch.OriginRead) -> None:
         """Note that the origin gave nothing."""
-        agent.plan.origin_failed(self.now, piece_fetcher.ORIGIN_WAIT_S, action.index)
+        agent.plan.on_origin_failed(self.now, piece_fetcher.ORIGIN_WAIT_S, action.index)
         self.end(agent, action, -1)
 
     def send(
@@ -304,7 +304,7 @@
         when = self.now + gap_s if gap_s else through
         self.at(when, lambda: self.send(link, agent, delay, left, gap_s, done))
 
-    def ask(self, agent: Agent, action: fetch.FromPeer) -> None:
+    def ask(self, agent: Agent, action: fetch.PeerRequest) -> None:
         """Ask a peer for a piece."""
         peer = self.agents[action.peer]
         delay = DELAY_S[self.distance(agent, peer)]
@@ -316,19 +316,19 @@
         left = agent.link_out.carry(ASK_BYTES, self.now)
         self.at(left + delay, lambda: self.give(agent, peer, action, held, delay))
 
-    def failed(self, agent: Agent, action: fetch.FromPeer) -> None:
+    def failed(self, agent: Agent, action: fetch.PeerRequest) -> None:
         """Note that a peer did not answer."""
-        agent.plan.peer_failed(action.peer, self.now)
+        agent.plan.on_peer_failed(action.peer, self.now)
         self.end(agent, action, -1)
 
     def give(
-        self, agent: Agent, peer: Agent, action: fetch.FromPeer, held: int, delay: float
+        self, agent: Agent, peer: Agent, action: fetch.PeerRequest, held: int, delay: float
     ) -> None:
         """Let a peer answer."""
-        peer.plan.heard(agent.name, held, self.now)
+        peer.plan.on_peer_report(agent.name, held, self.now)
         if agent.took_s.get(peer.name):
-            peer.outgoing.note(agent.name, agent.took_s.pop(peer.name))
-        wanted = fetch.bits(action.wanted & peer.plan.held)
+            peer.outgoing.record(agent.name, agent.took_s.pop(peer.name))
+        wanted = fetch.bit_positions(action.wanted & peer.plan.held)
         told = peer.plan.held
         free_in_s = peer.outgoing.wait_s(self.now) if wanted else 0.0
         if not wanted or free_in_s > piece_giver.UPLOAD_WAIT_S_MAX:
@@ -341,19 +341,19 @@
         gap_s = QUANTUM_BYTES / peer.outgoing.bytes_per_s
 
         def done() -> None:
-            agent.plan.heard(action.peer, told, self.now)
+            agent.plan.on_peer_report(action.peer, told, self.now)
             self.end(agent, action, index)
 
         self.at(start, lambda: self.send(peer.link_out, agent, delay, 0, gap_s, done))
 
-    def nothing(self, agent: Agent, action: fetch.FromPeer, told: int, free_in_s: float) -> None:
+    def nothing(self, agent: Agent, action: fetch.PeerRequest, told: int, free_in_s: float) -> None:
         """Note that a peer is busy for so long, or (0) has nothing of what was asked."""
         self.counts["in vain"] += 1
-        agent.plan.heard(action.peer, told, self.now)
+        agent.plan.on_peer_report(action.peer, told, self.now)
         if free_in_s:
-            agent.plan.peer_busy(action.peer, self.now, free_in_s)
+            agent.plan.on_peer_busy(action.peer, self.now, free_in_s)
         else:
-            agent.plan.peer_empty(action.peer, self.now)
+            agent.plan.on_peer_empty(action.peer, self.now)
         self.end(agent, action, -1)
 
     def bound_s(self) -> float:
--- a/src/merlinthread/coordination/fetch_policies.py
+++ b/src/merlinthread/coordination/fetch_policies.py
@@ -1,4 +1,4 @@
-"""The policies of `fetch` in force: `spread`, and `zoned` where links between zones are dear."""
+"""Fetch policies: `spread`, and `zoned`, which limits traffic between availability zones."""
 
 import math
 from collections.abc import Sequence
@@ -8,10 +8,11 @@
 
 @fetch.POLICIES.add("spread")
 class Spread(fetch.FetchPlan):
-    """Each chunk is read from the origin by one VM, its owner; the rest passes between VMs.
+    """One VM, the owner, reads a chunk from the origin; the others get it from peers.
 
-    The owner is first in rendezvous order among the readers, a few participants that are the same
-    for everybody. A chunk that is nowhere to be had for `origin_grace_s` is read by another VM.
+    The owner is the first in rendezvous order among the readers, a subset of the participants
+    that every VM computes alike. If no chunk comes from a peer for `origin_grace_s`, another VM
+    reads the missing chunks from the origin.
     """
 
     owned = 0
@@ -19,163 +20,177 @@
     readers: Sequence[str] = ()
     readers_max = fetch.READERS_MAX
 
-    def on_participants(self) -> None:
-        """Find the chunks that this VM reads from the origin."""
-        ordered = sorted(self.participants, key=lambda name: fetch.weight(name, self.manifest, -1))
+    def on_participants_changed(self) -> None:
+        """Recompute the readers and the chunks that this VM owns."""
+        ordered = sorted(
+            self.participants, key=lambda name: fetch.rendezvous_weight(name, self.manifest, -1)
+        )
         self.readers = ordered[: self.readers_max]
         self.owned = 0
-        self.is_reader = self.me in self.readers
+        self.is_reader = self.own_name in self.readers
         if not self.is_reader:
             return
         for index in range(self.chunk_count):
             if (
-                max(self.readers, key=lambda name: fetch.weight(name, self.manifest, index))
-                == self.me
+                max(
+                    self.readers,
+                    key=lambda name: fetch.rendezvous_weight(name, self.manifest, index),
+                )
+                == self.own_name
             ):
                 self.owned |= 1 << index
 
     def next_action(self, now: float) -> fetch.Action | None:
-        """Read what is owned, else ask the nearest peer for what is rarest."""
+        """Read an owned chunk, else request the rarest chunks from the nearest peer."""
         needed = self.needed()
         if not needed:
             return None
         own = needed & self.owned
         if own and self.may_read_origin(now):
-            return fetch.FromOrigin(self.rng.choice(fetch.bits(own)))
-        for peer in self.askable(now):
-            action = self.ask(peer, now)
+            return fetch.OriginRead(self.rng.choice(fetch.bit_positions(own)))
+        for peer in self.available_peers(now):
+            action = self.build_request(peer, now)
             if action is not None:
                 return action
-        return self.rescue(needed, now) or self.probe(needed, now)
+        return self.fallback_read(needed, now) or self.probe(needed, now)
 
-    def probe(self, needed: int, now: float) -> fetch.FromPeer | None:
-        """Ask the peer whose word is most overdue for a part of what is needed.
+    def probe(self, needed: int, now: float) -> fetch.PeerRequest | None:
+        """Request a sample of the needed chunks from the peer with the stalest report.
 
-        Far peers are due less often, but they come: near ones may all lack the same chunks.
+        Reports from other zones may grow older, but are refreshed too: the peers of this zone may
+        all lack the same chunks.
         """
-        due = [peer for peer in self.askable(now) if peer.overdue(now) > 1]
+        due = [peer for peer in self.available_peers(now) if peer.staleness(now) > 1]
         if not due:
             return None
-        peer = max(due, key=lambda peer: peer.overdue(now))
-        indices = fetch.bits(needed)
+        peer = max(due, key=lambda peer: peer.staleness(now))
+        indices = fetch.bit_positions(needed)
         part = self.rng.sample(indices, max(1, len(indices) // 4))
-        return fetch.FromPeer(peer.name, sum(1 << index for index in part))
+        return fetch.PeerRequest(peer.name, sum(1 << index for index in part))
 
-    def rescue(self, needed: int, now: float) -> fetch.FromOrigin | None:
-        """Read a chunk whose owner does not deliver, if this VM is next to do so.
+    def fallback_read(self, needed: int, now: float) -> fetch.OriginRead | None:
+        """Read a chunk whose owner has not delivered it in time, or return None.
 
-        Each VM of a zone waits longer the later it stands in the chunk's rendezvous order; so a
-        zone that is cut off reads a chunk that it lacks about once.
+        The delay grows with this VM's rank for the chunk in its zone, so that a partitioned zone
+        reads each missing chunk about once.
         """
-        waited = now - self.last_news_at
+        waited = now - self.last_progress_at
         if waited < self.origin_grace_s or not self.may_read_origin(now):
             return None
         for peer in self.peers.values():
-            if peer.lost_until < now:
+            if peer.unavailable_until < now:
                 needed &= ~peer.held
         due = [
             index
-            for index in fetch.bits(needed)
+            for index in fetch.bit_positions(needed)
             if waited >= self.origin_grace_s * (1 + self.rank(index))
         ]
         if not due:
             return None
-        return fetch.FromOrigin(min(due, key=self.rank))
+        return fetch.OriginRead(min(due, key=self.rank))
 
     def rank(self, index: int) -> int:
-        """Return this VM's place in its zone's rendezvous order for a chunk, from 0."""
+        """Return this VM's position in its zone's rendezvous order for a chunk, from 0."""
         if index not in self.ranks:
-            mine = fetch.weight(self.me, self.manifest, index)
-            ahead = [name for name in self.near if fetch.weight(name, self.manifest, index) > mine]
+            mine = fetch.rendezvous_weight(self.own_name, self.manifest, index)
+            ahead = [
+                name
+                for name in self.zone_members
+                if fetch.rendezvous_weight(name, self.manifest, index) > mine
+            ]
             self.ranks[index] = len(ahead)
         return self.ranks[index]
 
 
 @fetch.POLICIES.add("zoned")
 class Zoned(Spread):
-    """As `Spread`, but each chunk crosses into a zone about once.
+    """Like `Spread`, but transfers each chunk into a zone about once.
+
+    Only the VM that ranks first for a chunk in its zone requests it from another zone. The longer
+    a VM makes no progress, the higher the rank up to which it may request chunks.
 
-    A chunk is asked of a far peer only by the VM that is first for it in its zone; the others get
-    it from that one. The longer a VM has heard nothing new, the more chunks it may ask for itself.
-    Two bounds let a reader read the origin for what is not its own, and the owner sets both: one
-    chunk each `spare_every_s`, its share of the origin's link, if no peer can serve it now; and
-    with `is_late` as fast as the origin gives.
+    The owner of the plan sets two limits on reading chunks of other owners from the origin. A
+    reader may read one each `spare_every_s` while no peer can serve it. With `is_late` it
+    reads without that limit.
     """
 
     is_late = False
     spare_every_s = math.inf
-    spare_at = float("-inf")
+    next_extra_read_at = float("-inf")
 
     def next_action(self, now: float) -> fetch.Action | None:
-        """Read what is owned, or what is missing if time presses; else as `Spread`."""
+        """Read any needed chunk, owned ones first, if late; otherwise act like `Spread`."""
         needed = self.needed()
         if self.is_late and self.is_reader and needed and self.may_read_origin(now):
-            return fetch.FromOrigin(self.scarcest(needed & self.owned or needed))
+            return fetch.OriginRead(self.scarcest_in_zone(needed & self.owned or needed))
         return super().next_action(now)
 
-    def rescue(self, needed: int, now: float) -> fetch.FromOrigin | None:
-        """Read a chunk whose owner does not deliver, or one within this VM's share."""
-        return super().rescue(needed, now) or self.spare(needed, now)
+    def fallback_read(self, needed: int, now: float) -> fetch.OriginRead | None:
+        """Read an overdue chunk, or else one within this VM's share of the origin's link."""
+        return super().fallback_read(needed, now) or self.extra_read(needed, now)
 
-    def spare(self, needed: int, now: float) -> fetch.FromOrigin | None:
-        """Read a chunk of another owner within this VM's share of the origin's link."""
-        if not self.is_reader or now < self.spare_at or not self.may_read_origin(now):
+    def extra_read(self, needed: int, now: float) -> fetch.OriginRead | None:
+        """Read a chunk of another owner, at most one each `spare_every_s`."""
+        if not self.is_reader or now < self.next_extra_read_at or not self.may_read_origin(now):
             return None
         if self.spare_every_s == math.inf:
             return None
-        self.spare_at = now + self.spare_every_s
-        return fetch.FromOrigin(self.scarcest(needed))
+        self.next_extra_read_at = now + self.spare_every_s
+        return fetch.OriginRead(self.scarcest_in_zone(needed))
 
-    def scarcest(self, needed: int) -> int:
-        """Return a chunk of `needed` that no VM of the zone is known to have, if there is one.
+    def scarcest_in_zone(self, needed: int) -> int:
+        """Return a chunk of `needed`, preferably one that no VM of this zone is known to hold.
 
-        Of several it is the one for which this VM is first, so that VMs do not read the same; one
-        that the origin failed to give goes last.
+        Chunks with the fewest failed origin reads come first, then those for which this VM has the
+        lowest rank, so that the VMs of a zone read different chunks.
         """
         missing = needed
         for peer in self.peers.values():
-            if peer.distance == fetch.OWN_ZONE:
+            if peer.distance == fetch.SAME_ZONE:
                 missing &= ~peer.held
         return min(
-            fetch.bits(missing or needed),
+            fetch.bit_positions(missing or needed),
             key=lambda index: (self.origin_failures[index], self.rank(index)),
         )
 
-    def ask(self, peer: fetch_peers.PeerState, now: float) -> fetch.FromPeer | None:
-        """Return a request; of a far peer only for what this VM is to bring into its zone."""
-        if peer.distance == fetch.OWN_ZONE:
-            return super().ask(peer, now)
-        allowed = self.to_bring(now)
+    def build_request(self, peer: fetch_peers.PeerState, now: float) -> fetch.PeerRequest | None:
+        """Return a request, limited to `cross_zone_chunks` if the peer is in another zone."""
+        if peer.distance == fetch.SAME_ZONE:
+            return super().build_request(peer, now)
+        allowed = self.cross_zone_chunks(now)
         if not allowed & peer.held:
             return None
         held, peer.held = peer.held, peer.held & allowed
         try:
-            return super().ask(peer, now)
+            return super().build_request(peer, now)
         finally:
             peer.held = held
 
-    def probe(self, needed: int, now: float) -> fetch.FromPeer | None:
-        """Ask the peer whose word is most overdue; a far one only for what is to be brought."""
-        brought = self.to_bring(now)
+    def probe(self, needed: int, now: float) -> fetch.PeerRequest | None:
+        """Request needed chunks from the peer with the stalest report.
+
+        A request to another zone is limited to `cross_zone_chunks`.
+        """
+        allowed = self.cross_zone_chunks(now)
         due = [
             peer
-            for peer in self.askable(now)
-            if peer.overdue(now) > 1 and (peer.distance == fetch.OWN_ZONE or brought)
+            for peer in self.available_peers(now)
+            if peer.staleness(now) > 1 and (peer.distance == fetch.SAME_ZONE or allowed)
         ]
         if not due:
             return None
-        peer = max(due, key=lambda peer: peer.overdue(now))
-        return fetch.FromPeer(peer.name, needed if peer.distance == fetch.OWN_ZONE else brought)
+        peer = max(due, key=lambda peer: peer.staleness(now))
+        return fetch.PeerRequest(peer.name, needed if peer.distance == fetch.SAME_ZONE else allowed)
 
-    def to_bring(self, now: float) -> int:
-        """Return the chunks that this VM may ask far peers for."""
-        waited = now - self.last_news_at
+    def cross_zone_chunks(self, now: float) -> int:
+        """Return the chunks that this VM may request from other zones."""
+        waited = now - self.last_progress_at
         steps = int(waited / self.origin_grace_s)
-        return self.needed() & self.up_to_rank(steps)
+        return self.needed() & self.chunks_up_to_rank(steps)
 
-    def up_to_rank(self, rank: int) -> int:
-        """Return the chunks for which this VM's place in its zone's order is `rank` or less."""
-        key = min(rank, len(self.near))
+    def chunks_up_to_rank(self, rank: int) -> int:
+        """Return the chunks for which this VM's rank in its zone is at most `rank`."""
+        key = min(rank, len(self.zone_members))
         if key not in self.rank_masks:
             self.rank_masks[key] = sum(
                 1 << index for index in range(self.chunk_count) if self.rank(index) <= key
--- a/src/merlinthread/nodes/membership.py
+++ b/src/merlinthread/nodes/membership.py
@@ -42,12 +42,12 @@
     """
     path = folder / FILE
     if path.exists():
-        return msgspec.json.decode(records.read_whole(path), type=Membership)
+        return msgspec.json.decode(records.read_single(path), type=Membership)
     seeds = settings.control_nodes()
     if is_first_start:
         voters = seeds if address in seeds else []
         found = Membership(address, voters, levels.NEWEST)
     else:
         found = Membership(f"{address}#{identity[:12]}", [])
-    records.write_whole(path, msgspec.json.encode(found))
+    records.write_atomic(path, msgspec.json.encode(found))
     return found
--- a/src/merlinthread/nodes/piece_fetcher.py
+++ b/src/merlinthread/nodes/piece_fetcher.py
@@ -108,7 +108,7 @@
         self.incoming.bytes_per_s = share * self.link_bytes_per_s
         plan.set_peers(self.facts.peers())
         plan.spare_every_s = self.spare_every_s(plan)
-        self.rate.note(plan.held.bit_count(), self.clock())
+        self.rate.record(plan.held.bit_count(), self.clock())
         plan.is_late = self.is_late(plan, manifest, started)
 
     def begin_transfers(
@@ -122,20 +122,20 @@
             action = plan.next_action(self.clock())
             if action is None:
                 return
-            plan.began(action)
-            if isinstance(action, fetch.FromOrigin):
+            plan.on_action_started(action)
+            if isinstance(action, fetch.OriginRead):
                 self.claim(plan, manifest, action)
             self.incoming.reserve(self.facts.piece_bytes(), self.clock())
             running.add(loop.create_task(self.carry_out(plan, manifest, action)))
 
     def claim(
-        self, plan: fetch.FetchPlan, manifest: fleet.Manifest, action: fetch.FromOrigin
+        self, plan: fetch.FetchPlan, manifest: fleet.Manifest, action: fetch.OriginRead
     ) -> None:
         """Tell other readers of the origin which piece is being read."""
         claim = node_messages.PieceClaim(
             manifest.model, manifest.version, self.facts.me, action.index
         )
-        for rival in plan.rivals():
+        for rival in plan.claim_recipients():
             self.send(rival, claim)
 
     def spare_every_s(self, plan: fetch_policies.Zoned) -> float:
@@ -150,7 +150,7 @@
         if not self.facts.named(manifest.model) or now - started < RATE_AFTER_S:
             return False
         missing = plan.chunk_count - plan.held.bit_count()
-        leave_at = self.facts.bound_at(manifest) - change_over.LEAVE_S
+        leave_at = self.facts.bound_at(manifest) - change_over.EXPIRY_MARGIN_S
         return now + missing / max(self.rate.per_s(), 1.0) > leave_at
 
     # One piece
@@ -162,26 +162,26 @@
         began = self.clock()
         index = -1
         try:
-            if isinstance(action, fetch.FromOrigin):
+            if isinstance(action, fetch.OriginRead):
                 index = await self.from_origin(plan, manifest, action)
             else:
                 index = await self.from_peer(plan, manifest, action)
         finally:
-            plan.ended(action)
+            plan.on_action_finished(action)
             if index < 0:
-                self.incoming.give_back(self.facts.piece_bytes())
+                self.incoming.cancel_reservation(self.facts.piece_bytes())
         if index < 0:
             return
-        is_from_origin = isinstance(action, fetch.FromOrigin)
-        if isinstance(action, fetch.FromPeer):
+        is_from_origin = isinstance(action, fetch.OriginRead)
+        if isinstance(action, fetch.PeerRequest):
             self.took_s[action.peer] = round(self.clock() - began, 3)
-            self.window.note(self.clock() - began, self.clock())
-        plan.got(index, is_from_origin, self.clock())
+            self.window.record(self.clock() - began, self.clock())
+        plan.on_chunk_received(index, is_from_origin, self.clock())
         metrics.pieces_total.labels("origin" if is_from_origin else "peer").inc()
         self.announce(plan, manifest, action, index)
 
     async def from_origin(
-        self, plan: fetch.FetchPlan, manifest: fleet.Manifest, action: fetch.FromOrigin
+        self, plan: fetch.FetchPlan, manifest: fleet.Manifest, action: fetch.OriginRead
     ) -> int:
         """Get a piece from the origin and stage it; return its index, or -1."""
         try:
@@ -189,7 +189,7 @@
             await self.store.put(manifest.model, action.index, data)
         except errors.MerlinthreadError as error:
             wait_s = max(ORIGIN_WAIT_S, engine_client.origin_rest_s(error))
-            plan.origin_failed(self.clock(), wait_s, action.index)
+            plan.on_origin_failed(self.clock(), wait_s, action.index)
             logs.debug(
                 "piece_failed",
                 index=action.index,
@@ -201,7 +201,7 @@
         return action.index
 
     async def from_peer(
-        self, plan: fetch.FetchPlan, manifest: fleet.Manifest, action: fetch.FromPeer
+        self, plan: fetch.FetchPlan, manifest: fleet.Manifest, action: fetch.PeerRequest
     ) -> int:
         """Get one of the wanted pieces from a peer and stage it; return its index, or -1."""
         reply = await self.ask(plan, manifest, action)
@@ -209,13 +209,13 @@
             return -1
         now = self.clock()
         if reply.is_busy:
-            plan.peer_busy(action.peer, now, reply.free_in_s)
+            plan.on_peer_busy(action.peer, now, reply.free_in_s)
             return -1
         if reply.index < 0:
-            plan.peer_empty(action.peer, now)
+            plan.on_peer_empty(action.peer, now)
             return -1
         if engine_client.digest_of(reply.data) != manifest.digests[reply.index]:
-            plan.peer_corrupt(action.peer, now)
+            plan.on_corrupt_chunk(action.peer, now)
             return -1
         try:
             await self.store.put(manifest.model, reply.index, reply.data)
@@ -225,25 +225,25 @@
         return reply.index
 
     async def ask(
-        self, plan: fetch.FetchPlan, manifest: fleet.Manifest, action: fetch.FromPeer
+        self, plan: fetch.FetchPlan, manifest: fleet.Manifest, action: fetch.PeerRequest
     ) -> node_messages.PieceReply | None:
         """Return a peer's answer, or None if it gave none."""
         count = len(manifest.digests)
         request = node_messages.PieceRequest(
             manifest.model,
             manifest.version,
-            fetch.to_bytes(action.wanted, count),
+            fetch.bitset_to_bytes(action.wanted, count),
             self.facts.me,
-            fetch.to_bytes(plan.held, count),
+            fetch.bitset_to_bytes(plan.held, count),
             self.took_s.pop(action.peer, 0.0),
         )
         try:
             reply = await self.caller.call(action.peer, request, PEER_TIMEOUT_S)
         except errors.MerlinthreadError as error:
-            plan.peer_failed(action.peer, self.clock())
+            plan.on_peer_failed(action.peer, self.clock())
             logs.debug("peer_silent", peer=action.peer, reason=error.message)
             return None
-        plan.heard(action.peer, fetch.from_bytes(reply.held, count), self.clock())
+        plan.on_peer_report(action.peer, fetch.bitset_from_bytes(reply.held, count), self.clock())
         return reply
 
     def announce(
@@ -251,7 +251,7 @@
     ) -> None:
         """Tell those whom it concerns that a piece is here."""
         note = node_messages.PieceNotice(manifest.model, manifest.version, self.facts.me, index)
-        for peer in plan.audience(action):
+        for peer in plan.announcement_recipients(action):
             self.send(peer, note)
 
     def log_progress(
@@ -264,14 +264,14 @@
             held=plan.held.bit_count(),
             pieces=plan.chunk_count,
             seconds=round(seconds, 3),
-            origin=plan.tally.from_origin,
-            peers=plan.tally.from_peers,
-            corrupt=plan.tally.corrupt,
-            failed=plan.tally.failed,
-            busy=plan.tally.busy,
-            empty=plan.tally.empty,
-            doubled=plan.tally.doubled,
+            origin=plan.stats.from_origin,
+            peers=plan.stats.from_peers,
+            corrupt=plan.stats.corrupt,
+            failed=plan.stats.failed,
+            busy=plan.stats.busy,
+            empty=plan.stats.empty,
+            doubled=plan.stats.doubled,
             window=round(self.window.size, 1),
-            asking=plan.asking.total(),
-            took_ms=round(1000 * self.window.last_s),
+            asking=plan.open_requests.total(),
+            took_ms=round(1000 * self.window.last_duration_s),
         )
--- a/src/merlinthread/nodes/piece_giver.py
+++ b/src/merlinthread/nodes/piece_giver.py
@@ -40,7 +40,7 @@
     def note_serving(self, is_serving: bool) -> None:
         """Set the pace by whether the engine serves requests beside the pieces."""
         share = OUT_SHARE if is_serving else OUT_SHARE_ALONE
-        self.outgoing.set_most(share * self.link_bytes_per_s)
+        self.outgoing.set_full_rate(share * self.link_bytes_per_s)
 
     async def give(
         self, plan: fetch.FetchPlan, manifest: fleet.Manifest, request: node_messages.PieceRequest
@@ -49,12 +49,14 @@
         if (manifest.model, manifest.version) != (request.model, request.version):
             return NOTHING
         count = len(manifest.digests)
-        held = fetch.to_bytes(plan.held, count)
+        held = fetch.bitset_to_bytes(plan.held, count)
         if request.took_s:
-            self.outgoing.note(request.sender, request.took_s)
+            self.outgoing.record(request.sender, request.took_s)
         if request.sender:
-            plan.heard(request.sender, fetch.from_bytes(request.held, count), self.clock())
-        wanted = fetch.bits(fetch.from_bytes(request.wanted, count) & plan.held)
+            plan.on_peer_report(
+                request.sender, fetch.bitset_from_bytes(request.held, count), self.clock()
+            )
+        wanted = fetch.bit_positions(fetch.bitset_from_bytes(request.wanted, count) & plan.held)
         if not wanted:
             return node_messages.PieceReply(-1, b"", held)
         now = self.clock()
--- a/src/merlinthread/nodes/weights_task.py
+++ b/src/merlinthread/nodes/weights_task.py
@@ -158,8 +158,8 @@
             self.rng,
         )
         plan.origin_grace_s = piece_fetcher.ORIGIN_GRACE_S
-        plan.asks_per_peer = piece_fetcher.ASKS_PER_PEER
-        plan.readers_max = fetch.readers_for(
+        plan.requests_per_peer = piece_fetcher.ASKS_PER_PEER
+        plan.readers_max = fetch.origin_reader_count(
             self.facts.origin_bytes_per_s(), self.fetcher.link_bytes_per_s
         )
         return plan
@@ -202,8 +202,8 @@
         await self.store.flush(manifest.model)
         if self.clock() - self.found_at > FOUND_FOR_S:
             held = await self.find_staged(manifest)
-            if held != plan.all:
-                logs.event("pieces_rotten", count=(plan.all & ~held).bit_count())
+            if held != plan.all_chunks:
+                logs.event("pieces_rotten", count=(plan.all_chunks & ~held).bit_count())
                 plan.held = held
                 return
         await self.await_turn(manifest)
@@ -222,12 +222,12 @@
         if not self.is_serving():
             return
         group, bound_at = self.facts.group(), self.facts.bound_at(manifest)
-        turn_at = change_over.turn_at(group, self.clock(), bound_at)
+        turn_at = change_over.reload_time(group, self.clock(), bound_at)
         await asyncio.sleep(max(0.0, turn_at - self.clock()))
 
     async def await_next_try(self, manifest: fleet.Manifest) -> None:
         """Wait before weights are ordered again under which the engine ended several times."""
-        wait_s = change_over.load_again_s(self.ends_in_load)
+        wait_s = change_over.load_retry_delay_s(self.ends_in_load)
         if wait_s:
             logs.warning(
                 "load_put_off", version=manifest.version, ends=self.ends_in_load, wait_s=wait_s
@@ -271,6 +271,6 @@
         if (manifest.model, manifest.version) != (note.model, note.version):
             return
         if isinstance(note, node_messages.PieceClaim):
-            self.plan.claimed(note.index, self.clock())
+            self.plan.on_claim(note.index, self.clock())
         else:
-            self.plan.announced(note.sender, note.index)
+            self.plan.on_announcement(note.sender, note.index)
--- a/src/merlinthread/roles/agent.py
+++ b/src/merlinthread/roles/agent.py
@@ -70,7 +70,7 @@
         """Return the entries to report to: a few of the zone's, others for other agents."""
         ordered = sorted(
             self.config.entries,
-            key=lambda address: fetch.weight(address, self.parts.settings.name, 0),
+            key=lambda address: fetch.rendezvous_weight(address, self.parts.settings.name, 0),
         )
         return ordered[: self.config.heartbeat_entries]
 
@@ -211,11 +211,11 @@
         for task in self.beats:
             task.wake.set()
 
-    def wanted(self, directive: control_state.Directive) -> list[switch.Wanted]:
+    def wanted(self, directive: control_state.Directive) -> list[switch.WantedModel]:
         """Return what the engine should serve."""
         if self.config.target_kind == bundles.SERVICE:
             return []
-        return switch.wanted_of(directive, self.parts.settings.name)
+        return switch.wanted_models(directive, self.parts.settings.name)
 
     def participants(self, directive: control_state.Directive) -> dict[str, list[fetch.Peer]]:
         """Return the manifests wanted here, each with the other VMs that should hold it."""
@@ -224,7 +224,7 @@
             if name == self.parts.settings.name:
                 continue
             peer = fetch.Peer(name, placed.bus, self.distance(placed))
-            for item in switch.wanted_of(directive, name):
+            for item in switch.wanted_models(directive, name):
                 if item.manifest in found:
                     found[item.manifest].append(peer)
         return found
@@ -232,10 +232,10 @@
     def distance(self, placed: commands.Placed) -> int:
         """Return how far another VM is."""
         if placed.availability_zone == self.parts.settings.availability_zone:
-            return fetch.OWN_ZONE
+            return fetch.SAME_ZONE
         if placed.region == self.parts.settings.region:
-            return fetch.OWN_REGION
-        return fetch.FAR
+            return fetch.SAME_REGION
+        return fetch.OTHER_REGION
 
     # Orders
 
@@ -249,7 +249,7 @@
         if self.trouble and now < self.tried_at + REFUSED_WAIT_S:
             return
         directive = self.directive
-        wanted = switch.wanted_of(directive, self.parts.settings.name)
+        wanted = switch.wanted_models(directive, self.parts.settings.name)
         step = switch.next_step(
             wanted, self.target.serving, self.weights.complete(), bool(directive.paused)
         )
@@ -262,7 +262,7 @@
         """Give one order and note what came of it."""
         layout = None
         if isinstance(step, switch.Load):
-            layout = manifests.to_layout(self.weights.manifests[step.item.manifest])
+            layout = manifests.to_dict(self.weights.manifests[step.item.manifest])
         try:
             self.target.order(step, directive.generation, layout)
             self.trouble = ""
--- a/src/merlinthread/roles/chunk_giver.py
+++ b/src/merlinthread/roles/chunk_giver.py
@@ -40,15 +40,15 @@
             plan = download.plan if download else None
             held = plan.held if plan else self.held_of(manifest)
             if plan is not None:
-                plan.heard(wanted.agent, fetch.from_bytes(wanted.held, count), now)
-            shown = fetch.to_bytes(held, count)
-            offered = held & fetch.from_bytes(wanted.wanted, count)
+                plan.on_peer_report(wanted.agent, fetch.bitset_from_bytes(wanted.held, count), now)
+            shown = fetch.bitset_to_bytes(held, count)
+            offered = held & fetch.bitset_from_bytes(wanted.wanted, count)
             if not offered:
                 return messages.ChunkReply(messages.NO_CHUNK, b"", shown)
-            if not self.slots.take():
+            if not self.slots.acquire():
                 return messages.ChunkReply(messages.NO_UPLOAD_SLOT, b"", shown)
-            index = self.slots.choose(wanted.manifest, offered)
-            ready_at = self.up.through_at(manifest.chunk_size(index), now)
+            index = self.slots.choose_chunk(wanted.manifest, offered)
+            ready_at = self.up.reserve_until(manifest.chunk_size(index), now)
         try:
             data = self.weights.store.read(manifest.chunks[index])
             if data is None:
@@ -63,7 +63,9 @@
     def held_of(self, manifest: manifests.Manifest) -> int:
         """Return which chunks of an older manifest are still here."""
         return sum(
-            1 << i for i, digest in enumerate(manifest.chunks) if digest in self.weights.store.held
+            1 << i
+            for i, digest in enumerate(manifest.chunks)
+            if digest in self.weights.store.chunks
         )
 
     def read_all(self, digest: str) -> Iterator[bytes]:
--- a/src/merlinthread/roles/entry.py
+++ b/src/merlinthread/roles/entry.py
@@ -77,7 +77,7 @@
         with self.lock:
             for summary in heard:
                 if summary.entry != self.name:
-                    self.others.take(summary, now)
+                    self.others.add(summary, now)
             self.publish()
 
     def set_leaving(self, names: frozenset[str]) -> None:
@@ -117,7 +117,7 @@
         )
         if not self.parts.in_flight.is_draining:
             live = [report for report in known.live if report.name not in known.leaving]
-            summaries.fill(summary, live)
+            summaries.add_reports(summary, live)
         return [summary, *known.others]
 
     def handle(self, message: Any) -> Any:
--- a/src/merlinthread/roles/weights.py
+++ b/src/merlinthread/roles/weights.py
@@ -179,7 +179,7 @@
                 return download, None
             action = download.plan.next_action(now)
             if action is not None:
-                download.plan.began(action)
+                download.plan.on_action_started(action)
                 return download, action
         # Nothing changes by asking again at once; whoever changes something resets this.
         self.idle_until = now + IDLE_WAIT_S
@@ -192,14 +192,14 @@
             self.fetch_manifest(download, callers)
             return
         try:
-            if isinstance(action, fetch.FromOrigin):
+            if isinstance(action, fetch.OriginRead):
                 self.read_origin(download, action)
             else:
                 self.ask_peer(download, action, callers)
         finally:
             with self.lock:
                 assert download.plan is not None
-                download.plan.ended(action)
+                download.plan.on_action_finished(action)
                 self.idle_until = 0.0
                 self.lock.notify()
 
@@ -219,7 +219,7 @@
                 self.name, download.digest, len(manifest.chunks), held, 2, now, self.rng
             )
             chunk_s = manifest.chunk_bytes / self.config.link_bytes_per_s
-            download.plan.busy_wait_s = max(fetch.BUSY_WAIT_S, 0.5 * chunk_s)
+            download.plan.busy_retry_delay_s = max(fetch.BUSY_RETRY_DELAY_S, 0.5 * chunk_s)
             download.plan.set_peers(list(self.peers.get(download.digest, {}).values()))
             self.repin()
             self.idle_until = 0.0
@@ -267,7 +267,7 @@
         url = f"{self.config.weight_store_url}/manifests/{digest}"
         return self.client.request_ok("GET", url, timeout_s=ORIGIN_TIMEOUT_S).body
 
-    def read_origin(self, download: Download, action: fetch.FromOrigin) -> None:
+    def read_origin(self, download: Download, action: fetch.OriginRead) -> None:
         """Read one chunk from the origin."""
         manifest, plan = download.manifest_and_plan(self.manifests)
         size = manifest.chunk_size(action.index)
@@ -288,11 +288,13 @@
             logs.warning("origin_failed", manifest=download.digest, reason=error.message)
             wait = error.retry_after_s or ORIGIN_RETRY_S
             with self.lock:
-                plan.origin_failed(self.parts.clock(), wait)
+                plan.on_origin_failed(self.parts.clock(), wait)
             return
         metrics.chunk_bytes_total.labels("origin").inc(len(data))
         now = self.parts.clock()
-        self.sleep_until(max(self.origin_pace.arrived(size, now), self.down.arrived(size, now)))
+        self.sleep_until(
+            max(self.origin_pace.record_arrival(size, now), self.down.record_arrival(size, now))
+        )
         if not self.keep(download, action.index, data, from_origin=True):
             self.note_wrong_origin(download, action.index, data)
 
@@ -313,7 +315,9 @@
         if download.trouble:
             logs.warning("origin_changed", manifest=download.digest, index=index)
 
-    def ask_peer(self, download: Download, action: fetch.FromPeer, callers: bus.RpcClients) -> None:
+    def ask_peer(
+        self, download: Download, action: fetch.PeerRequest, callers: bus.RpcClients
+    ) -> None:
         """Ask another agent for a chunk."""
         manifest, plan = download.manifest_and_plan(self.manifests)
         count = len(manifest.chunks)
@@ -325,8 +329,8 @@
         wanted = messages.ChunkRequest(
             self.name,
             download.digest,
-            fetch.to_bytes(action.wanted, count),
-            fetch.to_bytes(held, count),
+            fetch.bitset_to_bytes(action.wanted, count),
+            fetch.bitset_to_bytes(held, count),
         )
         try:
             found = callers.call(peer.bus, wanted, self.peer_timeout_s(manifest))
@@ -334,7 +338,7 @@
             metrics.chunk_failures_total.labels("peer").inc()
             logs.debug("peer_failed", peer=peer.name, reason=error.message)
             with self.lock:
-                plan.peer_failed(peer.name, self.parts.clock())
+                plan.on_peer_failed(peer.name, self.parts.clock())
             return
         self.take_answer(download, plan, peer, found, count)
 
@@ -354,19 +358,19 @@
         """Take what a peer answered."""
         now = self.parts.clock()
         with self.lock:
-            plan.heard(peer.name, fetch.from_bytes(found.held, count), now)
+            plan.on_peer_report(peer.name, fetch.bitset_from_bytes(found.held, count), now)
             if found.index == messages.NO_UPLOAD_SLOT:
-                plan.peer_busy(peer.name, now)
+                plan.on_peer_busy(peer.name, now)
             elif found.index == messages.NO_CHUNK:
-                plan.peer_empty(peer.name, now)
+                plan.on_peer_empty(peer.name, now)
         if found.index < 0 or found.index >= count:
             return
-        self.sleep_until(self.down.arrived(len(found.data), now))
+        self.sleep_until(self.down.record_arrival(len(found.data), now))
         metrics.chunk_bytes_total.labels("peer").inc(len(found.data))
         if not self.keep(download, found.index, found.data, from_origin=False):
             logs.warning("chunk_corrupt", peer=peer.name, manifest=download.digest)
             with self.lock:
-                plan.peer_corrupt(peer.name, self.parts.clock())
+                plan.on_corrupt_chunk(peer.name, self.parts.clock())
 
     def keep(self, download: Download, index: int, data: bytes, from_origin: bool) -> bool:
         """Store a chunk; return whether its digest was right."""
@@ -383,14 +387,14 @@
             return True
         now = self.parts.clock()
         with self.lock:
-            plan.got(index, from_origin, now)
+            plan.on_chunk_received(index, from_origin, now)
             is_complete = plan.is_complete()
         if is_complete:
             logs.event(
                 "fetch_complete",
                 manifest=download.digest,
                 seconds=round(now - download.started_at, 3),
-                **dataclasses.asdict(plan.tally),
+                **dataclasses.asdict(plan.stats),
             )
         return True
 
--- a/tests/test_deciders.py
+++ b/tests/test_deciders.py
@@ -136,7 +136,7 @@
         assert set(held) == {f"m{i}" for i in range(len(shares))}
     left = [r for i, r in enumerate(live) if i not in lost]
     second = placement.plan(bundle, left, first.changes)
-    wanted = placement.wanted_counts(bundle.models, len(left))
+    wanted = placement.engines_per_model(bundle.models, len(left))
     kept = sum(1 for r in left if r.name in first.changes and r.name not in second.changes)
     assert kept >= sum(
         min(
@@ -159,7 +159,7 @@
 
 
 def test_weights_are_loaded_whole_adapter_after_model_and_old_ones_last():
-    item, adapter = switch.Wanted("m", "v2", B), switch.Wanted("x", "v1", C, base="m")
+    item, adapter = switch.WantedModel("m", "v2", B), switch.WantedModel("x", "v1", C, base="m")
     wanted = [item, adapter]
     assert switch.next_step(wanted, {"m": A, "old": A}, set(), False) is None
     assert switch.next_step(wanted, {"m": A}, {C}, False) is None
@@ -296,7 +296,7 @@
         report("b", serving={"m": A}, slots=4, running=1),
         report("c", serving={"m": A}, slots=4, is_leaving=True),
     ]
-    summaries.fill(summary, reports)
+    summaries.add_reports(summary, reports)
     assert summary.engines["m"] == summaries.Load(8, 4)
     assert summaries.as_target(summary, "generate", "m", "x") is not None
     assert summaries.as_target(summary, "generate", "m", "y") is None
@@ -308,9 +308,9 @@
         table = summaries.SummaryTable(listener, 10.0)
         for number in range(100):
             zone = f"z{number % 2}"
-            table.take(summaries.Summary(f"entry-{number}", 1, 1, zone, "r", ""), 0.0)
-        assert len(table.live(0.0)) == 2 * summaries.PER_ZONE
-        assert not table.take(table.live(0.0)[0], 0.0)
+            table.add(summaries.Summary(f"entry-{number}", 1, 1, zone, "r", ""), 0.0)
+        assert len(table.live(0.0)) == 2 * summaries.SUMMARIES_PER_ZONE
+        assert not table.add(table.live(0.0)[0], 0.0)
         kept.append({summary.entry for summary in table.live(0.0)})
     assert kept[0] != kept[1] != kept[2]
 
--- a/tests/test_fleet_deciders.py
+++ b/tests/test_fleet_deciders.py
@@ -224,7 +224,7 @@
 def test_a_pace_spreads_transfers_and_takes_back_what_did_not_happen():
     pacer = pacing.Pacer(100.0, 0.0)
     assert [pacer.reserve(50, 0.0) for _ in range(3)] == [0.0, 0.5, 1.0]
-    pacer.give_back(50)
+    pacer.cancel_reservation(50)
     assert pacer.reserve(50, 0.0) == 1.0
 
 
@@ -239,7 +239,7 @@
         assert b"".join(event.data for event in found) + splitter.buffer == text
 
 
-def make_zoned(me: str, names: dict[str, int]) -> fetch.FetchPlan:
+def make_zoned(me: str, names: dict[str, int]) -> fetch_policies.Zoned:
     plan = fetch_policies.Zoned(me, "m@2", 24, 0, 1, 0.0, random.Random(1))
     plan.set_peers([fetch.Peer(name, name, distance) for name, distance in names.items()])
     return plan
@@ -249,28 +249,28 @@
     zone = ["a", "b", "c"]
     asked = []
     for me in zone:
-        names = {name: fetch.OWN_ZONE for name in zone if name != me} | {"far": fetch.FAR}
+        names = {name: fetch.SAME_ZONE for name in zone if name != me} | {"far": fetch.OTHER_REGION}
         plan = make_zoned(me, names)
-        plan.heard("far", plan.all, 0.0)
-        asked.append(plan.to_bring(0.0))
-    assert asked[0] | asked[1] | asked[2] == make_zoned("a", {}).all
+        plan.on_peer_report("far", plan.all_chunks, 0.0)
+        asked.append(plan.cross_zone_chunks(0.0))
+    assert asked[0] | asked[1] | asked[2] == make_zoned("a", {}).all_chunks
     assert asked[0] & asked[1] == asked[0] & asked[2] == asked[1] & asked[2] == 0
 
 
 def test_a_vm_without_news_asks_far_zones_for_all_it_lacks():
-    names = {"b": fetch.OWN_ZONE, "far": fetch.FAR}
+    names = {"b": fetch.SAME_ZONE, "far": fetch.OTHER_REGION}
     plan = make_zoned("a", names)
-    assert plan.to_bring(0.0) != plan.all
-    assert plan.to_bring(3 * plan.origin_grace_s) == plan.all
+    assert plan.cross_zone_chunks(0.0) != plan.all_chunks
+    assert plan.cross_zone_chunks(3 * plan.origin_grace_s) == plan.all_chunks
 
 
 def test_the_origin_is_read_for_what_is_missing_only_when_time_presses():
-    plan = make_zoned("a", {"b": fetch.OWN_ZONE, "c": fetch.OWN_ZONE})
+    plan = make_zoned("a", {"b": fetch.SAME_ZONE, "c": fetch.SAME_ZONE})
     plan.held = plan.owned
-    assert not isinstance(plan.next_action(0.0), fetch.FromOrigin)
+    assert not isinstance(plan.next_action(0.0), fetch.OriginRead)
     plan.is_late = True
     action = plan.next_action(0.0)
-    assert isinstance(action, fetch.FromOrigin) and not plan.held >> action.index & 1
+    assert isinstance(action, fetch.OriginRead) and not plan.held >> action.index & 1
 
 
 def test_a_ledger_tells_each_entry_what_the_others_have_to_be_read():
@@ -334,19 +334,19 @@
 
 
 def test_the_origins_spare_link_is_shared_among_vms_for_what_the_zone_lacks():
-    plan = make_zoned("a", {"b": fetch.OWN_ZONE, "far": fetch.FAR})
+    plan = make_zoned("a", {"b": fetch.SAME_ZONE, "far": fetch.OTHER_REGION})
     plan.held = plan.owned
     plan.spare_every_s = 0.5
-    plan.heard("b", plan.all & ~plan.owned & ~(1 << 7 | 1 << 9), 0.0)
-    plan.hold_off("b", 9.0)
+    plan.on_peer_report("b", plan.all_chunks & ~plan.owned & ~(1 << 7 | 1 << 9), 0.0)
+    plan.postpone_requests("b", 9.0)
     found = []
     for now in (0.0, 0.3, 0.6, 0.9):
         action = plan.next_action(now)
-        if isinstance(action, fetch.FromOrigin):
+        if isinstance(action, fetch.OriginRead):
             found.append((now, action.index))
-            plan.got(action.index, True, now)
+            plan.on_chunk_received(action.index, True, now)
     assert [now for now, _ in found] == [0.0, 0.6]
-    assert {index for _, index in found} <= {7, 9} - set(fetch.bits(plan.owned))
+    assert {index for _, index in found} <= {7, 9} - set(fetch.bit_positions(plan.owned))
 
 
 def test_a_chunk_that_the_origin_fails_to_give_does_not_hold_the_others_up():
@@ -355,20 +355,20 @@
     read = []
     for now in range(48):
         action = plan.next_action(float(now))
-        assert isinstance(action, fetch.FromOrigin)
+        assert isinstance(action, fetch.OriginRead)
         read.append(action.index)
         if action.index in (3, 17):
-            plan.origin_failed(float(now), 0.5, action.index)
+            plan.on_origin_failed(float(now), 0.5, action.index)
         else:
-            plan.got(action.index, True, float(now))
-    assert plan.held == plan.all & ~(1 << 3 | 1 << 17)
+            plan.on_chunk_received(action.index, True, float(now))
+    assert plan.held == plan.all_chunks & ~(1 << 3 | 1 << 17)
 
 
 def test_a_rate_is_that_of_the_last_moment():
     rate = pacing.RecentRate(1.0)
     assert rate.per_s() == 0.0
     for tenth in range(30):
-        rate.note(tenth if tenth < 15 else 15 + 3 * (tenth - 15), tenth / 10)
+        rate.record(tenth if tenth < 15 else 15 + 3 * (tenth - 15), tenth / 10)
     assert rate.per_s() == pytest.approx(30.0, rel=0.2)
 
 
--- a/tests/test_weights_task.py
+++ b/tests/test_weights_task.py
@@ -144,7 +144,7 @@
     async def scenario(fleet):
         await fleet.until_all_hold(1)
         names = [f"{fleet_nodes.NETWORK}.{21 + number}:{fleet.port}" for number in range(3)]
-        peers = [fetch.Peer(name, name, fetch.OWN_ZONE) for name in names]
+        peers = [fetch.Peer(name, name, fetch.SAME_ZONE) for name in names]
         # The last one has the others ahead of it.
         orders = [
             manifest_finder.ahead_in_zone(name, "m@2", [p for p in peers if p.name != name])
@@ -260,7 +260,7 @@
         fleet.feed(1)
         await fleet.until_all_hold(1)
         assert all(fleet.engines[0].staged[index] == piece for index, piece in before.items())
-        tally = fleet.agents[0].weights.plan.tally
+        tally = fleet.agents[0].weights.plan.stats
         assert tally.from_origin + tally.from_peers <= PIECES - len(before)
 
     run(2, scenario)
@@ -465,12 +465,12 @@
 def test_weights_that_end_the_engine_that_loads_them_are_ordered_less_and_less_often(monkeypatch):
     """Seen by reading: an engine that ends while it loads was ordered to load again at once, for
     ever. The same cause as of a request that ends whoever runs it: nothing counted the ends."""
-    monkeypatch.setattr(change_over, "LOAD_AGAIN_S", 30.0)
+    monkeypatch.setattr(change_over, "LOAD_RETRY_S", 30.0)
 
     async def scenario(fleet):
         engine = fleet.engines[0]
         agent = fleet.agents[0]
-        ends = change_over.LOAD_ENDS_FREE + 1
+        ends = change_over.LOAD_CRASHES_BEFORE_BACKOFF + 1
         carry_out = engine.carry_out
 
         def end_instead(order):
