--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -75,7 +75,7 @@
 
 
 def test_no_request_of_a_kept_day_is_left_out():
-    lines = test_explain.read_all()
+    lines = test_explain.read_log_lines()
     requests = [line for line in lines if line.fields["event"] == "request"]
     rows = losses.count(losses.find_losses(lines, 400), 2.0)
     assert sum(causes.total() for _, causes in rows) == len(requests) > 3
