--- a/src/merlinthread/coordination/raft.py
+++ b/src/merlinthread/coordination/raft.py
@@ -209,7 +209,7 @@
             raft_messages.Append: self.on_append,
             raft_messages.AppendReply: self.on_append_reply,
             raft_messages.Install: self.on_install,
-            raft_messages.Stranger: self.on_stranger,
+            raft_messages.IdentityMismatch: self.on_stranger,
         }[type(message)]
         handler(message, now)  # type: ignore[operator]
 
@@ -334,7 +334,7 @@
             self.handed_out = snapshot.index
         self.reply_append(install.sender, True, snapshot.index, install.sent_at)
 
-    def on_stranger(self, told: raft_messages.Stranger, now: float) -> None:
+    def on_stranger(self, told: raft_messages.IdentityMismatch, now: float) -> None:
         """Learn that this member's name belongs to another data folder."""
         if told.name == self.name and told.identity != self.identity:
             self.replaced_by = told.identity
@@ -349,7 +349,7 @@
         if not self.log.voters.is_stranger(name, identity):
             return False
         known = self.log.voters.identities[name]
-        self.outbox.append((name, raft_messages.Stranger(self.name, name, known)))
+        self.outbox.append((name, raft_messages.IdentityMismatch(self.name, name, known)))
         return True
 
     def send_append(self, name: str, now: float) -> None:
--- a/src/merlinthread/coordination/raft_messages.py
+++ b/src/merlinthread/coordination/raft_messages.py
@@ -119,7 +119,7 @@
 
 @MESSAGES.add("log.stranger")
 @dataclasses.dataclass(slots=True)
-class Stranger:
+class IdentityMismatch:
     """Tell a member that its name belongs to another data folder."""
 
     sender: str
@@ -127,7 +127,7 @@
     identity: str
 
 
-Message = VoteRequest | VoteReply | Append | AppendReply | Install | Stranger
+Message = VoteRequest | VoteReply | Append | AppendReply | Install | IdentityMismatch
 
 
 @dataclasses.dataclass(slots=True)
