--- a/src/merlinthread/coordination/raft.py
+++ b/src/merlinthread/coordination/raft.py
@@ -208,7 +208,7 @@
             raft_messages.VoteReply: self.on_vote_reply,
             raft_messages.Append: self.on_append,
             raft_messages.AppendReply: self.on_append_reply,
-            raft_messages.Install: self.on_install,
+            raft_messages.InstallSnapshot: self.on_install,
             raft_messages.IdentityMismatch: self.on_stranger,
         }[type(message)]
         handler(message, now)  # type: ignore[operator]
@@ -320,7 +320,7 @@
         progress.next = max(progress.next, progress.match + 1)
         self.advance_commit()
 
-    def on_install(self, install: raft_messages.Install, now: float) -> None:
+    def on_install(self, install: raft_messages.InstallSnapshot, now: float) -> None:
         """Take a snapshot that is ahead of what is committed here."""
         if not self.accepts_leader(install.sender, install.term, now):
             self.reply_append(install.sender, False, self.log.last_index(), install.sent_at)
@@ -382,7 +382,9 @@
             )
             return
         progress.sent_at = now
-        install = raft_messages.Install(self.name, self.hard_state.term, now, self.log.snapshot)
+        install = raft_messages.InstallSnapshot(
+            self.name, self.hard_state.term, now, self.log.snapshot
+        )
         self.outbox.append((name, install))
 
     # Leading
--- a/src/merlinthread/coordination/raft_messages.py
+++ b/src/merlinthread/coordination/raft_messages.py
@@ -108,7 +108,7 @@
 
 @MESSAGES.add("log.install")
 @dataclasses.dataclass(slots=True)
-class Install:
+class InstallSnapshot:
     """Carry a snapshot to a member whose entries the leader no longer has."""
 
     sender: str
@@ -127,7 +127,7 @@
     identity: str
 
 
-Message = VoteRequest | VoteReply | Append | AppendReply | Install | IdentityMismatch
+Message = VoteRequest | VoteReply | Append | AppendReply | InstallSnapshot | IdentityMismatch
 
 
 @dataclasses.dataclass(slots=True)
