--- a/src/merlinthread/coordination/raft.py
+++ b/src/merlinthread/coordination/raft.py
@@ -206,7 +206,7 @@
         handler = {
             raft_messages.VoteRequest: self.on_vote_request,
             raft_messages.VoteReply: self.on_vote_reply,
-            raft_messages.Append: self.on_append,
+            raft_messages.AppendEntries: self.on_append,
             raft_messages.AppendReply: self.on_append_reply,
             raft_messages.InstallSnapshot: self.on_install,
             raft_messages.IdentityMismatch: self.on_stranger,
@@ -262,7 +262,7 @@
         if len(self.votes) >= self.log.voters.majority():
             self.win(now, self.is_trial)
 
-    def on_append(self, append: raft_messages.Append, now: float) -> None:
+    def on_append(self, append: raft_messages.AppendEntries, now: float) -> None:
         """Take entries from the leader, if they join on to what is here."""
         if not self.accepts_leader(append.sender, append.term, now):
             self.reply_append(append.sender, False, self.log.last_index(), append.sent_at)
@@ -361,7 +361,7 @@
             self.send_install(name, progress, now)
             return
         entries = self.log.slice(progress.next, self.limits)
-        append = raft_messages.Append(
+        append = raft_messages.AppendEntries(
             self.name,
             self.hard_state.term,
             previous,
@@ -378,7 +378,10 @@
         """Send the snapshot, no more often than `resend_s`; in between a bare heartbeat."""
         if now - progress.sent_at < self.timing.resend_s:
             self.outbox.append(
-                (name, raft_messages.Append(self.name, self.hard_state.term, 0, 0, 0, now, []))
+                (
+                    name,
+                    raft_messages.AppendEntries(self.name, self.hard_state.term, 0, 0, 0, now, []),
+                )
             )
             return
         progress.sent_at = now
--- a/src/merlinthread/coordination/raft_messages.py
+++ b/src/merlinthread/coordination/raft_messages.py
@@ -81,7 +81,7 @@
 
 @MESSAGES.add("log.append")
 @dataclasses.dataclass(slots=True)
-class Append:
+class AppendEntries:
     """Carry entries from the leader, or none as a heartbeat; `sent_at` is its clock."""
 
     sender: str
@@ -127,7 +127,7 @@
     identity: str
 
 
-Message = VoteRequest | VoteReply | Append | AppendReply | InstallSnapshot | IdentityMismatch
+Message = VoteRequest | VoteReply | AppendEntries | AppendReply | InstallSnapshot | IdentityMismatch
 
 
 @dataclasses.dataclass(slots=True)
