--- a/src/merlinthread/coordination/raft.py
+++ b/src/merlinthread/coordination/raft.py
@@ -50,7 +50,7 @@
         # What was known to be committed needs no leader to be applied again after a restart.
         known = min(saved.commit, self.log.last_index()) if saved else 0
         self.commit = max(self.log.snapshot.index, known)
-        self.handed_out = self.log.snapshot.index
+        self.delivered_index = self.log.snapshot.index
         self.role = FOLLOWER
         self.leader = ""
         # Who led when a leader was last heard, and the last index known to be committed there.
@@ -331,7 +331,7 @@
             self.log.install(snapshot)
             self.installed = snapshot
             self.commit = snapshot.index
-            self.handed_out = snapshot.index
+            self.delivered_index = snapshot.index
         self.reply_append(install.sender, True, snapshot.index, install.sent_at)
 
     def on_stranger(self, told: raft_messages.IdentityMismatch, now: float) -> None:
@@ -458,7 +458,7 @@
     def ready(self) -> raft_messages.Ready:
         """Return what the owner must do now; call `saved` after making it durable."""
         hard_state = self.hard_state if self.hard_state_changed else None
-        committed = self.log.between(self.handed_out, min(self.commit, self.log.stable))
+        committed = self.log.between(self.delivered_index, min(self.commit, self.log.stable))
         ready = raft_messages.Ready(
             hard_state, self.installed, list(self.log.unsaved()), self.outbox, list(committed)
         )
@@ -474,7 +474,7 @@
         if ready.entries:
             self.log.stable = max(self.log.stable, ready.entries[-1].index)
         if ready.committed:
-            self.handed_out = ready.committed[-1].index
+            self.delivered_index = ready.committed[-1].index
         if self.role == LEADER:
             self.advance_commit()
 
@@ -490,6 +490,6 @@
 
     def compact(self, index: int, state: bytes) -> journal.Snapshot:
         """Replace entries up to `index`, all handed out, by `state`; return the snapshot."""
-        if index > self.handed_out:
+        if index > self.delivered_index:
             raise ValueError(f"index {index} is not in the applied part of the log")
         return self.log.compact(index, state)
--- a/tests/raft_cluster.py
+++ b/tests/raft_cluster.py
@@ -178,10 +178,10 @@
 
     def compact(self, name: str) -> None:
         member = self.members[name]
-        if not member.is_up or member.raft.handed_out <= member.raft.log.snapshot.index:
+        if not member.is_up or member.raft.delivered_index <= member.raft.log.snapshot.index:
             return
         state = msgspec.msgpack.encode(member.applied)
-        member.disk.snapshot = member.raft.compact(member.raft.handed_out, state)
+        member.disk.snapshot = member.raft.compact(member.raft.delivered_index, state)
         member.disk.entries = list(member.raft.log.saved())
 
     def change(self, change: raft_members.Change) -> bool:
