--- a/src/merlinthread/coordination/raft.py
+++ b/src/merlinthread/coordination/raft.py
@@ -54,7 +54,7 @@
         self.role = FOLLOWER
         self.leader = ""
         # Who led when a leader was last heard, and the last index known to be committed there.
-        self.led_by = ""
+        self.last_known_leader = ""
         self.leader_commit = 0
         self.is_resigned = False
         # A restarted member may have promised its leader not to vote yet: it waits that out.
@@ -179,8 +179,8 @@
             name: raft_messages.Progress(next=first, heard_at=now)
             for name in self.others(self.log.voters.members())
         }
-        if self.led_by in self.progress:
-            self.progress[self.led_by].heard_at = self.heard_leader_at
+        if self.last_known_leader in self.progress:
+            self.progress[self.last_known_leader].heard_at = self.heard_leader_at
         self.heartbeat_at = now
         self.append_entry("empty", b"")
         self.term_start = self.log.last_index()
@@ -293,7 +293,7 @@
             return False
         self.follow(term, sender, now)
         self.heard_leader_at = now
-        self.led_by = sender
+        self.last_known_leader = sender
         return True
 
     def on_append_reply(self, reply: raft_messages.AppendReply, now: float) -> None:
--- a/src/merlinthread/nodes/log_member.py
+++ b/src/merlinthread/nodes/log_member.py
@@ -384,7 +384,7 @@
             if self.raft.commit >= self.raft.term_start:
                 span_s = TIMING.election_min_s * TIMING.lease_share
                 self.current_at = self.raft.lease_until() - span_s
-        elif self.raft.led_by and self.applied >= self.raft.leader_commit:
+        elif self.raft.last_known_leader and self.applied >= self.raft.leader_commit:
             self.current_at = self.raft.heard_leader_at
 
     def leader_address(self) -> str:
