--- a/src/merlinthread/coordination/raft.py
+++ b/src/merlinthread/coordination/raft.py
@@ -118,7 +118,7 @@
         elif now >= self.election_at:
             self.reset_election(now)
             if self.is_voter() and not self.is_resigned:
-                self.stand(now, is_trial=True)
+                self.campaign(now, is_trial=True)
 
     def tick_leader(self, now: float) -> None:
         """Do the leader's part of `tick`."""
@@ -144,7 +144,7 @@
 
     # Elections
 
-    def stand(self, now: float, is_trial: bool) -> None:
+    def campaign(self, now: float, is_trial: bool) -> None:
         """Ask for votes; first on trial, so that a cut-off member can't unseat a leader."""
         self.role = CANDIDATE
         self.is_trial = is_trial
@@ -170,7 +170,7 @@
     def win(self, now: float, is_trial: bool) -> None:
         """Go from trial to election, or from election to leading."""
         if is_trial:
-            self.stand(now, is_trial=False)
+            self.campaign(now, is_trial=False)
             return
         self.role = LEADER
         self.leader = self.name
