--- a/examples/embed_log.py
+++ b/examples/embed_log.py
@@ -27,7 +27,7 @@
             self.journal.save(ready.hard_state, ready.entries)
             messages.extend(ready.messages)
             self.applied.extend(e.data for e in ready.committed if e.kind == "command")
-            self.raft.saved(ready)
+            self.raft.mark_saved(ready)
         return messages
 
 
--- a/src/merlinthread/coordination/raft.py
+++ b/src/merlinthread/coordination/raft.py
@@ -60,7 +60,7 @@
         # A restarted member may have promised its leader not to vote yet: it waits that out.
         self.heard_leader_at = now if self.hard_state.term > 0 else float("-inf")
         self.votes: set[str] = set()
-        self.is_trial = False
+        self.is_pre_vote = False
         self.progress: dict[str, raft_messages.Progress] = {}
         self.outbox: list[tuple[str, raft_messages.Message]] = []
         self.hard_state_changed = False
@@ -118,7 +118,7 @@
         elif now >= self.election_at:
             self.reset_election(now)
             if self.is_voter() and not self.is_resigned:
-                self.campaign(now, is_trial=True)
+                self.campaign(now, is_pre_vote=True)
 
     def tick_leader(self, now: float) -> None:
         """Do the leader's part of `tick`."""
@@ -144,17 +144,17 @@
 
     # Elections
 
-    def campaign(self, now: float, is_trial: bool) -> None:
+    def campaign(self, now: float, is_pre_vote: bool) -> None:
         """Ask for votes; first on trial, so that a cut-off member can't unseat a leader."""
         self.role = CANDIDATE
-        self.is_trial = is_trial
+        self.is_pre_vote = is_pre_vote
         self.leader = ""
         self.votes = {self.name}
         term = self.hard_state.term + 1
-        if not is_trial:
+        if not is_pre_vote:
             self.set_hard_state(term, self.name)
         if len(self.votes) >= self.log.voters.majority():
-            self.win(now, is_trial)
+            self.win(now, is_pre_vote)
             return
         for name in self.others(self.log.voters.voters):
             request = raft_messages.VoteRequest(
@@ -162,15 +162,15 @@
                 term,
                 self.log.last_index(),
                 self.log.last_term(),
-                is_trial,
+                is_pre_vote,
                 self.identity,
             )
             self.outbox.append((name, request))
 
-    def win(self, now: float, is_trial: bool) -> None:
+    def win(self, now: float, is_pre_vote: bool) -> None:
         """Go from trial to election, or from election to leading."""
-        if is_trial:
-            self.campaign(now, is_trial=False)
+        if is_pre_vote:
+            self.campaign(now, is_pre_vote=False)
             return
         self.role = LEADER
         self.leader = self.name
@@ -252,15 +252,15 @@
         if reply.term > self.hard_state.term and not reply.is_trial:
             self.follow(reply.term, "", now)
             return
-        if self.role != CANDIDATE or reply.is_trial != self.is_trial:
+        if self.role != CANDIDATE or reply.is_trial != self.is_pre_vote:
             return
-        wanted_term = self.hard_state.term + 1 if self.is_trial else self.hard_state.term
+        wanted_term = self.hard_state.term + 1 if self.is_pre_vote else self.hard_state.term
         if reply.term != wanted_term or not reply.is_granted:
             return
         if reply.sender in self.log.voters.voters:
             self.votes.add(reply.sender)
         if len(self.votes) >= self.log.voters.majority():
-            self.win(now, self.is_trial)
+            self.win(now, self.is_pre_vote)
 
     def on_append(self, append: raft_messages.AppendEntries, now: float) -> None:
         """Take entries from the leader, if they join on to what is here."""
@@ -460,12 +460,16 @@
         hard_state = self.hard_state if self.hard_state_changed else None
         committed = self.log.between(self.delivered_index, min(self.commit, self.log.stable))
         ready = raft_messages.Ready(
-            hard_state, self.installed, list(self.log.unsaved()), self.outbox, list(committed)
+            hard_state,
+            self.installed,
+            list(self.log.unsaved_entries()),
+            self.outbox,
+            list(committed),
         )
         self.outbox = []
         return ready
 
-    def saved(self, ready: raft_messages.Ready) -> None:
+    def mark_saved(self, ready: raft_messages.Ready) -> None:
         """Note that `ready` is durable and its committed entries are taken."""
         if ready.hard_state is not None and ready.hard_state == self.hard_state:
             self.hard_state_changed = False
--- a/src/merlinthread/coordination/raft_log.py
+++ b/src/merlinthread/coordination/raft_log.py
@@ -96,11 +96,11 @@
         """Return the entries after `after` up to and including `last`."""
         return self.entries[after - self.snapshot.index : max(0, last - self.snapshot.index)]
 
-    def unsaved(self) -> list[journal.Entry]:
+    def unsaved_entries(self) -> list[journal.Entry]:
         """Return the entries that are not durable yet."""
         return self.entries[max(0, self.stable - self.snapshot.index) :]
 
-    def saved(self) -> list[journal.Entry]:
+    def saved_entries(self) -> list[journal.Entry]:
         """Return the durable entries after the snapshot."""
         return self.entries[: max(0, self.stable - self.snapshot.index)]
 
--- a/src/merlinthread/nodes/log_member.py
+++ b/src/merlinthread/nodes/log_member.py
@@ -211,7 +211,7 @@
                 self.sender.send(receiver, message)
             for entry in ready.committed:
                 self.apply(entry)
-            self.raft.saved(ready)
+            self.raft.mark_saved(ready)
             self.raft.flush(now)
             if self.raft.is_leader() and any(entry.data for entry in ready.committed):
                 # The others learn at once, not with the next heartbeat, that it is committed.
@@ -223,7 +223,7 @@
     def save(self, ready: raft_messages.Ready) -> None:
         """Make `ready` durable."""
         if ready.snapshot is not None:
-            self.journal.compact(ready.snapshot, self.raft.log.saved())
+            self.journal.compact(ready.snapshot, self.raft.log.saved_entries())
             self.restore(ready.snapshot)
             self.on_restored()
         if ready.hard_state is not None or ready.entries:
@@ -265,7 +265,7 @@
         """Replace the applied part of the log by a snapshot."""
         snapshot = self.raft.compact(self.applied, msgspec.msgpack.encode(self.state))
         try:
-            self.journal.compact(snapshot, self.raft.log.saved())
+            self.journal.compact(snapshot, self.raft.log.saved_entries())
         except errors.DiskFullError as error:
             self.full_until = now + DISK_RETRY_S
             logs.warn("disk_full", message=error.message)
--- a/src/merlinthread/roles/log_task.py
+++ b/src/merlinthread/roles/log_task.py
@@ -208,7 +208,7 @@
                     self.senders[receiver].send(message)
             for entry in ready.committed:
                 self.apply(entry)
-            self.raft.saved(ready)
+            self.raft.mark_saved(ready)
             self.raft.flush(now)
             self.connect_members()
         if self.is_due_for_compaction() and now >= self.full_until:
@@ -217,7 +217,7 @@
     def save(self, ready: raft_messages.Ready) -> None:
         """Make `ready` durable."""
         if ready.snapshot is not None:
-            kept = self.raft.log.saved()
+            kept = self.raft.log.saved_entries()
             self.journal.compact(ready.snapshot, kept)
             self.restore(ready.snapshot)
         if ready.hard_state is not None or ready.entries:
@@ -244,7 +244,7 @@
         """Replace the applied part of the log by a snapshot."""
         encoded = msgspec.msgpack.encode(self.state)
         snapshot = self.raft.compact(self.applied, encoded)
-        kept = self.raft.log.saved()
+        kept = self.raft.log.saved_entries()
         try:
             self.journal.compact(snapshot, kept)
         except errors.DiskFullError as error:
@@ -331,7 +331,7 @@
             last_term=self.raft.log.last_term(),
             stable=self.raft.log.stable,
             votes=sorted(self.raft.votes),
-            is_trial=self.raft.is_trial,
+            is_trial=self.raft.is_pre_vote,
             identities=self.raft.log.voters.identities,
             identity=self.raft.identity,
             dropped={name: sender.dropped for name, sender in self.senders.items()},
--- a/tests/raft_cluster.py
+++ b/tests/raft_cluster.py
@@ -54,7 +54,7 @@
     def save(self, ready: raft_messages.Ready) -> None:
         if ready.snapshot is not None:
             self.disk.snapshot = ready.snapshot
-            self.disk.entries = list(self.raft.log.saved())
+            self.disk.entries = list(self.raft.log.saved_entries())
             self.applied = msgspec.msgpack.decode(ready.snapshot.state, type=list[bytes])
         if ready.hard_state is not None:
             self.disk.hard_state = dataclasses.replace(ready.hard_state)
@@ -102,7 +102,7 @@
                 self.network.append((receiver, copy(message)))
             for entry in ready.committed:
                 self.note_applied(member, entry)
-            member.raft.saved(ready)
+            member.raft.mark_saved(ready)
             member.raft.flush(self.now)
             self.check()
 
@@ -182,7 +182,7 @@
             return
         state = msgspec.msgpack.encode(member.applied)
         member.disk.snapshot = member.raft.compact(member.raft.delivered_index, state)
-        member.disk.entries = list(member.raft.log.saved())
+        member.disk.entries = list(member.raft.log.saved_entries())
 
     def change(self, change: raft_members.Change) -> bool:
         """Change the members at the leader; return whether it was taken."""
--- a/tests/test_raft_machine.py
+++ b/tests/test_raft_machine.py
@@ -280,7 +280,7 @@
     cluster.restart("c0")
     cluster.cut = {"c1", "c2"}
     member = cluster.members["c0"].raft
-    member.campaign(cluster.now, is_trial=False)
+    member.campaign(cluster.now, is_pre_vote=False)
     member.step(raft_messages.VoteReply("c1", 3, True, False), cluster.now)
     cluster.settle(cluster.members["c0"])
     assert member.is_leader() and member.log.last_index() == 3
