--- a/src/merlinthread/coordination/raft.py
+++ b/src/merlinthread/coordination/raft.py
@@ -447,7 +447,7 @@
         """Commit the highest entry of this term that a majority has on disk."""
         matches = [self.progress[name].match for name in self.others(self.log.voters.voters)]
         if self.is_voter():
-            matches.append(self.log.stable)
+            matches.append(self.log.saved_index)
         matches.sort(reverse=True)
         index = matches[self.log.voters.majority() - 1]
         if index > self.commit and self.log.term_at(index) == self.hard_state.term:
@@ -458,7 +458,7 @@
     def ready(self) -> raft_messages.Ready:
         """Return what the owner must do now; call `saved` after making it durable."""
         hard_state = self.hard_state if self.hard_state_changed else None
-        committed = self.log.between(self.delivered_index, min(self.commit, self.log.stable))
+        committed = self.log.between(self.delivered_index, min(self.commit, self.log.saved_index))
         ready = raft_messages.Ready(
             hard_state,
             self.installed,
@@ -476,7 +476,7 @@
         if ready.snapshot is not None:
             self.installed = None
         if ready.entries:
-            self.log.stable = max(self.log.stable, ready.entries[-1].index)
+            self.log.saved_index = max(self.log.saved_index, ready.entries[-1].index)
         if ready.committed:
             self.delivered_index = ready.committed[-1].index
         if self.role == LEADER:
--- a/src/merlinthread/coordination/raft_log.py
+++ b/src/merlinthread/coordination/raft_log.py
@@ -12,7 +12,7 @@
     def __init__(self, saved: journal.Journal | None, first_voters: list[str]) -> None:
         self.snapshot = saved.snapshot if saved else journal.Snapshot()
         self.entries: list[journal.Entry] = list(saved.entries) if saved else []
-        self.stable = self.last_index()
+        self.saved_index = self.last_index()
         self.first_voters = raft_messages.Voters(voters=list(first_voters))
         self.voters = self.effective_voters()
 
@@ -73,7 +73,7 @@
             return
         if known is not None:
             del self.entries[entry.index - self.snapshot.index - 1 :]
-            self.stable = min(self.stable, entry.index - 1)
+            self.saved_index = min(self.saved_index, entry.index - 1)
             self.voters = self.effective_voters()
         self.entries.append(entry)
         if entry.kind == "voters":
@@ -98,15 +98,15 @@
 
     def unsaved_entries(self) -> list[journal.Entry]:
         """Return the entries that are not durable yet."""
-        return self.entries[max(0, self.stable - self.snapshot.index) :]
+        return self.entries[max(0, self.saved_index - self.snapshot.index) :]
 
     def saved_entries(self) -> list[journal.Entry]:
         """Return the durable entries after the snapshot."""
-        return self.entries[: max(0, self.stable - self.snapshot.index)]
+        return self.entries[: max(0, self.saved_index - self.snapshot.index)]
 
     def drop_unsaved(self) -> None:
         """Forget the entries that are not durable."""
-        del self.entries[max(0, self.stable - self.snapshot.index) :]
+        del self.entries[max(0, self.saved_index - self.snapshot.index) :]
         self.voters = self.effective_voters()
 
     def install(self, snapshot: journal.Snapshot) -> None:
@@ -116,7 +116,7 @@
         else:
             self.entries = []
         self.snapshot = snapshot
-        self.stable = max(snapshot.index, min(self.stable, self.last_index()))
+        self.saved_index = max(snapshot.index, min(self.saved_index, self.last_index()))
         self.voters = self.effective_voters()
 
     def compact(self, index: int, state: bytes) -> journal.Snapshot:
--- a/src/merlinthread/nodes/log_member.py
+++ b/src/merlinthread/nodes/log_member.py
@@ -252,7 +252,7 @@
         self.full_until = now + DISK_RETRY_S
         self.raft.drop_unsaved(now)
         for index, (_, answer) in list(self.waiting.items()):
-            if index > self.raft.log.stable:
+            if index > self.raft.log.saved_index:
                 del self.waiting[index]
                 set_error(answer, error)
 
--- a/src/merlinthread/roles/log_task.py
+++ b/src/merlinthread/roles/log_task.py
@@ -229,7 +229,7 @@
         self.full_until = now + 1.0
         self.raft.drop_unsaved(now)
         for index, (_, answer) in list(self.waiting.items()):
-            if index > self.raft.log.stable:
+            if index > self.raft.log.saved_index:
                 self.waiting.pop(index)
                 answer.set_exception(error)
 
@@ -329,7 +329,7 @@
             term=self.raft.hard_state.term,
             last=self.raft.log.last_index(),
             last_term=self.raft.log.last_term(),
-            stable=self.raft.log.stable,
+            stable=self.raft.log.saved_index,
             votes=sorted(self.raft.votes),
             is_trial=self.raft.is_pre_vote,
             identities=self.raft.log.voters.identities,
