--- a/src/merlinthread/coordination/raft.py
+++ b/src/merlinthread/coordination/raft.py
@@ -482,12 +482,12 @@
         if self.role == LEADER:
             self.advance_commit()
 
-    def drop_unsaved(self, now: float) -> None:
+    def discard_unsaved(self, now: float) -> None:
         """Forget entries that could not be made durable, and lead no longer.
 
         They never left this member, since messages leave only after `saved`.
         """
-        self.log.drop_unsaved()
+        self.log.discard_unsaved()
         self.commit = min(self.commit, self.log.last_index())
         if self.role == LEADER:
             self.follow(self.hard_state.term, "", now)
--- a/src/merlinthread/coordination/raft_log.py
+++ b/src/merlinthread/coordination/raft_log.py
@@ -104,7 +104,7 @@
         """Return the durable entries after the snapshot."""
         return self.entries[: max(0, self.saved_index - self.snapshot.index)]
 
-    def drop_unsaved(self) -> None:
+    def discard_unsaved(self) -> None:
         """Forget the entries that are not durable."""
         del self.entries[max(0, self.saved_index - self.snapshot.index) :]
         self.voters = self.effective_voters()
--- a/src/merlinthread/nodes/log_member.py
+++ b/src/merlinthread/nodes/log_member.py
@@ -250,7 +250,7 @@
         if now >= self.full_until:
             logs.warn("disk_full", message=error.message)
         self.full_until = now + DISK_RETRY_S
-        self.raft.drop_unsaved(now)
+        self.raft.discard_unsaved(now)
         for index, (_, answer) in list(self.waiting.items()):
             if index > self.raft.log.saved_index:
                 del self.waiting[index]
--- a/src/merlinthread/roles/log_task.py
+++ b/src/merlinthread/roles/log_task.py
@@ -227,7 +227,7 @@
         """Give up leading, refuse what was not accepted, and try again a little later."""
         logs.warn("disk_full", message=error.message)
         self.full_until = now + 1.0
-        self.raft.drop_unsaved(now)
+        self.raft.discard_unsaved(now)
         for index, (_, answer) in list(self.waiting.items()):
             if index > self.raft.log.saved_index:
                 self.waiting.pop(index)
--- a/tests/raft_cluster.py
+++ b/tests/raft_cluster.py
@@ -94,7 +94,7 @@
                 self.crash(member.name)
                 return
             if member.is_full and (ready.entries or ready.hard_state):
-                member.raft.drop_unsaved(self.now)
+                member.raft.discard_unsaved(self.now)
                 return
             if self.syncs:
                 member.save(ready)
