--- a/src/merlinthread/coordination/raft.py
+++ b/src/merlinthread/coordination/raft.py
@@ -432,7 +432,7 @@
         self.require_leader()
         if self.commit < self.term_start:
             raise raft_members.refused("the leader is new; try again in a second")
-        if self.log.has_voters_after(self.commit):
+        if self.log.has_membership_change_after(self.commit):
             raise raft_members.refused("another change of members is under way; try again")
         matches = {name: progress.match for name, progress in self.progress.items()}
         members = raft_members.apply(
--- a/src/merlinthread/coordination/raft_log.py
+++ b/src/merlinthread/coordination/raft_log.py
@@ -87,7 +87,7 @@
             self.voters = self.effective_voters()
         return entry
 
-    def has_voters_after(self, index: int) -> bool:
+    def has_membership_change_after(self, index: int) -> bool:
         """Return whether an entry after `index` changes the members."""
         rest = self.entries[max(0, index - self.snapshot.index) :]
         return any(entry.kind == "voters" for entry in rest)
--- a/src/merlinthread/nodes/member_changes.py
+++ b/src/merlinthread/nodes/member_changes.py
@@ -162,7 +162,7 @@
     async def has_settled(self) -> bool:
         """Return whether no change of members that this leader has begun is uncommitted."""
         member = self.current()
-        return not (member.is_leader() and member.log.has_voters_after(member.commit))
+        return not (member.is_leader() and member.log.has_membership_change_after(member.commit))
 
     async def may_end(self) -> bool:
         """Return whether the leader says that nothing is left to do for this member's end."""
@@ -191,7 +191,7 @@
         if not member.holds_lease(now):
             raise errors.NotLeaderError("this member does not surely lead", member.leader)
         if resign.name not in member.log.voters.voters:
-            has_settled = not member.log.has_voters_after(member.commit)
+            has_settled = not member.log.has_membership_change_after(member.commit)
             return node_messages.Resigned(has_settled)
         self.leaving[resign.name] = now
         return node_messages.Resigned(False)
--- a/tests/test_log_repair.py
+++ b/tests/test_log_repair.py
@@ -156,13 +156,15 @@
         new = controls.nodes[REPLACEMENT].member
         await fleet_nodes.until(lambda: new.name in new.raft.log.voters.voters)
         member = controls.nodes[leader].member
-        await fleet_nodes.until(lambda: not member.raft.log.has_voters_after(member.raft.commit))
+        await fleet_nodes.until(
+            lambda: not member.raft.log.has_membership_change_after(member.raft.commit)
+        )
         gone = next(ip for ip in controls.nodes if ip not in (leader, REPLACEMENT))
         lost = controls.nodes[gone].member.name
         controls.kill(gone)
         # The removal is in the leader's log and has not left it yet.
         member.raft.change_voters(raft_members.Change(remove=lost), time.monotonic())
-        assert member.raft.log.has_voters_after(member.raft.commit)
+        assert member.raft.log.has_membership_change_after(member.raft.commit)
         await controls.nodes[leader].leave()
         fleet_nodes.end_tasks(controls.nodes.pop(leader))
         await put(controls, 2)
