--- a/src/merlinthread/nodes/member_changes.py
+++ b/src/merlinthread/nodes/member_changes.py
@@ -207,7 +207,7 @@
         if change is None:
             return
         try:
-            member.change_voters(change, now)
+            member.change_membership(change, now)
         except errors.ControlError as error:
             logs.detail("members_unchanged", reason=error.message)
             return
--- a/src/merlinthread/roles/leader_duties.py
+++ b/src/merlinthread/roles/leader_duties.py
@@ -59,7 +59,7 @@
     def change_members(self, change: raft_members.Change, now: float) -> None:
         """Put a change of members into the log, if it is safe now."""
         try:
-            index = self.task.raft.change_voters(change, now)
+            index = self.task.raft.change_membership(change, now)
         except errors.ControlError as error:
             logs.detail("members_unchanged", reason=error.message)
             return
--- a/tests/raft_cluster.py
+++ b/tests/raft_cluster.py
@@ -190,7 +190,7 @@
         if leader is None:
             return False
         try:
-            leader.raft.change_voters(change, self.now)
+            leader.raft.change_membership(change, self.now)
         except Exception:
             return False
         self.settle(leader)
