--- a/src/merlinthread/coordination/log_repair.py
+++ b/src/merlinthread/coordination/log_repair.py
@@ -41,7 +41,7 @@
     leaving: list[str]
 
 
-def next_change(group: Group, policy: Policy, now: float) -> raft_members.Change | None:
+def next_change(group: Group, policy: Policy, now: float) -> raft_members.MembershipChange | None:
     """Return the next change of members, or None if the group is as it should be."""
     return (
         replaced_disk(group)
@@ -51,7 +51,7 @@
     )
 
 
-def replaced_disk(group: Group) -> raft_members.Change | None:
+def replaced_disk(group: Group) -> raft_members.MembershipChange | None:
     """Return the removal of a member whose VM asks to join anew, since it has lost its disk.
 
     That member can't come back, so it goes before its successor votes: with both of them, a second
@@ -62,11 +62,11 @@
         for name in members:
             is_same_vm = raft_members.address_of(name) == raft_members.address_of(joiner)
             if is_same_vm and name not in (joiner, group.leader):
-                return raft_members.Change(remove=name)
+                return raft_members.MembershipChange(remove=name)
     return None
 
 
-def spare(group: Group, policy: Policy, now: float) -> raft_members.Change | None:
+def spare(group: Group, policy: Policy, now: float) -> raft_members.MembershipChange | None:
     """Return the removal of a silent or leaving voter that costs the group a bearable loss."""
     silent = silent_voters(group, policy.spare_silence_s, now)
     leaving = [name for name in group.leaving if name in group.voters.voters]
@@ -74,7 +74,7 @@
     removable = [name for name in missing if name != group.leader]
     if not removable or not is_spare(len(group.voters.voters), len(missing), policy):
         return None
-    return raft_members.Change(remove=removable[0])
+    return raft_members.MembershipChange(remove=removable[0])
 
 
 def is_spare(voters: int, missing: int, policy: Policy) -> bool:
@@ -102,7 +102,7 @@
     return sorted(silent, key=lambda name: group.heard_at[name])
 
 
-def joined(group: Group) -> raft_members.Change | None:
+def joined(group: Group) -> raft_members.MembershipChange | None:
     """Return the next step of taking a joiner in: as a learner, then as a voter."""
     facts = raft_members.Facts(group.leader, group.commit, group.matches)
     for name in group.joiners:
@@ -113,12 +113,12 @@
     return None
 
 
-def long_silent(group: Group, policy: Policy, now: float) -> raft_members.Change | None:
+def long_silent(group: Group, policy: Policy, now: float) -> raft_members.MembershipChange | None:
     """Return the removal of a member that was silent for long and is not needed."""
     for learner in group.voters.learners:
         if now - group.heard_at.get(learner, now) > policy.silence_s:
-            return raft_members.Change(remove=learner)
+            return raft_members.MembershipChange(remove=learner)
     silent = silent_voters(group, policy.silence_s, now)
     if silent and len(group.voters.voters) > 2 * policy.losses_max + 1:
-        return raft_members.Change(remove=silent[0])
+        return raft_members.MembershipChange(remove=silent[0])
     return None
--- a/src/merlinthread/coordination/raft.py
+++ b/src/merlinthread/coordination/raft.py
@@ -424,7 +424,7 @@
         if self.role != LEADER:
             raise errors.NotLeaderError(f"{self.name} does not lead", self.leader)
 
-    def change_membership(self, change: raft_members.Change, now: float) -> int:
+    def change_membership(self, change: raft_members.MembershipChange, now: float) -> int:
         """Change the members, one at a time; return the change's index.
 
         Raises ControlError (membership_change_refused) if it is not safe now.
--- a/src/merlinthread/coordination/raft_members.py
+++ b/src/merlinthread/coordination/raft_members.py
@@ -7,7 +7,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Change:
+class MembershipChange:
     """One change: add a learner, promote one, remove a member, or note identities.
 
     Exactly one of `add`, `promote`, `remove`, `identities` is set; `address` and `identity` go with
@@ -41,7 +41,9 @@
     replaces: str
 
 
-def apply(before: raft_messages.Voters, change: Change, facts: Facts) -> raft_messages.Voters:
+def apply(
+    before: raft_messages.Voters, change: MembershipChange, facts: Facts
+) -> raft_messages.Voters:
     """Return the members after `change`; raise ControlError if it is not safe."""
     members = before.copy()
     if change.add:
@@ -55,7 +57,7 @@
     return members
 
 
-def add(members: raft_messages.Voters, change: Change) -> None:
+def add(members: raft_messages.Voters, change: MembershipChange) -> None:
     """Add a learner."""
     if change.add in members.members() or change.add in members.retired:
         raise refused(f"{change.add!r} is or was a member; a replaced control VM needs a new name")
@@ -106,7 +108,7 @@
 
 def next_change(
     members: raft_messages.Voters, joiner: Joiner, facts: Facts, is_replaced_silent: bool
-) -> Change | None:
+) -> MembershipChange | None:
     """Return the next step of a repair, or None if it is done or must wait.
 
     The joiner becomes a learner, then a voter once it has caught up; only then is the lost member
@@ -116,10 +118,10 @@
     if joiner.name in members.retired:
         return None
     if joiner.name not in members.members():
-        return Change(add=joiner.name, identity=joiner.identity, address=joiner.address)
+        return MembershipChange(add=joiner.name, identity=joiner.identity, address=joiner.address)
     if joiner.name in members.learners:
         is_caught_up = facts.matches.get(joiner.name, 0) >= facts.commit
-        return Change(promote=joiner.name) if is_caught_up else None
+        return MembershipChange(promote=joiner.name) if is_caught_up else None
     if joiner.replaces in members.members() and is_replaced_silent:
-        return None if joiner.replaces == facts.leader else Change(remove=joiner.replaces)
+        return None if joiner.replaces == facts.leader else MembershipChange(remove=joiner.replaces)
     return None
--- a/src/merlinthread/nodes/member_changes.py
+++ b/src/merlinthread/nodes/member_changes.py
@@ -230,7 +230,7 @@
             list(self.leaving),
         )
 
-    def tell(self, change: raft_members.Change, member: raft.Raft, now: float) -> None:
+    def tell(self, change: raft_members.MembershipChange, member: raft.Raft, now: float) -> None:
         """Log a change of members, and how many more losses the group can bear after it."""
         voters = member.log.voters
         silence_s = member.timing.election_max_s
--- a/src/merlinthread/roles/leader_duties.py
+++ b/src/merlinthread/roles/leader_duties.py
@@ -39,7 +39,7 @@
             if name in voters.members() and name not in voters.identities
         }
         if unknown:
-            self.change_members(raft_members.Change(identities=unknown), now)
+            self.change_members(raft_members.MembershipChange(identities=unknown), now)
             return
         matches = {name: progress.match for name, progress in self.task.raft.progress.items()}
         facts = raft_members.Facts(self.task.name, self.task.raft.commit, matches)
@@ -56,7 +56,7 @@
                 self.change_members(change, now)
                 return
 
-    def change_members(self, change: raft_members.Change, now: float) -> None:
+    def change_members(self, change: raft_members.MembershipChange, now: float) -> None:
         """Put a change of members into the log, if it is safe now."""
         try:
             index = self.task.raft.change_membership(change, now)
--- a/tests/raft_cluster.py
+++ b/tests/raft_cluster.py
@@ -184,7 +184,7 @@
         member.disk.snapshot = member.raft.compact(member.raft.delivered_index, state)
         member.disk.entries = list(member.raft.log.saved_entries())
 
-    def change(self, change: raft_members.Change) -> bool:
+    def change(self, change: raft_members.MembershipChange) -> bool:
         """Change the members at the leader; return whether it was taken."""
         leader = self.leader()
         if leader is None:
--- a/tests/test_log_repair.py
+++ b/tests/test_log_repair.py
@@ -163,7 +163,7 @@
         lost = controls.nodes[gone].member.name
         controls.kill(gone)
         # The removal is in the leader's log and has not left it yet.
-        member.raft.change_membership(raft_members.Change(remove=lost), time.monotonic())
+        member.raft.change_membership(raft_members.MembershipChange(remove=lost), time.monotonic())
         assert member.raft.log.has_membership_change_after(member.raft.commit)
         await controls.nodes[leader].leave()
         fleet_nodes.end_tasks(controls.nodes.pop(leader))
--- a/tests/test_raft_machine.py
+++ b/tests/test_raft_machine.py
@@ -100,7 +100,7 @@
     @stateful.rule()
     def a_learner_is_added(self) -> None:
         name = f"n{self.joined}"
-        change = raft_members.Change(add=name, identity=f"disk-{name}")
+        change = raft_members.MembershipChange(add=name, identity=f"disk-{name}")
         if self.cluster.change(change):
             self.joined += 1
             self.cluster.add_member(name)
@@ -110,13 +110,15 @@
         leader = self.cluster.leader()
         if leader and leader.raft.log.voters.learners:
             learners = leader.raft.log.voters.learners
-            self.cluster.change(raft_members.Change(promote=learners[which % len(learners)]))
+            self.cluster.change(
+                raft_members.MembershipChange(promote=learners[which % len(learners)])
+            )
 
     @stateful.rule(name=NAMES)
     def a_voter_is_removed(self, name: str) -> None:
         leader = self.cluster.leader()
         if leader and len(leader.raft.log.voters.voters) > COUNT:
-            self.cluster.change(raft_members.Change(remove=name))
+            self.cluster.change(raft_members.MembershipChange(remove=name))
 
     @stateful.invariant()
     def what_was_committed_stands(self) -> None:
@@ -218,7 +220,7 @@
     cluster.run(2.0)
     leader = cluster.leader()
     identities = {name: f"disk-{name}" for name in cluster.names}
-    assert cluster.change(raft_members.Change(identities=identities))
+    assert cluster.change(raft_members.MembershipChange(identities=identities))
     cluster.run(1.0)
     lost = next(name for name in cluster.names if name != leader.name)
     cluster.crash(lost)
--- a/tests/test_repair_policy.py
+++ b/tests/test_repair_policy.py
@@ -39,7 +39,7 @@
 
 def test_a_spare_voter_is_removed_well_before_a_replacement_has_had_its_time():
     assert change(group("abcd", {"c": 1.3}.items())) is None
-    assert change(group("abcd", {"c": 1.5}.items())) == raft_members.Change(remove="c")
+    assert change(group("abcd", {"c": 1.5}.items())) == raft_members.MembershipChange(remove="c")
 
 
 def test_two_silent_voters_of_an_odd_number_go_although_one_of_them_wins_nothing():
@@ -54,7 +54,9 @@
 def test_a_voter_whose_removal_wins_no_loss_stays_until_it_was_silent_for_long():
     # Seven voters need four, six need four as well.
     assert change(group("abcdefg", {"c": 7.9}.items()), 2) is None
-    assert change(group("abcdefg", {"c": 8.1}.items()), 2) == raft_members.Change(remove="c")
+    assert change(group("abcdefg", {"c": 8.1}.items()), 2) == raft_members.MembershipChange(
+        remove="c"
+    )
 
 
 def test_a_large_group_that_bears_enough_losses_keeps_a_silent_voter():
@@ -63,11 +65,11 @@
 
 def test_of_two_silent_voters_the_longer_silent_goes_first():
     decided = change(group("abcdef", {"c": 3.0, "d": 5.0}.items()), 2)
-    assert decided == raft_members.Change(remove="d")
+    assert decided == raft_members.MembershipChange(remove="d")
 
 
 def test_a_leaving_spare_voter_is_removed_at_once_and_a_needed_one_is_not():
-    assert change(group("abcd", leaving="c")) == raft_members.Change(remove="c")
+    assert change(group("abcd", leaving="c")) == raft_members.MembershipChange(remove="c")
     assert change(group("abc", leaving="c")) is None
     assert change(group("abcde", leaving="c")) is None
 
@@ -78,14 +80,14 @@
 
 def test_a_member_whose_disk_is_lost_is_removed_before_its_successor_joins():
     decided = change(group(["a", "b", "c"], joiners=["c#2"]))
-    assert decided == raft_members.Change(remove="c")
+    assert decided == raft_members.MembershipChange(remove="c")
 
 
 def test_a_joiner_becomes_a_learner_and_then_a_voter_once_it_has_caught_up():
     assert change(group("abc", joiners="d")).add == "d"
     assert change(group("abc", joiners="d", learners="d", match=8)) is None
     decided = change(group("abc", joiners="d", learners="d"))
-    assert decided == raft_members.Change(promote="d")
+    assert decided == raft_members.MembershipChange(promote="d")
 
 
 class Fleet:
