--- a/src/merlinthread/coordination/log_repair.py
+++ b/src/merlinthread/coordination/log_repair.py
@@ -104,7 +104,7 @@
 
 def joined(group: Group) -> raft_members.MembershipChange | None:
     """Return the next step of taking a joiner in: as a learner, then as a voter."""
-    facts = raft_members.Facts(group.leader, group.commit, group.matches)
+    facts = raft_members.ReplicationStatus(group.leader, group.commit, group.matches)
     for name in group.joiners:
         joiner = raft_members.Joiner(name, "", raft_messages.Address("", ""), "")
         change = raft_members.next_change(group.voters, joiner, facts, False)
--- a/src/merlinthread/coordination/raft.py
+++ b/src/merlinthread/coordination/raft.py
@@ -436,7 +436,7 @@
             raise raft_members.refused("another change of members is under way; try again")
         matches = {name: progress.match for name, progress in self.progress.items()}
         members = raft_members.apply(
-            self.log.voters, change, raft_members.Facts(self.name, self.commit, matches)
+            self.log.voters, change, raft_members.ReplicationStatus(self.name, self.commit, matches)
         )
         if change.add:
             first = self.log.last_index() + 1
--- a/src/merlinthread/coordination/raft_members.py
+++ b/src/merlinthread/coordination/raft_members.py
@@ -23,7 +23,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Facts:
+class ReplicationStatus:
     """What the leader knows: its own name, the committed index, how far each member is."""
 
     leader: str
@@ -42,7 +42,7 @@
 
 
 def apply(
-    before: raft_messages.Voters, change: MembershipChange, facts: Facts
+    before: raft_messages.Voters, change: MembershipChange, facts: ReplicationStatus
 ) -> raft_messages.Voters:
     """Return the members after `change`; raise ControlError if it is not safe."""
     members = before.copy()
@@ -68,7 +68,7 @@
         members.addresses[change.add] = change.address
 
 
-def promote(members: raft_messages.Voters, name: str, facts: Facts) -> None:
+def promote(members: raft_messages.Voters, name: str, facts: ReplicationStatus) -> None:
     """Let a learner vote, once it has every committed entry."""
     if name not in members.learners:
         raise refused(f"{name!r} is no learner; add it first")
@@ -79,7 +79,7 @@
     members.voters.append(name)
 
 
-def remove(members: raft_messages.Voters, name: str, facts: Facts) -> None:
+def remove(members: raft_messages.Voters, name: str, facts: ReplicationStatus) -> None:
     """Remove a member for good."""
     if name not in members.members():
         raise refused(f"{name!r} is no member")
@@ -107,7 +107,10 @@
 
 
 def next_change(
-    members: raft_messages.Voters, joiner: Joiner, facts: Facts, is_replaced_silent: bool
+    members: raft_messages.Voters,
+    joiner: Joiner,
+    facts: ReplicationStatus,
+    is_replaced_silent: bool,
 ) -> MembershipChange | None:
     """Return the next step of a repair, or None if it is done or must wait.
 
--- a/src/merlinthread/roles/leader_duties.py
+++ b/src/merlinthread/roles/leader_duties.py
@@ -42,7 +42,7 @@
             self.change_members(raft_members.MembershipChange(identities=unknown), now)
             return
         matches = {name: progress.match for name, progress in self.task.raft.progress.items()}
-        facts = raft_members.Facts(self.task.name, self.task.raft.commit, matches)
+        facts = raft_members.ReplicationStatus(self.task.name, self.task.raft.commit, matches)
         for name, (join, heard_at) in list(self.joiners.items()):
             if now - heard_at > JOIN_HEARD_S:
                 del self.joiners[name]
--- a/tests/test_raft_machine.py
+++ b/tests/test_raft_machine.py
@@ -245,7 +245,7 @@
         cluster.run(0.1)
         leader = cluster.leader()
         matches = {name: p.match for name, p in leader.raft.progress.items()}
-        facts = raft_members.Facts(leader.name, leader.raft.commit, matches)
+        facts = raft_members.ReplicationStatus(leader.name, leader.raft.commit, matches)
         change = raft_members.next_change(leader.raft.log.voters, joiner, facts, True)
         if change and cluster.change(change):
             steps.append("add" if change.add else "promote" if change.promote else "remove")
