--- a/src/merlinthread/coordination/log_repair.py
+++ b/src/merlinthread/coordination/log_repair.py
@@ -106,7 +106,7 @@
     """Return the next step of taking a joiner in: as a learner, then as a voter."""
     facts = raft_members.ReplicationStatus(group.leader, group.commit, group.matches)
     for name in group.joiners:
-        joiner = raft_members.Joiner(name, "", raft_messages.Address("", ""), "")
+        joiner = raft_members.JoiningMember(name, "", raft_messages.Address("", ""), "")
         change = raft_members.next_change(group.voters, joiner, facts, False)
         if change is not None:
             return change
--- a/src/merlinthread/coordination/raft_members.py
+++ b/src/merlinthread/coordination/raft_members.py
@@ -32,7 +32,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Joiner:
+class JoiningMember:
     """A control VM that wants to join under a new name in place of `replaces`."""
 
     name: str
@@ -108,7 +108,7 @@
 
 def next_change(
     members: raft_messages.Voters,
-    joiner: Joiner,
+    joiner: JoiningMember,
     facts: ReplicationStatus,
     is_replaced_silent: bool,
 ) -> MembershipChange | None:
--- a/src/merlinthread/roles/leader_duties.py
+++ b/src/merlinthread/roles/leader_duties.py
@@ -48,7 +48,7 @@
                 del self.joiners[name]
                 continue
             address = raft_messages.Address(join.log_bus, join.bus)
-            joiner = raft_members.Joiner(name, join.identity, address, join.replaces)
+            joiner = raft_members.JoiningMember(name, join.identity, address, join.replaces)
             lost = self.task.raft.progress.get(join.replaces)
             is_silent = lost is None or now - lost.heard_at > LOST_SILENT_S
             change = raft_members.next_change(voters, joiner, facts, is_silent)
--- a/tests/test_raft_machine.py
+++ b/tests/test_raft_machine.py
@@ -239,7 +239,7 @@
     lost = next(name for name in cluster.names if name != leader.name)
     cluster.crash(lost)
     cluster.add_member("n0")
-    joiner = raft_members.Joiner("n0", "disk-n0", None, lost)
+    joiner = raft_members.JoiningMember("n0", "disk-n0", None, lost)
     steps = []
     for _ in range(200):
         cluster.run(0.1)
