--- a/src/merlinthread/coordination/raft.py
+++ b/src/merlinthread/coordination/raft.py
@@ -402,7 +402,7 @@
         Raises NotLeaderError on a follower, ControlError if too much waits uncommitted.
         """
         self.require_leader()
-        if self.log.last_index() - self.commit >= self.limits.uncommitted:
+        if self.log.last_index() - self.commit >= self.limits.uncommitted_max:
             raise errors.ControlError(
                 f"{self.log.last_index() - self.commit} commands wait for a majority; try again",
                 kind=errors.ErrorKind.OVERLOADED,
--- a/src/merlinthread/coordination/raft_messages.py
+++ b/src/merlinthread/coordination/raft_messages.py
@@ -147,7 +147,7 @@
 
     entries_per_append: int = 256
     bytes_per_append: int = 512 * 1024
-    uncommitted: int = 4096
+    uncommitted_max: int = 4096
 
 
 @dataclasses.dataclass(slots=True)
--- a/tests/test_raft_machine.py
+++ b/tests/test_raft_machine.py
@@ -263,7 +263,7 @@
     cluster = raft_cluster.Cluster(3)
     cluster.run(2.0)
     leader = cluster.leader()
-    leader.raft.limits.uncommitted = 5
+    leader.raft.limits.uncommitted_max = 5
     cluster.cut = {leader.name}
     for _ in range(5):
         leader.raft.propose(b"x", cluster.now)
