--- a/src/merlinthread/coordination/log_repair.py
+++ b/src/merlinthread/coordination/log_repair.py
@@ -83,11 +83,11 @@
     Only where it bears fewer than it must, and never below the size that bears them at all. One
     removal never makes it worse; of an odd number of voters it takes two to make it better.
     """
-    bearable = raft_members.losses_bearable(voters, missing)
+    bearable = raft_members.failures_tolerated(voters, missing)
     removable = min(missing, voters - (2 * policy.losses_max + 1))
     best = max(
         (
-            raft_members.losses_bearable(voters - removed, missing - removed)
+            raft_members.failures_tolerated(voters - removed, missing - removed)
             for removed in range(1, removable + 1)
         ),
         default=bearable,
--- a/src/merlinthread/coordination/raft_members.py
+++ b/src/merlinthread/coordination/raft_members.py
@@ -96,7 +96,7 @@
     return name.split("#")[0]
 
 
-def losses_bearable(voters: int, silent: int) -> int:
+def failures_tolerated(voters: int, silent: int) -> int:
     """Return how many more voters may fall silent before no majority is left; below 0: none is."""
     return voters - silent - (voters // 2 + 1)
 
--- a/src/merlinthread/nodes/member_changes.py
+++ b/src/merlinthread/nodes/member_changes.py
@@ -235,7 +235,7 @@
         voters = member.log.voters
         silence_s = member.timing.election_max_s
         silent = log_repair.silent_voters(self.group(member, now), silence_s, now)
-        bearable = raft_members.losses_bearable(len(voters.voters), len(silent))
+        bearable = raft_members.failures_tolerated(len(voters.voters), len(silent))
         metrics.losses_bearable.set(bearable)
         logs.event(
             "members_change",
