--- a/src/merlinthread/coordination/raft.py
+++ b/src/merlinthread/coordination/raft.py
@@ -89,7 +89,7 @@
         sent.sort(reverse=True)
         if not self.is_voter() or len(sent) < self.log.voters.majority():
             return float("-inf")
-        span = self.timing.election_min_s * self.timing.lease_share
+        span = self.timing.election_min_s * self.timing.lease_fraction
         return sent[self.log.voters.majority() - 1] + span
 
     def holds_lease(self, now: float) -> bool:
--- a/src/merlinthread/coordination/raft_messages.py
+++ b/src/merlinthread/coordination/raft_messages.py
@@ -137,7 +137,7 @@
     heartbeat_s: float = 0.1
     election_min_s: float = 0.6
     election_max_s: float = 1.2
-    lease_share: float = 0.8
+    lease_fraction: float = 0.8
     resend_s: float = 0.5
 
 
--- a/src/merlinthread/nodes/log_member.py
+++ b/src/merlinthread/nodes/log_member.py
@@ -382,7 +382,7 @@
         """
         if self.raft.is_leader():
             if self.raft.commit >= self.raft.term_start:
-                span_s = TIMING.election_min_s * TIMING.lease_share
+                span_s = TIMING.election_min_s * TIMING.lease_fraction
                 self.current_at = self.raft.lease_until() - span_s
         elif self.raft.last_known_leader and self.applied >= self.raft.leader_commit:
             self.current_at = self.raft.heard_leader_at
