--- a/src/merlinthread/coordination/raft.py
+++ b/src/merlinthread/coordination/raft.py
@@ -339,7 +339,7 @@
         if told.name == self.name and told.identity != self.identity:
             self.replaced_by = told.identity
 
-    def identities_heard(self) -> dict[str, str]:
+    def reported_identities(self) -> dict[str, str]:
         """Return the identities of the data folders of this leader and of who answered it."""
         heard = {name: p.identity for name, p in self.progress.items() if p.identity}
         return heard | {self.name: self.identity}
--- a/src/merlinthread/roles/leader_duties.py
+++ b/src/merlinthread/roles/leader_duties.py
@@ -35,7 +35,7 @@
         voters = self.task.raft.log.voters
         unknown = {
             name: identity
-            for name, identity in self.task.raft.identities_heard().items()
+            for name, identity in self.task.raft.reported_identities().items()
             if name in voters.members() and name not in voters.identities
         }
         if unknown:
