--- a/src/merlinthread/coordination/log_repair.py
+++ b/src/merlinthread/coordination/log_repair.py
@@ -72,12 +72,14 @@
     leaving = [name for name in group.leaving if name in group.voters.voters]
     missing = list(dict.fromkeys([*silent, *leaving]))
     removable = [name for name in missing if name != group.leader]
-    if not removable or not is_spare(len(group.voters.voters), len(missing), policy):
+    if not removable or not removal_improves_tolerance(
+        len(group.voters.voters), len(missing), policy
+    ):
         return None
     return raft_members.MembershipChange(remove=removable[0])
 
 
-def is_spare(voters: int, missing: int, policy: Policy) -> bool:
+def removal_improves_tolerance(voters: int, missing: int, policy: Policy) -> bool:
     """Return whether the group bears more losses without some of its `missing` voters.
 
     Only where it bears fewer than it must, and never below the size that bears them at all. One
--- a/src/merlinthread/nodes/member_changes.py
+++ b/src/merlinthread/nodes/member_changes.py
@@ -182,7 +182,7 @@
     def is_needless(self, member: raft.Raft) -> bool:
         """Return whether the group bears more losses without `member` than with it missing."""
         number = len(member.log.voters.voters)
-        return member.is_voter() and log_repair.is_spare(number, 1, self.policy())
+        return member.is_voter() and log_repair.removal_improves_tolerance(number, 1, self.policy())
 
     async def on_resign(self, resign: node_messages.Resign) -> node_messages.Resigned:
         """Note a leaver if this member leads."""
