--- a/src/merlinthread/coordination/log_repair.py
+++ b/src/merlinthread/coordination/log_repair.py
@@ -12,7 +12,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Policy:
+class RepairPolicy:
     """How many voters may be lost at once, and after which silence a voter is taken out.
 
     `spare_silence_s` is for a voter without which the group bears more losses than with it, and
@@ -41,7 +41,9 @@
     leaving: list[str]
 
 
-def next_change(group: Group, policy: Policy, now: float) -> raft_members.MembershipChange | None:
+def next_change(
+    group: Group, policy: RepairPolicy, now: float
+) -> raft_members.MembershipChange | None:
     """Return the next change of members, or None if the group is as it should be."""
     return (
         replaced_disk(group)
@@ -66,7 +68,7 @@
     return None
 
 
-def spare(group: Group, policy: Policy, now: float) -> raft_members.MembershipChange | None:
+def spare(group: Group, policy: RepairPolicy, now: float) -> raft_members.MembershipChange | None:
     """Return the removal of a silent or leaving voter that costs the group a bearable loss."""
     silent = silent_voters(group, policy.spare_silence_s, now)
     leaving = [name for name in group.leaving if name in group.voters.voters]
@@ -79,7 +81,7 @@
     return raft_members.MembershipChange(remove=removable[0])
 
 
-def removal_improves_tolerance(voters: int, missing: int, policy: Policy) -> bool:
+def removal_improves_tolerance(voters: int, missing: int, policy: RepairPolicy) -> bool:
     """Return whether the group bears more losses without some of its `missing` voters.
 
     Only where it bears fewer than it must, and never below the size that bears them at all. One
@@ -115,7 +117,9 @@
     return None
 
 
-def long_silent(group: Group, policy: Policy, now: float) -> raft_members.MembershipChange | None:
+def long_silent(
+    group: Group, policy: RepairPolicy, now: float
+) -> raft_members.MembershipChange | None:
     """Return the removal of a member that was silent for long and is not needed."""
     for learner in group.voters.learners:
         if now - group.heard_at.get(learner, now) > policy.silence_s:
--- a/src/merlinthread/nodes/member_changes.py
+++ b/src/merlinthread/nodes/member_changes.py
@@ -59,10 +59,10 @@
         self.leaving: dict[str, float] = {}
         self.ask_at = clock()
 
-    def policy(self) -> log_repair.Policy:
+    def policy(self) -> log_repair.RepairPolicy:
         """Return when voters are taken out, by the deployment's bounds."""
         catch_up_s = self.settings.bounds.catch_up_s
-        return log_repair.Policy(
+        return log_repair.RepairPolicy(
             self.settings.members_lost_max,
             SPARE_SILENCE_SHARE * catch_up_s,
             SILENCE_SHARE * catch_up_s,
--- a/tests/test_repair_policy.py
+++ b/tests/test_repair_policy.py
@@ -12,8 +12,8 @@
 DUTIES_EVERY_S = 0.2
 
 
-def policy(losses_max: int = 1) -> log_repair.Policy:
-    return log_repair.Policy(
+def policy(losses_max: int = 1) -> log_repair.RepairPolicy:
+    return log_repair.RepairPolicy(
         losses_max, member_changes.SPARE_SILENCE_SHARE * CATCH_UP_S, 2 * CATCH_UP_S
     )
 
