--- a/src/merlinthread/coordination/log_repair.py
+++ b/src/merlinthread/coordination/log_repair.py
@@ -25,7 +25,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Group:
+class GroupStatus:
     """What the leader knows of the group.
 
     `matches` and `heard_at` are by member (not the leader itself): the last entry known to be
@@ -42,7 +42,7 @@
 
 
 def next_change(
-    group: Group, policy: RepairPolicy, now: float
+    group: GroupStatus, policy: RepairPolicy, now: float
 ) -> raft_members.MembershipChange | None:
     """Return the next change of members, or None if the group is as it should be."""
     return (
@@ -53,7 +53,7 @@
     )
 
 
-def replaced_disk(group: Group) -> raft_members.MembershipChange | None:
+def replaced_disk(group: GroupStatus) -> raft_members.MembershipChange | None:
     """Return the removal of a member whose VM asks to join anew, since it has lost its disk.
 
     That member can't come back, so it goes before its successor votes: with both of them, a second
@@ -68,7 +68,9 @@
     return None
 
 
-def spare(group: Group, policy: RepairPolicy, now: float) -> raft_members.MembershipChange | None:
+def spare(
+    group: GroupStatus, policy: RepairPolicy, now: float
+) -> raft_members.MembershipChange | None:
     """Return the removal of a silent or leaving voter that costs the group a bearable loss."""
     silent = silent_voters(group, policy.spare_silence_s, now)
     leaving = [name for name in group.leaving if name in group.voters.voters]
@@ -99,14 +101,14 @@
     return bearable < policy.losses_max and best > bearable
 
 
-def silent_voters(group: Group, silence_s: float, now: float) -> list[str]:
+def silent_voters(group: GroupStatus, silence_s: float, now: float) -> list[str]:
     """Return the voters that the leader has not heard for `silence_s`, the longest silent first."""
     others = [name for name in group.voters.voters if name != group.leader]
     silent = [name for name in others if now - group.heard_at.get(name, now) > silence_s]
     return sorted(silent, key=lambda name: group.heard_at[name])
 
 
-def joined(group: Group) -> raft_members.MembershipChange | None:
+def joined(group: GroupStatus) -> raft_members.MembershipChange | None:
     """Return the next step of taking a joiner in: as a learner, then as a voter."""
     facts = raft_members.ReplicationStatus(group.leader, group.commit, group.matches)
     for name in group.joiners:
@@ -118,7 +120,7 @@
 
 
 def long_silent(
-    group: Group, policy: RepairPolicy, now: float
+    group: GroupStatus, policy: RepairPolicy, now: float
 ) -> raft_members.MembershipChange | None:
     """Return the removal of a member that was silent for long and is not needed."""
     for learner in group.voters.learners:
--- a/src/merlinthread/nodes/member_changes.py
+++ b/src/merlinthread/nodes/member_changes.py
@@ -214,13 +214,13 @@
         self.wake()
         self.tell(change, member, now)
 
-    def group(self, member: raft.Raft, now: float) -> log_repair.Group:
+    def group(self, member: raft.Raft, now: float) -> log_repair.GroupStatus:
         """Return what this leader knows of the group."""
         for askers in (self.joiners, self.leaving):
             for name, asked_at in list(askers.items()):
                 if now - asked_at > ASKER_KEPT_S:
                     del askers[name]
-        return log_repair.Group(
+        return log_repair.GroupStatus(
             member.log.voters,
             member.name,
             member.commit,
--- a/tests/test_repair_policy.py
+++ b/tests/test_repair_policy.py
@@ -18,11 +18,13 @@
     )
 
 
-def group(voters, silent_s=(), joiners=(), leaving=(), learners=(), match=9) -> log_repair.Group:
+def group(
+    voters, silent_s=(), joiners=(), leaving=(), learners=(), match=9
+) -> log_repair.GroupStatus:
     """Return a group whose first voter leads; `silent_s` is by name, the others were just heard."""
     members = raft_messages.Voters(list(voters), list(learners))
     others = [name for name in members.members() if name != voters[0]]
-    return log_repair.Group(
+    return log_repair.GroupStatus(
         members,
         voters[0],
         9,
@@ -113,7 +115,7 @@
             if not member.raft.holds_lease(now):
                 continue
             progress = member.raft.progress
-            facts = log_repair.Group(
+            facts = log_repair.GroupStatus(
                 member.raft.log.voters,
                 member.name,
                 member.raft.commit,
