--- a/src/merlinthread/coordination/levels.py
+++ b/src/merlinthread/coordination/levels.py
@@ -17,7 +17,7 @@
 T = TypeVar("T", bound=type)
 
 
-class Level(enum.IntEnum):
+class FormatLevel(enum.IntEnum):
     """What a build reads and writes; each level includes those below it."""
 
     # Configurations, named versions of weights, departures.
@@ -26,16 +26,16 @@
     HELD_REQUESTS = 2
 
 
-LOWEST = min(Level)
-NEWEST = max(Level)
+LOWEST = min(FormatLevel)
+NEWEST = max(FormatLevel)
 # How long all members read a level before the first entry of it is written, if the group may have
 # run builds that do not read it: in these seconds an operator may go back to them.
 SETTLED_S = 600.0
 # The level that each kind of entry needs; kinds without one are of the lowest.
-NEEDED: dict[type, Level] = {}
+NEEDED: dict[type, FormatLevel] = {}
 
 
-def needs(level: Level) -> Callable[[T], T]:
+def needs(level: FormatLevel) -> Callable[[T], T]:
     """Return a decorator that files a kind of entry under the level which reads it."""
 
     def file(kind: T) -> T:
@@ -45,7 +45,7 @@
     return file
 
 
-def level_of(kind: type) -> Level:
+def level_of(kind: type) -> FormatLevel:
     """Return the level that a kind of entry needs."""
     return NEEDED.get(kind, LOWEST)
 
@@ -59,7 +59,7 @@
 
     def __init__(self) -> None:
         self.told: dict[str, int] = {}
-        self.shown: dict[str, Level] = {}
+        self.shown: dict[str, FormatLevel] = {}
         # The highest level that a build which tells none has shown to read.
         self.older_reads = LOWEST
 
@@ -71,7 +71,7 @@
         self.shown.pop(address, None)
         return True
 
-    def note_shown(self, address: str, level: Level) -> None:
+    def note_shown(self, address: str, level: FormatLevel) -> None:
         """Note that a member has answered what only a build of `level` can read."""
         self.shown[address] = level
         self.older_reads = max(self.older_reads, level)
@@ -92,7 +92,7 @@
             if not self.told.get(address, NEWEST) and address not in self.shown
         ]
 
-    def below(self, addresses: Iterable[str], level: Level) -> list[str]:
+    def below(self, addresses: Iterable[str], level: FormatLevel) -> list[str]:
         """Return the members that are not known to read `level`."""
         return [address for address in addresses if self.of(address) < level]
 
@@ -116,7 +116,7 @@
         elif self.readable_since is None:
             self.readable_since = now
 
-    def objection(self, level: Level, others: Iterable[str], written: int, now: float) -> str:
+    def objection(self, level: FormatLevel, others: Iterable[str], written: int, now: float) -> str:
         """Return why an entry of `level` may not be written yet, an empty text if it may.
 
         `written` is the highest level of any entry so far: there is no way back below it.
--- a/src/merlinthread/nodes/log_member.py
+++ b/src/merlinthread/nodes/log_member.py
@@ -148,7 +148,7 @@
             self.state = msgspec.msgpack.decode(snapshot.state, type=fleet_state.FleetState)
             if self.state.held:
                 # Builds that wrote such entries before levels were told name none.
-                self.state.level = max(self.state.level, levels.Level.HELD_REQUESTS)
+                self.state.level = max(self.state.level, levels.FormatLevel.HELD_REQUESTS)
         self.applied = snapshot.index
         metrics.log_level.set(self.state.level)
 
@@ -399,7 +399,7 @@
         """Return the addresses of the other members."""
         return [address for address in self.member_addresses() if address != self.address]
 
-    def level_of(self, command: bytes) -> levels.Level:
+    def level_of(self, command: bytes) -> levels.FormatLevel:
         """Return the level that an encoded command needs; raise ControlError if it can't be read.
 
         An entry can't be taken back: older builds end at one that they can't read, at each start.
--- a/tests/test_control_nodes.py
+++ b/tests/test_control_nodes.py
@@ -475,7 +475,7 @@
         assert await node.submit(command)
         for each in controls.nodes.values():
             await fleet_nodes.until(lambda each=each: "f" in each.member.state.held)
-            assert each.member.state.level == levels.Level.HELD_REQUESTS
+            assert each.member.state.level == levels.FormatLevel.HELD_REQUESTS
 
     run(tmp_path, scenario)
 
@@ -514,7 +514,7 @@
 
 
 def test_what_an_older_build_can_not_read_is_written_once_going_back_has_had_its_time():
-    level, others = levels.Level.HELD_REQUESTS, ["10.0.0.2:1", "10.0.0.3:1"]
+    level, others = levels.FormatLevel.HELD_REQUESTS, ["10.0.0.2:1", "10.0.0.3:1"]
     members = levels.MemberLevels()
     gate = levels.WriteGate(members, first_level=0)
 
@@ -538,7 +538,7 @@
 
 
 def test_nobody_waits_where_no_build_that_reads_less_was_there():
-    level, others = levels.Level.HELD_REQUESTS, ["10.0.0.2:1"]
+    level, others = levels.FormatLevel.HELD_REQUESTS, ["10.0.0.2:1"]
     members = levels.MemberLevels()
     members.note_told(others[0], level)
     gate = levels.WriteGate(members, first_level=0)
@@ -554,7 +554,7 @@
 
 
 def test_what_a_silent_member_has_shown_counts_no_more():
-    level, other = levels.Level.HELD_REQUESTS, "10.0.0.2:1"
+    level, other = levels.FormatLevel.HELD_REQUESTS, "10.0.0.2:1"
     members = levels.MemberLevels()
     assert members.below([other], level) == [other], "one that was never heard"
     assert members.untold([other]) == [], "it may be new: it is not asked before it answers"
