--- a/src/merlinthread/coordination/levels.py
+++ b/src/merlinthread/coordination/levels.py
@@ -30,7 +30,7 @@
 NEWEST = max(FormatLevel)
 # How long all members read a level before the first entry of it is written, if the group may have
 # run builds that do not read it: in these seconds an operator may go back to them.
-SETTLED_S = 600.0
+ROLLBACK_WINDOW_S = 600.0
 # The level that each kind of entry needs; kinds without one are of the lowest.
 NEEDED: dict[type, FormatLevel] = {}
 
@@ -129,9 +129,9 @@
             )
         if level <= max(written, self.first_level, self.members.older_reads):
             return ""
-        if self.readable_since is not None and now - self.readable_since >= SETTLED_S:
+        if self.readable_since is not None and now - self.readable_since >= ROLLBACK_WINDOW_S:
             return ""
         return (
-            f"level {level} is written {SETTLED_S:.0f} s after the last VM that did not read it "
-            "was replaced, so that going back is possible until then"
+            f"level {level} is written {ROLLBACK_WINDOW_S:.0f} s after the last VM that did not "
+            "read it was replaced, so that going back is possible until then"
         )
--- a/tests/test_control_nodes.py
+++ b/tests/test_control_nodes.py
@@ -527,14 +527,14 @@
     assert f"{others[1]} are not known" in objection(10.0)
     members.note_told(others[1], level)
     assert "going back is possible" in objection(20.0)
-    assert "going back" in objection(20.0 + levels.SETTLED_S - 0.1)
+    assert "going back" in objection(20.0 + levels.ROLLBACK_WINDOW_S - 0.1)
     # A VM goes back, and is replaced again: the time begins anew.
     members.note_told(others[0], 0)
     assert objection(25.0)
     members.note_told(others[0], level)
     assert objection(30.0)
-    assert objection(30.0 + levels.SETTLED_S - 0.1)
-    assert not objection(30.0 + levels.SETTLED_S)
+    assert objection(30.0 + levels.ROLLBACK_WINDOW_S - 0.1)
+    assert not objection(30.0 + levels.ROLLBACK_WINDOW_S)
 
 
 def test_nobody_waits_where_no_build_that_reads_less_was_there():
