--- a/src/merlinthread/coordination/fleet_state.py
+++ b/src/merlinthread/coordination/fleet_state.py
@@ -47,7 +47,7 @@
 
 
 @COMMANDS.add("fleet.hold_back")
-@levels.needs(levels.FormatLevel.HELD_REQUESTS)
+@levels.requires_level(levels.FormatLevel.HELD_REQUESTS)
 @dataclasses.dataclass(slots=True)
 class HoldBack:
     """Hold a request back for the `times`th time: the processes of `instances` ended under it."""
@@ -60,7 +60,7 @@
 
 
 @COMMANDS.add("fleet.let_go")
-@levels.needs(levels.FormatLevel.HELD_REQUESTS)
+@levels.requires_level(levels.FormatLevel.HELD_REQUESTS)
 @dataclasses.dataclass(slots=True)
 class LetGo:
     """End the `times`th holding back of a request."""
--- a/src/merlinthread/coordination/levels.py
+++ b/src/merlinthread/coordination/levels.py
@@ -35,7 +35,7 @@
 NEEDED: dict[type, FormatLevel] = {}
 
 
-def needs(level: FormatLevel) -> Callable[[T], T]:
+def requires_level(level: FormatLevel) -> Callable[[T], T]:
     """Return a decorator that files a kind of entry under the level which reads it."""
 
     def file(kind: T) -> T:
