--- a/src/merlinthread/coordination/levels.py
+++ b/src/merlinthread/coordination/levels.py
@@ -63,7 +63,7 @@
         # The highest level that a build which tells none has shown to read.
         self.older_reads = LOWEST
 
-    def note_told(self, address: str, level: int) -> bool:
+    def record_reported(self, address: str, level: int) -> bool:
         """Note the level in a member's answer, 0 if it tells none; return whether it is new."""
         if self.told.get(address) == level:
             return False
--- a/src/merlinthread/nodes/log_sender.py
+++ b/src/merlinthread/nodes/log_sender.py
@@ -59,7 +59,7 @@
             return
         if not isinstance(reply, node_messages.Ok):
             logs.warn("member_answer_unknown", member=address, answer=type(reply).__name__)
-        elif self.levels.note_told(address, reply.level):
+        elif self.levels.record_reported(address, reply.level):
             logs.event("member_level", member=address, level=reply.level)
 
     def tasks(self) -> list[asyncio.Task]:
--- a/tests/test_control_nodes.py
+++ b/tests/test_control_nodes.py
@@ -522,16 +522,16 @@
         gate.look_at(others, now)
         return gate.objection(level, others, written, now)
 
-    members.note_told(others[0], level)
-    members.note_told(others[1], 0)
+    members.record_reported(others[0], level)
+    members.record_reported(others[1], 0)
     assert f"{others[1]} are not known" in objection(10.0)
-    members.note_told(others[1], level)
+    members.record_reported(others[1], level)
     assert "going back is possible" in objection(20.0)
     assert "going back" in objection(20.0 + levels.ROLLBACK_WINDOW_S - 0.1)
     # A VM goes back, and is replaced again: the time begins anew.
-    members.note_told(others[0], 0)
+    members.record_reported(others[0], 0)
     assert objection(25.0)
-    members.note_told(others[0], level)
+    members.record_reported(others[0], level)
     assert objection(30.0)
     assert objection(30.0 + levels.ROLLBACK_WINDOW_S - 0.1)
     assert not objection(30.0 + levels.ROLLBACK_WINDOW_S)
@@ -540,16 +540,16 @@
 def test_nobody_waits_where_no_build_that_reads_less_was_there():
     level, others = levels.FormatLevel.HELD_REQUESTS, ["10.0.0.2:1"]
     members = levels.MemberLevels()
-    members.note_told(others[0], level)
+    members.record_reported(others[0], level)
     gate = levels.WriteGate(members, first_level=0)
     assert gate.objection(level, others, levels.LOWEST, 1.0)
     assert not gate.objection(level, others, level, 1.0), "one was written before"
     assert not levels.WriteGate(members, level).objection(level, others, levels.LOWEST, 1.0)
     # A build that tells no level answered what only level 2 reads; then a newer one took its place.
-    members.note_told(others[0], 0)
+    members.record_reported(others[0], 0)
     members.note_shown(others[0], level)
     assert not gate.objection(level, others, levels.LOWEST, 1.0)
-    members.note_told(others[0], level)
+    members.record_reported(others[0], level)
     assert not gate.objection(level, others, levels.LOWEST, 1.0)
 
 
@@ -558,13 +558,13 @@
     members = levels.MemberLevels()
     assert members.below([other], level) == [other], "one that was never heard"
     assert members.untold([other]) == [], "it may be new: it is not asked before it answers"
-    members.note_told(other, 0)
+    members.record_reported(other, 0)
     assert members.untold([other]) == [other]
     members.note_shown(other, level)
     assert members.below([other], level) == members.untold([other]) == []
     members.note_lost(other)
     assert members.below([other], level) == [other]
-    members.note_told(other, level)
+    members.record_reported(other, level)
     members.note_lost(other)
     assert members.below([other], level) == [], "what it told stays until it tells another one"
 
