--- a/src/merlinthread/coordination/levels.py
+++ b/src/merlinthread/coordination/levels.py
@@ -71,7 +71,7 @@
         self.shown.pop(address, None)
         return True
 
-    def note_shown(self, address: str, level: FormatLevel) -> None:
+    def record_inferred(self, address: str, level: FormatLevel) -> None:
         """Note that a member has answered what only a build of `level` can read."""
         self.shown[address] = level
         self.older_reads = max(self.older_reads, level)
--- a/src/merlinthread/nodes/crash_registry.py
+++ b/src/merlinthread/nodes/crash_registry.py
@@ -87,7 +87,7 @@
             reply = await self.caller.call(address, message, PASS_ON_TIMEOUT_S)
             if not reply.level:
                 # An older build that tells no level, and reads reports: it reads their entries too.
-                self.member.levels.note_shown(address, levels.FormatLevel.HELD_REQUESTS)
+                self.member.levels.record_inferred(address, levels.FormatLevel.HELD_REQUESTS)
         except errors.MerlinthreadError as error:
             logs.detail("crash_report_lost", control=address, reason=error.message)
             missed = self.missed.setdefault(address, {})
--- a/tests/test_control_nodes.py
+++ b/tests/test_control_nodes.py
@@ -547,7 +547,7 @@
     assert not levels.WriteGate(members, level).objection(level, others, levels.LOWEST, 1.0)
     # A build that tells no level answered what only level 2 reads; then a newer one took its place.
     members.record_reported(others[0], 0)
-    members.note_shown(others[0], level)
+    members.record_inferred(others[0], level)
     assert not gate.objection(level, others, levels.LOWEST, 1.0)
     members.record_reported(others[0], level)
     assert not gate.objection(level, others, levels.LOWEST, 1.0)
@@ -560,7 +560,7 @@
     assert members.untold([other]) == [], "it may be new: it is not asked before it answers"
     members.record_reported(other, 0)
     assert members.untold([other]) == [other]
-    members.note_shown(other, level)
+    members.record_inferred(other, level)
     assert members.below([other], level) == members.untold([other]) == []
     members.note_lost(other)
     assert members.below([other], level) == [other]
