--- a/src/merlinthread/coordination/levels.py
+++ b/src/merlinthread/coordination/levels.py
@@ -76,7 +76,7 @@
         self.shown[address] = level
         self.older_reads = max(self.older_reads, level)
 
-    def note_lost(self, address: str) -> None:
+    def record_unreachable(self, address: str) -> None:
         """Note that a member did not answer: it may come back with another build."""
         self.shown.pop(address, None)
 
--- a/src/merlinthread/nodes/log_sender.py
+++ b/src/merlinthread/nodes/log_sender.py
@@ -55,7 +55,7 @@
         try:
             reply = await self.caller.call(address, message, SEND_TIMEOUT_S)
         except errors.MerlinthreadError:
-            self.levels.note_lost(address)
+            self.levels.record_unreachable(address)
             return
         if not isinstance(reply, node_messages.Ok):
             logs.warn("member_answer_unknown", member=address, answer=type(reply).__name__)
--- a/tests/test_control_nodes.py
+++ b/tests/test_control_nodes.py
@@ -562,10 +562,10 @@
     assert members.untold([other]) == [other]
     members.record_inferred(other, level)
     assert members.below([other], level) == members.untold([other]) == []
-    members.note_lost(other)
+    members.record_unreachable(other)
     assert members.below([other], level) == [other]
     members.record_reported(other, level)
-    members.note_lost(other)
+    members.record_unreachable(other)
     assert members.below([other], level) == [], "what it told stays until it tells another one"
 
 
