--- a/src/merlinthread/coordination/levels.py
+++ b/src/merlinthread/coordination/levels.py
@@ -58,16 +58,16 @@
     """
 
     def __init__(self) -> None:
-        self.told: dict[str, int] = {}
+        self.reported: dict[str, int] = {}
         self.shown: dict[str, FormatLevel] = {}
         # The highest level that a build which tells none has shown to read.
         self.older_reads = LOWEST
 
     def record_reported(self, address: str, level: int) -> bool:
         """Note the level in a member's answer, 0 if it tells none; return whether it is new."""
-        if self.told.get(address) == level:
+        if self.reported.get(address) == level:
             return False
-        self.told[address] = level
+        self.reported[address] = level
         self.shown.pop(address, None)
         return True
 
@@ -82,14 +82,14 @@
 
     def of(self, address: str) -> int:
         """Return the level that a member surely reads; it may be above all known here."""
-        return self.told.get(address) or self.shown.get(address, LOWEST)
+        return self.reported.get(address) or self.shown.get(address, LOWEST)
 
     def untold(self, addresses: Iterable[str]) -> list[str]:
         """Return the members that tell no level and have not shown any."""
         return [
             address
             for address in addresses
-            if not self.told.get(address, NEWEST) and address not in self.shown
+            if not self.reported.get(address, NEWEST) and address not in self.shown
         ]
 
     def below(self, addresses: Iterable[str], level: FormatLevel) -> list[str]:
--- a/tests/test_control_nodes.py
+++ b/tests/test_control_nodes.py
@@ -467,7 +467,7 @@
         await fleet_nodes.until(lambda: not node.member.levels.below(others, levels.NEWEST))
         command = fleet_state.HoldBack("f", "label", ["i-1"], 1)
         # One runs an older build: its answers tell no level.
-        node.member.levels.told[others[0]] = 0
+        node.member.levels.reported[others[0]] = 0
         with pytest.raises(errors.ControlError, match=f"level 2.*{others[0]}.*newer builds"):
             node.member.propose(node.member.encode_command(command))
         # It tells its level, as the newer build does that takes its place, with its next answer.
