--- a/src/merlinthread/coordination/levels.py
+++ b/src/merlinthread/coordination/levels.py
@@ -84,7 +84,7 @@
         """Return the level that a member surely reads; it may be above all known here."""
         return self.reported.get(address) or self.shown.get(address, LOWEST)
 
-    def untold(self, addresses: Iterable[str]) -> list[str]:
+    def without_level(self, addresses: Iterable[str]) -> list[str]:
         """Return the members that tell no level and have not shown any."""
         return [
             address
--- a/src/merlinthread/nodes/crash_registry.py
+++ b/src/merlinthread/nodes/crash_registry.py
@@ -157,7 +157,7 @@
 
     def ask_levels(self) -> None:
         """Find out by an empty report whether members that tell no level read such entries."""
-        for address in self.member.levels.untold(self.others()):
+        for address in self.member.levels.without_level(self.others()):
             self.start_sending(address, [])
 
 
--- a/tests/test_control_nodes.py
+++ b/tests/test_control_nodes.py
@@ -557,11 +557,11 @@
     level, other = levels.FormatLevel.HELD_REQUESTS, "10.0.0.2:1"
     members = levels.MemberLevels()
     assert members.below([other], level) == [other], "one that was never heard"
-    assert members.untold([other]) == [], "it may be new: it is not asked before it answers"
+    assert members.without_level([other]) == [], "it may be new: it is not asked before it answers"
     members.record_reported(other, 0)
-    assert members.untold([other]) == [other]
+    assert members.without_level([other]) == [other]
     members.record_inferred(other, level)
-    assert members.below([other], level) == members.untold([other]) == []
+    assert members.below([other], level) == members.without_level([other]) == []
     members.record_unreachable(other)
     assert members.below([other], level) == [other]
     members.record_reported(other, level)
