--- a/src/merlinthread/coordination/levels.py
+++ b/src/merlinthread/coordination/levels.py
@@ -109,7 +109,7 @@
         # Since when all others are known to read all that this build writes, None if one is not.
         self.readable_since: float | None = None
 
-    def look_at(self, others: Iterable[str], now: float) -> None:
+    def update(self, others: Iterable[str], now: float) -> None:
         """Note whether all other members read all that this build writes."""
         if self.members.below(others, NEWEST):
             self.readable_since = None
--- a/src/merlinthread/nodes/log_member.py
+++ b/src/merlinthread/nodes/log_member.py
@@ -187,7 +187,7 @@
         if now >= self.duties_at:
             self.duties_at = now + DUTIES_EVERY_S
             self.keep_commit(now)
-            self.gate.look_at(self.other_addresses(), now)
+            self.gate.update(self.other_addresses(), now)
             self.tell_missing_leader(now)
             self.members.look_after(now)
 
--- a/tests/test_control_nodes.py
+++ b/tests/test_control_nodes.py
@@ -519,7 +519,7 @@
     gate = levels.WriteGate(members, first_level=0)
 
     def objection(now, written=levels.LOWEST):
-        gate.look_at(others, now)
+        gate.update(others, now)
         return gate.objection(level, others, written, now)
 
     members.record_reported(others[0], level)
