--- a/src/merlinthread/coordination/levels.py
+++ b/src/merlinthread/coordination/levels.py
@@ -116,7 +116,9 @@
         elif self.readable_since is None:
             self.readable_since = now
 
-    def objection(self, level: FormatLevel, others: Iterable[str], written: int, now: float) -> str:
+    def reason_not_writable(
+        self, level: FormatLevel, others: Iterable[str], written: int, now: float
+    ) -> str:
         """Return why an entry of `level` may not be written yet, an empty text if it may.
 
         `written` is the highest level of any entry so far: there is no way back below it.
--- a/src/merlinthread/nodes/log_member.py
+++ b/src/merlinthread/nodes/log_member.py
@@ -354,7 +354,9 @@
         """
         now = self.clock()
         others = self.other_addresses()
-        objection = self.gate.objection(self.level_of(command), others, self.state.level, now)
+        objection = self.gate.reason_not_writable(
+            self.level_of(command), others, self.state.level, now
+        )
         if objection:
             raise errors.ControlError(objection)
         if now < self.full_until:
--- a/tests/test_control_nodes.py
+++ b/tests/test_control_nodes.py
@@ -520,7 +520,7 @@
 
     def objection(now, written=levels.LOWEST):
         gate.update(others, now)
-        return gate.objection(level, others, written, now)
+        return gate.reason_not_writable(level, others, written, now)
 
     members.record_reported(others[0], level)
     members.record_reported(others[1], 0)
@@ -542,15 +542,17 @@
     members = levels.MemberLevels()
     members.record_reported(others[0], level)
     gate = levels.WriteGate(members, first_level=0)
-    assert gate.objection(level, others, levels.LOWEST, 1.0)
-    assert not gate.objection(level, others, level, 1.0), "one was written before"
-    assert not levels.WriteGate(members, level).objection(level, others, levels.LOWEST, 1.0)
+    assert gate.reason_not_writable(level, others, levels.LOWEST, 1.0)
+    assert not gate.reason_not_writable(level, others, level, 1.0), "one was written before"
+    assert not levels.WriteGate(members, level).reason_not_writable(
+        level, others, levels.LOWEST, 1.0
+    )
     # A build that tells no level answered what only level 2 reads; then a newer one took its place.
     members.record_reported(others[0], 0)
     members.record_inferred(others[0], level)
-    assert not gate.objection(level, others, levels.LOWEST, 1.0)
+    assert not gate.reason_not_writable(level, others, levels.LOWEST, 1.0)
     members.record_reported(others[0], level)
-    assert not gate.objection(level, others, levels.LOWEST, 1.0)
+    assert not gate.reason_not_writable(level, others, levels.LOWEST, 1.0)
 
 
 def test_what_a_silent_member_has_shown_counts_no_more():
