--- a/src/merlinthread/coordination/control_state.py
+++ b/src/merlinthread/coordination/control_state.py
@@ -110,7 +110,7 @@
         while len(self.answers) > ANSWERS_KEPT:
             del self.answers[next(iter(self.answers))]
 
-    def in_force(self) -> bundles.Bundle | None:
+    def active_bundle(self) -> bundles.Bundle | None:
         """Return the bundle in force."""
         record = self.records.get(self.version)
         return record.bundle if record else None
--- a/src/merlinthread/roles/leader_duties.py
+++ b/src/merlinthread/roles/leader_duties.py
@@ -74,7 +74,7 @@
 
     def place(self, now: float) -> None:
         """Decide which VMs hold which models, and pause a roll that a target refuses."""
-        bundle = self.task.state.in_force()
+        bundle = self.task.state.active_bundle()
         if bundle is None or self.task.raft.log.last_index() > self.task.applied:
             return
         if now < self.placed_from and self.task.state.placement:
