--- a/src/merlinthread/coordination/commands.py
+++ b/src/merlinthread/coordination/commands.py
@@ -55,7 +55,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Placed:
+class VmPlacement:
     """What one VM should hold, and where its agent is reached by others ("IP:port")."""
 
     models: list[str]
@@ -70,7 +70,7 @@
     """Change which models some VMs hold; an empty list of models takes a VM out."""
 
     generation: int
-    changes: dict[str, Placed]
+    changes: dict[str, VmPlacement]
     reason: str
 
 
--- a/src/merlinthread/coordination/control_state.py
+++ b/src/merlinthread/coordination/control_state.py
@@ -61,7 +61,7 @@
     bundle: bundles.Bundle | None = None
     digest: str = ""
     signatures: dict[str, str] = dataclasses.field(default_factory=dict)
-    placement: dict[str, commands.Placed] = dataclasses.field(default_factory=dict)
+    placement: dict[str, commands.VmPlacement] = dataclasses.field(default_factory=dict)
 
 
 @dataclasses.dataclass(slots=True)
@@ -78,7 +78,7 @@
     paused: str = ""
     records: dict[int, BundleRecord] = dataclasses.field(default_factory=dict)
     rolls: list[RollRecord] = dataclasses.field(default_factory=list)
-    placement: dict[str, commands.Placed] = dataclasses.field(default_factory=dict)
+    placement: dict[str, commands.VmPlacement] = dataclasses.field(default_factory=dict)
     answers: dict[str, commands.Answer] = dataclasses.field(default_factory=dict)
     claims: dict[str, ClaimRecord] = dataclasses.field(default_factory=dict)
     claims_before: float = 0.0
--- a/src/merlinthread/coordination/placement.py
+++ b/src/merlinthread/coordination/placement.py
@@ -9,7 +9,7 @@
 class Plan:
     """Changes to make, by agent, and why."""
 
-    changes: dict[str, commands.Placed]
+    changes: dict[str, commands.VmPlacement]
     reason: str
 
 
@@ -72,7 +72,7 @@
 def plan(
     bundle: bundles.Bundle,
     live: list[agents.AgentReport],
-    present: dict[str, commands.Placed],
+    present: dict[str, commands.VmPlacement],
 ) -> Plan:
     """Return what to change so that every zone's live engines follow the bundle's shares.
 
@@ -101,6 +101,6 @@
     return Plan(changes, reason)
 
 
-def placed_at(report: agents.AgentReport, models: list[str]) -> commands.Placed:
+def placed_at(report: agents.AgentReport, models: list[str]) -> commands.VmPlacement:
     """Return what a VM should hold, with where it is."""
-    return commands.Placed(models, report.availability_zone, report.region, report.bus)
+    return commands.VmPlacement(models, report.availability_zone, report.region, report.bus)
--- a/src/merlinthread/roles/agent.py
+++ b/src/merlinthread/roles/agent.py
@@ -229,7 +229,7 @@
                     found[item.manifest].append(peer)
         return found
 
-    def distance(self, placed: commands.Placed) -> int:
+    def distance(self, placed: commands.VmPlacement) -> int:
         """Return how far another VM is."""
         if placed.availability_zone == self.parts.settings.availability_zone:
             return fetch.OWN_ZONE
