--- a/src/merlinthread/coordination/instances.py
+++ b/src/merlinthread/coordination/instances.py
@@ -37,7 +37,7 @@
     position: int
 
 
-class Instances:
+class InstanceRegistry:
     """The back ends that one control VM knows.
 
     Each change gets a `position`, so that whoever knows what was true at one position can be told
--- a/src/merlinthread/nodes/control_calls.py
+++ b/src/merlinthread/nodes/control_calls.py
@@ -26,7 +26,7 @@
         self,
         dialect: dialects.Dialect,
         member: log_member.LogMember,
-        registry: instances.Instances,
+        registry: instances.InstanceRegistry,
         caller: node_bus.Caller,
         submit: Submit,
         take: Callable[[fleet.Heartbeat], None],
--- a/src/merlinthread/nodes/control_node.py
+++ b/src/merlinthread/nodes/control_node.py
@@ -48,7 +48,7 @@
         self.settings = settings
         self.clock = clock
         self.caller = node_bus.Caller(codec)
-        self.registry = instances.Instances(settings.heartbeat_s)
+        self.registry = instances.InstanceRegistry(settings.heartbeat_s)
         self.named_at: dict[str, float] = {}
         self.feed = secrets.token_hex(8)
         self.changed = asyncio.Event()
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -23,8 +23,8 @@
     return fleet.Heartbeat(name, "s", address, "z", 4, state, sequence)
 
 
-def registry_with(*beats) -> instances.Instances:
-    registry = instances.Instances(BEAT_S)
+def registry_with(*beats) -> instances.InstanceRegistry:
+    registry = instances.InstanceRegistry(BEAT_S)
     for number, heartbeat in enumerate(beats):
         registry.take(heartbeat, 0.1 * number)
     return registry
@@ -60,7 +60,7 @@
 
 
 def test_a_back_end_that_left_before_its_start_was_told_comes_back_only_as_a_new_life():
-    registry = instances.Instances(BEAT_S)
+    registry = instances.InstanceRegistry(BEAT_S)
     registry.remove(registry.latest("i"))
     assert not registry.take(beat(sequence=40), 0.0)
     assert registry.take(beat(sequence=1), 0.1)
@@ -135,7 +135,7 @@
         await fleet_nodes.until(lambda: all(node.registry.known for node in nodes))
         # One that has just started, and has not heard the next heartbeat yet, takes the farewell.
         ip = next(ip for ip in controls.ips if ip != controls.leader())
-        controls.nodes[ip].registry = instances.Instances(BEAT_S)
+        controls.nodes[ip].registry = instances.InstanceRegistry(BEAT_S)
         answer = None
         while answer is None or answer.status != 200:
             answer = await controls.call(ip, "DELETE", "/instances/i")
--- a/tests/test_leaving_answers.py
+++ b/tests/test_leaving_answers.py
@@ -175,7 +175,7 @@
 
 
 def test_news_in_full_tell_who_has_left():
-    registry = instances.Instances(1.0)
+    registry = instances.InstanceRegistry(1.0)
     for instance in ("i-1", "i-2"):
         address = f"10.0.0.{instance[-1]}:1"
         beat = fleet.Heartbeat(instance, "safe", address, "z", 1, fleet.READY, 1)
