--- a/src/merlinthread/coordination/instances.py
+++ b/src/merlinthread/coordination/instances.py
@@ -47,7 +47,7 @@
     def __init__(self, heartbeat_s: float) -> None:
         self.heartbeat_s = heartbeat_s
         self.known: dict[str, Known] = {}
-        self.index = rivals.RivalIndex()
+        self.index = rivals.ConflictIndex()
         self.gone: collections.OrderedDict[str, int] = collections.OrderedDict()
         self.forgotten_position = 0
         self.position = 0
--- a/src/merlinthread/coordination/rivals.py
+++ b/src/merlinthread/coordination/rivals.py
@@ -9,7 +9,7 @@
 from merlinthread.coordination import fleet, incarnations
 
 
-class RivalIndex:
+class ConflictIndex:
     """The names of incarnations that are there, by id and by address."""
 
     def __init__(self) -> None:
--- a/src/merlinthread/nodes/news_watcher.py
+++ b/src/merlinthread/nodes/news_watcher.py
@@ -75,7 +75,7 @@
         self.table: route_table.RouteTable | None = None
         self.version = 0
         self.instances: dict[str, fleet.Heartbeat] = {}
-        self.index = rivals.RivalIndex()
+        self.index = rivals.ConflictIndex()
         self.cold_until: dict[str, float] = {}
         self.heard_at: dict[str, float] = {}
         self.gone: set[str] = set()
--- a/tests/test_rivals.py
+++ b/tests/test_rivals.py
@@ -34,7 +34,7 @@
 
 @hypothesis.given(st.lists(st.tuples(st.booleans(), NAMES, ADDRESSES)), NAMES, ADDRESSES)
 def test_the_index_finds_just_those_of_the_same_id_or_address(steps, name, address):
-    index, present = rivals.RivalIndex(), {}
+    index, present = rivals.ConflictIndex(), {}
     for comes, other, at in steps:
         if comes:
             index.put(beat(other, at))
