--- a/src/merlinthread/coordination/instances.py
+++ b/src/merlinthread/coordination/instances.py
@@ -79,7 +79,7 @@
         """Take a heartbeat of an unknown incarnation in, unless it is late."""
         if self.is_late(heartbeat, now):
             return False
-        for rival in self.rivals(heartbeat):
+        for rival in self.conflicts(heartbeat):
             if is_surely_over(rival.heartbeat, heartbeat):
                 self.remove(rival.heartbeat.instance)
             else:
@@ -95,9 +95,9 @@
         self.known.pop(instance, None)
         self.index.discard(instance)
 
-    def rivals(self, heartbeat: fleet.Heartbeat) -> list[Known]:
+    def conflicts(self, heartbeat: fleet.Heartbeat) -> list[Known]:
         """Return the incarnations that can't be there beside this one."""
-        return [self.known[name] for name in self.index.rivals(heartbeat)]
+        return [self.known[name] for name in self.index.conflicts(heartbeat)]
 
     def is_late(self, heartbeat: fleet.Heartbeat, now: float) -> bool:
         """Return whether a heartbeat of an unknown incarnation may be from before its end.
@@ -109,7 +109,7 @@
         """
         live_s = LIVE_BEATS * self.heartbeat_s
         is_past_first = heartbeat.sequence > FIRST_SEQUENCES
-        for known in self.rivals(heartbeat):
+        for known in self.conflicts(heartbeat):
             if is_newer(heartbeat, known.heartbeat):
                 continue
             may_be_former = is_past_first or is_newer(known.heartbeat, heartbeat)
--- a/src/merlinthread/coordination/rivals.py
+++ b/src/merlinthread/coordination/rivals.py
@@ -35,7 +35,7 @@
         remove(self.by_id, incarnations.parse(name).id, name)
         remove(self.by_address, address, name)
 
-    def rivals(self, heartbeat: fleet.Heartbeat) -> list[str]:
+    def conflicts(self, heartbeat: fleet.Heartbeat) -> list[str]:
         """Return those that can't be there beside this one, in the order of their names."""
         id_ = incarnations.parse(heartbeat.instance).id
         found = self.by_id.get(id_, set()) | self.by_address.get(heartbeat.address, set())
--- a/src/merlinthread/nodes/news_watcher.py
+++ b/src/merlinthread/nodes/news_watcher.py
@@ -321,7 +321,7 @@
                 age_s=told.age_s,
             )
         self.heard_at[heartbeat.instance] = now - told.age_s
-        for name in self.index.rivals(heartbeat):
+        for name in self.index.conflicts(heartbeat):
             # Two at one address, or of one id: the one heard of last is there.
             if self.heard_at[name] > now - told.age_s:
                 return
--- a/tests/test_rivals.py
+++ b/tests/test_rivals.py
@@ -43,7 +43,9 @@
             index.discard(other)
             present.pop(other, None)
     new = beat(name, address)
-    assert index.rivals(new) == sorted(o for o, known in present.items() if are_rivals(known, new))
+    assert index.conflicts(new) == sorted(
+        o for o, known in present.items() if are_rivals(known, new)
+    )
     same = sorted(o for o in present if incarnations.parse(o).id == name)
     assert index.of_id(name) == same
 
