--- a/src/merlinthread/coordination/instances.py
+++ b/src/merlinthread/coordination/instances.py
@@ -122,11 +122,11 @@
 
     def lives(self, name: str) -> list[str]:
         """Return what a departure is about: an incarnation, or those known of an id alone."""
-        return [name, *(known for known in self.index.of_id(name) if known != name)]
+        return [name, *(known for known in self.index.with_id(name) if known != name)]
 
     def latest(self, id_: str) -> str:
         """Return the name of the incarnation of a back end that is known here, else its id."""
-        found = self.index.of_id(id_)
+        found = self.index.with_id(id_)
         return max(found, key=lambda name: self.known[name].heard_at, default=id_)
 
     def drain(self, instance: str) -> None:
--- a/src/merlinthread/coordination/rivals.py
+++ b/src/merlinthread/coordination/rivals.py
@@ -41,7 +41,7 @@
         found = self.by_id.get(id_, set()) | self.by_address.get(heartbeat.address, set())
         return sorted(found - {heartbeat.instance})
 
-    def of_id(self, id_: str) -> list[str]:
+    def with_id(self, id_: str) -> list[str]:
         """Return the incarnations of one id, in the order of their names."""
         return sorted(self.by_id.get(id_, set()))
 
--- a/tests/test_rivals.py
+++ b/tests/test_rivals.py
@@ -47,7 +47,7 @@
         o for o, known in present.items() if are_rivals(known, new)
     )
     same = sorted(o for o in present if incarnations.parse(o).id == name)
-    assert index.of_id(name) == same
+    assert index.with_id(name) == same
 
 
 def count_parsed(monkeypatch) -> list[str]:
