--- a/src/merlinthread/coordination/instances.py
+++ b/src/merlinthread/coordination/instances.py
@@ -52,7 +52,7 @@
         self.forgotten_position = 0
         self.position = 0
 
-    def take(self, heartbeat: fleet.Heartbeat, now: float) -> bool:
+    def record_heartbeat(self, heartbeat: fleet.Heartbeat, now: float) -> bool:
         """Take a heartbeat in; return whether anything but its age has changed.
 
         A late one (a lower `sequence`) and one of an incarnation that has left are ignored. An
--- a/src/merlinthread/nodes/control_node.py
+++ b/src/merlinthread/nodes/control_node.py
@@ -270,7 +270,7 @@
         if state == fleet.GONE:
             return
         is_new = heartbeat.instance not in self.registry.known
-        if self.registry.take(heartbeat, self.clock()):
+        if self.registry.record_heartbeat(heartbeat, self.clock()):
             if state == fleet.DRAINING:
                 self.registry.drain(heartbeat.instance)
             if is_new:
--- a/tests/test_fleet_deciders.py
+++ b/tests/test_fleet_deciders.py
@@ -68,34 +68,34 @@
 
 def test_a_late_heartbeat_does_not_undo_a_drain():
     registry = instances.InstanceRegistry(BEAT_S)
-    registry.take(beat(sequence=5, state=fleet.DRAINING), 0.0)
-    registry.take(beat(sequence=4), 0.1)
-    registry.take(beat(sequence=6), 0.2)
+    registry.record_heartbeat(beat(sequence=5, state=fleet.DRAINING), 0.0)
+    registry.record_heartbeat(beat(sequence=4), 0.1)
+    registry.record_heartbeat(beat(sequence=6), 0.2)
     assert registry.known["i"].heartbeat.state == fleet.DRAINING
 
 
 def test_an_instance_that_left_does_not_come_back():
     registry = instances.InstanceRegistry(BEAT_S)
-    registry.take(beat(), 0.0)
+    registry.record_heartbeat(beat(), 0.0)
     registry.remove("i")
-    registry.take(beat(sequence=9), 0.1)
+    registry.record_heartbeat(beat(sequence=9), 0.1)
     assert registry.known == {}
 
 
 def test_a_new_instance_at_an_address_takes_the_place_of_the_old_one():
     registry = instances.InstanceRegistry(BEAT_S)
-    registry.take(beat("old"), 0.0)
-    registry.take(beat("new"), 1.0)
-    registry.take(beat("old", sequence=2), 1.1)
+    registry.record_heartbeat(beat("old"), 0.0)
+    registry.record_heartbeat(beat("new"), 1.0)
+    registry.record_heartbeat(beat("old", sequence=2), 1.1)
     assert list(registry.known) == ["new"]
 
 
 def test_who_knows_a_position_is_told_what_changed_after_it():
     registry = instances.InstanceRegistry(BEAT_S)
-    registry.take(beat("a", "1.1.1.1:1"), 0.0)
+    registry.record_heartbeat(beat("a", "1.1.1.1:1"), 0.0)
     position = registry.position
-    registry.take(beat("b", "1.1.1.1:2"), 0.0)
-    registry.take(beat("a", "1.1.1.1:1", sequence=2), 0.5)
+    registry.record_heartbeat(beat("b", "1.1.1.1:2"), 0.0)
+    registry.record_heartbeat(beat("a", "1.1.1.1:1", sequence=2), 0.5)
     is_full, changed, gone = registry.since(position, 0.5)
     assert (is_full, [told.heartbeat.instance for told in changed], gone) == (False, ["b"], [])
     registry.remove("a")
@@ -104,8 +104,8 @@
 
 def test_silent_instances_are_dropped_and_all_is_told_anew():
     registry = instances.InstanceRegistry(BEAT_S)
-    registry.take(beat("a", "1.1.1.1:1"), 0.0)
-    registry.take(beat("b", "1.1.1.1:2"), 9.0)
+    registry.record_heartbeat(beat("a", "1.1.1.1:1"), 0.0)
+    registry.record_heartbeat(beat("b", "1.1.1.1:2"), 9.0)
     position = registry.position
     assert registry.expire(10.0, 5.0) == ["a"]
     is_full, changed, _ = registry.since(position, 10.0)
@@ -405,42 +405,42 @@
 def test_a_late_heartbeat_of_an_ended_instance_does_not_replace_the_one_at_its_address():
     # A control VM that has never heard of the old instance: it has just started, or was cut off.
     registry = instances.InstanceRegistry(BEAT_S)
-    registry.take(beat("new", sequence=3), 0.0)
-    assert not registry.take(beat("old", sequence=40), 0.5)
-    assert not registry.take(beat("old", sequence=41), 0.6)
-    registry.take(beat("new", sequence=4), 1.2)
+    registry.record_heartbeat(beat("new", sequence=3), 0.0)
+    assert not registry.record_heartbeat(beat("old", sequence=40), 0.5)
+    assert not registry.record_heartbeat(beat("old", sequence=41), 0.6)
+    registry.record_heartbeat(beat("new", sequence=4), 1.2)
     assert set(registry.known) == {"new"}
-    assert not registry.take(beat("old", sequence=42), 2.4)
+    assert not registry.record_heartbeat(beat("old", sequence=42), 2.4)
     assert set(registry.known) == {"new"}
 
 
 def test_an_instance_that_has_just_begun_is_known_at_once_whatever_comes_late_of_the_one_before():
     registry = instances.InstanceRegistry(BEAT_S)
-    registry.take(beat("first", sequence=7), 0.0)
-    assert registry.take(beat("second", sequence=1), 0.9)
-    assert not registry.take(beat("first", sequence=8), 1.0)
+    registry.record_heartbeat(beat("first", sequence=7), 0.0)
+    assert registry.record_heartbeat(beat("second", sequence=1), 0.9)
+    assert not registry.record_heartbeat(beat("first", sequence=8), 1.0)
     assert set(registry.known) == {"second"}
 
 
 def test_an_instance_heard_late_is_known_once_the_one_at_its_address_is_silent():
     registry = instances.InstanceRegistry(BEAT_S)
-    registry.take(beat("first", sequence=7), 0.0)
-    assert not registry.take(beat("second", sequence=12), 0.9)
-    assert registry.take(beat("second", sequence=13), 2.1)
-    assert not registry.take(beat("first", sequence=8), 2.2)
+    registry.record_heartbeat(beat("first", sequence=7), 0.0)
+    assert not registry.record_heartbeat(beat("second", sequence=12), 0.9)
+    assert registry.record_heartbeat(beat("second", sequence=13), 2.1)
+    assert not registry.record_heartbeat(beat("first", sequence=8), 2.2)
     assert set(registry.known) == {"second"}
 
 
 def test_an_instance_at_the_address_of_one_that_has_left_is_known_at_once():
     registry = instances.InstanceRegistry(BEAT_S)
-    registry.take(beat("first", sequence=7), 0.0)
+    registry.record_heartbeat(beat("first", sequence=7), 0.0)
     registry.remove("first")
-    assert registry.take(beat("second", sequence=1), 0.1)
+    assert registry.record_heartbeat(beat("second", sequence=1), 0.1)
     assert set(registry.known) == {"second"}
 
 
 def test_an_instance_that_drains_gives_its_address_up_at_once():
     registry = instances.InstanceRegistry(BEAT_S)
-    registry.take(beat("first", sequence=7, state=fleet.DRAINING), 0.0)
-    assert registry.take(beat("second", sequence=1), 0.1)
+    registry.record_heartbeat(beat("first", sequence=7, state=fleet.DRAINING), 0.0)
+    assert registry.record_heartbeat(beat("second", sequence=1), 0.1)
     assert set(registry.known) == {"second"}
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -26,7 +26,7 @@
 def registry_with(*beats) -> instances.InstanceRegistry:
     registry = instances.InstanceRegistry(BEAT_S)
     for number, heartbeat in enumerate(beats):
-        registry.take(heartbeat, 0.1 * number)
+        registry.record_heartbeat(heartbeat, 0.1 * number)
     return registry
 
 
@@ -55,29 +55,29 @@
     assert registry.known[beat(BORN + 1).instance].heartbeat.state == fleet.READY
     registry = registry_with(beat(sequence=5))
     registry.remove(registry.latest("i"))
-    assert not registry.take(beat(sequence=6), 1.0)
-    assert registry.take(beat(BORN + 1, sequence), 1.1)
+    assert not registry.record_heartbeat(beat(sequence=6), 1.0)
+    assert registry.record_heartbeat(beat(BORN + 1, sequence), 1.1)
 
 
 def test_a_back_end_that_left_before_its_start_was_told_comes_back_only_as_a_new_life():
     registry = instances.InstanceRegistry(BEAT_S)
     registry.remove(registry.latest("i"))
-    assert not registry.take(beat(sequence=40), 0.0)
-    assert registry.take(beat(sequence=1), 0.1)
+    assert not registry.record_heartbeat(beat(sequence=40), 0.0)
+    assert registry.record_heartbeat(beat(sequence=1), 0.1)
 
 
 def test_a_life_that_a_clock_that_stepped_back_makes_look_older_is_taken_once_the_other_is_silent():
     registry = registry_with(beat(sequence=50))
-    assert not registry.take(beat(BORN - 60_000, sequence=1), 0.5)
-    assert registry.take(beat(BORN - 60_000, sequence=3), 2.4)
+    assert not registry.record_heartbeat(beat(BORN - 60_000, sequence=1), 0.5)
+    assert registry.record_heartbeat(beat(BORN - 60_000, sequence=3), 2.4)
     assert names(registry) == [beat(BORN - 60_000).instance]
     # Should that have been a late word after all, the other one is taken again.
-    assert registry.take(beat(sequence=51), 4.6)
+    assert registry.record_heartbeat(beat(sequence=51), 4.6)
 
 
 def test_words_without_a_start_keep_the_former_rules():
     registry = registry_with(beat(0, sequence=5))
-    assert not registry.take(beat(0, sequence=4), 0.2)
+    assert not registry.record_heartbeat(beat(0, sequence=4), 0.2)
     assert names(registry) == ["i"]
 
 
--- a/tests/test_rivals.py
+++ b/tests/test_rivals.py
@@ -64,7 +64,7 @@
 def test_a_control_vm_does_not_look_at_all_back_ends_when_one_registers(monkeypatch):
     registry, parsed = instances.InstanceRegistry(0.5), count_parsed(monkeypatch)
     for number in range(BACKENDS):
-        assert registry.take(beat(f"i-{number}@1", f"h:{number}"), 0.0)
+        assert registry.record_heartbeat(beat(f"i-{number}@1", f"h:{number}"), 0.0)
     assert len(parsed) <= PARSED_MAX * BACKENDS
 
 
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -121,7 +121,7 @@
         "i",
         b'{"service":"s","address":"1.1.1.1:1","zone":"z","slots":1,"state":"ready","sequence":1}',
     )
-    registry.take(heartbeat, clock())
+    registry.record_heartbeat(heartbeat, clock())
     ledger = crash_ledger.CrashLedger()
     ledger.note_end("f", "", crash_ledger.End(clock(), "i", clock()))
     clock.suspended_s = 2 * crash_ledger.FORGET_S
