--- a/src/merlinthread/coordination/instances.py
+++ b/src/merlinthread/coordination/instances.py
@@ -166,7 +166,7 @@
         self.position += 1
         return self.position
 
-    def since(self, position: int, now: float) -> tuple[bool, list[Instance], list[str]]:
+    def changes_since(self, position: int, now: float) -> tuple[bool, list[Instance], list[str]]:
         """Return whether all is told, the instances changed since `position`, and those gone.
 
         Whoever is told all hears of departures too: an instance that is only absent may be one that
--- a/src/merlinthread/nodes/control_node.py
+++ b/src/merlinthread/nodes/control_node.py
@@ -236,7 +236,7 @@
         """Return what the asker does not know."""
         now = self.clock()
         position = watch.position if watch.feed == self.feed else 0
-        is_full, changed, gone = self.registry.since(position, now)
+        is_full, changed, gone = self.registry.changes_since(position, now)
         state = self.member.state
         is_newer = state.version > watch.configuration
         suspicions_from = watch.suspicions if watch.feed == self.feed else min(0, watch.suspicions)
--- a/tests/test_fleet_deciders.py
+++ b/tests/test_fleet_deciders.py
@@ -96,10 +96,10 @@
     position = registry.position
     registry.record_heartbeat(beat("b", "1.1.1.1:2"), 0.0)
     registry.record_heartbeat(beat("a", "1.1.1.1:1", sequence=2), 0.5)
-    is_full, changed, gone = registry.since(position, 0.5)
+    is_full, changed, gone = registry.changes_since(position, 0.5)
     assert (is_full, [told.heartbeat.instance for told in changed], gone) == (False, ["b"], [])
     registry.remove("a")
-    assert registry.since(position, 0.5)[2] == ["a"]
+    assert registry.changes_since(position, 0.5)[2] == ["a"]
 
 
 def test_silent_instances_are_dropped_and_all_is_told_anew():
@@ -108,7 +108,7 @@
     registry.record_heartbeat(beat("b", "1.1.1.1:2"), 9.0)
     position = registry.position
     assert registry.expire(10.0, 5.0) == ["a"]
-    is_full, changed, _ = registry.since(position, 10.0)
+    is_full, changed, _ = registry.changes_since(position, 10.0)
     assert is_full and [told.heartbeat.instance for told in changed] == ["b"]
 
 
