--- a/src/merlinthread/coordination/instances.py
+++ b/src/merlinthread/coordination/instances.py
@@ -81,7 +81,7 @@
             return False
         for rival in self.conflicts(heartbeat):
             if is_surely_over(rival.heartbeat, heartbeat):
-                self.remove(rival.heartbeat.instance)
+                self.mark_gone(rival.heartbeat.instance)
             else:
                 # It may have been misjudged by a word that was held up: it may be heard again.
                 self.drop(rival.heartbeat.instance)
@@ -137,7 +137,7 @@
         known.heartbeat = dataclasses.replace(known.heartbeat, state=fleet.DRAINING)
         known.position = self.advance()
 
-    def remove(self, instance: str) -> None:
+    def mark_gone(self, instance: str) -> None:
         """Note that an instance has left for good."""
         self.drop(instance)
         if instance in self.gone:
--- a/src/merlinthread/nodes/control_node.py
+++ b/src/merlinthread/nodes/control_node.py
@@ -129,7 +129,7 @@
     def depart(self, instance: str, state: str) -> None:
         """Take over that an instance leaves."""
         if state == fleet.GONE:
-            self.registry.remove(instance)
+            self.registry.mark_gone(instance)
         else:
             self.registry.drain(instance)
 
--- a/tests/test_fleet_deciders.py
+++ b/tests/test_fleet_deciders.py
@@ -77,7 +77,7 @@
 def test_an_instance_that_left_does_not_come_back():
     registry = instances.InstanceRegistry(BEAT_S)
     registry.record_heartbeat(beat(), 0.0)
-    registry.remove("i")
+    registry.mark_gone("i")
     registry.record_heartbeat(beat(sequence=9), 0.1)
     assert registry.known == {}
 
@@ -98,7 +98,7 @@
     registry.record_heartbeat(beat("a", "1.1.1.1:1", sequence=2), 0.5)
     is_full, changed, gone = registry.changes_since(position, 0.5)
     assert (is_full, [told.heartbeat.instance for told in changed], gone) == (False, ["b"], [])
-    registry.remove("a")
+    registry.mark_gone("a")
     assert registry.changes_since(position, 0.5)[2] == ["a"]
 
 
@@ -434,7 +434,7 @@
 def test_an_instance_at_the_address_of_one_that_has_left_is_known_at_once():
     registry = instances.InstanceRegistry(BEAT_S)
     registry.record_heartbeat(beat("first", sequence=7), 0.0)
-    registry.remove("first")
+    registry.mark_gone("first")
     assert registry.record_heartbeat(beat("second", sequence=1), 0.1)
     assert set(registry.known) == {"second"}
 
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -54,14 +54,14 @@
     registry = registry_with(beat(sequence=5, state=fleet.DRAINING), beat(BORN + 1, sequence))
     assert registry.known[beat(BORN + 1).instance].heartbeat.state == fleet.READY
     registry = registry_with(beat(sequence=5))
-    registry.remove(registry.latest("i"))
+    registry.mark_gone(registry.latest("i"))
     assert not registry.record_heartbeat(beat(sequence=6), 1.0)
     assert registry.record_heartbeat(beat(BORN + 1, sequence), 1.1)
 
 
 def test_a_back_end_that_left_before_its_start_was_told_comes_back_only_as_a_new_life():
     registry = instances.InstanceRegistry(BEAT_S)
-    registry.remove(registry.latest("i"))
+    registry.mark_gone(registry.latest("i"))
     assert not registry.record_heartbeat(beat(sequence=40), 0.0)
     assert registry.record_heartbeat(beat(sequence=1), 0.1)
 
--- a/tests/test_leaving_answers.py
+++ b/tests/test_leaving_answers.py
@@ -180,7 +180,7 @@
         address = f"10.0.0.{instance[-1]}:1"
         beat = fleet.Heartbeat(instance, "safe", address, "z", 1, fleet.READY, 1)
         registry.record_heartbeat(beat, 10.0)
-    registry.remove("i-1")
+    registry.mark_gone("i-1")
     is_full, told, gone = registry.changes_since(0, 11.0)
     assert (is_full, [one.heartbeat.instance for one in told], gone) == (True, ["i-2"], ["i-1"])
 
