--- a/src/merlinthread/coordination/instances.py
+++ b/src/merlinthread/coordination/instances.py
@@ -129,7 +129,7 @@
         found = self.index.with_id(id_)
         return max(found, key=lambda name: self.known[name].heard_at, default=id_)
 
-    def drain(self, instance: str) -> None:
+    def mark_draining(self, instance: str) -> None:
         """Note that an instance takes no new work."""
         known = self.known.get(instance)
         if known is None or known.heartbeat.state == fleet.DRAINING:
--- a/src/merlinthread/nodes/control_node.py
+++ b/src/merlinthread/nodes/control_node.py
@@ -131,7 +131,7 @@
         if state == fleet.GONE:
             self.registry.mark_gone(instance)
         else:
-            self.registry.drain(instance)
+            self.registry.mark_draining(instance)
 
     def tell(self) -> None:
         """Wake those who wait for news."""
@@ -272,7 +272,7 @@
         is_new = heartbeat.instance not in self.registry.known
         if self.registry.record_heartbeat(heartbeat, self.clock()):
             if state == fleet.DRAINING:
-                self.registry.drain(heartbeat.instance)
+                self.registry.mark_draining(heartbeat.instance)
             if is_new:
                 logs.event(
                     "instance_new",
