--- a/src/merlinthread/coordination/instances.py
+++ b/src/merlinthread/coordination/instances.py
@@ -120,7 +120,7 @@
         # Of one that left before its start was told only the first words show another life.
         return is_past_first and id_ != heartbeat.instance and id_ in self.gone
 
-    def lives(self, name: str) -> list[str]:
+    def incarnations_of(self, name: str) -> list[str]:
         """Return what a departure is about: an incarnation, or those known of an id alone."""
         return [name, *(known for known in self.index.with_id(name) if known != name)]
 
--- a/src/merlinthread/nodes/control_node.py
+++ b/src/merlinthread/nodes/control_node.py
@@ -106,7 +106,7 @@
         """Take a command into what is told to nodes; it was committed `age_s` ago at most."""
         if isinstance(command, fleet_state.Depart):
             # Whoever took the call may not have known which life of the back end it was about.
-            for instance in self.registry.lives(command.instance):
+            for instance in self.registry.incarnations_of(command.instance):
                 self.depart(instance, command.state)
         elif isinstance(command, fleet_state.NameVersion):
             self.named_at[command.model] = self.clock() - age_s
