--- a/src/merlinthread/coordination/instances.py
+++ b/src/merlinthread/coordination/instances.py
@@ -8,7 +8,7 @@
 import collections
 import dataclasses
 
-from merlinthread.coordination import fleet, incarnations, rivals
+from merlinthread.coordination import conflict_index, fleet, incarnations
 
 GONE_KEPT = 4096
 # How many of those that left last are told with everything: who turns to another control VM may
@@ -47,7 +47,7 @@
     def __init__(self, heartbeat_s: float) -> None:
         self.heartbeat_s = heartbeat_s
         self.known: dict[str, Known] = {}
-        self.index = rivals.ConflictIndex()
+        self.index = conflict_index.ConflictIndex()
         self.gone: collections.OrderedDict[str, int] = collections.OrderedDict()
         self.forgotten_position = 0
         self.position = 0
--- a/src/merlinthread/nodes/news_watcher.py
+++ b/src/merlinthread/nodes/news_watcher.py
@@ -14,10 +14,10 @@
 from merlinthread import errors, logs, metrics
 from merlinthread.coordination import (
     backend_signals,
+    conflict_index,
     crash_ledger,
     fleet,
     instances,
-    rivals,
     route_table,
 )
 from merlinthread.nodes import dialect as dialects
@@ -75,7 +75,7 @@
         self.table: route_table.RouteTable | None = None
         self.version = 0
         self.instances: dict[str, fleet.Heartbeat] = {}
-        self.index = rivals.ConflictIndex()
+        self.index = conflict_index.ConflictIndex()
         self.cold_until: dict[str, float] = {}
         self.heard_at: dict[str, float] = {}
         self.gone: set[str] = set()
--- a/tests/test_rivals.py
+++ b/tests/test_rivals.py
@@ -3,7 +3,7 @@
 import hypothesis
 from hypothesis import strategies as st
 
-from merlinthread.coordination import fleet, incarnations, instances, rivals
+from merlinthread.coordination import conflict_index, fleet, incarnations, instances
 from tests import fleet_nodes
 
 NAMES = st.sampled_from(["a", "b", "a@1", "a@2", "b@7", "c@x"])
@@ -34,7 +34,7 @@
 
 @hypothesis.given(st.lists(st.tuples(st.booleans(), NAMES, ADDRESSES)), NAMES, ADDRESSES)
 def test_the_index_finds_just_those_of_the_same_id_or_address(steps, name, address):
-    index, present = rivals.ConflictIndex(), {}
+    index, present = conflict_index.ConflictIndex(), {}
     for comes, other, at in steps:
         if comes:
             index.put(beat(other, at))
