--- a/src/merlinthread/coordination/crash_ledger.py
+++ b/src/merlinthread/coordination/crash_ledger.py
@@ -78,7 +78,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True, order=True)
-class End:
+class Crash:
     """The end of an instance's process under an attempt that was sent at `began_at`."""
 
     at: float
@@ -113,7 +113,7 @@
     fingerprint: str
     label: str
     account: str = ""
-    ends: list[End] = dataclasses.field(default_factory=list)
+    ends: list[Crash] = dataclasses.field(default_factory=list)
     cleared_at: float = float("-inf")
     hold: Hold = Hold()
     revision: int = 0
@@ -191,7 +191,7 @@
 
     # Changes
 
-    def note_end(self, fingerprint: str, label: str, end: End, account: str = "") -> bool:
+    def note_end(self, fingerprint: str, label: str, end: Crash, account: str = "") -> bool:
         """Note that a process ended under a request; return whether that is new."""
         record = self.records.get(fingerprint)
         if record is None:
@@ -240,7 +240,7 @@
         if told.cleared_age_s is not None:
             is_new |= self.clear(told.fingerprint, now - told.cleared_age_s)
         for end in told.ends:
-            heard = End(now - end.age_s, end.instance, now - end.began_age_s)
+            heard = Crash(now - end.age_s, end.instance, now - end.began_age_s)
             is_new |= self.note_end(told.fingerprint, told.label, heard, told.account)
         return is_new
 
@@ -277,7 +277,7 @@
                 del self.records[fingerprint]
 
 
-def is_known(record: Record, end: End) -> bool:
+def is_known(record: Record, end: Crash) -> bool:
     """Return whether the end of that instance's process is in a record already."""
     return any(
         other.instance == end.instance and abs(end.at - other.at) < SAME_END_S
--- a/src/merlinthread/nodes/crash_watch.py
+++ b/src/merlinthread/nodes/crash_watch.py
@@ -43,9 +43,9 @@
     began_at: float
     at: float
 
-    def end(self) -> crash_ledger.End:
+    def end(self) -> crash_ledger.Crash:
         """Return the end of the back end's process, once it is proven."""
-        return crash_ledger.End(self.at, self.backend.instance, self.began_at)
+        return crash_ledger.Crash(self.at, self.backend.instance, self.began_at)
 
 
 class CrashWatch:
--- a/tests/test_crash_ledger.py
+++ b/tests/test_crash_ledger.py
@@ -13,8 +13,8 @@
 CLEARED = crash_ledger.HoldState.CLEARED
 
 
-def end(instance: str, at: float, ran_s: float = 0.3) -> crash_ledger.End:
-    return crash_ledger.End(at, instance, at - ran_s)
+def end(instance: str, at: float, ran_s: float = 0.3) -> crash_ledger.Crash:
+    return crash_ledger.Crash(at, instance, at - ran_s)
 
 
 def ledger_with(fingerprint: str, times: list[float]) -> crash_ledger.CrashLedger:
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -268,7 +268,7 @@
         task = asyncio.get_running_loop().create_task(crashes.run())
 
         def see(instance):
-            end = crash_ledger.End(crashes.clock(), instance, crashes.clock())
+            end = crash_ledger.Crash(crashes.clock(), instance, crashes.clock())
             crashes.ledger.note_end("f", "", end)
             crashes.report("f")
 
