--- a/src/merlinthread/coordination/crash_ledger.py
+++ b/src/merlinthread/coordination/crash_ledger.py
@@ -69,7 +69,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class ToldEnd:
+class ReportedCrash:
     """The end of an instance's process `age_s` ago, under an attempt sent `began_age_s` ago."""
 
     instance: str
@@ -95,7 +95,7 @@
 
     fingerprint: str
     label: str
-    ends: list[ToldEnd]
+    ends: list[ReportedCrash]
     cleared_age_s: float | None = None
     hold: Hold = Hold()
     account: str = ""
@@ -180,7 +180,7 @@
     def suspicion(self, record: Record, now: float) -> Suspicion:
         """Return a record as another node is told it."""
         ends = [
-            ToldEnd(end.instance, round(now - end.at, 3), round(now - end.began_at, 3))
+            ReportedCrash(end.instance, round(now - end.at, 3), round(now - end.began_at, 3))
             for end in record.ends
         ]
         is_cleared = record.cleared_at > float("-inf")
--- a/tests/test_crash_ledger.py
+++ b/tests/test_crash_ledger.py
@@ -52,7 +52,7 @@
 def test_a_report_that_took_longer_than_the_next_one_does_not_make_two_ends_one():
     ledger = crash_ledger.CrashLedger()
     for number, way_s in enumerate((0.02, 0.0, 0.02)):
-        told = crash_ledger.ToldEnd(f"i-{number}", 0.0, 0.05)
+        told = crash_ledger.ReportedCrash(f"i-{number}", 0.0, 0.05)
         ledger.merge(crash_ledger.Suspicion("f", "", [told]), 1.0 + 0.055 * number + way_s)
     assert ledger.is_held("f")
 
@@ -174,8 +174,8 @@
     assert len(state.held) == fleet_state.HELD_KEPT
 
 
-def told_end(instance: str, age_s: float) -> crash_ledger.ToldEnd:
-    return crash_ledger.ToldEnd(instance, age_s, age_s + 0.3)
+def told_end(instance: str, age_s: float) -> crash_ledger.ReportedCrash:
+    return crash_ledger.ReportedCrash(instance, age_s, age_s + 0.3)
 
 
 ENDS = st.lists(
