--- a/src/merlinthread/coordination/crash_ledger.py
+++ b/src/merlinthread/coordination/crash_ledger.py
@@ -87,7 +87,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Suspicion:
+class SuspectReport:
     """What one node knows of one request, for another; `label` tells operators what it asks.
 
     `cleared_age_s` is how long ago it had a whole answer, None if it had none.
@@ -169,7 +169,7 @@
             return False
         return sum(record.account == account for record in self.held()) >= ACCOUNT_HELD_MAX
 
-    def since(self, revision: int, now: float) -> list[Suspicion]:
+    def since(self, revision: int, now: float) -> list[SuspectReport]:
         """Return what has changed after `revision` of requests that were at more than one end."""
         return [
             self.suspicion(record, now)
@@ -177,7 +177,7 @@
             if record.is_told and record.revision > revision
         ]
 
-    def suspicion(self, record: Record, now: float) -> Suspicion:
+    def suspicion(self, record: Record, now: float) -> SuspectReport:
         """Return a record as another node is told it."""
         ends = [
             ReportedCrash(end.instance, round(now - end.at, 3), round(now - end.began_at, 3))
@@ -185,7 +185,7 @@
         ]
         is_cleared = record.cleared_at > float("-inf")
         cleared_age_s = round(now - record.cleared_at, 3) if is_cleared else None
-        return Suspicion(
+        return SuspectReport(
             record.fingerprint, record.label, ends, cleared_age_s, record.hold, record.account
         )
 
@@ -231,7 +231,7 @@
         self.note_change(record, now)
         return True
 
-    def merge(self, told: Suspicion, now: float) -> bool:
+    def merge(self, told: SuspectReport, now: float) -> bool:
         """Take over what another node knows; return whether any of it is new."""
         record = self.records.get(told.fingerprint)
         if record is None and not told.ends and told.hold.times == 0:
--- a/src/merlinthread/nodes/crash_registry.py
+++ b/src/merlinthread/nodes/crash_registry.py
@@ -64,7 +64,7 @@
         if not report.is_passed_on:
             self.pass_on(report.suspicions)
 
-    def pass_on(self, suspicions: list[crash_ledger.Suspicion]) -> None:
+    def pass_on(self, suspicions: list[crash_ledger.SuspectReport]) -> None:
         """Tell the other control VMs."""
         for address in self.others():
             self.start_sending(address, suspicions)
@@ -74,7 +74,7 @@
         members = self.member.member_addresses()
         return [address for address in members if address != self.member.address]
 
-    def start_sending(self, address: str, suspicions: list[crash_ledger.Suspicion]) -> None:
+    def start_sending(self, address: str, suspicions: list[crash_ledger.SuspectReport]) -> None:
         """Tell one control VM, beside other work."""
         message = node_messages.CrashReport(self.settings.name, suspicions, True)
         task = asyncio.get_running_loop().create_task(self.send(address, message))
--- a/src/merlinthread/protocol/node_messages.py
+++ b/src/merlinthread/protocol/node_messages.py
@@ -86,7 +86,7 @@
     configuration: bytes
     controls: list[str]
     leader_age_s: float
-    suspicions: list[crash_ledger.Suspicion] = dataclasses.field(default_factory=list)
+    suspicions: list[crash_ledger.SuspectReport] = dataclasses.field(default_factory=list)
     suspicion_revision: int = 0
     limits: list[limit_ledger.ToldLimit] = dataclasses.field(default_factory=list)
     limit_revision: int = 0
@@ -112,7 +112,7 @@
     """
 
     sender: str
-    suspicions: list[crash_ledger.Suspicion]
+    suspicions: list[crash_ledger.SuspectReport]
     is_passed_on: bool = False
     limits: list[limit_ledger.ToldLimit] = dataclasses.field(default_factory=list)
 
--- a/tests/test_crash_ledger.py
+++ b/tests/test_crash_ledger.py
@@ -53,7 +53,7 @@
     ledger = crash_ledger.CrashLedger()
     for number, way_s in enumerate((0.02, 0.0, 0.02)):
         told = crash_ledger.ReportedCrash(f"i-{number}", 0.0, 0.05)
-        ledger.merge(crash_ledger.Suspicion("f", "", [told]), 1.0 + 0.055 * number + way_s)
+        ledger.merge(crash_ledger.SuspectReport("f", "", [told]), 1.0 + 0.055 * number + way_s)
     assert ledger.is_held("f")
 
 
@@ -122,7 +122,7 @@
 def test_an_old_clearing_told_to_a_control_vm_that_has_just_started_lets_nothing_go():
     ledger = crash_ledger.CrashLedger()
     ledger.set_hold("f", "", crash_ledger.Hold(1, HELD), 100.0)
-    ledger.merge(crash_ledger.Suspicion("f", "", [], 50.0), 100.1)
+    ledger.merge(crash_ledger.SuspectReport("f", "", [], 50.0), 100.1)
     assert crash_registry.decisions(ledger, {"f": 100.0}, 100.2, 0.0) == []
 
 
@@ -191,10 +191,10 @@
     """Ends lie on a grid of 0.5 s, so that two reports of one end are exactly alike."""
     now = 100.0
     told = [
-        crash_ledger.Suspicion(name, "", [told_end(instance, now - at / 2)])
+        crash_ledger.SuspectReport(name, "", [told_end(instance, now - at / 2)])
         for name, instance, at in ends
     ]
-    told += [crash_ledger.Suspicion(name, "", [], now - at / 2) for name, at in clearings]
+    told += [crash_ledger.SuspectReport(name, "", [], now - at / 2) for name, at in clearings]
     known = []
     for _ in range(2):
         ledger = crash_ledger.CrashLedger()
