--- a/src/merlinthread/coordination/crash_ledger.py
+++ b/src/merlinthread/coordination/crash_ledger.py
@@ -102,7 +102,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Record:
+class SuspectRecord:
     """What is known of one request; times are those of this node's clock.
 
     `ends` holds the instances that ended under it since `cleared_at`, in order. `revision` is that
@@ -143,7 +143,7 @@
 
     def __init__(self, kept: int = KEPT) -> None:
         self.kept = kept
-        self.records: collections.OrderedDict[str, Record] = collections.OrderedDict()
+        self.records: collections.OrderedDict[str, SuspectRecord] = collections.OrderedDict()
         self.revision = 0
         self.told_revision = 0
 
@@ -159,7 +159,7 @@
         record = self.records.get(fingerprint)
         return record is not None and (bool(record.ends) or record.is_held())
 
-    def held(self) -> list[Record]:
+    def held(self) -> list[SuspectRecord]:
         """Return the requests that may not run now."""
         return [record for record in self.records.values() if record.is_held()]
 
@@ -177,7 +177,7 @@
             if record.is_told and record.revision > revision
         ]
 
-    def suspicion(self, record: Record, now: float) -> SuspectReport:
+    def suspicion(self, record: SuspectRecord, now: float) -> SuspectReport:
         """Return a record as another node is told it."""
         ends = [
             ReportedCrash(end.instance, round(now - end.at, 3), round(now - end.began_at, 3))
@@ -244,9 +244,9 @@
             is_new |= self.note_end(told.fingerprint, told.label, heard, told.account)
         return is_new
 
-    def add(self, fingerprint: str, label: str, account: str) -> Record:
+    def add(self, fingerprint: str, label: str, account: str) -> SuspectRecord:
         """Begin a record, in place of the oldest one if there are too many."""
-        record = Record(fingerprint, label, account)
+        record = SuspectRecord(fingerprint, label, account)
         self.records[fingerprint] = record
         if len(self.records) > self.kept:
             self.evict()
@@ -260,7 +260,7 @@
                 return
         self.records.popitem(last=False)
 
-    def note_change(self, record: Record, now: float) -> None:
+    def note_change(self, record: SuspectRecord, now: float) -> None:
         """Give a record the next revision; the one changed last comes last."""
         self.revision += 1
         record.revision = self.revision
@@ -277,7 +277,7 @@
                 del self.records[fingerprint]
 
 
-def is_known(record: Record, end: Crash) -> bool:
+def is_known(record: SuspectRecord, end: Crash) -> bool:
     """Return whether the end of that instance's process is in a record already."""
     return any(
         other.instance == end.instance and abs(end.at - other.at) < SAME_END_S
