--- a/src/merlinthread/coordination/crash_ledger.py
+++ b/src/merlinthread/coordination/crash_ledger.py
@@ -191,7 +191,7 @@
 
     # Changes
 
-    def note_end(self, fingerprint: str, label: str, end: Crash, account: str = "") -> bool:
+    def record_crash(self, fingerprint: str, label: str, end: Crash, account: str = "") -> bool:
         """Note that a process ended under a request; return whether that is new."""
         record = self.records.get(fingerprint)
         if record is None:
@@ -241,7 +241,7 @@
             is_new |= self.clear(told.fingerprint, now - told.cleared_age_s)
         for end in told.ends:
             heard = Crash(now - end.age_s, end.instance, now - end.began_age_s)
-            is_new |= self.note_end(told.fingerprint, told.label, heard, told.account)
+            is_new |= self.record_crash(told.fingerprint, told.label, heard, told.account)
         return is_new
 
     def add(self, fingerprint: str, label: str, account: str) -> SuspectRecord:
--- a/src/merlinthread/nodes/crash_watch.py
+++ b/src/merlinthread/nodes/crash_watch.py
@@ -173,7 +173,7 @@
         """Note that the processes under some attempts have ended."""
         log_breaks(found, True, proof)
         for known in found:
-            if self.ledger.note_end(known.fingerprint, known.label, known.end(), known.account):
+            if self.ledger.record_crash(known.fingerprint, known.label, known.end(), known.account):
                 self.report(known.fingerprint)
 
     def note_whole_answer(self, fingerprint: str) -> None:
--- a/tests/test_crash_ledger.py
+++ b/tests/test_crash_ledger.py
@@ -20,7 +20,7 @@
 def ledger_with(fingerprint: str, times: list[float]) -> crash_ledger.CrashLedger:
     ledger = crash_ledger.CrashLedger()
     for number, at in enumerate(times):
-        ledger.note_end(fingerprint, "label", end(f"i-{number}", at))
+        ledger.record_crash(fingerprint, "label", end(f"i-{number}", at))
     return ledger
 
 
@@ -32,7 +32,7 @@
 def test_an_instance_under_the_same_id_counts_for_each_of_its_lives():
     ledger = crash_ledger.CrashLedger()
     for at in (1.0, 1.1, 3.0, 5.0):
-        ledger.note_end("f", "", end("i-1", at))
+        ledger.record_crash("f", "", end("i-1", at))
     assert ledger.records["f"].moments() == 3
     assert ledger.is_held("f")
 
@@ -45,7 +45,7 @@
 def test_an_attempt_that_began_after_the_end_before_it_counts_however_soon_it_ends():
     ledger = crash_ledger.CrashLedger()
     for number in range(3):
-        ledger.note_end("f", "", end(f"i-{number}", 1.0 + 0.06 * number, ran_s=0.05))
+        ledger.record_crash("f", "", end(f"i-{number}", 1.0 + 0.06 * number, ran_s=0.05))
     assert ledger.is_held("f")
 
 
@@ -60,10 +60,10 @@
 def test_a_whole_answer_clears_a_request_of_all_ends_before_it():
     ledger = ledger_with("f", [1.0, 2.0])
     ledger.clear("f", 2.5)
-    ledger.note_end("f", "", end("i-7", 3.0))
+    ledger.record_crash("f", "", end("i-7", 3.0))
     assert not ledger.is_held("f")
     # An end that was noticed before the answer and is told late changes nothing.
-    assert not ledger.note_end("f", "", end("i-8", 2.2))
+    assert not ledger.record_crash("f", "", end("i-8", 2.2))
     assert ledger.records["f"].moments() == 1
 
 
@@ -78,8 +78,8 @@
     for step in range(400):
         now = step * 0.05
         if step % 8 == 0:
-            ledger.note_end("popular", "", end(f"i-{step}", now))
-            ledger.note_end("deadly", "", end(f"i-{step}", now))
+            ledger.record_crash("popular", "", end(f"i-{step}", now))
+            ledger.record_crash("deadly", "", end(f"i-{step}", now))
         if rng.random() < 1 - 0.5**1.5:
             ledger.clear("popular", now)
         held_s += 0.05 * ledger.is_held("popular")
@@ -105,7 +105,7 @@
     assert agree(3.0 + crash_ledger.HOLD_S - 1) == []
     assert agree(4.0 + crash_ledger.HOLD_S) == [fleet_state.LetGo("f", 1, HALF_OPEN)]
     assert not ledger.is_held("f")
-    ledger.note_end("f", "", end("i-9", 5.0 + crash_ledger.HOLD_S))
+    ledger.record_crash("f", "", end("i-9", 5.0 + crash_ledger.HOLD_S))
     assert [command.times for command in agree(5.0 + crash_ledger.HOLD_S)] == [2]
     assert crash_ledger.hold_s(state.held["f"].hold) == 2 * crash_ledger.HOLD_S
 
@@ -139,17 +139,17 @@
 
 def test_an_account_with_several_requests_held_back_ends_one_process_with_each_further_one():
     ledger = crash_ledger.CrashLedger()
-    ledger.note_end("there-before", "", end("i-0", 0.5), "account-1")
+    ledger.record_crash("there-before", "", end("i-0", 0.5), "account-1")
     for number in range(crash_ledger.ACCOUNT_HELD_MAX):
         assert not ledger.is_strict("account-1")
         for at in (1.0, 2.0, 3.0):
-            ledger.note_end(f"f-{number}", "", end(f"i-{at}", at), "account-1")
+            ledger.record_crash(f"f-{number}", "", end(f"i-{at}", at), "account-1")
     assert ledger.is_strict("account-1")
-    ledger.note_end("next", "", end("i-9", 5.0), "account-1")
+    ledger.record_crash("next", "", end("i-9", 5.0), "account-1")
     assert ledger.is_held("next")
     # Not what was there earlier, nor another account's, nor what has no account.
-    ledger.note_end("of another", "", end("i-9", 5.0), "account-2")
-    ledger.note_end("of nobody", "", end("i-9", 5.0), "")
+    ledger.record_crash("of another", "", end("i-9", 5.0), "account-2")
+    ledger.record_crash("of nobody", "", end("i-9", 5.0), "")
     assert not any(ledger.is_held(name) for name in ("there-before", "of another", "of nobody"))
     # Other nodes are told, and come to the same.
     told = ledger.since(0, 6.0)
@@ -165,7 +165,7 @@
 def test_what_is_remembered_is_bounded_and_what_is_held_back_goes_last():
     ledger = ledger_with("held", [1.0, 2.0, 3.0])
     for number in range(3 * crash_ledger.KEPT):
-        ledger.note_end(f"f-{number}", "", end("i-1", 10.0 + number))
+        ledger.record_crash(f"f-{number}", "", end("i-1", 10.0 + number))
     assert len(ledger.records) == crash_ledger.KEPT
     assert ledger.is_held("held")
     state = fleet_state.FleetState()
@@ -200,7 +200,7 @@
         ledger = crash_ledger.CrashLedger()
         # A clearing of a request that nobody suspects is not kept: each is suspected first.
         for name in "abc":
-            ledger.note_end(name, "", end("i-0", 0.0))
+            ledger.record_crash(name, "", end("i-0", 0.0))
         for suspicion in rng.sample(told, len(told)) + told:
             ledger.merge(suspicion, now)
         known.append({name: record.ends for name, record in ledger.records.items()})
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -123,7 +123,7 @@
     )
     registry.record_heartbeat(heartbeat, clock())
     ledger = crash_ledger.CrashLedger()
-    ledger.note_end("f", "", crash_ledger.Crash(clock(), "i", clock()))
+    ledger.record_crash("f", "", crash_ledger.Crash(clock(), "i", clock()))
     clock.suspended_s = 2 * crash_ledger.FORGET_S
     assert registry.expire(clock(), 9.6) == ["i"]
     ledger.expire(clock())
