--- a/src/merlinthread/coordination/crash_ledger.py
+++ b/src/merlinthread/coordination/crash_ledger.py
@@ -121,7 +121,7 @@
     is_account_limited: bool = False
     changed_at: float = 0.0
 
-    def moments(self) -> int:
+    def incident_count(self) -> int:
         """Return at how many moments processes ended under it."""
         count, last = 0, float("-inf")
         for end in self.ends:
@@ -131,7 +131,7 @@
 
     def is_over_limit(self) -> bool:
         """Return whether enough processes ended under it to hold it back."""
-        return self.is_account_limited or self.moments() >= self.hold.ends_max()
+        return self.is_account_limited or self.incident_count() >= self.hold.ends_max()
 
     def is_held(self) -> bool:
         """Return whether it may not run now."""
@@ -265,7 +265,9 @@
         self.revision += 1
         record.revision = self.revision
         record.changed_at = now
-        record.is_told |= record.moments() > 1 or record.hold.times > 0 or record.is_account_limited
+        record.is_told |= (
+            record.incident_count() > 1 or record.hold.times > 0 or record.is_account_limited
+        )
         if record.is_told:
             self.told_revision = self.revision
         self.records.move_to_end(record.fingerprint)
--- a/tests/test_crash_ledger.py
+++ b/tests/test_crash_ledger.py
@@ -33,7 +33,7 @@
     ledger = crash_ledger.CrashLedger()
     for at in (1.0, 1.1, 3.0, 5.0):
         ledger.record_crash("f", "", end("i-1", at))
-    assert ledger.records["f"].moments() == 3
+    assert ledger.records["f"].incident_count() == 3
     assert ledger.is_held("f")
 
 
@@ -64,7 +64,7 @@
     assert not ledger.is_held("f")
     # An end that was noticed before the answer and is told late changes nothing.
     assert not ledger.record_crash("f", "", end("i-8", 2.2))
-    assert ledger.records["f"].moments() == 1
+    assert ledger.records["f"].incident_count() == 1
 
 
 def test_a_popular_request_that_is_there_at_every_end_is_not_held_back_for_long():
