--- a/src/merlinthread/coordination/crash_ledger.py
+++ b/src/merlinthread/coordination/crash_ledger.py
@@ -145,7 +145,7 @@
         self.kept = kept
         self.records: collections.OrderedDict[str, SuspectRecord] = collections.OrderedDict()
         self.revision = 0
-        self.told_revision = 0
+        self.reported_revision = 0
 
     # Questions
 
@@ -269,7 +269,7 @@
             record.incident_count() > 1 or record.hold.times > 0 or record.is_account_limited
         )
         if record.is_told:
-            self.told_revision = self.revision
+            self.reported_revision = self.revision
         self.records.move_to_end(record.fingerprint)
 
     def expire(self, now: float) -> None:
--- a/src/merlinthread/nodes/control_node.py
+++ b/src/merlinthread/nodes/control_node.py
@@ -226,7 +226,7 @@
         """Return whether there is anything that the asker does not know."""
         if watch.feed != self.feed or watch.position < self.registry.position:
             return True
-        if 0 <= watch.suspicions < self.crashes.ledger.told_revision:
+        if 0 <= watch.suspicions < self.crashes.ledger.reported_revision:
             return True
         if 0 <= watch.limits < self.limits.ledger.revision:
             return True
@@ -257,7 +257,7 @@
             self.member.member_addresses(),
             self.member.majority_age(now),
             suspicions,
-            self.crashes.ledger.told_revision,
+            self.crashes.ledger.reported_revision,
             self.limits.since(limits_from),
             self.limits.ledger.revision,
         )
