--- a/src/merlinthread/coordination/crash_ledger.py
+++ b/src/merlinthread/coordination/crash_ledger.py
@@ -172,12 +172,12 @@
     def since(self, revision: int, now: float) -> list[SuspectReport]:
         """Return what has changed after `revision` of requests that were at more than one end."""
         return [
-            self.suspicion(record, now)
+            self.report_of(record, now)
             for record in self.records.values()
             if record.is_told and record.revision > revision
         ]
 
-    def suspicion(self, record: SuspectRecord, now: float) -> SuspectReport:
+    def report_of(self, record: SuspectRecord, now: float) -> SuspectReport:
         """Return a record as another node is told it."""
         ends = [
             ReportedCrash(end.instance, round(now - end.at, 3), round(now - end.began_at, 3))
--- a/src/merlinthread/nodes/crash_registry.py
+++ b/src/merlinthread/nodes/crash_registry.py
@@ -99,7 +99,7 @@
         now = self.clock()
         for address in self.others():
             records = [self.ledger.records.get(name) for name in missed.get(address, {})]
-            found = [self.ledger.suspicion(record, now) for record in records if record is not None]
+            found = [self.ledger.report_of(record, now) for record in records if record is not None]
             if found:
                 self.start_sending(address, found)
 
--- a/src/merlinthread/nodes/crash_watch.py
+++ b/src/merlinthread/nodes/crash_watch.py
@@ -207,7 +207,7 @@
         told, self.unreported = self.unreported, {}
         now = self.clock()
         records = [self.ledger.records.get(fingerprint) for fingerprint in told]
-        suspicions = [self.ledger.suspicion(record, now) for record in records if record]
+        suspicions = [self.ledger.report_of(record, now) for record in records if record]
         if not suspicions:
             return True
         report = node_messages.CrashReport(self.name, suspicions)
