--- a/src/merlinthread/coordination/crash_ledger.py
+++ b/src/merlinthread/coordination/crash_ledger.py
@@ -169,7 +169,7 @@
             return False
         return sum(record.account == account for record in self.held()) >= ACCOUNT_HELD_MAX
 
-    def since(self, revision: int, now: float) -> list[SuspectReport]:
+    def changes_since(self, revision: int, now: float) -> list[SuspectReport]:
         """Return what has changed after `revision` of requests that were at more than one end."""
         return [
             self.report_of(record, now)
--- a/src/merlinthread/nodes/control_node.py
+++ b/src/merlinthread/nodes/control_node.py
@@ -240,7 +240,9 @@
         state = self.member.state
         is_newer = state.version > watch.configuration
         suspicions_from = watch.suspicions if watch.feed == self.feed else min(0, watch.suspicions)
-        suspicions = self.crashes.ledger.since(suspicions_from, now) if suspicions_from >= 0 else []
+        suspicions = (
+            self.crashes.ledger.changes_since(suspicions_from, now) if suspicions_from >= 0 else []
+        )
         limits_from = watch.limits if watch.feed == self.feed else min(0, watch.limits)
         return node_messages.News(
             self.feed,
--- a/tests/test_crash_ledger.py
+++ b/tests/test_crash_ledger.py
@@ -152,7 +152,7 @@
     ledger.record_crash("of nobody", "", end("i-9", 5.0), "")
     assert not any(ledger.is_held(name) for name in ("there-before", "of another", "of nobody"))
     # Other nodes are told, and come to the same.
-    told = ledger.since(0, 6.0)
+    told = ledger.changes_since(0, 6.0)
     other = crash_ledger.CrashLedger()
     for suspicion in told:
         other.merge(suspicion, 6.0)
