--- a/src/merlinthread/coordination/crash_ledger.py
+++ b/src/merlinthread/coordination/crash_ledger.py
@@ -31,7 +31,7 @@
 # Requests of one client account that are held back before one end is enough for its others. An
 # ordinary request of that account that is there at an end is refused then until it has a whole
 # answer; few of those come again.
-ACCOUNT_HELD_MAX = 4
+ACCOUNT_HELD_THRESHOLD = 4
 # Records kept, some 2.5 MB of memory; the one that has not changed for longest goes first.
 KEPT = 4096
 # An end this long ago counts no more, unless the request was held back in between.
@@ -167,7 +167,7 @@
         """Return whether so many requests of an account are held back that one end is enough."""
         if not account:
             return False
-        return sum(record.account == account for record in self.held()) >= ACCOUNT_HELD_MAX
+        return sum(record.account == account for record in self.held()) >= ACCOUNT_HELD_THRESHOLD
 
     def changes_since(self, revision: int, now: float) -> list[SuspectReport]:
         """Return what has changed after `revision` of requests that were at more than one end."""
--- a/tests/test_crash_ledger.py
+++ b/tests/test_crash_ledger.py
@@ -140,7 +140,7 @@
 def test_an_account_with_several_requests_held_back_ends_one_process_with_each_further_one():
     ledger = crash_ledger.CrashLedger()
     ledger.record_crash("there-before", "", end("i-0", 0.5), "account-1")
-    for number in range(crash_ledger.ACCOUNT_HELD_MAX):
+    for number in range(crash_ledger.ACCOUNT_HELD_THRESHOLD):
         assert not ledger.is_strict("account-1")
         for at in (1.0, 2.0, 3.0):
             ledger.record_crash(f"f-{number}", "", end(f"i-{at}", at), "account-1")
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -239,7 +239,7 @@
                 await fleet.until_known()
                 with contextlib.suppress(Exception):
                     await fleet.ask(number % 2, body, f"/safe/deadly-{number}")
-            if number == crash_ledger.ACCOUNT_HELD_MAX - 1:
+            if number == crash_ledger.ACCOUNT_HELD_THRESHOLD - 1:
                 before = len(fleet.ends())
                 for entry in fleet.entries:
                     ledger = entry.node.crashes.ledger
