--- a/src/merlinthread/coordination/crash_ledger.py
+++ b/src/merlinthread/coordination/crash_ledger.py
@@ -33,7 +33,7 @@
 # answer; few of those come again.
 ACCOUNT_HELD_THRESHOLD = 4
 # Records kept, some 2.5 MB of memory; the one that has not changed for longest goes first.
-KEPT = 4096
+RECORDS_MAX = 4096
 # An end this long ago counts no more, unless the request was held back in between.
 FORGET_S = 600.0
 # How long a request is held back for the first time; twice as long each further time.
@@ -141,7 +141,7 @@
 class CrashLedger:
     """The requests that one node suspects; `told_revision` is that of the last change to tell."""
 
-    def __init__(self, kept: int = KEPT) -> None:
+    def __init__(self, kept: int = RECORDS_MAX) -> None:
         self.kept = kept
         self.records: collections.OrderedDict[str, SuspectRecord] = collections.OrderedDict()
         self.revision = 0
--- a/tests/test_crash_ledger.py
+++ b/tests/test_crash_ledger.py
@@ -164,9 +164,9 @@
 
 def test_what_is_remembered_is_bounded_and_what_is_held_back_goes_last():
     ledger = ledger_with("held", [1.0, 2.0, 3.0])
-    for number in range(3 * crash_ledger.KEPT):
+    for number in range(3 * crash_ledger.RECORDS_MAX):
         ledger.record_crash(f"f-{number}", "", end("i-1", 10.0 + number))
-    assert len(ledger.records) == crash_ledger.KEPT
+    assert len(ledger.records) == crash_ledger.RECORDS_MAX
     assert ledger.is_held("held")
     state = fleet_state.FleetState()
     for number in range(2 * fleet_state.HELD_KEPT):
