--- a/src/merlinthread/coordination/crash_ledger.py
+++ b/src/merlinthread/coordination/crash_ledger.py
@@ -37,7 +37,7 @@
 # An end this long ago counts no more, unless the request was held back in between.
 FORGET_S = 600.0
 # How long a request is held back for the first time; twice as long each further time.
-HOLD_S = 600.0
+FIRST_HOLD_S = 600.0
 HOLD_MAX_S = 24 * 3600.0
 
 
@@ -289,4 +289,4 @@
 
 def hold_s(hold: Hold) -> float:
     """Return how long a request is held back by a decision."""
-    return min(HOLD_MAX_S, HOLD_S * 2 ** (hold.times - 1))
+    return min(HOLD_MAX_S, FIRST_HOLD_S * 2 ** (hold.times - 1))
