--- a/src/merlinthread/coordination/crash_ledger.py
+++ b/src/merlinthread/coordination/crash_ledger.py
@@ -35,7 +35,7 @@
 # Records kept, some 2.5 MB of memory; the one that has not changed for longest goes first.
 RECORDS_MAX = 4096
 # An end this long ago counts no more, unless the request was held back in between.
-FORGET_S = 600.0
+RECORD_EXPIRY_S = 600.0
 # How long a request is held back for the first time; twice as long each further time.
 FIRST_HOLD_S = 600.0
 HOLD_MAX_S = 24 * 3600.0
@@ -275,7 +275,7 @@
     def expire(self, now: float) -> None:
         """Forget ends that are long past."""
         for fingerprint, record in list(self.records.items()):
-            if now - record.changed_at > FORGET_S and record.hold.times == 0:
+            if now - record.changed_at > RECORD_EXPIRY_S and record.hold.times == 0:
                 del self.records[fingerprint]
 
 
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -124,7 +124,7 @@
     registry.record_heartbeat(heartbeat, clock())
     ledger = crash_ledger.CrashLedger()
     ledger.record_crash("f", "", crash_ledger.Crash(clock(), "i", clock()))
-    clock.suspended_s = 2 * crash_ledger.FORGET_S
+    clock.suspended_s = 2 * crash_ledger.RECORD_EXPIRY_S
     assert registry.expire(clock(), 9.6) == ["i"]
     ledger.expire(clock())
     assert not ledger.records
