--- a/src/merlinthread/coordination/crash_ledger.py
+++ b/src/merlinthread/coordination/crash_ledger.py
@@ -287,6 +287,6 @@
     )
 
 
-def hold_s(hold: Hold) -> float:
+def hold_duration_s(hold: Hold) -> float:
     """Return how long a request is held back by a decision."""
     return min(HOLD_MAX_S, FIRST_HOLD_S * 2 ** (hold.times - 1))
--- a/src/merlinthread/nodes/crash_registry.py
+++ b/src/merlinthread/nodes/crash_registry.py
@@ -181,7 +181,7 @@
         elif not record.ends and record.cleared_at >= since - COMMIT_S_MAX:
             state = crash_ledger.HoldState.CLEARED
             found.append(fleet_state.LetGo(record.fingerprint, hold.times, state))
-        elif now - since > crash_ledger.hold_s(hold) + patience_s:
+        elif now - since > crash_ledger.hold_duration_s(hold) + patience_s:
             state = crash_ledger.HoldState.HALF_OPEN
             found.append(fleet_state.LetGo(record.fingerprint, hold.times, state))
     return found
--- a/tests/test_crash_ledger.py
+++ b/tests/test_crash_ledger.py
@@ -107,7 +107,7 @@
     assert not ledger.is_held("f")
     ledger.record_crash("f", "", end("i-9", 5.0 + crash_ledger.FIRST_HOLD_S))
     assert [command.times for command in agree(5.0 + crash_ledger.FIRST_HOLD_S)] == [2]
-    assert crash_ledger.hold_s(state.held["f"].hold) == 2 * crash_ledger.FIRST_HOLD_S
+    assert crash_ledger.hold_duration_s(state.held["f"].hold) == 2 * crash_ledger.FIRST_HOLD_S
 
 
 def test_a_request_that_is_answered_while_it_is_held_back_is_let_go():
