--- a/src/merlinthread/coordination/fleet_state.py
+++ b/src/merlinthread/coordination/fleet_state.py
@@ -49,7 +49,7 @@
 @COMMANDS.add("fleet.hold_back")
 @levels.requires_level(levels.FormatLevel.HELD_REQUESTS)
 @dataclasses.dataclass(slots=True)
-class HoldBack:
+class PlaceHold:
     """Hold a request back for the `times`th time: the processes of `instances` ended under it."""
 
     fingerprint: str
@@ -70,7 +70,7 @@
     state: crash_ledger.HoldState
 
 
-Command = Configure | NameVersion | Depart | HoldBack | LetGo
+Command = Configure | NameVersion | Depart | PlaceHold | LetGo
 
 
 @dataclasses.dataclass(slots=True)
@@ -105,7 +105,7 @@
             return self.configure(command)
         if isinstance(command, NameVersion):
             return self.name_version(command)
-        if isinstance(command, HoldBack):
+        if isinstance(command, PlaceHold):
             return self.hold_back(command)
         if isinstance(command, LetGo):
             return self.let_go(command)
@@ -137,7 +137,7 @@
             del self.departed[next(iter(self.departed))]
         return True
 
-    def hold_back(self, command: HoldBack) -> bool:
+    def hold_back(self, command: PlaceHold) -> bool:
         """Hold a request back, unless that was decided before."""
         before = self.held.pop(command.fingerprint, None)
         if before is not None and command.times <= before.hold.times:
--- a/src/merlinthread/nodes/crash_registry.py
+++ b/src/merlinthread/nodes/crash_registry.py
@@ -163,9 +163,9 @@
 
 def decisions(
     ledger: crash_ledger.CrashLedger, held_since: dict[str, float], now: float, patience_s: float
-) -> list[fleet_state.HoldBack | fleet_state.LetGo]:
+) -> list[fleet_state.PlaceHold | fleet_state.LetGo]:
     """Return what the log should say of requests, and does not say `patience_s` later."""
-    found: list[fleet_state.HoldBack | fleet_state.LetGo] = []
+    found: list[fleet_state.PlaceHold | fleet_state.LetGo] = []
     for record in ledger.held():
         if now - record.changed_at < patience_s:
             continue
@@ -174,7 +174,7 @@
         if not hold.is_held():
             ended = [end.instance for end in record.ends]
             found.append(
-                fleet_state.HoldBack(
+                fleet_state.PlaceHold(
                     record.fingerprint, record.label, ended, hold.times + 1, record.account
                 )
             )
--- a/tests/test_control_nodes.py
+++ b/tests/test_control_nodes.py
@@ -465,7 +465,7 @@
         node = controls.nodes[controls.leader()]
         others = node.member.other_addresses()
         await fleet_nodes.until(lambda: not node.member.levels.below(others, levels.NEWEST))
-        command = fleet_state.HoldBack("f", "label", ["i-1"], 1)
+        command = fleet_state.PlaceHold("f", "label", ["i-1"], 1)
         # One runs an older build: its answers tell no level.
         node.member.levels.reported[others[0]] = 0
         with pytest.raises(errors.ControlError, match=f"level 2.*{others[0]}.*newer builds"):
@@ -582,6 +582,6 @@
         assert node.member.membership.first_level == levels.NEWEST
         others = node.member.other_addresses()
         await fleet_nodes.until(lambda: not node.member.levels.below(others, levels.NEWEST))
-        assert await node.submit(fleet_state.HoldBack("f", "label", ["i-1"], 1))
+        assert await node.submit(fleet_state.PlaceHold("f", "label", ["i-1"], 1))
 
     run(tmp_path, scenario)
--- a/tests/test_crash_ledger.py
+++ b/tests/test_crash_ledger.py
@@ -101,7 +101,7 @@
             since["f"] = now
         return commands
 
-    assert agree(3.0) == [fleet_state.HoldBack("f", "label", ["i-0", "i-1", "i-2"], 1)]
+    assert agree(3.0) == [fleet_state.PlaceHold("f", "label", ["i-0", "i-1", "i-2"], 1)]
     assert agree(3.0 + crash_ledger.FIRST_HOLD_S - 1) == []
     assert agree(4.0 + crash_ledger.FIRST_HOLD_S) == [fleet_state.LetGo("f", 1, HALF_OPEN)]
     assert not ledger.is_held("f")
@@ -128,12 +128,12 @@
 
 def test_the_log_keeps_the_later_decision_whatever_comes_again():
     state = fleet_state.FleetState()
-    first = fleet_state.HoldBack("f", "", [], 1)
+    first = fleet_state.PlaceHold("f", "", [], 1)
     assert state.apply(first) and not state.apply(first)
     assert state.apply(fleet_state.LetGo("f", 1, CLEARED))
     assert not state.apply(first)
     assert not state.apply(fleet_state.LetGo("f", 1, HALF_OPEN))
-    assert state.apply(fleet_state.HoldBack("f", "", [], 2))
+    assert state.apply(fleet_state.PlaceHold("f", "", [], 2))
     assert state.held["f"].hold == crash_ledger.Hold(2, HELD)
 
 
@@ -170,7 +170,7 @@
     assert ledger.is_held("held")
     state = fleet_state.FleetState()
     for number in range(2 * fleet_state.HELD_KEPT):
-        state.apply(fleet_state.HoldBack(f"f-{number}", "", [], 1))
+        state.apply(fleet_state.PlaceHold(f"f-{number}", "", [], 1))
     assert len(state.held) == fleet_state.HELD_KEPT
 
 
