--- a/src/merlinthread/coordination/fleet_state.py
+++ b/src/merlinthread/coordination/fleet_state.py
@@ -62,7 +62,7 @@
 @COMMANDS.add("fleet.let_go")
 @levels.requires_level(levels.FormatLevel.HELD_REQUESTS)
 @dataclasses.dataclass(slots=True)
-class LetGo:
+class ReleaseHold:
     """End the `times`th holding back of a request."""
 
     fingerprint: str
@@ -70,7 +70,7 @@
     state: crash_ledger.HoldState
 
 
-Command = Configure | NameVersion | Depart | PlaceHold | LetGo
+Command = Configure | NameVersion | Depart | PlaceHold | ReleaseHold
 
 
 @dataclasses.dataclass(slots=True)
@@ -107,7 +107,7 @@
             return self.name_version(command)
         if isinstance(command, PlaceHold):
             return self.hold_back(command)
-        if isinstance(command, LetGo):
+        if isinstance(command, ReleaseHold):
             return self.let_go(command)
         return self.depart(command)
 
@@ -151,7 +151,7 @@
             del self.held[next(iter(self.held))]
         return True
 
-    def let_go(self, command: LetGo) -> bool:
+    def let_go(self, command: ReleaseHold) -> bool:
         """Let a request run again, if that decision to hold it back still stands."""
         held = self.held.get(command.fingerprint)
         hold = crash_ledger.Hold(command.times, command.state)
--- a/src/merlinthread/nodes/control_node.py
+++ b/src/merlinthread/nodes/control_node.py
@@ -111,7 +111,7 @@
         elif isinstance(command, fleet_state.NameVersion):
             self.named_at[command.model] = self.clock() - age_s
             self.registry.advance()
-        elif isinstance(command, fleet_state.PlaceHold | fleet_state.LetGo):
+        elif isinstance(command, fleet_state.PlaceHold | fleet_state.ReleaseHold):
             self.crashes.on_applied()
         name = self.member.command_names[type(command)]
         logs.event("applied", command=name, **described(command))
@@ -324,7 +324,7 @@
         return {"version": command.version, "bytes": len(command.body)}
     if isinstance(command, fleet_state.NameVersion):
         return {"model": command.model, "version": command.version}
-    if isinstance(command, fleet_state.PlaceHold | fleet_state.LetGo):
+    if isinstance(command, fleet_state.PlaceHold | fleet_state.ReleaseHold):
         return {"fingerprint": command.fingerprint, "times": command.times}
     return {"instance": command.instance, "state": command.state}
 
--- a/src/merlinthread/nodes/crash_registry.py
+++ b/src/merlinthread/nodes/crash_registry.py
@@ -163,9 +163,9 @@
 
 def decisions(
     ledger: crash_ledger.CrashLedger, held_since: dict[str, float], now: float, patience_s: float
-) -> list[fleet_state.PlaceHold | fleet_state.LetGo]:
+) -> list[fleet_state.PlaceHold | fleet_state.ReleaseHold]:
     """Return what the log should say of requests, and does not say `patience_s` later."""
-    found: list[fleet_state.PlaceHold | fleet_state.LetGo] = []
+    found: list[fleet_state.PlaceHold | fleet_state.ReleaseHold] = []
     for record in ledger.held():
         if now - record.changed_at < patience_s:
             continue
@@ -180,8 +180,8 @@
             )
         elif not record.ends and record.cleared_at >= since - COMMIT_S_MAX:
             state = crash_ledger.HoldState.CLEARED
-            found.append(fleet_state.LetGo(record.fingerprint, hold.times, state))
+            found.append(fleet_state.ReleaseHold(record.fingerprint, hold.times, state))
         elif now - since > crash_ledger.hold_duration_s(hold) + patience_s:
             state = crash_ledger.HoldState.HALF_OPEN
-            found.append(fleet_state.LetGo(record.fingerprint, hold.times, state))
+            found.append(fleet_state.ReleaseHold(record.fingerprint, hold.times, state))
     return found
--- a/tests/test_crash_ledger.py
+++ b/tests/test_crash_ledger.py
@@ -103,7 +103,7 @@
 
     assert agree(3.0) == [fleet_state.PlaceHold("f", "label", ["i-0", "i-1", "i-2"], 1)]
     assert agree(3.0 + crash_ledger.FIRST_HOLD_S - 1) == []
-    assert agree(4.0 + crash_ledger.FIRST_HOLD_S) == [fleet_state.LetGo("f", 1, HALF_OPEN)]
+    assert agree(4.0 + crash_ledger.FIRST_HOLD_S) == [fleet_state.ReleaseHold("f", 1, HALF_OPEN)]
     assert not ledger.is_held("f")
     ledger.record_crash("f", "", end("i-9", 5.0 + crash_ledger.FIRST_HOLD_S))
     assert [command.times for command in agree(5.0 + crash_ledger.FIRST_HOLD_S)] == [2]
@@ -116,7 +116,7 @@
     ledger.clear("f", 4.0)
     assert ledger.is_held("f")
     commands = crash_registry.decisions(ledger, {"f": 3.1}, 4.0, 0.0)
-    assert commands == [fleet_state.LetGo("f", 1, CLEARED)]
+    assert commands == [fleet_state.ReleaseHold("f", 1, CLEARED)]
 
 
 def test_an_old_clearing_told_to_a_control_vm_that_has_just_started_lets_nothing_go():
@@ -130,9 +130,9 @@
     state = fleet_state.FleetState()
     first = fleet_state.PlaceHold("f", "", [], 1)
     assert state.apply(first) and not state.apply(first)
-    assert state.apply(fleet_state.LetGo("f", 1, CLEARED))
+    assert state.apply(fleet_state.ReleaseHold("f", 1, CLEARED))
     assert not state.apply(first)
-    assert not state.apply(fleet_state.LetGo("f", 1, HALF_OPEN))
+    assert not state.apply(fleet_state.ReleaseHold("f", 1, HALF_OPEN))
     assert state.apply(fleet_state.PlaceHold("f", "", [], 2))
     assert state.held["f"].hold == crash_ledger.Hold(2, HELD)
 
