--- a/src/merlinthread/coordination/fleet_state.py
+++ b/src/merlinthread/coordination/fleet_state.py
@@ -16,7 +16,7 @@
 
 DEPARTED_KEPT = 4096
 # Some 100 KB of a snapshot; the one held back longest ago goes first.
-HELD_KEPT = 512
+HELD_REQUESTS_MAX = 512
 
 
 @COMMANDS.add("fleet.configure")
@@ -147,7 +147,7 @@
         self.held[command.fingerprint] = HeldRequest(
             command.label, command.instances, hold, command.account
         )
-        while len(self.held) > HELD_KEPT:
+        while len(self.held) > HELD_REQUESTS_MAX:
             del self.held[next(iter(self.held))]
         return True
 
--- a/tests/test_crash_ledger.py
+++ b/tests/test_crash_ledger.py
@@ -169,9 +169,9 @@
     assert len(ledger.records) == crash_ledger.RECORDS_MAX
     assert ledger.is_held("held")
     state = fleet_state.FleetState()
-    for number in range(2 * fleet_state.HELD_KEPT):
+    for number in range(2 * fleet_state.HELD_REQUESTS_MAX):
         state.apply(fleet_state.PlaceHold(f"f-{number}", "", [], 1))
-    assert len(state.held) == fleet_state.HELD_KEPT
+    assert len(state.held) == fleet_state.HELD_REQUESTS_MAX
 
 
 def told_end(instance: str, age_s: float) -> crash_ledger.ReportedCrash:
