--- a/src/merlinthread/coordination/fleet.py
+++ b/src/merlinthread/coordination/fleet.py
@@ -206,7 +206,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class AnswerFacts:
+class ResponseHead:
     """What the head of a back end's answer says of the attempt, and of the back end itself.
 
     `is_leaving` tells that it takes no new work for the rest of its life. `rest_s` is how long it
--- a/src/merlinthread/nodes/attempt_notes.py
+++ b/src/merlinthread/nodes/attempt_notes.py
@@ -32,7 +32,7 @@
     return f", limit {standing.limit_per_s:g} a second heard {heard_ms} ms ago, permit by {told_by}"
 
 
-def told_of_itself(facts: fleet.AnswerFacts) -> str:
+def told_of_itself(facts: fleet.ResponseHead) -> str:
     """Return what an answer says of the back end that gave it."""
     parts = []
     if facts.is_leaving:
--- a/src/merlinthread/nodes/attempts.py
+++ b/src/merlinthread/nodes/attempts.py
@@ -225,7 +225,7 @@
         await self.relay.give(answer)
         return Outcome(State.DONE, "answered", answer), headers
 
-    def heed(self, facts: fleet.AnswerFacts) -> None:
+    def heed(self, facts: fleet.ResponseHead) -> None:
         """Take over what an answer says of the back end itself.
 
         That it leaves holds for all its life, and a limit until it says otherwise, so the answer
--- a/src/merlinthread/platform/dialect.py
+++ b/src/merlinthread/platform/dialect.py
@@ -109,14 +109,14 @@
             headers.append((names.REQUEST_PRIORITY, b"%d" % target.urgency))
         return http_messages.Request(request.method, request.target, headers, request.body)
 
-    def answer_facts(self, status: int, headers: http_messages.Headers) -> fleet.AnswerFacts:
+    def answer_facts(self, status: int, headers: http_messages.Headers) -> fleet.ResponseHead:
         """Read the head of a worker's answer."""
         request_id = http_messages.header(headers, names.REQUEST_ID)
         not_run = http_messages.header(headers, names.NOT_RUN) is not None
         instance = http_messages.header(headers, names.INSTANCE) or b""
         rest = rest_asked_for(status, headers)
         limit = rate_limit.parse(http_messages.header(headers, names.LIMIT))
-        return fleet.AnswerFacts(
+        return fleet.ResponseHead(
             request_id.decode("latin-1") if request_id is not None else None,
             not_run or status == names.STATUS_MISDIRECTED,
             http_messages.header(headers, names.STAMP) is not None,
