--- a/src/merlinthread/coordination/fingerprints.py
+++ b/src/merlinthread/coordination/fingerprints.py
@@ -12,7 +12,7 @@
 DIGEST_BYTES = 12
 
 
-def fingerprint(call: fleet.Call, account: str, body: bytes) -> str:
+def fingerprint(call: fleet.RequestHead, account: str, body: bytes) -> str:
     """Return the digest, in hex, of what makes a request the same as another.
 
     Each part goes in with its length, so that no two splits of the same bytes are alike.
--- a/src/merlinthread/coordination/fleet.py
+++ b/src/merlinthread/coordination/fleet.py
@@ -173,7 +173,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Call:
+class RequestHead:
     """What the head of a client's request says, as far as it decides where it runs.
 
     `deadline_s` is how long the client waits from the moment at which it was read.
--- a/src/merlinthread/nodes/dialect.py
+++ b/src/merlinthread/nodes/dialect.py
@@ -58,7 +58,7 @@
     def control_call(self, request: http_messages.Request) -> ControlCall:
         """Read a call of an operator or back end; raise MerlinthreadError."""
 
-    def client_call(self, request: http_messages.Request) -> fleet.Call:
+    def client_call(self, request: http_messages.Request) -> fleet.RequestHead:
         """Read the head of a client's request; raise RequestError."""
 
     def is_ready_call(self, request: http_messages.Request) -> bool:
@@ -72,7 +72,7 @@
     def answer_facts(self, status: int, headers: http_messages.Headers) -> fleet.ResponseHead:
         """Read the head of a back end's answer."""
 
-    def refusal_headers(self, call: fleet.Call | None) -> http_messages.Headers:
+    def refusal_headers(self, call: fleet.RequestHead | None) -> http_messages.Headers:
         """Return the headers of an answer of the node's own."""
 
     def report_request(self, address: str) -> http_messages.Request:
--- a/src/merlinthread/nodes/request_facts.py
+++ b/src/merlinthread/nodes/request_facts.py
@@ -12,7 +12,7 @@
 class Facts:
     """A client's request: the call, where it belongs, and by when it must be answered."""
 
-    call: fleet.Call
+    call: fleet.RequestHead
     route: fleet.Route
     account: fleet.Account | None
     deadline: float
--- a/src/merlinthread/nodes/request_task.py
+++ b/src/merlinthread/nodes/request_task.py
@@ -52,7 +52,7 @@
         self.table = table
         self.clock = pool.clock
         self.arrived = arrived
-        self.call: fleet.Call | None = None
+        self.call: fleet.RequestHead | None = None
         self.facts: request_facts.Facts | None = None
         self.service = ""
         self.relay = answer_relay.Relay(exchange, pool.clock, arrived, self.on_answered)
--- a/src/merlinthread/nodes/route_finder.py
+++ b/src/merlinthread/nodes/route_finder.py
@@ -10,7 +10,7 @@
 
 def find_route(
     table: route_table.RouteTable | None,
-    call: fleet.Call,
+    call: fleet.RequestHead,
     is_newest: bool,
     restart_wait_s: float,
 ) -> tuple[fleet.Route, fleet.Account | None]:
--- a/src/merlinthread/platform/dialect.py
+++ b/src/merlinthread/platform/dialect.py
@@ -55,12 +55,12 @@
 
     # Clients
 
-    def client_call(self, request: http_messages.Request) -> fleet.Call:
+    def client_call(self, request: http_messages.Request) -> fleet.RequestHead:
         """Read the head of a client's request; raise RequestError."""
         found = {key.lower(): value for key, value in request.headers}
         host = found.get(b"host", b"").decode("latin-1").lower().split(":")[0]
         prompt, answer = token_usage(found.get(names.TOKEN_USAGE, b""))
-        return fleet.Call(
+        return fleet.RequestHead(
             found.get(names.REQUEST_ID, b"").decode("latin-1"),
             request.method,
             request.target,
@@ -74,7 +74,7 @@
             found.get(names.LAST_EVENT_ID, b"").decode("latin-1"),
         )
 
-    def refusal_headers(self, call: fleet.Call | None) -> http_messages.Headers:
+    def refusal_headers(self, call: fleet.RequestHead | None) -> http_messages.Headers:
         """Return the headers of an answer of the node's own."""
         if call is None or not call.request_id:
             return []
--- a/tests/test_crash_ledger.py
+++ b/tests/test_crash_ledger.py
@@ -209,7 +209,7 @@
 
 def test_a_fingerprint_is_of_what_is_asked_and_for_whom_not_of_the_id():
     def digest(request_id="id", method=b"POST", path=b"/a/x", host="h", account="a", body=b"b"):
-        call = fleet.Call(request_id, method, path, host)
+        call = fleet.RequestHead(request_id, method, path, host)
         return fingerprints.fingerprint(call, account, body)
 
     assert digest() == digest(request_id="another")
