--- a/src/merlinthread/coordination/raft.py
+++ b/src/merlinthread/coordination/raft.py
@@ -1,9 +1,9 @@
-"""A replicated log: elections with pre-vote, a leader's lease, learners, and safe voter changes.
+"""The Raft consensus algorithm, with pre-vote, leader leases and single-server membership changes.
 
-The algorithm is Raft (Ongaro and Ousterhout 2014; pre-vote and one-at-a-time voter changes after
-Ongaro's dissertation, sections 4 and 9.6). `Raft` decides and never does I/O: its owner passes in
-messages and the time, makes `Ready.hard_state` and `Ready.entries` durable, only then sends
-`Ready.messages`, and calls `saved`. Times are seconds of the owner's monotonic clock.
+See Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm" (2014), and sections
+4 and 9.6 of Ongaro's dissertation. `Raft` performs no I/O. Its owner passes in messages and the
+current time, makes `Ready.hard_state` and `Ready.entries` durable, only then sends
+`Ready.messages`, and calls `mark_saved`. Times are seconds on the owner's monotonic clock.
 """
 
 import dataclasses
@@ -21,11 +21,12 @@
 
 
 class Raft:
-    """One member of the replicated log.
+    """One member of a Raft group.
 
-    `first_voters` counts only while the log and the snapshot are empty. `identity` is that of the
-    data folder: a member that comes back with another one is not listened to, since it has lost
-    what it promised. A message that makes no sense is ignored.
+    `first_voters` is the initial configuration, used while neither the log nor the snapshot names
+    members. `identity` identifies the data folder: messages of a member that returns with another
+    identity are rejected, since it has lost its votes and entries. Outdated and unexpected messages
+    are ignored.
     """
 
     def __init__(
@@ -47,17 +48,18 @@
         self.replaced_by = ""
         self.hard_state = dataclasses.replace(saved.hard_state) if saved else journal.HardState()
         self.log = raft_log.RaftLog(saved, first_voters)
-        # What was known to be committed needs no leader to be applied again after a restart.
-        known = min(saved.commit, self.log.last_index()) if saved else 0
-        self.commit = max(self.log.snapshot.index, known)
+        # Entries known to be committed can be applied after a restart without a leader.
+        known_commit = min(saved.commit, self.log.last_index()) if saved else 0
+        self.commit = max(self.log.snapshot.index, known_commit)
         self.delivered_index = self.log.snapshot.index
         self.role = FOLLOWER
         self.leader = ""
-        # Who led when a leader was last heard, and the last index known to be committed there.
+        # The last leader heard from, and the highest commit index that a leader has sent.
         self.last_known_leader = ""
         self.leader_commit = 0
         self.is_resigned = False
-        # A restarted member may have promised its leader not to vote yet: it waits that out.
+        # A restarted member may have extended a lease just before it stopped, so it assumes that it
+        # has only now heard from a leader.
         self.heard_leader_at = now if self.hard_state.term > 0 else float("-inf")
         self.votes: set[str] = set()
         self.is_pre_vote = False
@@ -70,49 +72,52 @@
         self.election_at = now
         self.reset_election(now)
 
-    # Reading the log
+    # Queries
 
     def is_voter(self) -> bool:
-        """Return whether this member votes."""
+        """Return whether this member is a voter."""
         return self.name in self.log.voters.voters
 
     def is_leader(self) -> bool:
-        """Return whether this member believes to lead; see `holds_lease` for certainty."""
+        """Return whether this member is leader in its term; a later term may have another leader.
+
+        Use `holds_lease` before answering reads.
+        """
         return self.role == LEADER
 
     def lease_until(self) -> float:
-        """Return until when no other member can lead, on this member's clock."""
+        """Return the time until which no other member can be elected, -inf without a lease."""
         if self.role != LEADER:
             return float("-inf")
-        sent = [self.progress[name].acked_at for name in self.others(self.log.voters.voters)]
-        sent.append(float("inf"))
-        sent.sort(reverse=True)
-        if not self.is_voter() or len(sent) < self.log.voters.majority():
+        acks = [self.progress[name].acked_at for name in self.without_self(self.log.voters.voters)]
+        acks.append(float("inf"))
+        acks.sort(reverse=True)
+        if not self.is_voter() or len(acks) < self.log.voters.majority():
             return float("-inf")
-        span = self.timing.election_min_s * self.timing.lease_fraction
-        return sent[self.log.voters.majority() - 1] + span
+        lease_s = self.timing.election_min_s * self.timing.lease_fraction
+        return acks[self.log.voters.majority() - 1] + lease_s
 
     def holds_lease(self, now: float) -> bool:
-        """Return whether this member surely leads at `now` and has applied what came before."""
+        """Return whether this member holds the lease and has committed an entry of its term."""
         return self.role == LEADER and self.commit >= self.term_start and now < self.lease_until()
 
-    def others(self, names: list[str]) -> list[str]:
+    def without_self(self, names: list[str]) -> list[str]:
         """Return `names` without this member."""
         return [name for name in names if name != self.name]
 
-    # Time
+    # Timers
 
     def reset_election(self, now: float) -> None:
-        """Choose the next time at which to stand for election."""
+        """Restart the election timer with a random timeout."""
         wait = self.rng.uniform(self.timing.election_min_s, self.timing.election_max_s)
         self.election_at = now + wait
 
     def next_tick_at(self) -> float:
-        """Return when `tick` wants to be called next."""
+        """Return the time at which `tick` should be called next."""
         return self.heartbeat_at if self.role == LEADER else self.election_at
 
     def tick(self, now: float) -> None:
-        """Send heartbeats, give up a leadership without a majority, or stand for election."""
+        """Send heartbeats, step down without a majority, or start an election, when due."""
         if self.role == LEADER:
             self.tick_leader(now)
         elif now >= self.election_at:
@@ -121,31 +126,31 @@
                 self.campaign(now, is_pre_vote=True)
 
     def tick_leader(self, now: float) -> None:
-        """Do the leader's part of `tick`."""
+        """Send heartbeats if they are due, or step down if no majority has replied."""
         if now < self.heartbeat_at:
             return
         self.heartbeat_at = now + self.timing.heartbeat_s
-        heard = [
+        reachable = [
             name
-            for name in self.others(self.log.voters.voters)
+            for name in self.without_self(self.log.voters.voters)
             if now - self.progress[name].heard_at < self.timing.election_max_s
         ]
-        if len(heard) + 1 < self.log.voters.majority():
-            self.follow(self.hard_state.term, "", now)
+        if len(reachable) + 1 < self.log.voters.majority():
+            self.become_follower(self.hard_state.term, "", now)
             return
-        for name in self.others(self.log.voters.members()):
+        for name in self.without_self(self.log.voters.members()):
             self.send_append(name, now)
 
     def resign(self, now: float) -> None:
-        """Lead no longer and never again in this run: this member is about to end as planned."""
+        """Step down, and start no election until the process restarts; for a planned shutdown."""
         self.is_resigned = True
         if self.role == LEADER:
-            self.follow(self.hard_state.term, "", now)
+            self.become_follower(self.hard_state.term, "", now)
 
     # Elections
 
     def campaign(self, now: float, is_pre_vote: bool) -> None:
-        """Ask for votes; first on trial, so that a cut-off member can't unseat a leader."""
+        """Request votes, or pre-votes, so that a partitioned member can't depose the leader."""
         self.role = CANDIDATE
         self.is_pre_vote = is_pre_vote
         self.leader = ""
@@ -154,9 +159,9 @@
         if not is_pre_vote:
             self.set_hard_state(term, self.name)
         if len(self.votes) >= self.log.voters.majority():
-            self.win(now, is_pre_vote)
+            self.on_vote_quorum(now, is_pre_vote)
             return
-        for name in self.others(self.log.voters.voters):
+        for name in self.without_self(self.log.voters.voters):
             request = raft_messages.VoteRequest(
                 self.name,
                 term,
@@ -167,8 +172,8 @@
             )
             self.outbox.append((name, request))
 
-    def win(self, now: float, is_pre_vote: bool) -> None:
-        """Go from trial to election, or from election to leading."""
+    def on_vote_quorum(self, now: float, is_pre_vote: bool) -> None:
+        """Start the election after a won pre-vote, or become leader after a won election."""
         if is_pre_vote:
             self.campaign(now, is_pre_vote=False)
             return
@@ -177,7 +182,7 @@
         first = self.log.last_index() + 1
         self.progress = {
             name: raft_messages.Progress(next=first, heard_at=now)
-            for name in self.others(self.log.voters.members())
+            for name in self.without_self(self.log.voters.members())
         }
         if self.last_known_leader in self.progress:
             self.progress[self.last_known_leader].heard_at = self.heard_leader_at
@@ -187,12 +192,12 @@
         self.tick(now)
 
     def set_hard_state(self, term: int, voted_for: str) -> None:
-        """Change term and vote; the owner saves them before any message leaves."""
+        """Set the term and the vote, which the owner saves before it sends any message."""
         self.hard_state = journal.HardState(term, voted_for)
         self.hard_state_changed = True
 
-    def follow(self, term: int, leader: str, now: float) -> None:
-        """Become a follower in `term`."""
+    def become_follower(self, term: int, leader: str, now: float) -> None:
+        """Become a follower of `leader`, if one is known, and adopt `term` if it is higher."""
         if term > self.hard_state.term:
             self.set_hard_state(term, "")
         self.role = FOLLOWER
@@ -202,40 +207,43 @@
     # Messages
 
     def step(self, message: raft_messages.Message, now: float) -> None:
-        """Take in one message."""
+        """Handle one message."""
         handler = {
             raft_messages.VoteRequest: self.on_vote_request,
             raft_messages.VoteReply: self.on_vote_reply,
             raft_messages.AppendEntries: self.on_append,
             raft_messages.AppendReply: self.on_append_reply,
             raft_messages.InstallSnapshot: self.on_install,
-            raft_messages.IdentityMismatch: self.on_stranger,
+            raft_messages.IdentityMismatch: self.on_identity_mismatch,
         }[type(message)]
         handler(message, now)  # type: ignore[operator]
 
     def on_vote_request(self, request: raft_messages.VoteRequest, now: float) -> None:
-        """Grant or refuse a vote; a member that hears its leader does not answer."""
-        if self.turns_away(request.sender, request.identity):
+        """Reply to a vote request.
+
+        A member that has heard from a leader within the minimum election timeout ignores it.
+        """
+        if self.rejects_identity(request.sender, request.identity):
             return
         hears_leader = now - self.heard_leader_at < self.timing.election_min_s
         if self.role == LEADER or hears_leader:
             if request.term > self.hard_state.term or request.is_trial:
                 return
-        is_newer = (request.last_term, request.last_index) >= (
+        is_up_to_date = (request.last_term, request.last_index) >= (
             self.log.last_term(),
             self.log.last_index(),
         )
         if request.is_trial:
-            is_granted = is_newer and request.term > self.hard_state.term
+            is_granted = is_up_to_date and request.term > self.hard_state.term
             reply = raft_messages.VoteReply(
                 self.name, request.term, is_granted, True, self.identity
             )
             self.outbox.append((request.sender, reply))
             return
         if request.term > self.hard_state.term:
-            self.follow(request.term, "", now)
-        is_free = self.hard_state.voted_for in ("", request.sender)
-        is_granted = is_newer and is_free and request.term == self.hard_state.term
+            self.become_follower(request.term, "", now)
+        may_vote = self.hard_state.voted_for in ("", request.sender)
+        is_granted = is_up_to_date and may_vote and request.term == self.hard_state.term
         if is_granted:
             self.role = FOLLOWER
             self.set_hard_state(request.term, request.sender)
@@ -246,11 +254,11 @@
         self.outbox.append((request.sender, reply))
 
     def on_vote_reply(self, reply: raft_messages.VoteReply, now: float) -> None:
-        """Count a vote."""
-        if self.turns_away(reply.sender, reply.identity):
+        """Count a granted vote."""
+        if self.rejects_identity(reply.sender, reply.identity):
             return
         if reply.term > self.hard_state.term and not reply.is_trial:
-            self.follow(reply.term, "", now)
+            self.become_follower(reply.term, "", now)
             return
         if self.role != CANDIDATE or reply.is_trial != self.is_pre_vote:
             return
@@ -260,48 +268,48 @@
         if reply.sender in self.log.voters.voters:
             self.votes.add(reply.sender)
         if len(self.votes) >= self.log.voters.majority():
-            self.win(now, self.is_pre_vote)
+            self.on_vote_quorum(now, self.is_pre_vote)
 
     def on_append(self, append: raft_messages.AppendEntries, now: float) -> None:
-        """Take entries from the leader, if they join on to what is here."""
-        if not self.accepts_leader(append.sender, append.term, now):
+        """Store the leader's entries if the entry before them matches the one in this log."""
+        if not self.follow_leader(append.sender, append.term, now):
             self.reply_append(append.sender, False, self.log.last_index(), append.sent_at)
             return
         self.leader_commit = max(self.leader_commit, append.commit)
         first = append.previous_index
-        known = self.log.term_at(first)
-        if first > self.log.snapshot.index and known != append.previous_term:
+        local_term = self.log.term_at(first)
+        if first > self.log.snapshot.index and local_term != append.previous_term:
             hint = min(first - 1, self.log.last_index())
             self.reply_append(append.sender, False, hint, append.sent_at)
             return
         for entry in append.entries:
-            self.log.take(entry)
+            self.log.store(entry)
         match = append.previous_index + len(append.entries)
         self.commit = max(self.commit, min(append.commit, match))
         self.reply_append(append.sender, True, match, append.sent_at)
 
     def reply_append(self, leader: str, is_accepted: bool, match: int, sent_at: float) -> None:
-        """Answer the leader."""
+        """Reply to an AppendEntries or InstallSnapshot message."""
         reply = raft_messages.AppendReply(
             self.name, self.hard_state.term, is_accepted, match, sent_at, self.identity
         )
         self.outbox.append((leader, reply))
 
-    def accepts_leader(self, sender: str, term: int, now: float) -> bool:
-        """Follow `sender` if it leads in a term that is not past."""
+    def follow_leader(self, sender: str, term: int, now: float) -> bool:
+        """Follow `sender` unless its term is outdated; return whether it is followed."""
         if term < self.hard_state.term:
             return False
-        self.follow(term, sender, now)
+        self.become_follower(term, sender, now)
         self.heard_leader_at = now
         self.last_known_leader = sender
         return True
 
     def on_append_reply(self, reply: raft_messages.AppendReply, now: float) -> None:
-        """Learn how far a member is, and commit what a majority has."""
-        if self.turns_away(reply.sender, reply.identity):
+        """Update a member's progress, and advance the commit index."""
+        if self.rejects_identity(reply.sender, reply.identity):
             return
         if reply.term > self.hard_state.term:
-            self.follow(reply.term, "", now)
+            self.become_follower(reply.term, "", now)
             return
         progress = self.progress.get(reply.sender)
         if self.role != LEADER or progress is None or reply.term < self.hard_state.term:
@@ -321,8 +329,8 @@
         self.advance_commit()
 
     def on_install(self, install: raft_messages.InstallSnapshot, now: float) -> None:
-        """Take a snapshot that is ahead of what is committed here."""
-        if not self.accepts_leader(install.sender, install.term, now):
+        """Install the leader's snapshot if it is ahead of the commit index."""
+        if not self.follow_leader(install.sender, install.term, now):
             self.reply_append(install.sender, False, self.log.last_index(), install.sent_at)
             return
         snapshot = install.snapshot
@@ -334,33 +342,33 @@
             self.delivered_index = snapshot.index
         self.reply_append(install.sender, True, snapshot.index, install.sent_at)
 
-    def on_stranger(self, told: raft_messages.IdentityMismatch, now: float) -> None:
-        """Learn that this member's name belongs to another data folder."""
-        if told.name == self.name and told.identity != self.identity:
-            self.replaced_by = told.identity
+    def on_identity_mismatch(self, message: raft_messages.IdentityMismatch, now: float) -> None:
+        """Record that this member's name is registered with another data folder."""
+        if message.name == self.name and message.identity != self.identity:
+            self.replaced_by = message.identity
 
     def reported_identities(self) -> dict[str, str]:
-        """Return the identities of the data folders of this leader and of who answered it."""
+        """Return the data folder identities of this leader and of members that replied to it."""
         heard = {name: p.identity for name, p in self.progress.items() if p.identity}
         return heard | {self.name: self.identity}
 
-    def turns_away(self, name: str, identity: str) -> bool:
-        """Tell a sender whose data folder is not the member's, and return whether it was one."""
-        if not self.log.voters.is_stranger(name, identity):
+    def rejects_identity(self, name: str, identity: str) -> bool:
+        """Return whether `identity` is not the one registered for `name`, and reply if so."""
+        if not self.log.voters.has_other_identity(name, identity):
             return False
-        known = self.log.voters.identities[name]
-        self.outbox.append((name, raft_messages.IdentityMismatch(self.name, name, known)))
+        registered = self.log.voters.identities[name]
+        self.outbox.append((name, raft_messages.IdentityMismatch(self.name, name, registered)))
         return True
 
     def send_append(self, name: str, now: float) -> None:
-        """Send what `name` lacks, or a heartbeat."""
+        """Send `name` its next entries, a heartbeat if there are none, or the snapshot."""
         progress = self.progress[name]
         previous = progress.next - 1
         previous_term = self.log.term_at(previous)
         if previous_term is None:
             self.send_install(name, progress, now)
             return
-        entries = self.log.slice(progress.next, self.limits)
+        entries = self.log.entries_from(progress.next, self.limits)
         append = raft_messages.AppendEntries(
             self.name,
             self.hard_state.term,
@@ -375,7 +383,7 @@
         self.outbox.append((name, append))
 
     def send_install(self, name: str, progress: raft_messages.Progress, now: float) -> None:
-        """Send the snapshot, no more often than `resend_s`; in between a bare heartbeat."""
+        """Send the snapshot at most every `resend_s`, and a heartbeat otherwise."""
         if now - progress.sent_at < self.timing.resend_s:
             self.outbox.append(
                 (
@@ -390,52 +398,57 @@
         )
         self.outbox.append((name, install))
 
-    # Leading
+    # Leader
 
     def append_entry(self, kind: str, data: bytes) -> journal.Entry:
-        """Add an entry to this leader's log."""
+        """Append an entry to this leader's log."""
         return self.log.append(self.hard_state.term, kind, data)
 
     def propose(self, data: bytes, now: float) -> int:
-        """Add a command and return its index.
+        """Append a command to the log and return its index.
 
-        Raises NotLeaderError on a follower, ControlError if too much waits uncommitted.
+        Raises NotLeaderError on a follower, and ControlError if too many entries are uncommitted.
         """
         self.require_leader()
         if self.log.last_index() - self.commit >= self.limits.uncommitted_max:
             raise errors.ControlError(
-                f"{self.log.last_index() - self.commit} commands wait for a majority; try again",
+                f"{self.log.last_index() - self.commit} commands are not committed yet; try again",
                 kind=errors.ErrorKind.OVERLOADED,
             )
         return self.append_entry("command", data).index
 
     def flush(self, now: float) -> None:
-        """Send the entries proposed since the last call, so that many share one sync."""
+        """Send the entries proposed since the last call, batched so that they share one sync."""
         if self.role != LEADER:
             return
-        for name in self.others(self.log.voters.members()):
-            following = self.progress[name].next
-            is_in_log = self.log.term_at(following - 1) is not None
-            if is_in_log and following <= self.log.last_index():
+        for name in self.without_self(self.log.voters.members()):
+            next_index = self.progress[name].next
+            is_in_log = self.log.term_at(next_index - 1) is not None
+            if is_in_log and next_index <= self.log.last_index():
                 self.send_append(name, now)
 
     def require_leader(self) -> None:
-        """Raise NotLeaderError unless this member leads."""
+        """Raise NotLeaderError unless this member is the leader."""
         if self.role != LEADER:
-            raise errors.NotLeaderError(f"{self.name} does not lead", self.leader)
+            raise errors.NotLeaderError(f"{self.name} is not the leader", self.leader)
 
     def change_membership(self, change: raft_members.MembershipChange, now: float) -> int:
-        """Change the members, one at a time; return the change's index.
+        """Append a membership change and return its index.
 
-        Raises ControlError (membership_change_refused) if it is not safe now.
+        Raises ControlError (membership_change_refused) if the change is not safe now, such as while
+        another one is uncommitted.
         """
         self.require_leader()
         if self.commit < self.term_start:
-            raise raft_members.refused("the leader is new; try again in a second")
+            raise raft_members.change_refused(
+                "the leader has not committed an entry of its term yet; try again in a second"
+            )
         if self.log.has_membership_change_after(self.commit):
-            raise raft_members.refused("another change of members is under way; try again")
+            raise raft_members.change_refused(
+                "another membership change is not committed yet; try again"
+            )
         matches = {name: progress.match for name, progress in self.progress.items()}
-        members = raft_members.apply(
+        members = raft_members.apply_change(
             self.log.voters, change, raft_members.ReplicationStatus(self.name, self.commit, matches)
         )
         if change.add:
@@ -444,8 +457,8 @@
         return self.append_entry("voters", msgspec.msgpack.encode(members)).index
 
     def advance_commit(self) -> None:
-        """Commit the highest entry of this term that a majority has on disk."""
-        matches = [self.progress[name].match for name in self.others(self.log.voters.voters)]
+        """Commit up to the highest entry of this term that a majority has saved."""
+        matches = [self.progress[name].match for name in self.without_self(self.log.voters.voters)]
         if self.is_voter():
             matches.append(self.log.saved_index)
         matches.sort(reverse=True)
@@ -453,12 +466,14 @@
         if index > self.commit and self.log.term_at(index) == self.hard_state.term:
             self.commit = index
 
-    # The owner's side
+    # Calls of the owner
 
     def ready(self) -> raft_messages.Ready:
-        """Return what the owner must do now; call `saved` after making it durable."""
+        """Return the pending work of the owner, who calls `mark_saved` once it is durable."""
         hard_state = self.hard_state if self.hard_state_changed else None
-        committed = self.log.between(self.delivered_index, min(self.commit, self.log.saved_index))
+        committed = self.log.entries_between(
+            self.delivered_index, min(self.commit, self.log.saved_index)
+        )
         ready = raft_messages.Ready(
             hard_state,
             self.installed,
@@ -470,7 +485,7 @@
         return ready
 
     def mark_saved(self, ready: raft_messages.Ready) -> None:
-        """Note that `ready` is durable and its committed entries are taken."""
+        """Record that `ready` is durable and that its committed entries were received."""
         if ready.hard_state is not None and ready.hard_state == self.hard_state:
             self.hard_state_changed = False
         if ready.snapshot is not None:
@@ -483,17 +498,20 @@
             self.advance_commit()
 
     def discard_unsaved(self, now: float) -> None:
-        """Forget entries that could not be made durable, and lead no longer.
+        """Discard entries that could not be saved, and step down.
 
-        They never left this member, since messages leave only after `saved`.
+        No other member has them, since messages are sent only after they are saved.
         """
         self.log.discard_unsaved()
         self.commit = min(self.commit, self.log.last_index())
         if self.role == LEADER:
-            self.follow(self.hard_state.term, "", now)
+            self.become_follower(self.hard_state.term, "", now)
 
     def compact(self, index: int, state: bytes) -> journal.Snapshot:
-        """Replace entries up to `index`, all handed out, by `state`; return the snapshot."""
+        """Replace the entries up to `index` by a snapshot with `state`, and return it.
+
+        Raises ValueError if `index` is beyond the delivered entries.
+        """
         if index > self.delivered_index:
-            raise ValueError(f"index {index} is not in the applied part of the log")
+            raise ValueError(f"index {index} is not in the delivered part of the log")
         return self.log.compact(index, state)
--- a/src/merlinthread/coordination/raft_log.py
+++ b/src/merlinthread/coordination/raft_log.py
@@ -1,4 +1,4 @@
-"""The entries that a member holds in memory, from its snapshot on, and the members they name."""
+"""The in-memory log of a Raft member: entries after the latest snapshot, and the membership."""
 
 import msgspec
 
@@ -7,7 +7,7 @@
 
 
 class RaftLog:
-    """Entries after a snapshot; `stable` is the last index that is durable."""
+    """A snapshot and the entries that follow it; `saved_index` is the last durable index."""
 
     def __init__(self, saved: journal.Journal | None, first_voters: list[str]) -> None:
         self.snapshot = saved.snapshot if saved else journal.Snapshot()
@@ -21,7 +21,7 @@
         return self.snapshot.index + len(self.entries)
 
     def term_at(self, index: int) -> int | None:
-        """Return the term of the entry at `index`, or None if it is not known here."""
+        """Return the term of the entry at `index`, or None if it is compacted or missing."""
         if index == self.snapshot.index:
             return self.snapshot.term
         position = index - self.snapshot.index - 1
@@ -33,21 +33,21 @@
         """Return the term of the last entry."""
         return self.entries[-1].term if self.entries else self.snapshot.term
 
-    def slice(self, first: int, limits: raft_messages.Limits) -> list[journal.Entry]:
-        """Return entries from `first` on, as many as one append may carry."""
-        chosen: list[journal.Entry] = []
+    def entries_from(self, first: int, limits: raft_messages.Limits) -> list[journal.Entry]:
+        """Return entries from `first` on, up to the limits of one AppendEntries message."""
+        batch: list[journal.Entry] = []
         size = 0
         for entry in self.entries[first - self.snapshot.index - 1 :]:
             size += len(entry.data)
-            if chosen and size > limits.bytes_per_append:
+            if batch and size > limits.bytes_per_append:
                 break
-            chosen.append(entry)
-            if len(chosen) == limits.entries_per_append:
+            batch.append(entry)
+            if len(batch) == limits.entries_per_append:
                 break
-        return chosen
+        return batch
 
     def effective_voters(self) -> raft_messages.Voters:
-        """Return the newest members in the log, committed or not."""
+        """Return the latest membership in the log, whether committed or not."""
         for entry in reversed(self.entries):
             if entry.kind == "voters":
                 return msgspec.msgpack.decode(entry.data, type=raft_messages.Voters)
@@ -56,7 +56,7 @@
         return self.first_voters
 
     def voters_at(self, index: int) -> raft_messages.Voters:
-        """Return the members in force at `index`, for a snapshot there."""
+        """Return the membership as of `index`, for a snapshot."""
         for entry in reversed(self.entries[: index - self.snapshot.index]):
             if entry.kind == "voters":
                 return msgspec.msgpack.decode(entry.data, type=raft_messages.Voters)
@@ -64,14 +64,14 @@
             return msgspec.msgpack.decode(self.snapshot.voters, type=raft_messages.Voters)
         return self.first_voters
 
-    def take(self, entry: journal.Entry) -> None:
-        """Put one entry of the leader in its place; drop a conflicting rest."""
+    def store(self, entry: journal.Entry) -> None:
+        """Store an entry from the leader; truncate the log first if an entry conflicts with it."""
         if entry.index <= self.snapshot.index:
             return
-        known = self.term_at(entry.index)
-        if known == entry.term:
+        local_term = self.term_at(entry.index)
+        if local_term == entry.term:
             return
-        if known is not None:
+        if local_term is not None:
             del self.entries[entry.index - self.snapshot.index - 1 :]
             self.saved_index = min(self.saved_index, entry.index - 1)
             self.voters = self.effective_voters()
@@ -80,7 +80,7 @@
             self.voters = self.effective_voters()
 
     def append(self, term: int, kind: str, data: bytes) -> journal.Entry:
-        """Add an entry at the end."""
+        """Append a new entry and return it."""
         entry = journal.Entry(self.last_index() + 1, term, kind, data)
         self.entries.append(entry)
         if kind == "voters":
@@ -88,12 +88,12 @@
         return entry
 
     def has_membership_change_after(self, index: int) -> bool:
-        """Return whether an entry after `index` changes the members."""
-        rest = self.entries[max(0, index - self.snapshot.index) :]
-        return any(entry.kind == "voters" for entry in rest)
+        """Return whether an entry after `index` changes the membership."""
+        later = self.entries[max(0, index - self.snapshot.index) :]
+        return any(entry.kind == "voters" for entry in later)
 
-    def between(self, after: int, last: int) -> list[journal.Entry]:
-        """Return the entries after `after` up to and including `last`."""
+    def entries_between(self, after: int, last: int) -> list[journal.Entry]:
+        """Return the entries after index `after`, up to and including `last`."""
         return self.entries[after - self.snapshot.index : max(0, last - self.snapshot.index)]
 
     def unsaved_entries(self) -> list[journal.Entry]:
@@ -105,12 +105,12 @@
         return self.entries[: max(0, self.saved_index - self.snapshot.index)]
 
     def discard_unsaved(self) -> None:
-        """Forget the entries that are not durable."""
+        """Discard the entries that are not durable."""
         del self.entries[max(0, self.saved_index - self.snapshot.index) :]
         self.voters = self.effective_voters()
 
     def install(self, snapshot: journal.Snapshot) -> None:
-        """Take over a leader's snapshot; keep what follows it if it fits."""
+        """Replace the snapshot by a leader's; keep later entries if they continue it."""
         if self.term_at(snapshot.index) == snapshot.term:
             self.entries = self.entries[snapshot.index - self.snapshot.index :]
         else:
@@ -120,12 +120,15 @@
         self.voters = self.effective_voters()
 
     def compact(self, index: int, state: bytes) -> journal.Snapshot:
-        """Replace entries up to `index` by `state`; return the snapshot."""
+        """Replace the entries up to `index` by a snapshot with `state`, and return it.
+
+        Raises ValueError if the entry at `index` is compacted or missing.
+        """
         term = self.term_at(index)
         if term is None:
             raise ValueError(f"index {index} is not in the log")
-        members = msgspec.msgpack.encode(self.voters_at(index))
-        snapshot = journal.Snapshot(index, term, members, state)
+        voters = msgspec.msgpack.encode(self.voters_at(index))
+        snapshot = journal.Snapshot(index, term, voters, state)
         self.entries = self.entries[index - self.snapshot.index :]
         self.snapshot = snapshot
         return snapshot
--- a/src/merlinthread/coordination/raft_members.py
+++ b/src/merlinthread/coordination/raft_members.py
@@ -1,4 +1,4 @@
-"""Changes of a replicated log's members: one at a time, and only when safe."""
+"""Membership changes of a Raft group, made one at a time and only when they are safe."""
 
 import dataclasses
 
@@ -8,10 +8,10 @@
 
 @dataclasses.dataclass(slots=True)
 class MembershipChange:
-    """One change: add a learner, promote one, remove a member, or note identities.
+    """Add a learner, promote a learner to voter, remove a member, or register identities.
 
-    Exactly one of `add`, `promote`, `remove`, `identities` is set; `address` and `identity` go with
-    `add`.
+    Exactly one of `add`, `promote`, `remove` and `identities` is set. `address` and `identity` are
+    those of the learner in `add`.
     """
 
     add: str = ""
@@ -24,7 +24,7 @@
 
 @dataclasses.dataclass(slots=True)
 class ReplicationStatus:
-    """What the leader knows: its own name, the committed index, how far each member is."""
+    """The leader's name, its commit index, and the match index of each other member."""
 
     leader: str
     commit: int
@@ -33,7 +33,7 @@
 
 @dataclasses.dataclass(slots=True)
 class JoiningMember:
-    """A control VM that wants to join under a new name in place of `replaces`."""
+    """A control VM that asks to join under a new name, as the replacement of `replaces`."""
 
     name: str
     identity: str
@@ -41,26 +41,31 @@
     replaces: str
 
 
-def apply(
-    before: raft_messages.Voters, change: MembershipChange, facts: ReplicationStatus
+def apply_change(
+    before: raft_messages.Voters, change: MembershipChange, status: ReplicationStatus
 ) -> raft_messages.Voters:
-    """Return the members after `change`; raise ControlError if it is not safe."""
+    """Return the membership after `change`.
+
+    Raises ControlError (membership_change_refused) if the change is not safe.
+    """
     members = before.copy()
     if change.add:
-        add(members, change)
+        add_learner(members, change)
     elif change.promote:
-        promote(members, change.promote, facts)
+        promote_learner(members, change.promote, status)
     elif change.remove:
-        remove(members, change.remove, facts)
+        remove_member(members, change.remove, status)
     else:
         members.identities.update(change.identities)
     return members
 
 
-def add(members: raft_messages.Voters, change: MembershipChange) -> None:
-    """Add a learner."""
+def add_learner(members: raft_messages.Voters, change: MembershipChange) -> None:
+    """Add a learner under a name that no member has had."""
     if change.add in members.members() or change.add in members.retired:
-        raise refused(f"{change.add!r} is or was a member; a replaced control VM needs a new name")
+        raise change_refused(
+            f"{change.add!r} is or was a member; use a new name for a replaced control VM"
+        )
     members.learners.append(change.add)
     if change.identity:
         members.identities[change.add] = change.identity
@@ -68,23 +73,23 @@
         members.addresses[change.add] = change.address
 
 
-def promote(members: raft_messages.Voters, name: str, facts: ReplicationStatus) -> None:
-    """Let a learner vote, once it has every committed entry."""
+def promote_learner(members: raft_messages.Voters, name: str, status: ReplicationStatus) -> None:
+    """Promote a learner to voter once it has every committed entry."""
     if name not in members.learners:
-        raise refused(f"{name!r} is no learner; add it first")
-    behind = facts.commit - facts.matches.get(name, 0)
+        raise change_refused(f"{name!r} is not a learner; add it first")
+    behind = status.commit - status.matches.get(name, 0)
     if behind > 0:
-        raise refused(f"{name!r} is {behind} entries behind; wait until it has caught up")
+        raise change_refused(f"{name!r} is {behind} entries behind; wait until it has caught up")
     members.learners.remove(name)
     members.voters.append(name)
 
 
-def remove(members: raft_messages.Voters, name: str, facts: ReplicationStatus) -> None:
-    """Remove a member for good."""
+def remove_member(members: raft_messages.Voters, name: str, status: ReplicationStatus) -> None:
+    """Remove a member permanently; its name can't be used again."""
     if name not in members.members():
-        raise refused(f"{name!r} is no member")
-    if name == facts.leader:
-        raise refused(f"{name!r} leads; stop it first, so that another leads")
+        raise change_refused(f"{name!r} is not a member")
+    if name == status.leader:
+        raise change_refused(f"{name!r} is the leader; stop it first so that another is elected")
     (members.voters if name in members.voters else members.learners).remove(name)
     members.retired.append(name)
     members.identities.pop(name, None)
@@ -92,39 +97,41 @@
 
 
 def address_of(name: str) -> str:
-    """Return the node address in a member's name: "address" or "address#identity"."""
+    """Return the node address in a member name of the form "address" or "address#identity"."""
     return name.split("#")[0]
 
 
 def failures_tolerated(voters: int, silent: int) -> int:
-    """Return how many more voters may fall silent before no majority is left; below 0: none is."""
+    """Return how many more voters may fail before the majority is lost; negative if it is lost."""
     return voters - silent - (voters // 2 + 1)
 
 
-def refused(message: str) -> errors.ControlError:
-    """Return the error for a change of members that is not safe now."""
+def change_refused(message: str) -> errors.ControlError:
+    """Return the error for a membership change that is not safe now."""
     return errors.ControlError(message, kind=errors.ErrorKind.MEMBERSHIP_CHANGE_REFUSED)
 
 
 def next_change(
     members: raft_messages.Voters,
     joiner: JoiningMember,
-    facts: ReplicationStatus,
-    is_replaced_silent: bool,
+    status: ReplicationStatus,
+    is_replaced_unresponsive: bool,
 ) -> MembershipChange | None:
-    """Return the next step of a repair, or None if it is done or must wait.
+    """Return the next change of a replacement, or None if it is complete or has to wait.
 
-    The joiner becomes a learner, then a voter once it has caught up; only then is the lost member
-    removed, and only if it has been silent. So a second loss right after the repair leaves a
-    majority that holds every accepted entry.
+    The joining member becomes a learner, then a voter once it has caught up. Only then is the
+    replaced member removed, and only if it does not respond, so that a second failure right after
+    the replacement leaves a majority with every committed entry.
     """
     if joiner.name in members.retired:
         return None
     if joiner.name not in members.members():
         return MembershipChange(add=joiner.name, identity=joiner.identity, address=joiner.address)
     if joiner.name in members.learners:
-        is_caught_up = facts.matches.get(joiner.name, 0) >= facts.commit
+        is_caught_up = status.matches.get(joiner.name, 0) >= status.commit
         return MembershipChange(promote=joiner.name) if is_caught_up else None
-    if joiner.replaces in members.members() and is_replaced_silent:
-        return None if joiner.replaces == facts.leader else MembershipChange(remove=joiner.replaces)
+    if joiner.replaces in members.members() and is_replaced_unresponsive:
+        return (
+            None if joiner.replaces == status.leader else MembershipChange(remove=joiner.replaces)
+        )
     return None
--- a/src/merlinthread/coordination/raft_messages.py
+++ b/src/merlinthread/coordination/raft_messages.py
@@ -1,4 +1,4 @@
-"""The messages of the replicated log, its members, and its settings. Plain data."""
+"""Messages, membership and parameters of a Raft group."""
 
 import dataclasses
 
@@ -10,7 +10,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Address:
-    """Where a member is reached: by other members, and by entries; "IP:port" each."""
+    """The addresses of a member, as "IP:port": one for other members, one for entry VMs."""
 
     log_bus: str
     bus: str
@@ -18,11 +18,11 @@
 
 @dataclasses.dataclass(slots=True)
 class Voters:
-    """The members of the group.
+    """The membership of the group.
 
-    `retired` names may never come back. `identities` are those of the members' data folders: a
-    member that comes back with another one has lost what it promised and does not count.
-    `addresses` are of members that joined later; the first ones are in the settings.
+    Names in `retired` can't be used again. `identities` holds the identity of each member's data
+    folder: a member that returns with another one has lost its votes and entries, and is rejected.
+    `addresses` holds members that joined later; the settings name the initial ones.
     """
 
     voters: list[str] = dataclasses.field(default_factory=list)
@@ -32,7 +32,7 @@
     addresses: dict[str, Address] = dataclasses.field(default_factory=dict)
 
     def copy(self) -> "Voters":
-        """Return a copy that can be changed apart."""
+        """Return a copy that shares no lists or dictionaries."""
         return Voters(
             list(self.voters),
             list(self.learners),
@@ -41,23 +41,23 @@
             dict(self.addresses),
         )
 
-    def is_stranger(self, name: str, identity: str) -> bool:
-        """Return whether `name` came back with another data folder than it had."""
+    def has_other_identity(self, name: str, identity: str) -> bool:
+        """Return whether `identity` differs from the one registered for `name`."""
         return self.identities.get(name, identity) != identity
 
     def majority(self) -> int:
-        """Return how many voters decide."""
+        """Return the number of voters that form a majority."""
         return len(self.voters) // 2 + 1
 
     def members(self) -> list[str]:
-        """Return voters and learners."""
+        """Return the names of voters and learners."""
         return self.voters + self.learners
 
 
 @MESSAGES.add("log.vote")
 @dataclasses.dataclass(slots=True)
 class VoteRequest:
-    """Ask for a vote, or with `is_trial` whether a vote would be given (pre-vote)."""
+    """Request a vote, or a pre-vote if `is_trial` is set."""
 
     sender: str
     term: int
@@ -70,7 +70,7 @@
 @MESSAGES.add("log.vote_reply")
 @dataclasses.dataclass(slots=True)
 class VoteReply:
-    """Answer a vote request of `term`."""
+    """Reply to a vote request of `term`."""
 
     sender: str
     term: int
@@ -82,7 +82,7 @@
 @MESSAGES.add("log.append")
 @dataclasses.dataclass(slots=True)
 class AppendEntries:
-    """Carry entries from the leader, or none as a heartbeat; `sent_at` is its clock."""
+    """Send entries to a follower, or none as a heartbeat; `sent_at` is on the leader's clock."""
 
     sender: str
     term: int
@@ -96,7 +96,10 @@
 @MESSAGES.add("log.append_reply")
 @dataclasses.dataclass(slots=True)
 class AppendReply:
-    """Answer an append; `match` is the last index known equal, or a hint where to go back to."""
+    """Reply to AppendEntries or InstallSnapshot.
+
+    `match` is the last matching index, or a hint for the leader's next attempt after a rejection.
+    """
 
     sender: str
     term: int
@@ -109,7 +112,7 @@
 @MESSAGES.add("log.install")
 @dataclasses.dataclass(slots=True)
 class InstallSnapshot:
-    """Carry a snapshot to a member whose entries the leader no longer has."""
+    """Send a snapshot to a member whose next entries the leader has compacted."""
 
     sender: str
     term: int
@@ -120,7 +123,7 @@
 @MESSAGES.add("log.stranger")
 @dataclasses.dataclass(slots=True)
 class IdentityMismatch:
-    """Tell a member that its name belongs to another data folder."""
+    """Tell a member that its name is registered with another data folder."""
 
     sender: str
     name: str
@@ -132,7 +135,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Timing:
-    """Timing of the group, in seconds; a lease lasts `lease_share` of `election_min_s`."""
+    """Timeouts in seconds; a lease lasts `lease_fraction` of `election_min_s`."""
 
     heartbeat_s: float = 0.1
     election_min_s: float = 0.6
@@ -143,7 +146,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Limits:
-    """Bounds on what one append carries and on how much waits uncommitted."""
+    """Limits of one AppendEntries message and of the number of uncommitted entries."""
 
     entries_per_append: int = 256
     bytes_per_append: int = 512 * 1024
@@ -152,7 +155,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Ready:
-    """What the owner must do now, in this order."""
+    """The pending work of the owner, to be done in the order of the fields."""
 
     hard_state: journal.HardState | None
     snapshot: journal.Snapshot | None
@@ -161,7 +164,7 @@
     committed: list[journal.Entry]
 
     def is_empty(self) -> bool:
-        """Return whether there is nothing to do."""
+        """Return whether no work is pending."""
         return not (self.hard_state or self.snapshot or self.messages or self.committed) and not (
             self.entries
         )
@@ -169,7 +172,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Progress:
-    """What the leader knows of one member."""
+    """The leader's view of one other member; times are on the leader's clock."""
 
     match: int = 0
     next: int = 1
