--- a/src/merlinthread/coordination/levels.py
+++ b/src/merlinthread/coordination/levels.py
@@ -1,13 +1,12 @@
-"""Levels of what builds write for each other, and what the control VMs of a group can read.
+"""Format levels of log entries, and which levels the control VMs of a group can read.
 
-While VMs are replaced one after the other, two builds run side by side, and an operator may go
-back. So nothing is written into the replicated log before every member is known to read it: one
-that can't read a committed entry may neither apply it nor pass over it, since its state would be
-another one than the others' from then on. Published kin: the cluster version of etcd,
-`metadata.version` of Kafka, the cluster settings of CockroachDB.
+During a rolling update two builds run side by side, and the operator may roll back. An entry of a
+new format is therefore written only once every member is known to read it: a member that can't
+read a committed entry can neither apply nor skip it without diverging from the others. The cluster
+version of etcd and `metadata.version` of Kafka serve the same purpose.
 
-A build tells its newest level in its answers to other control VMs. One that tells none is older
-than this account; what it reads is shown by what it answers, else it counts as the lowest level.
+A build reports its newest level in its replies to other control VMs. For an older build that
+reports none, the level is inferred from the requests it understands, and is otherwise the lowest.
 """
 
 import enum
@@ -18,99 +17,102 @@
 
 
 class FormatLevel(enum.IntEnum):
-    """What a build reads and writes; each level includes those below it."""
+    """The entry formats that a build can read; each level includes those below it."""
 
-    # Configurations, named versions of weights, departures.
+    # Configurations, named versions of weights, departures of instances.
     DEPARTURES = 1
-    # Requests that are held back, and reports of processes that ended under them.
+    # Holds on requests, and reports of the process crashes that led to them.
     HELD_REQUESTS = 2
 
 
 LOWEST = min(FormatLevel)
 NEWEST = max(FormatLevel)
-# How long all members read a level before the first entry of it is written, if the group may have
-# run builds that do not read it: in these seconds an operator may go back to them.
+# How long all members must be able to read a level before the first entry of it is written, if the
+# group may have run older builds: until then the operator can roll back to them.
 ROLLBACK_WINDOW_S = 600.0
-# The level that each kind of entry needs; kinds without one are of the lowest.
-NEEDED: dict[type, FormatLevel] = {}
+# The level required to read each entry class; classes not listed need the lowest.
+REQUIRED_LEVELS: dict[type, FormatLevel] = {}
 
 
 def requires_level(level: FormatLevel) -> Callable[[T], T]:
-    """Return a decorator that files a kind of entry under the level which reads it."""
+    """Return a decorator that sets the level required to read an entry class."""
 
-    def file(kind: T) -> T:
-        NEEDED[kind] = level
+    def register(kind: T) -> T:
+        REQUIRED_LEVELS[kind] = level
         return kind
 
-    return file
+    return register
 
 
 def level_of(kind: type) -> FormatLevel:
-    """Return the level that a kind of entry needs."""
-    return NEEDED.get(kind, LOWEST)
+    """Return the level required to read an entry class."""
+    return REQUIRED_LEVELS.get(kind, LOWEST)
 
 
 class MemberLevels:
-    """What one control VM knows of the others' levels, by their addresses.
+    """The known levels of the other control VMs, by address.
 
-    A member that is silent keeps the level that it had: it comes back with that build or, while an
-    operator goes back, with one that tells another level in its first answer.
+    A member that does not respond keeps its reported level: after a restart with another build, its
+    first reply reports the new one.
     """
 
     def __init__(self) -> None:
         self.reported: dict[str, int] = {}
-        self.shown: dict[str, FormatLevel] = {}
-        # The highest level that a build which tells none has shown to read.
-        self.older_reads = LOWEST
+        self.inferred: dict[str, FormatLevel] = {}
+        # The highest level inferred for any member that reported none.
+        self.inferred_max = LOWEST
 
     def record_reported(self, address: str, level: int) -> bool:
-        """Note the level in a member's answer, 0 if it tells none; return whether it is new."""
+        """Record the level in a member's reply, 0 if it has none; return whether it changed."""
         if self.reported.get(address) == level:
             return False
         self.reported[address] = level
-        self.shown.pop(address, None)
+        self.inferred.pop(address, None)
         return True
 
     def record_inferred(self, address: str, level: FormatLevel) -> None:
-        """Note that a member has answered what only a build of `level` can read."""
-        self.shown[address] = level
-        self.older_reads = max(self.older_reads, level)
+        """Record that a member has understood a request that requires `level`."""
+        self.inferred[address] = level
+        self.inferred_max = max(self.inferred_max, level)
 
     def record_unreachable(self, address: str) -> None:
-        """Note that a member did not answer: it may come back with another build."""
-        self.shown.pop(address, None)
+        """Discard the inferred level of a member that did not reply: its build may change."""
+        self.inferred.pop(address, None)
 
-    def of(self, address: str) -> int:
-        """Return the level that a member surely reads; it may be above all known here."""
-        return self.reported.get(address) or self.shown.get(address, LOWEST)
+    def get(self, address: str) -> int:
+        """Return the highest level known to be readable by a member.
+
+        It may be higher than `NEWEST` if the member runs a newer build.
+        """
+        return self.reported.get(address) or self.inferred.get(address, LOWEST)
 
     def without_level(self, addresses: Iterable[str]) -> list[str]:
-        """Return the members that tell no level and have not shown any."""
+        """Return the members that replied without a level and have no inferred one."""
         return [
             address
             for address in addresses
-            if not self.reported.get(address, NEWEST) and address not in self.shown
+            if not self.reported.get(address, NEWEST) and address not in self.inferred
         ]
 
     def below(self, addresses: Iterable[str], level: FormatLevel) -> list[str]:
         """Return the members that are not known to read `level`."""
-        return [address for address in addresses if self.of(address) < level]
+        return [address for address in addresses if self.get(address) < level]
 
 
 class WriteGate:
-    """Decides from when on an entry may be written, for one member of the group.
+    """Decides whether entries of a format level may be written yet.
 
-    `first_level` is the level of the build that has begun the group, 0 if that is not known.
+    `first_level` is the level of the build that created the group, 0 if it is not known.
     """
 
     def __init__(self, members: MemberLevels, first_level: int) -> None:
         self.members = members
         self.first_level = first_level
-        # Since when all others are known to read all that this build writes, None if one is not.
+        # Since when all other members are known to read `NEWEST`, None if one is not.
         self.readable_since: float | None = None
 
     def update(self, others: Iterable[str], now: float) -> None:
-        """Note whether all other members read all that this build writes."""
+        """Record whether all other members can read `NEWEST`."""
         if self.members.below(others, NEWEST):
             self.readable_since = None
         elif self.readable_since is None:
@@ -119,9 +121,9 @@
     def reason_not_writable(
         self, level: FormatLevel, others: Iterable[str], written: int, now: float
     ) -> str:
-        """Return why an entry of `level` may not be written yet, an empty text if it may.
+        """Return why an entry of `level` may not be written yet, or "" if it may.
 
-        `written` is the highest level of any entry so far: there is no way back below it.
+        `written` is the highest level of any entry so far; a rollback below it is not possible.
         """
         behind = self.members.below(others, level)
         if behind:
@@ -129,7 +131,7 @@
                 f"level {level} is needed, and {', '.join(behind)} are not known to read it; it is "
                 "written once they run newer builds"
             )
-        if level <= max(written, self.first_level, self.members.older_reads):
+        if level <= max(written, self.first_level, self.members.inferred_max):
             return ""
         if self.readable_since is not None and now - self.readable_since >= ROLLBACK_WINDOW_S:
             return ""
--- a/src/merlinthread/coordination/log_repair.py
+++ b/src/merlinthread/coordination/log_repair.py
@@ -1,9 +1,8 @@
-"""Which change of a replicated log's members gives the group back the losses that it must bear.
+"""Choose the membership changes that restore a group's fault tolerance after members failed.
 
-A member that is lost for good never comes back, and its replacement joins beside it. As long as
-both are voters the group is larger, needs a larger majority, and bears one loss less. So the lost
-one goes as soon as its silence is sure enough, not when it has been silent for long. Nothing here
-does I/O: the leader passes in what it knows, and the time in seconds of its own clock.
+The replacement of a failed member joins before that member is removed. While both are voters, the
+majority is larger and the group tolerates one failure fewer, so the failed member is removed after
+a short silence. The functions perform no I/O; times are seconds on the leader's clock.
 """
 
 import dataclasses
@@ -13,23 +12,23 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RepairPolicy:
-    """How many voters may be lost at once, and after which silence a voter is taken out.
+    """How many failures the group must tolerate, and when silent members are removed.
 
-    `spare_silence_s` is for a voter without which the group bears more losses than with it, and
-    `silence_s` for one that only costs messages. Both in seconds.
+    A voter whose removal lets the group tolerate more failures is removed after
+    `surplus_silence_s` of silence, other members that are not needed after `silence_s`.
     """
 
     losses_max: int
-    spare_silence_s: float
+    surplus_silence_s: float
     silence_s: float
 
 
 @dataclasses.dataclass(slots=True)
 class GroupStatus:
-    """What the leader knows of the group.
+    """The leader's view of the group.
 
-    `matches` and `heard_at` are by member (not the leader itself): the last entry known to be
-    there, and when it was last heard. `joiners` ask to be taken in, `leaving` are about to end.
+    `matches` and `heard_at` hold the match index of each member but the leader, and the time of its
+    last reply. `joiners` have asked to join; `leaving` are about to shut down.
     """
 
     voters: raft_messages.Voters
@@ -44,20 +43,20 @@
 def next_change(
     group: GroupStatus, policy: RepairPolicy, now: float
 ) -> raft_members.MembershipChange | None:
-    """Return the next change of members, or None if the group is as it should be."""
+    """Return the next membership change, or None if none is due."""
     return (
-        replaced_disk(group)
-        or spare(group, policy, now)
-        or joined(group)
-        or long_silent(group, policy, now)
+        remove_replaced_member(group)
+        or remove_surplus_voter(group, policy, now)
+        or admit_joiner(group)
+        or remove_silent_member(group, policy, now)
     )
 
 
-def replaced_disk(group: GroupStatus) -> raft_members.MembershipChange | None:
-    """Return the removal of a member whose VM asks to join anew, since it has lost its disk.
+def remove_replaced_member(group: GroupStatus) -> raft_members.MembershipChange | None:
+    """Return the removal of a member whose VM asks to join under a new name after losing its disk.
 
-    That member can't come back, so it goes before its successor votes: with both of them, a second
-    loss right after would leave two of four.
+    The old member can't return. It is removed before its successor becomes a voter, since with both
+    as voters one more failure could leave two of four.
     """
     members = group.voters.members()
     for joiner in group.joiners:
@@ -68,11 +67,11 @@
     return None
 
 
-def spare(
+def remove_surplus_voter(
     group: GroupStatus, policy: RepairPolicy, now: float
 ) -> raft_members.MembershipChange | None:
-    """Return the removal of a silent or leaving voter that costs the group a bearable loss."""
-    silent = silent_voters(group, policy.spare_silence_s, now)
+    """Return the removal of a silent or leaving voter that lowers the group's fault tolerance."""
+    silent = silent_voters(group, policy.surplus_silence_s, now)
     leaving = [name for name in group.leaving if name in group.voters.voters]
     missing = list(dict.fromkeys([*silent, *leaving]))
     removable = [name for name in missing if name != group.leader]
@@ -84,45 +83,45 @@
 
 
 def removal_improves_tolerance(voters: int, missing: int, policy: RepairPolicy) -> bool:
-    """Return whether the group bears more losses without some of its `missing` voters.
+    """Return whether removing some of the `missing` voters lets the group tolerate more failures.
 
-    Only where it bears fewer than it must, and never below the size that bears them at all. One
-    removal never makes it worse; of an odd number of voters it takes two to make it better.
+    It is False if the group tolerates enough failures as it is; the group never shrinks below the
+    size that tolerates `losses_max`. Of an odd number of voters, only a second removal helps.
     """
-    bearable = raft_members.failures_tolerated(voters, missing)
+    tolerated = raft_members.failures_tolerated(voters, missing)
     removable = min(missing, voters - (2 * policy.losses_max + 1))
     best = max(
         (
             raft_members.failures_tolerated(voters - removed, missing - removed)
             for removed in range(1, removable + 1)
         ),
-        default=bearable,
+        default=tolerated,
     )
-    return bearable < policy.losses_max and best > bearable
+    return tolerated < policy.losses_max and best > tolerated
 
 
 def silent_voters(group: GroupStatus, silence_s: float, now: float) -> list[str]:
-    """Return the voters that the leader has not heard for `silence_s`, the longest silent first."""
+    """Return the voters not heard from for `silence_s`, the longest silent first."""
     others = [name for name in group.voters.voters if name != group.leader]
     silent = [name for name in others if now - group.heard_at.get(name, now) > silence_s]
     return sorted(silent, key=lambda name: group.heard_at[name])
 
 
-def joined(group: GroupStatus) -> raft_members.MembershipChange | None:
-    """Return the next step of taking a joiner in: as a learner, then as a voter."""
-    facts = raft_members.ReplicationStatus(group.leader, group.commit, group.matches)
+def admit_joiner(group: GroupStatus) -> raft_members.MembershipChange | None:
+    """Return the next change that makes a joiner a learner, and then a voter."""
+    status = raft_members.ReplicationStatus(group.leader, group.commit, group.matches)
     for name in group.joiners:
         joiner = raft_members.JoiningMember(name, "", raft_messages.Address("", ""), "")
-        change = raft_members.next_change(group.voters, joiner, facts, False)
+        change = raft_members.next_change(group.voters, joiner, status, False)
         if change is not None:
             return change
     return None
 
 
-def long_silent(
+def remove_silent_member(
     group: GroupStatus, policy: RepairPolicy, now: float
 ) -> raft_members.MembershipChange | None:
-    """Return the removal of a member that was silent for long and is not needed."""
+    """Return the removal of a learner, or a voter that is not needed, after a long silence."""
     for learner in group.voters.learners:
         if now - group.heard_at.get(learner, now) > policy.silence_s:
             return raft_members.MembershipChange(remove=learner)
