--- a/src/merlinthread/coordination/bundles.py
+++ b/src/merlinthread/coordination/bundles.py
@@ -1,4 +1,4 @@
-"""What a bundle says: models, adapters, services and the shares of groups. Plain data."""
+"""Bundles: the models, adapters, services and capacity shares that operators put in force."""
 
 import dataclasses
 
@@ -11,7 +11,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Adapter:
-    """A small addition to a model; `manifest` is the digest of its manifest."""
+    """An adapter of a model; `manifest` is the digest of its manifest."""
 
     name: str
     version: str
@@ -22,8 +22,8 @@
 class Model:
     """A model version to run.
 
-    `share_percent` is the part of each zone's engines that holds it; `replicas_min` the
-    fewest in a zone that has engines at all.
+    `share_percent` is the percentage of each zone's engines that hold it, and `replicas_min` the
+    minimum number in a zone that has engines.
     """
 
     name: str
@@ -36,7 +36,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Group:
-    """A group of client accounts with its share of capacity; `priority` 0 goes first."""
+    """A group of client accounts and its share of capacity; `priority` 0 is the highest."""
 
     name: str
     share_percent: int
@@ -46,7 +46,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Service:
-    """A plain service; calls whose path is in `repeatable` may be run more than once."""
+    """A service without models; requests whose path is in `repeatable` may be retried."""
 
     name: str
     repeatable: list[str] = dataclasses.field(default_factory=list)
@@ -54,7 +54,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Bundle:
-    """A whole bundle; `version` is the operators' number for it."""
+    """A bundle; operators choose its `version`."""
 
     version: int
     models: list[Model]
@@ -63,27 +63,27 @@
     note: str = ""
 
     def manifests(self) -> list[str]:
-        """Return the digests of all manifests that the bundle names, each once."""
-        found: dict[str, None] = {}
+        """Return the distinct digests of the manifests of all models and adapters."""
+        digests: dict[str, None] = {}
         for model in self.models:
-            found[model.manifest] = None
+            digests[model.manifest] = None
             for adapter in model.adapters:
-                found[adapter.manifest] = None
-        return list(found)
+                digests[adapter.manifest] = None
+        return list(digests)
 
     def model(self, name: str) -> Model | None:
-        """Return the model called `name`."""
+        """Return the model named `name`, or None."""
         return next((model for model in self.models if model.name == name), None)
 
     def service(self, name: str) -> Service | None:
-        """Return the service called `name`."""
+        """Return the service named `name`, or None."""
         return next((service for service in self.services if service.name == name), None)
 
     def group_of(self, account: str) -> Group | None:
-        """Return the group that `account` belongs to."""
+        """Return the group that `account` belongs to, or None."""
         return next((group for group in self.groups if account in group.accounts), None)
 
 
 def digest(bundle: Bundle) -> str:
-    """Return the content digest that operators sign: BLAKE3 of the bundle in a fixed order."""
+    """Return the digest that operators sign: BLAKE3 of the bundle as JSON with sorted keys."""
     return blake3.blake3(msgspec.json.encode(bundle, order="sorted")).hexdigest()
--- a/src/merlinthread/coordination/commands.py
+++ b/src/merlinthread/coordination/commands.py
@@ -1,4 +1,4 @@
-"""What can be put into the control VMs' log, and the answer that a command leads to. Plain data."""
+"""The commands of the control VMs' replicated log, and the answer to a command."""
 
 import dataclasses
 
@@ -11,7 +11,7 @@
 @COMMANDS.add("propose")
 @dataclasses.dataclass(slots=True)
 class Propose:
-    """Put a bundle forward for signing."""
+    """Propose a bundle for signing."""
 
     request_id: str
     operator: str
@@ -22,7 +22,7 @@
 @COMMANDS.add("sign")
 @dataclasses.dataclass(slots=True)
 class Sign:
-    """Add an operator's signature, which the leader has verified."""
+    """Add an operator's signature; the leader verifies it before it appends the command."""
 
     request_id: str
     operator: str
@@ -35,7 +35,10 @@
 @COMMANDS.add("roll")
 @dataclasses.dataclass(slots=True)
 class Roll:
-    """Put a signed version in force under a new generation; `is_back` only names an earlier one."""
+    """Put a signed version in force under a new generation.
+
+    `is_back` marks a rollback, which only accepts a version that was in force before.
+    """
 
     request_id: str
     operator: str
@@ -48,7 +51,7 @@
 @COMMANDS.add("pause")
 @dataclasses.dataclass(slots=True)
 class Pause:
-    """Stop a roll from going further, or with an empty reason let it go on."""
+    """Pause a roll, or resume it if `reason` is empty."""
 
     generation: int
     reason: str
@@ -56,7 +59,7 @@
 
 @dataclasses.dataclass(slots=True)
 class VmPlacement:
-    """What one VM should hold, and where its agent is reached by others ("IP:port")."""
+    """The models assigned to one VM, its location, and its agent's bus address ("IP:port")."""
 
     models: list[str]
     availability_zone: str
@@ -67,7 +70,7 @@
 @COMMANDS.add("place")
 @dataclasses.dataclass(slots=True)
 class Place:
-    """Change which models some VMs hold; an empty list of models takes a VM out."""
+    """Change the models assigned to VMs; an empty list of models removes a VM."""
 
     generation: int
     changes: dict[str, VmPlacement]
@@ -79,7 +82,7 @@
 class Claim:
     """Claim an idempotency key for one attempt.
 
-    `issued_at` is the time in the key (a UUIDv7, RFC 9562), in seconds since 1970.
+    `issued_at` is the timestamp in the key (a UUIDv7, RFC 9562), in Unix seconds.
     """
 
     key: str
@@ -91,7 +94,7 @@
 @COMMANDS.add("complete")
 @dataclasses.dataclass(slots=True)
 class Complete:
-    """Keep the answer of a claimed request, or with `not_run` free its key."""
+    """Store the response to a claimed request, or release its key if `not_run` is set."""
 
     key: str
     attempt: str
@@ -103,7 +106,7 @@
 @COMMANDS.add("expire")
 @dataclasses.dataclass(slots=True)
 class Expire:
-    """Drop claims whose keys were issued before `before`; such keys are refused from then on."""
+    """Remove claims whose keys were issued before `before`; such keys are refused from then on."""
 
     before: float
 
@@ -113,7 +116,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Answer:
-    """What a command led to; `error` is empty or the name of an error kind."""
+    """The result of a command; `error` is empty or the name of an error kind."""
 
     error: str = ""
     message: str = ""
--- a/src/merlinthread/coordination/control_state.py
+++ b/src/merlinthread/coordination/control_state.py
@@ -1,7 +1,7 @@
-"""The control VMs' state machine: bundles, signatures, rolls, placement and claimed request keys.
+"""The state machine of the control VMs: bundles, signatures, rolls, placement, idempotency keys.
 
-Every replica applies the same commands in the same order, so nothing here may look at a clock, a
-random number or a setting: what varies comes inside the command.
+Every replica applies the same commands in the same order and must reach the same state, so nothing
+here may use a clock, randomness or settings; commands carry such values.
 """
 
 import dataclasses
@@ -10,7 +10,7 @@
 from merlinthread import errors
 from merlinthread.coordination import bundles, commands
 
-ANSWERS_KEPT = 1024
+ANSWERS_MAX = 1024
 SIGNED = "signed"
 PROPOSED = "proposed"
 IN_FORCE = "in force"
@@ -19,7 +19,7 @@
 
 @dataclasses.dataclass(slots=True)
 class BundleRecord:
-    """A proposed bundle and what became of it."""
+    """A proposed bundle, its signatures, and whether it was ever rolled out."""
 
     bundle: bundles.Bundle
     digest: str
@@ -31,7 +31,7 @@
 
 @dataclasses.dataclass(slots=True)
 class RollRecord:
-    """One roll: a generation that names a version."""
+    """One roll: the version that was put in force under a generation."""
 
     generation: int
     version: int
@@ -42,7 +42,7 @@
 
 @dataclasses.dataclass(slots=True)
 class ClaimRecord:
-    """A claimed key; `http_status` stays 0 until its answer is known."""
+    """A claimed idempotency key; `http_status` is 0 until the response is known."""
 
     body_digest: str
     attempt: str
@@ -53,7 +53,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Directive:
-    """What every VM must enforce, as of log index `revision`; it only ever goes up."""
+    """The desired state that every VM enforces, as of log index `revision`."""
 
     revision: int = 0
     generation: int = 0
@@ -66,10 +66,10 @@
 
 @dataclasses.dataclass(slots=True)
 class ControlState:
-    """Everything that the control VMs agree on.
+    """The replicated state of the control VMs.
 
-    `revision` is the log index of the last change that VMs must learn of; it only grows, so a VM
-    that adopts nothing lower never goes back.
+    `revision` is the log index of the last change to the directive. It never decreases, so a VM
+    that ignores lower revisions never returns to an earlier directive.
     """
 
     revision: int = 0
@@ -85,7 +85,7 @@
     abandoned: dict[str, bool] = dataclasses.field(default_factory=dict)
 
     def apply(self, command: commands.Command, index: int) -> commands.Answer:
-        """Take one committed command in; the answer is the same on every replica."""
+        """Apply a committed command and return its answer, the same on every replica."""
         request_id = getattr(command, "request_id", "")
         if request_id and request_id in self.answers:
             return self.answers[request_id]
@@ -101,22 +101,22 @@
         }
         answer = handlers[type(command)](command, index)
         if request_id:
-            self.keep_answer(request_id, answer)
+            self.store_answer(request_id, answer)
         return answer
 
-    def keep_answer(self, request_id: str, answer: commands.Answer) -> None:
-        """Remember the answer for a resent command; bounded, oldest out first."""
+    def store_answer(self, request_id: str, answer: commands.Answer) -> None:
+        """Store the answer for retries of the command; evict the oldest above `ANSWERS_MAX`."""
         self.answers[request_id] = answer
-        while len(self.answers) > ANSWERS_KEPT:
+        while len(self.answers) > ANSWERS_MAX:
             del self.answers[next(iter(self.answers))]
 
     def active_bundle(self) -> bundles.Bundle | None:
-        """Return the bundle in force."""
+        """Return the bundle in force, or None before the first roll."""
         record = self.records.get(self.version)
         return record.bundle if record else None
 
     def directive(self) -> Directive:
-        """Return what VMs must enforce; it shares nothing that later commands change."""
+        """Return the current directive, as a copy that later commands do not change."""
         record = self.records.get(self.version)
         if record is None:
             return Directive()
@@ -131,7 +131,7 @@
         )
 
     def status_of(self, version: int, signatures_required: int) -> str:
-        """Return where in its life the bundle `version` is."""
+        """Return the status of the bundle `version`, which must exist."""
         record = self.records[version]
         if version == self.version:
             return IN_FORCE
@@ -142,19 +142,22 @@
     # Bundles
 
     def propose(self, command: commands.Propose, index: int) -> commands.Answer:
-        """File a bundle; equal content is the same answer again, other content a conflict."""
+        """Record a proposed bundle.
+
+        Repeating it is idempotent; other content under the same version is a conflict.
+        """
         version = command.bundle.version
         digest = bundles.digest(command.bundle)
-        known = self.records.get(version)
-        if known and known.digest != digest:
+        existing = self.records.get(version)
+        if existing and existing.digest != digest:
             return commands.Answer(
                 error=errors.ErrorKind.VERSION_CONFLICT,
-                message=f"version {version} is taken by {known.proposed_by} with digest "
-                f"{known.digest}; propose yours under another number",
+                message=f"version {version} is taken by {existing.proposed_by} with digest "
+                f"{existing.digest}; propose yours under another number",
                 version=version,
-                digest=known.digest,
+                digest=existing.digest,
             )
-        if not known:
+        if not existing:
             self.records[version] = BundleRecord(
                 command.bundle, digest, command.operator, command.at
             )
@@ -177,7 +180,7 @@
         return commands.Answer(version=command.version, digest=record.digest, status=SIGNED)
 
     def roll(self, command: commands.Roll, index: int) -> commands.Answer:
-        """Put a version in force under the next generation."""
+        """Put a version in force under the next generation, if it has enough signatures."""
         record = self.records.get(command.version)
         if record is None:
             return unknown_version(command.version)
@@ -213,7 +216,7 @@
         )
 
     def pause(self, command: commands.Pause, index: int) -> commands.Answer:
-        """Pause or resume the roll, if it is still the present one."""
+        """Pause or resume the roll if it is still the current one."""
         if command.generation != self.generation or command.reason == self.paused:
             return commands.Answer(generation=self.generation, status=self.paused)
         self.paused = command.reason
@@ -221,7 +224,7 @@
         return commands.Answer(generation=self.generation, status=self.paused)
 
     def place(self, command: commands.Place, index: int) -> commands.Answer:
-        """Change the placement, if it was made for the present generation."""
+        """Change the placement if the command is for the current generation."""
         if command.generation != self.generation:
             return commands.Answer(generation=self.generation, status="stale")
         for agent, placed in command.changes.items():
@@ -235,8 +238,8 @@
     # Claims
 
     def claim(self, command: commands.Claim, index: int) -> commands.Answer:
-        """Give the key to the first attempt; tell every later one what became of it."""
-        known = self.claims.get(command.key)
+        """Grant the key to the first attempt, and return its state to every later one."""
+        existing = self.claims.get(command.key)
         if command.issued_at < self.claims_before:
             return commands.Answer(
                 error=errors.ErrorKind.KEY_EXPIRED,
@@ -244,48 +247,50 @@
             )
         if command.attempt in self.abandoned:
             return commands.Answer(status="abandoned")
-        if known is None:
+        if existing is None:
             self.claims[command.key] = ClaimRecord(
                 command.body_digest, command.attempt, command.issued_at
             )
             return commands.Answer(status="granted")
-        if known.body_digest != command.body_digest:
+        if existing.body_digest != command.body_digest:
             return commands.Answer(
                 error=errors.ErrorKind.KEY_CONFLICT,
                 message=f"key {command.key!r} was used with another body; use a new key",
             )
-        if known.http_status:
-            return commands.Answer(status="done", http_status=known.http_status, body=known.body)
-        if known.attempt == command.attempt:
+        if existing.http_status:
+            return commands.Answer(
+                status="done", http_status=existing.http_status, body=existing.body
+            )
+        if existing.attempt == command.attempt:
             return commands.Answer(status="granted")
         return commands.Answer(status="running")
 
     def complete(self, command: commands.Complete, index: int) -> commands.Answer:
-        """Keep the answer of the attempt that holds the key."""
+        """Store the response of the attempt that holds the key, or release the key."""
         if command.not_run:
-            self.abandon(command.attempt)
-        known = self.claims.get(command.key)
-        if known is None or known.attempt != command.attempt:
+            self.record_abandoned(command.attempt)
+        existing = self.claims.get(command.key)
+        if existing is None or existing.attempt != command.attempt:
             return commands.Answer(
                 error=errors.ErrorKind.OUTCOME_UNKNOWN, message="the key is not yours"
             )
         if command.not_run:
-            if not known.http_status:
+            if not existing.http_status:
                 del self.claims[command.key]
             return commands.Answer(status="freed")
-        if not known.http_status:
-            known.http_status = command.status
-            known.body = command.body
-        return commands.Answer(status="done", http_status=known.http_status, body=known.body)
+        if not existing.http_status:
+            existing.http_status = command.status
+            existing.body = command.body
+        return commands.Answer(status="done", http_status=existing.http_status, body=existing.body)
 
-    def abandon(self, attempt: str) -> None:
-        """Remember that an attempt gave up, in case its claim is committed only now."""
+    def record_abandoned(self, attempt: str) -> None:
+        """Record that an attempt was abandoned, so that a claim committed later is not granted."""
         self.abandoned[attempt] = True
-        while len(self.abandoned) > ANSWERS_KEPT:
+        while len(self.abandoned) > ANSWERS_MAX:
             del self.abandoned[next(iter(self.abandoned))]
 
     def expire(self, command: commands.Expire, index: int) -> commands.Answer:
-        """Forget old claims; `claims_before` is how their keys are known to be refused."""
+        """Remove claims issued before `claims_before`; their keys are refused from then on."""
         self.claims_before = max(self.claims_before, command.before)
         self.claims = {
             key: c for key, c in self.claims.items() if c.issued_at >= self.claims_before
@@ -294,7 +299,7 @@
 
 
 def unknown_version(version: int) -> commands.Answer:
-    """Return the answer for a version that nobody proposed."""
+    """Return the error for a version that was not proposed."""
     return commands.Answer(
         error=errors.ErrorKind.UNKNOWN_VERSION,
         message=f"no bundle has version {version}; propose it first",
--- a/src/merlinthread/coordination/fleet_state.py
+++ b/src/merlinthread/coordination/fleet_state.py
@@ -1,10 +1,8 @@
 """The state machine of a deployment's replicated log.
 
-It holds the configuration, the named weights, who has left, and which requests are held back.
-
-Every replica applies the same commands in the same order; nothing here looks at a clock. The policy
-is "highest version wins": a configuration that is not newer changes nothing and is acknowledged,
-since the order that it carries was overtaken.
+It holds the configuration, the named weight versions, departed instances and holds on requests.
+Every replica applies the same commands in the same order, so nothing here uses a clock. The highest
+version wins: a configuration that is not newer is acknowledged and ignored.
 """
 
 import dataclasses
@@ -14,15 +12,15 @@
 
 COMMANDS: registry.Registry[type] = registry.Registry("fleet command")
 
-DEPARTED_KEPT = 4096
-# Some 100 KB of a snapshot; the one held back longest ago goes first.
+DEPARTED_MAX = 4096
+# The hold that was placed first is evicted first.
 HELD_REQUESTS_MAX = 512
 
 
 @COMMANDS.add("fleet.configure")
 @dataclasses.dataclass(slots=True)
 class Configure:
-    """Put a configuration in force; `body` is what the operator sent, compressed."""
+    """Put a configuration in force; `body` is the operator's document, compressed."""
 
     version: int
     body: bytes
@@ -31,7 +29,7 @@
 @COMMANDS.add("fleet.name_version")
 @dataclasses.dataclass(slots=True)
 class NameVersion:
-    """Name a new version of a model's weights."""
+    """Set the current version of a model's weights."""
 
     model: str
     version: int
@@ -40,7 +38,7 @@
 @COMMANDS.add("fleet.depart")
 @dataclasses.dataclass(slots=True)
 class Depart:
-    """Note that an instance is draining or gone."""
+    """Record that an instance is draining or gone."""
 
     instance: str
     state: str
@@ -50,7 +48,7 @@
 @levels.requires_level(levels.FormatLevel.HELD_REQUESTS)
 @dataclasses.dataclass(slots=True)
 class PlaceHold:
-    """Hold a request back for the `times`th time: the processes of `instances` ended under it."""
+    """Place the `times`th hold on a request during which the processes of `instances` crashed."""
 
     fingerprint: str
     label: str
@@ -63,7 +61,7 @@
 @levels.requires_level(levels.FormatLevel.HELD_REQUESTS)
 @dataclasses.dataclass(slots=True)
 class ReleaseHold:
-    """End the `times`th holding back of a request."""
+    """Release the `times`th hold on a request."""
 
     fingerprint: str
     times: int
@@ -75,7 +73,7 @@
 
 @dataclasses.dataclass(slots=True)
 class HeldRequest:
-    """A request that is or was held back."""
+    """A request on which a hold is or was placed."""
 
     label: str
     instances: list[str]
@@ -85,10 +83,10 @@
 
 @dataclasses.dataclass(slots=True)
 class FleetState:
-    """What the control VMs agree on.
+    """The replicated state of the control VMs.
 
-    `level` is the highest one of any entry so far: a build that reads less can't take part any
-    more. It is told in snapshots, where builds of before pass over it.
+    `level` is the highest format level of any entry so far; a build that can't read it can't apply
+    the log. It is part of snapshots, where builds that do not know the field ignore it.
     """
 
     version: int = 0
@@ -99,20 +97,20 @@
     level: int = levels.LOWEST
 
     def apply(self, command: Command) -> bool:
-        """Take one committed command in; return whether it changed anything."""
+        """Apply a committed command; return whether the state changed."""
         self.level = max(self.level, levels.level_of(type(command)))
         if isinstance(command, Configure):
             return self.configure(command)
         if isinstance(command, NameVersion):
             return self.name_version(command)
         if isinstance(command, PlaceHold):
-            return self.hold_back(command)
+            return self.place_hold(command)
         if isinstance(command, ReleaseHold):
-            return self.let_go(command)
+            return self.release_hold(command)
         return self.depart(command)
 
     def configure(self, command: Configure) -> bool:
-        """Take a configuration over if it is newer."""
+        """Store a configuration if it is newer."""
         if command.version <= self.version:
             return False
         self.version = command.version
@@ -120,28 +118,28 @@
         return True
 
     def name_version(self, command: NameVersion) -> bool:
-        """Take a version of weights over if it is newer."""
+        """Store a version of weights if it is newer."""
         if command.version <= self.named.get(command.model, 0):
             return False
         self.named[command.model] = command.version
         return True
 
     def depart(self, command: Depart) -> bool:
-        """Note that an instance leaves; gone is final."""
-        before = self.departed.get(command.instance)
-        if before == command.state or before == fleet.GONE:
+        """Record the state of a departing instance; `GONE` is final."""
+        previous = self.departed.get(command.instance)
+        if previous == command.state or previous == fleet.GONE:
             return False
         self.departed.pop(command.instance, None)
         self.departed[command.instance] = command.state
-        while len(self.departed) > DEPARTED_KEPT:
+        while len(self.departed) > DEPARTED_MAX:
             del self.departed[next(iter(self.departed))]
         return True
 
-    def hold_back(self, command: PlaceHold) -> bool:
-        """Hold a request back, unless that was decided before."""
-        before = self.held.pop(command.fingerprint, None)
-        if before is not None and command.times <= before.hold.times:
-            self.held[command.fingerprint] = before
+    def place_hold(self, command: PlaceHold) -> bool:
+        """Place a hold on a request, unless this one or a later one is recorded."""
+        previous = self.held.pop(command.fingerprint, None)
+        if previous is not None and command.times <= previous.hold.times:
+            self.held[command.fingerprint] = previous
             return False
         hold = crash_ledger.Hold(command.times, crash_ledger.HoldState.HELD)
         self.held[command.fingerprint] = HeldRequest(
@@ -151,8 +149,8 @@
             del self.held[next(iter(self.held))]
         return True
 
-    def let_go(self, command: ReleaseHold) -> bool:
-        """Let a request run again, if that decision to hold it back still stands."""
+    def release_hold(self, command: ReleaseHold) -> bool:
+        """Release a hold if it is the current one of the request."""
         held = self.held.get(command.fingerprint)
         hold = crash_ledger.Hold(command.times, command.state)
         if held is None or held.hold.times != command.times or hold <= held.hold:
