--- a/src/merlinthread/coordination/conflict_index.py
+++ b/src/merlinthread/coordination/conflict_index.py
@@ -1,7 +1,7 @@
-"""Which incarnations of back ends can't be there beside each other: one id, or one address.
+"""An index of incarnations that conflict: they share a back end's id or an address.
 
-Thousands register when a fleet starts, with each control VM and at each node that is told of them.
-So those that one may displace are looked up, not searched among all.
+Thousands of instances register when a fleet starts, so conflicts are looked up by key instead of by
+a scan of all instances.
 """
 
 import collections
@@ -10,7 +10,7 @@
 
 
 class ConflictIndex:
-    """The names of incarnations that are there, by id and by address."""
+    """The names of the present incarnations, by id and by address."""
 
     def __init__(self) -> None:
         self.address_of: dict[str, str] = {}
@@ -18,7 +18,7 @@
         self.by_address: dict[str, set[str]] = collections.defaultdict(set)
 
     def put(self, heartbeat: fleet.Heartbeat) -> None:
-        """Note that an incarnation is there, at the address that its heartbeat tells."""
+        """Add an incarnation, or update its address."""
         name = heartbeat.instance
         if self.address_of.get(name) == heartbeat.address:
             return
@@ -28,26 +28,26 @@
         self.by_address[heartbeat.address].add(name)
 
     def discard(self, name: str) -> None:
-        """Note that an incarnation is not there, if it was."""
+        """Remove an incarnation if it is present."""
         address = self.address_of.pop(name, None)
         if address is None:
             return
-        remove(self.by_id, incarnations.parse(name).id, name)
-        remove(self.by_address, address, name)
+        remove_from_index(self.by_id, incarnations.parse(name).id, name)
+        remove_from_index(self.by_address, address, name)
 
     def conflicts(self, heartbeat: fleet.Heartbeat) -> list[str]:
-        """Return those that can't be there beside this one, in the order of their names."""
+        """Return the sorted names of other incarnations with the same id or address."""
         id_ = incarnations.parse(heartbeat.instance).id
         found = self.by_id.get(id_, set()) | self.by_address.get(heartbeat.address, set())
         return sorted(found - {heartbeat.instance})
 
     def with_id(self, id_: str) -> list[str]:
-        """Return the incarnations of one id, in the order of their names."""
+        """Return the sorted names of the incarnations of one id."""
         return sorted(self.by_id.get(id_, set()))
 
 
-def remove(index: dict[str, set[str]], key: str, name: str) -> None:
-    """Take a name out from under a key, which goes with its last name."""
+def remove_from_index(index: dict[str, set[str]], key: str, name: str) -> None:
+    """Remove `name` from the set at `key`, and the key once its set is empty."""
     index[key].discard(name)
     if not index[key]:
         del index[key]
--- a/src/merlinthread/coordination/incarnations.py
+++ b/src/merlinthread/coordination/incarnations.py
@@ -1,37 +1,37 @@
-"""One life of a back end's process: its id, and when it began if that is told.
+"""Incarnations of back ends: a back end's id together with the start time of its process.
 
-A process that ends may start again under the id that it had, and then holds and knows nothing of
-before. So whatever is known of a back end is kept under its incarnation, not under its id: a new
-one finds nothing, and a late word of the former one changes nothing.
+A process may restart under the same id, without any state of the previous one. What is known of a
+back end is therefore stored by incarnation, so that a delayed message of the previous process does
+not affect the new one.
 
-When a life began is told by a clock that may have stepped back since the life before: a later
-moment shows a newer life, an earlier one shows nothing by itself (`coordination.instances`).
+The start time comes from a clock that may have been set back between two starts. A later start time
+shows a newer incarnation; an earlier one alone shows nothing (see `coordination.instances`).
 """
 
 import dataclasses
 
-MARK = "@"
+SEPARATOR = "@"
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Incarnation:
-    """A back end's id and the Unix millisecond of its start, 0 if that is not told."""
+    """A back end's id and its start time in Unix milliseconds, 0 if it is not known."""
 
     id: str
     born_ms: int = 0
 
     def name(self) -> str:
-        """Return the name under which this life is known; that of an id alone is the id."""
-        return f"{self.id}{MARK}{self.born_ms}" if self.born_ms else self.id
+        """Return the name of this incarnation, which is the id if the start is not known."""
+        return f"{self.id}{SEPARATOR}{self.born_ms}" if self.born_ms else self.id
 
     def is_newer(self, other: "Incarnation") -> bool:
-        """Return whether this surely is a later life of the same back end."""
+        """Return whether this is known to be a later incarnation of the same back end."""
         return self.id == other.id and self.born_ms > other.born_ms > 0
 
 
 def parse(name: str) -> Incarnation:
-    """Return the incarnation that a name names."""
-    id_, mark, born = name.rpartition(MARK)
-    if not mark or not born.isdecimal():
+    """Parse a name as returned by `Incarnation.name`."""
+    id_, separator, start = name.rpartition(SEPARATOR)
+    if not separator or not start.isdecimal():
         return Incarnation(name)
-    return Incarnation(id_, int(born))
+    return Incarnation(id_, int(start))
