--- a/src/merlinthread/coordination/crash_ledger.py
+++ b/src/merlinthread/coordination/crash_ledger.py
@@ -1,60 +1,56 @@
-"""Which requests were at back ends whose processes ended, and which of them may not run again.
+"""Detect requests that crash the backend processes that run them, and place holds on them.
 
-A request that ends whoever runs it (the query of death; Beyer et al., Site Reliability Engineering,
-2016) must be known at every entry, whichever of them saw an end. Nodes tell each other what they
-know in `Suspicion`; to merge one twice, or two in another order, leaves the same record, so that
-each may be told again without a count going wrong.
+A query of death (Beyer et al., Site Reliability Engineering, 2016) must be known at every entry VM,
+whichever of them saw the crash. Nodes exchange what they know as `SuspectReport`. Merging reports
+is idempotent and does not depend on their order, so reports can be sent again.
 
-Most requests that are there when a process ends have nothing to do with it. Three things tell them
-from the one that did: a whole answer since, by any back end, clears a request; ends at one moment
-count once, since whatever takes several processes together (a rack, a zone) is no request; and
-three ends are needed.
+Most requests that run in a process when it crashes did not cause the crash. A request is therefore
+held only after three crashes; a complete response from any back end clears it; and crashes at
+almost the same time count as one incident, since a failed rack or zone stops many processes.
 
-A client account may send many different requests that each end three back ends. Once several of its
-requests are held back, one end is enough for its others, so that each costs one process, not three.
+A client account may send many different requests that crash processes. Once several of its requests
+are held, a single crash is enough to hold another one.
 """
 
 import collections
 import dataclasses
 import enum
 
-# Ends under a request after which it is held back: the bound that the deployments set.
-ENDS_MAX = 3
-# Ends within this time of each other count as one, unless the later attempt began after the earlier
-# end: what takes several processes takes them nearly at once.
-ONE_MOMENT_S = 0.1
-# Times that nodes tell each other as ages are off by the message's way, and differ by as much: an
-# attempt seems to begin up to this long before the end that it followed.
-CLOCK_DOUBT_S = 0.03
-# Two reports of one process's end differ by less; it is not back and ended again within that time.
-SAME_END_S = 0.5
-# Requests of one client account that are held back before one end is enough for its others. An
-# ordinary request of that account that is there at an end is refused then until it has a whole
-# answer; few of those come again.
+# The number of incidents after which a request is held.
+CRASHES_BEFORE_HOLD = 3
+# Crashes within this time count as one incident, unless the later attempt began after the earlier
+# crash.
+SAME_INCIDENT_S = 0.1
+# Nodes report times as ages, which leave out the network latency: an attempt may seem to begin up
+# to this long before a crash that it followed.
+CLOCK_UNCERTAINTY_S = 0.03
+# Two crashes of an instance within this time are reports of the same crash.
+DUPLICATE_CRASH_S = 0.5
+# The number of held requests of an account from which one crash is enough to hold its others.
 ACCOUNT_HELD_THRESHOLD = 4
-# Records kept, some 2.5 MB of memory; the one that has not changed for longest goes first.
+# The record that changed longest ago is evicted first.
 RECORDS_MAX = 4096
-# An end this long ago counts no more, unless the request was held back in between.
+# Records that have not changed for this long expire, unless a hold was placed on the request.
 RECORD_EXPIRY_S = 600.0
-# How long a request is held back for the first time; twice as long each further time.
+# The duration of the first hold of a request; it doubles with each further hold.
 FIRST_HOLD_S = 600.0
 HOLD_MAX_S = 24 * 3600.0
 
 
 class HoldState(enum.IntEnum):
-    """What became of a decision to hold a request back; a later one replaces an earlier one."""
+    """The state of a hold; a higher value replaces a lower one."""
 
     HELD = 0
-    # Its time is over: it may run again, and one more end holds it back again (the half-open state
-    # of a circuit breaker, Nygard 2007).
+    # The hold has expired: the request may run, and a single crash places the next hold, like the
+    # half-open state of a circuit breaker.
     HALF_OPEN = 1
-    # A whole answer cleared it.
+    # A complete response cleared the request.
     CLEARED = 2
 
 
 @dataclasses.dataclass(slots=True, frozen=True, order=True)
 class Hold:
-    """The `times`th decision to hold a request back, and what became of it."""
+    """The `times`th hold on a request and its state."""
 
     times: int = 0
     state: HoldState = HoldState.CLEARED
@@ -63,14 +59,14 @@
         """Return whether the request may not run now."""
         return self.times > 0 and self.state is HoldState.HELD
 
-    def ends_max(self) -> int:
-        """Return after how many ends the request is held back (again)."""
-        return 1 if self.state is HoldState.HALF_OPEN else ENDS_MAX
+    def crashes_before_hold(self) -> int:
+        """Return the number of incidents after which the next hold is placed."""
+        return 1 if self.state is HoldState.HALF_OPEN else CRASHES_BEFORE_HOLD
 
 
 @dataclasses.dataclass(slots=True)
 class ReportedCrash:
-    """The end of an instance's process `age_s` ago, under an attempt sent `began_age_s` ago."""
+    """A crash `age_s` ago, as reported to other nodes, during an attempt sent `began_age_s` ago."""
 
     instance: str
     age_s: float
@@ -79,7 +75,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, order=True)
 class Crash:
-    """The end of an instance's process under an attempt that was sent at `began_at`."""
+    """The crash of an instance's process during an attempt that was sent at `began_at`."""
 
     at: float
     instance: str
@@ -88,9 +84,9 @@
 
 @dataclasses.dataclass(slots=True)
 class SuspectReport:
-    """What one node knows of one request, for another; `label` tells operators what it asks.
+    """What one node reports to others of one request; `label` describes the request to operators.
 
-    `cleared_age_s` is how long ago it had a whole answer, None if it had none.
+    `cleared_age_s` is how long ago it had a complete response, None if it had none.
     """
 
     fingerprint: str
@@ -103,11 +99,11 @@
 
 @dataclasses.dataclass(slots=True)
 class SuspectRecord:
-    """What is known of one request; times are those of this node's clock.
+    """The record of one request; times are on this node's clock.
 
-    `ends` holds the instances that ended under it since `cleared_at`, in order. `revision` is that
-    of its last change. `is_told` is set once other nodes should know of it: it was at more than one
-    end, or was held back. `is_account_limited` tells that one end was enough, by its account.
+    `ends` holds the crashes since `cleared_at`, by time, and `revision` is that of the last
+    change. `is_reportable` is set once other nodes need to know: after a second incident or a hold.
+    `is_account_limited` is set if the holds of its account make one crash enough.
     """
 
     fingerprint: str
@@ -117,37 +113,40 @@
     cleared_at: float = float("-inf")
     hold: Hold = Hold()
     revision: int = 0
-    is_told: bool = False
+    is_reportable: bool = False
     is_account_limited: bool = False
     changed_at: float = 0.0
 
     def incident_count(self) -> int:
-        """Return at how many moments processes ended under it."""
+        """Return the number of incidents, each of one or more crashes."""
         count, last = 0, float("-inf")
-        for end in self.ends:
-            if end.began_at >= last - CLOCK_DOUBT_S or end.at - last > ONE_MOMENT_S:
-                count, last = count + 1, end.at
+        for crash in self.ends:
+            if crash.began_at >= last - CLOCK_UNCERTAINTY_S or crash.at - last > SAME_INCIDENT_S:
+                count, last = count + 1, crash.at
         return count
 
     def is_over_limit(self) -> bool:
-        """Return whether enough processes ended under it to hold it back."""
-        return self.is_account_limited or self.incident_count() >= self.hold.ends_max()
+        """Return whether there were enough incidents to hold the request."""
+        return self.is_account_limited or self.incident_count() >= self.hold.crashes_before_hold()
 
     def is_held(self) -> bool:
-        """Return whether it may not run now."""
+        """Return whether the request may not run now, by a hold or by its crashes."""
         return self.hold.is_held() or self.is_over_limit()
 
 
 class CrashLedger:
-    """The requests that one node suspects; `told_revision` is that of the last change to tell."""
+    """The suspect requests known to one node.
 
-    def __init__(self, kept: int = RECORDS_MAX) -> None:
-        self.kept = kept
+    `revision` grows with every change; `reported_revision` is that of the last reportable change.
+    """
+
+    def __init__(self, records_max: int = RECORDS_MAX) -> None:
+        self.records_max = records_max
         self.records: collections.OrderedDict[str, SuspectRecord] = collections.OrderedDict()
         self.revision = 0
         self.reported_revision = 0
 
-    # Questions
+    # Queries
 
     def is_held(self, fingerprint: str) -> bool:
         """Return whether a request may not run now."""
@@ -155,33 +154,33 @@
         return record is not None and record.is_held()
 
     def is_suspect(self, fingerprint: str) -> bool:
-        """Return whether a process ended under a request since it was cleared, or it is held."""
+        """Return whether a request has crashes since it was cleared, or is held."""
         record = self.records.get(fingerprint)
         return record is not None and (bool(record.ends) or record.is_held())
 
     def held(self) -> list[SuspectRecord]:
-        """Return the requests that may not run now."""
+        """Return the records of requests that may not run now."""
         return [record for record in self.records.values() if record.is_held()]
 
     def is_strict(self, account: str) -> bool:
-        """Return whether so many requests of an account are held back that one end is enough."""
+        """Return whether one crash is enough to hold a further request of an account."""
         if not account:
             return False
         return sum(record.account == account for record in self.held()) >= ACCOUNT_HELD_THRESHOLD
 
     def changes_since(self, revision: int, now: float) -> list[SuspectReport]:
-        """Return what has changed after `revision` of requests that were at more than one end."""
+        """Return reports of the reportable records that changed after `revision`."""
         return [
             self.report_of(record, now)
             for record in self.records.values()
-            if record.is_told and record.revision > revision
+            if record.is_reportable and record.revision > revision
         ]
 
     def report_of(self, record: SuspectRecord, now: float) -> SuspectReport:
-        """Return a record as another node is told it."""
+        """Return the report of a record for other nodes."""
         ends = [
-            ReportedCrash(end.instance, round(now - end.at, 3), round(now - end.began_at, 3))
-            for end in record.ends
+            ReportedCrash(crash.instance, round(now - crash.at, 3), round(now - crash.began_at, 3))
+            for crash in record.ends
         ]
         is_cleared = record.cleared_at > float("-inf")
         cleared_age_s = round(now - record.cleared_at, 3) if is_cleared else None
@@ -191,102 +190,104 @@
 
     # Changes
 
-    def record_crash(self, fingerprint: str, label: str, end: Crash, account: str = "") -> bool:
-        """Note that a process ended under a request; return whether that is new."""
+    def record_crash(self, fingerprint: str, label: str, crash: Crash, account: str = "") -> bool:
+        """Record a crash during a request; return whether it was not known before."""
         record = self.records.get(fingerprint)
         if record is None:
             record = self.add(fingerprint, label, account)
-        if end.at <= record.cleared_at or is_known(record, end):
+        if crash.at <= record.cleared_at or is_duplicate(record, crash):
             return False
-        record.ends.append(end)
+        record.ends.append(crash)
         record.ends.sort()
         record.is_account_limited |= self.is_strict(record.account)
-        self.note_change(record, end.at)
+        self.mark_changed(record, crash.at)
         return True
 
     def clear(self, fingerprint: str, at: float) -> bool:
-        """Note that a request had a whole answer; return whether that changes anything."""
+        """Record a complete response to a request; return whether its record changed."""
         record = self.records.get(fingerprint)
         if record is None or at <= record.cleared_at:
             return False
         record.cleared_at = at
         record.is_account_limited = False
-        record.ends = [end for end in record.ends if end.at > at]
-        self.note_change(record, at)
+        record.ends = [crash for crash in record.ends if crash.at > at]
+        self.mark_changed(record, at)
         return True
 
     def set_hold(
         self, fingerprint: str, label: str, hold: Hold, now: float, account: str = ""
     ) -> bool:
-        """Take over a decision that the control VMs agreed on; return whether it is newer."""
+        """Apply a hold that the control VMs have committed; return whether it is newer."""
         record = self.records.get(fingerprint) or self.add(fingerprint, label, account)
         if hold <= record.hold:
             return False
         record.hold = hold
         if hold.state is not HoldState.HELD:
-            record.ends = [end for end in record.ends if end.at > now]
+            record.ends = [crash for crash in record.ends if crash.at > now]
             record.cleared_at = max(record.cleared_at, now)
             record.is_account_limited = False
         record.label = record.label or label
-        self.note_change(record, now)
+        self.mark_changed(record, now)
         return True
 
-    def merge(self, told: SuspectReport, now: float) -> bool:
-        """Take over what another node knows; return whether any of it is new."""
-        record = self.records.get(told.fingerprint)
-        if record is None and not told.ends and told.hold.times == 0:
+    def merge(self, report: SuspectReport, now: float) -> bool:
+        """Merge another node's report; return whether any of it is new."""
+        record = self.records.get(report.fingerprint)
+        if record is None and not report.ends and report.hold.times == 0:
             return False
-        is_new = told.hold.times > 0 and self.set_hold(told.fingerprint, told.label, told.hold, now)
-        if told.cleared_age_s is not None:
-            is_new |= self.clear(told.fingerprint, now - told.cleared_age_s)
-        for end in told.ends:
-            heard = Crash(now - end.age_s, end.instance, now - end.began_age_s)
-            is_new |= self.record_crash(told.fingerprint, told.label, heard, told.account)
+        is_new = report.hold.times > 0 and self.set_hold(
+            report.fingerprint, report.label, report.hold, now
+        )
+        if report.cleared_age_s is not None:
+            is_new |= self.clear(report.fingerprint, now - report.cleared_age_s)
+        for reported in report.ends:
+            crash = Crash(now - reported.age_s, reported.instance, now - reported.began_age_s)
+            is_new |= self.record_crash(report.fingerprint, report.label, crash, report.account)
         return is_new
 
     def add(self, fingerprint: str, label: str, account: str) -> SuspectRecord:
-        """Begin a record, in place of the oldest one if there are too many."""
+        """Add a record, and evict one if there are too many."""
         record = SuspectRecord(fingerprint, label, account)
         self.records[fingerprint] = record
-        if len(self.records) > self.kept:
+        if len(self.records) > self.records_max:
             self.evict()
         return record
 
     def evict(self) -> None:
-        """Drop the record that changed longest ago, one that is not held if there is any."""
+        """Remove the record that changed longest ago, if possible one that is not held."""
         for fingerprint, record in self.records.items():
             if not record.is_held() and record.ends:
                 del self.records[fingerprint]
                 return
         self.records.popitem(last=False)
 
-    def note_change(self, record: SuspectRecord, now: float) -> None:
-        """Give a record the next revision; the one changed last comes last."""
+    def mark_changed(self, record: SuspectRecord, now: float) -> None:
+        """Give a record the next revision and move it to the end."""
         self.revision += 1
         record.revision = self.revision
         record.changed_at = now
-        record.is_told |= (
+        record.is_reportable |= (
             record.incident_count() > 1 or record.hold.times > 0 or record.is_account_limited
         )
-        if record.is_told:
+        if record.is_reportable:
             self.reported_revision = self.revision
         self.records.move_to_end(record.fingerprint)
 
     def expire(self, now: float) -> None:
-        """Forget ends that are long past."""
+        """Remove records that have not changed for `RECORD_EXPIRY_S` and never had a hold."""
         for fingerprint, record in list(self.records.items()):
             if now - record.changed_at > RECORD_EXPIRY_S and record.hold.times == 0:
                 del self.records[fingerprint]
 
 
-def is_known(record: SuspectRecord, end: Crash) -> bool:
-    """Return whether the end of that instance's process is in a record already."""
+def is_duplicate(record: SuspectRecord, crash: Crash) -> bool:
+    """Return whether a record already holds this crash."""
     return any(
-        other.instance == end.instance and abs(end.at - other.at) < SAME_END_S
+        other.instance == crash.instance and abs(crash.at - other.at) < DUPLICATE_CRASH_S
         for other in record.ends
     )
 
 
 def hold_duration_s(hold: Hold) -> float:
-    """Return how long a request is held back by a decision."""
+    """Return the duration of a hold in seconds."""
     return min(HOLD_MAX_S, FIRST_HOLD_S * 2 ** (hold.times - 1))
