--- a/src/merlinthread/coordination/crash_ledger.py
+++ b/src/merlinthread/coordination/crash_ledger.py
@@ -101,7 +101,7 @@
 class SuspectRecord:
     """The record of one request; times are on this node's clock.
 
-    `ends` holds the crashes since `cleared_at`, by time, and `revision` is that of the last
+    `crashes` holds those since `cleared_at`, by time, and `revision` is that of the last
     change. `is_reportable` is set once other nodes need to know: after a second incident or a hold.
     `is_account_limited` is set if the holds of its account make one crash enough.
     """
@@ -109,7 +109,7 @@
     fingerprint: str
     label: str
     account: str = ""
-    ends: list[Crash] = dataclasses.field(default_factory=list)
+    crashes: list[Crash] = dataclasses.field(default_factory=list)
     cleared_at: float = float("-inf")
     hold: Hold = Hold()
     revision: int = 0
@@ -120,7 +120,7 @@
     def incident_count(self) -> int:
         """Return the number of incidents, each of one or more crashes."""
         count, last = 0, float("-inf")
-        for crash in self.ends:
+        for crash in self.crashes:
             if crash.began_at >= last - CLOCK_UNCERTAINTY_S or crash.at - last > SAME_INCIDENT_S:
                 count, last = count + 1, crash.at
         return count
@@ -156,7 +156,7 @@
     def is_suspect(self, fingerprint: str) -> bool:
         """Return whether a request has crashes since it was cleared, or is held."""
         record = self.records.get(fingerprint)
-        return record is not None and (bool(record.ends) or record.is_held())
+        return record is not None and (bool(record.crashes) or record.is_held())
 
     def held(self) -> list[SuspectRecord]:
         """Return the records of requests that may not run now."""
@@ -180,7 +180,7 @@
         """Return the report of a record for other nodes."""
         ends = [
             ReportedCrash(crash.instance, round(now - crash.at, 3), round(now - crash.began_at, 3))
-            for crash in record.ends
+            for crash in record.crashes
         ]
         is_cleared = record.cleared_at > float("-inf")
         cleared_age_s = round(now - record.cleared_at, 3) if is_cleared else None
@@ -197,8 +197,8 @@
             record = self.add(fingerprint, label, account)
         if crash.at <= record.cleared_at or is_duplicate(record, crash):
             return False
-        record.ends.append(crash)
-        record.ends.sort()
+        record.crashes.append(crash)
+        record.crashes.sort()
         record.is_account_limited |= self.is_strict(record.account)
         self.mark_changed(record, crash.at)
         return True
@@ -210,7 +210,7 @@
             return False
         record.cleared_at = at
         record.is_account_limited = False
-        record.ends = [crash for crash in record.ends if crash.at > at]
+        record.crashes = [crash for crash in record.crashes if crash.at > at]
         self.mark_changed(record, at)
         return True
 
@@ -223,7 +223,7 @@
             return False
         record.hold = hold
         if hold.state is not HoldState.HELD:
-            record.ends = [crash for crash in record.ends if crash.at > now]
+            record.crashes = [crash for crash in record.crashes if crash.at > now]
             record.cleared_at = max(record.cleared_at, now)
             record.is_account_limited = False
         record.label = record.label or label
@@ -256,7 +256,7 @@
     def evict(self) -> None:
         """Remove the record that changed longest ago, if possible one that is not held."""
         for fingerprint, record in self.records.items():
-            if not record.is_held() and record.ends:
+            if not record.is_held() and record.crashes:
                 del self.records[fingerprint]
                 return
         self.records.popitem(last=False)
@@ -284,7 +284,7 @@
     """Return whether a record already holds this crash."""
     return any(
         other.instance == crash.instance and abs(crash.at - other.at) < DUPLICATE_CRASH_S
-        for other in record.ends
+        for other in record.crashes
     )
 
 
--- a/src/merlinthread/nodes/crash_registry.py
+++ b/src/merlinthread/nodes/crash_registry.py
@@ -172,13 +172,13 @@
         hold = record.hold
         since = held_since.get(record.fingerprint, now)
         if not hold.is_held():
-            ended = [end.instance for end in record.ends]
+            ended = [end.instance for end in record.crashes]
             found.append(
                 fleet_state.PlaceHold(
                     record.fingerprint, record.label, ended, hold.times + 1, record.account
                 )
             )
-        elif not record.ends and record.cleared_at >= since - COMMIT_S_MAX:
+        elif not record.crashes and record.cleared_at >= since - COMMIT_S_MAX:
             state = crash_ledger.HoldState.CLEARED
             found.append(fleet_state.ReleaseHold(record.fingerprint, hold.times, state))
         elif now - since > crash_ledger.hold_duration_s(hold) + patience_s:
--- a/tests/test_crash_ledger.py
+++ b/tests/test_crash_ledger.py
@@ -203,7 +203,7 @@
             ledger.record_crash(name, "", end("i-0", 0.0))
         for suspicion in rng.sample(told, len(told)) + told:
             ledger.merge(suspicion, now)
-        known.append({name: record.ends for name, record in ledger.records.items()})
+        known.append({name: record.crashes for name, record in ledger.records.items()})
     assert known[0] == known[1]
 
 
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -197,7 +197,9 @@
         await fleet_nodes.until(lambda: set(fleet.entries[0].node.pool.backends) == {"i-next"})
         assert not crashes.ledger.records
         await task
-        assert [end.instance for record in crashes.ledger.records.values() for end in record.ends]
+        assert [
+            end.instance for record in crashes.ledger.records.values() for end in record.crashes
+        ]
 
     run(tmp_path, scenario, entries=1, workers=1)
 
