--- a/src/merlinthread/coordination/__init__.py
+++ b/src/merlinthread/coordination/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions as pure parts: no sockets, no threads, the present time is an argument."""
+"""Decision logic without sockets, threads or clocks; the current time is an argument."""
--- a/src/merlinthread/coordination/fleet.py
+++ b/src/merlinthread/coordination/fleet.py
@@ -1,7 +1,7 @@
-"""What nodes, back ends and operators tell each other, in the product's own terms.
+"""Data types shared by nodes, back ends and operators, independent of any wire format.
 
 A configuration names routes, services, client accounts and limits. A back end is a process that
-runs requests of one service; each of its starts is an instance with an id of its own.
+runs requests of one service; each start of it is an instance with its own id.
 """
 
 import dataclasses
@@ -17,7 +17,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Share:
-    """A service with its weight in a route."""
+    """A service and its weight in a route's traffic split."""
 
     service: str
     weight: float = 1.0
@@ -25,10 +25,10 @@
 
 @dataclasses.dataclass(slots=True)
 class Route:
-    """Where requests of one host and path prefix go, and what may be done with them.
+    """The route of requests with one host and path prefix, and how they may be handled.
 
-    `objective_s` is when the first byte is due for full credit; `gap_s` the longest pause between
-    events; `priority` 0 is the most urgent.
+    `objective_s` is the target latency of the first byte, `gap_s` the target for the longest gap
+    between events; `priority` 0 is the most urgent.
     """
 
     name: str
@@ -47,7 +47,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Engine:
-    """What the model workers of a service are made of; speeds in seconds and tokens."""
+    """The properties of a service's model workers; speeds are in seconds and tokens."""
 
     slots: int
     models: list[str]
@@ -65,7 +65,7 @@
 class Service:
     """A set of back ends that run the same requests, or an origin of weights (`origin`).
 
-    `link_bytes_per_s` is what the origin's link carries; 0 if that is not told.
+    `link_bytes_per_s` is the bandwidth of the origin's link, 0 if it is not known.
     """
 
     name: str
@@ -79,7 +79,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Account:
-    """A client account: its name and the keys that its clients present."""
+    """A client account: its name and the API keys of its clients."""
 
     name: str
     keys: list[str]
@@ -88,7 +88,7 @@
 
 @dataclasses.dataclass(slots=True)
 class ClientLimits:
-    """What a client may send and how long it may take; bytes and seconds."""
+    """Limits on the size and duration of client requests, in bytes and seconds."""
 
     header_bytes: int = 16384
     body_bytes: int = 4194304
@@ -98,7 +98,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Configuration:
-    """One version of what the operator wants in force."""
+    """One version of the operator's configuration."""
 
     version: int
     routes: list[Route]
@@ -109,9 +109,9 @@
 
 @dataclasses.dataclass(slots=True)
 class Weights:
-    """A model with the version of the weights that a back end holds.
+    """A model and the version of its weights that a back end has loaded.
 
-    `layers` is how many of its layers are there; None if that is not told, then all are.
+    `layers` is the number of loaded layers, None if it is not reported, which means all.
     """
 
     model: str
@@ -119,13 +119,13 @@
     layers: int | None = None
 
     def is_whole(self, layers: int) -> bool:
-        """Return whether all of the model's `layers` are there."""
+        """Return whether all of the model's `layers` are loaded."""
         return self.layers is None or self.layers >= layers
 
 
 @dataclasses.dataclass(slots=True)
 class Heartbeat:
-    """What a back end tells of itself; `sequence` grows with every call of one instance.
+    """A back end's report of its own state; `sequence` grows with every report of an instance.
 
     `instance` names its incarnation (`coordination.incarnations`).
     """
@@ -143,11 +143,11 @@
 
 @dataclasses.dataclass(slots=True)
 class EngineReport:
-    """What an engine tells of its load and its weights.
+    """An engine's report of its load and its weights.
 
-    `ready_in_s` is added by its agent: when it will hold weights that may be used, as far as that
-    can be forecast, None if it serves or if nothing is known. `born_ms` is the Unix millisecond of
-    the engine's start, 0 if it is not told.
+    `ready_in_s` is added by its agent: the forecast time until it has usable weights, None if it
+    already serves or there is no forecast. `born_ms` is the engine's start time in Unix
+    milliseconds, 0 if it is not reported.
     """
 
     is_busy: bool = False
@@ -164,7 +164,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Manifest:
-    """The digests of one version's pieces, SHA-256 in hex."""
+    """The SHA-256 digests, in hex, of the pieces of one version of a model's weights."""
 
     model: str
     version: int
@@ -174,9 +174,9 @@
 
 @dataclasses.dataclass(slots=True)
 class RequestHead:
-    """What the head of a client's request says, as far as it decides where it runs.
+    """The parts of a client request's head that routing depends on.
 
-    `deadline_s` is how long the client waits from the moment at which it was read.
+    `deadline_s` is the client's timeout, counted from when the head was read.
     """
 
     request_id: str
@@ -194,7 +194,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Target:
-    """The instance that one attempt is meant for, and what it is told."""
+    """The instance that an attempt is sent to, and the values sent with it."""
 
     instance: str
     account: str
@@ -207,14 +207,13 @@
 
 @dataclasses.dataclass(slots=True)
 class ResponseHead:
-    """What the head of a back end's answer says of the attempt, and of the back end itself.
-
-    `is_leaving` tells that it takes no new work for the rest of its life. `rest_s` is how long it
-    wants nothing from this VM, None if it asks for no rest; `rest_problem` tells why a rest that
-    it asks for can't be obeyed. `is_other` tells that whoever answered is not the one asked.
-    `limit_per_s` is how many requests a second it takes from all callers together, None if it names
-    no limit; `limit_problem` tells why one that it names can't be obeyed. `unread` are the names of
-    headers that nobody here reads.
+    """What the head of a back end's response says about the attempt and the back end.
+
+    `is_leaving` means that the back end accepts no further requests. `rest_s` is how long it asks
+    this VM to send nothing, None if it does not; `rest_problem` is why such a request was invalid.
+    `is_other` means that another instance responded than the one addressed. `limit_per_s` is the
+    number of requests per second that it accepts from all callers together, None without a limit;
+    `limit_problem` is why a limit was invalid. `unread` holds the names of unknown headers.
     """
 
     request_id: str | None
