--- a/tests/raft_cluster.py
+++ b/tests/raft_cluster.py
@@ -1,4 +1,4 @@
-"""A replicated log's members without sockets: messages, clock and disks are the test's."""
+"""A simulated Raft cluster with its own network, clock and disks."""
 
 import dataclasses
 import random
@@ -13,7 +13,7 @@
 
 @dataclasses.dataclass
 class Disk:
-    """What survives a crash."""
+    """The durable state of a member."""
 
     identity: str
     hard_state: journal.HardState = dataclasses.field(default_factory=journal.HardState)
@@ -23,13 +23,13 @@
 
     def place(self, entry: journal.Entry) -> None:
         keep = entry.index - self.snapshot.index - 1
-        assert 0 <= keep <= len(self.entries), "a gap in what is saved"
+        assert 0 <= keep <= len(self.entries), "a gap in the saved entries"
         del self.entries[keep:]
         self.entries.append(entry)
 
 
 class Member:
-    """One member with its disk; `applied` is what its state machine has seen."""
+    """One member with its disk; `applied` holds the commands it has applied."""
 
     def __init__(self, name: str, first: list[str], disk: Disk, now: float, seed: int) -> None:
         self.name = name
@@ -65,18 +65,18 @@
 
 
 class Cluster:
-    """Members and the messages between them, with what must always hold checked on the way."""
+    """Members and the network between them; the invariants of Raft are checked after every step."""
 
-    def __init__(self, count: int, seed: int = 0, syncs: bool = True) -> None:
+    def __init__(self, count: int, seed: int = 0, is_durable: bool = True) -> None:
         self.now = 100.0
-        self.syncs = syncs
+        self.is_durable = is_durable
         self.names = [f"c{number}" for number in range(count)]
         self.members = {
             name: Member(name, list(self.names), Disk(f"disk-{name}"), self.now, seed + number)
             for number, name in enumerate(self.names)
         }
         self.network: list[tuple[str, raft_messages.Message]] = []
-        self.cut: set[str] = set()
+        self.partitioned: set[str] = set()
         self.committed: dict[int, tuple[int, str, bytes]] = {}
         self.leaders: dict[int, str] = {}
         self.number = 0
@@ -87,8 +87,8 @@
     def advance(self, seconds: float) -> None:
         self.now += seconds
 
-    def settle(self, member: Member, crash_before_save: bool = False) -> None:
-        """Do what a member is ready for; a crash before saving loses it all."""
+    def process_ready(self, member: Member, crash_before_save: bool = False) -> None:
+        """Do the pending work of a member, or crash it before it saves anything."""
         while not (ready := member.raft.ready()).is_empty():
             if crash_before_save:
                 self.crash(member.name)
@@ -96,25 +96,27 @@
             if member.is_full and (ready.entries or ready.hard_state):
                 member.raft.discard_unsaved(self.now)
                 return
-            if self.syncs:
+            if self.is_durable:
                 member.save(ready)
             for receiver, message in ready.messages:
                 self.network.append((receiver, copy(message)))
             for entry in ready.committed:
-                self.note_applied(member, entry)
+                self.check_applied(member, entry)
             member.raft.mark_saved(ready)
             member.raft.flush(self.now)
             self.check()
 
-    def note_applied(self, member: Member, entry: journal.Entry) -> None:
-        fact = (entry.term, entry.kind, entry.data)
-        known = self.committed.setdefault(entry.index, fact)
-        assert known == fact, f"{member.name} applies {fact} at {entry.index}, others {known}"
+    def check_applied(self, member: Member, entry: journal.Entry) -> None:
+        value = (entry.term, entry.kind, entry.data)
+        first_value = self.committed.setdefault(entry.index, value)
+        assert (
+            first_value == value
+        ), f"{member.name} applies {value} at {entry.index}, others {first_value}"
         if entry.kind == "command":
             member.applied.append(entry.data)
 
     def check(self) -> None:
-        """One leader a term; a lease means that nobody leads in a later term."""
+        """Check that a term has one leader, and that no later term has one during a lease."""
         for member in self.up():
             if member.raft.is_leader():
                 term = member.raft.hard_state.term
@@ -131,19 +133,19 @@
         member = self.members[name]
         if member.is_up:
             member.raft.tick(self.now)
-            self.settle(member)
+            self.process_ready(member)
 
     def deliver(self, position: int) -> None:
-        """Deliver one message, if its ends are up and reached."""
+        """Deliver one message, or lose it if the receiver is down or partitioned."""
         receiver, message = self.network.pop(position % len(self.network))
         member = self.members.get(receiver)
-        if member is None or not member.is_up or self.is_cut(receiver, message.sender):
+        if member is None or not member.is_up or self.is_partitioned(receiver, message.sender):
             return
         member.raft.step(copy(message), self.now)
-        self.settle(member)
+        self.process_ready(member)
 
-    def is_cut(self, one: str, other: str) -> bool:
-        return (one in self.cut) != (other in self.cut)
+    def is_partitioned(self, one: str, other: str) -> bool:
+        return (one in self.partitioned) != (other in self.partitioned)
 
     def deliver_all(self, rounds: int = 10_000) -> None:
         while self.network and rounds:
@@ -162,7 +164,7 @@
         return max(leading, key=lambda m: m.raft.hard_state.term, default=None)
 
     def propose(self, name: str = "") -> bytes | None:
-        """Propose a command at a member that leads; return its data."""
+        """Propose a command at a leader and return its data, or None without a leader."""
         member = self.members.get(name) if name else self.leader()
         if member is None or not member.is_up or not member.raft.is_leader():
             return None
@@ -173,7 +175,7 @@
         except Exception:
             return None
         member.raft.flush(self.now)
-        self.settle(member)
+        self.process_ready(member)
         return data
 
     def compact(self, name: str) -> None:
@@ -185,7 +187,7 @@
         member.disk.entries = list(member.raft.log.saved_entries())
 
     def change(self, change: raft_members.MembershipChange) -> bool:
-        """Change the members at the leader; return whether it was taken."""
+        """Propose a membership change to the leader; return whether it was accepted."""
         leader = self.leader()
         if leader is None:
             return False
@@ -193,14 +195,14 @@
             leader.raft.change_membership(change, self.now)
         except Exception:
             return False
-        self.settle(leader)
+        self.process_ready(leader)
         return True
 
     def add_member(self, name: str) -> None:
         self.members[name] = Member(name, [], Disk(f"disk-{name}"), self.now, len(self.members))
 
     def run(self, seconds: float) -> None:
-        """Let time pass with every message delivered in order."""
+        """Advance the clock, with every message delivered in order."""
         stop_at = self.now + seconds
         while self.now < stop_at:
             self.advance(STEP_S)
@@ -208,16 +210,16 @@
                 self.tick(member.name)
             self.deliver_all()
 
-    def heal(self) -> None:
-        """End all cuts and crashes."""
-        self.cut.clear()
+    def recover(self) -> None:
+        """End all partitions, crashes and full disks."""
+        self.partitioned.clear()
         for name, member in self.members.items():
             member.is_full = False
             self.restart(name)
 
 
-def rough_step(cluster: Cluster, rng: random.Random, loss: float) -> None:
-    """Do one thing that the world may do, often those that make members compete."""
+def random_step(cluster: Cluster, rng: random.Random, loss: float) -> None:
+    """Do one random step: deliver or lose a message, advance the clock, propose, cause a fault."""
     name = rng.choice(list(cluster.members))
     draw = rng.random()
     if draw < 0.70 and cluster.network:
@@ -235,20 +237,20 @@
     elif draw < 0.94:
         cluster.restart(name)
     elif draw < 0.96:
-        cluster.cut = {name} if rng.random() < 0.4 else set()
+        cluster.partitioned = {name} if rng.random() < 0.4 else set()
     else:
-        rare_step(cluster, rng, name)
+        rare_fault_step(cluster, rng, name)
 
 
-def rare_step(cluster: Cluster, rng: random.Random, name: str) -> None:
-    """Crash, fill a disk, compact, or double a message."""
+def rare_fault_step(cluster: Cluster, rng: random.Random, name: str) -> None:
+    """Crash a member, toggle a full disk, compact a log, or duplicate a message."""
     draw = rng.random()
     member = cluster.members[name]
     if draw < 0.2:
         cluster.crash(name)
     elif draw < 0.4 and member.is_up:
         member.raft.tick(cluster.now)
-        cluster.settle(member, crash_before_save=True)
+        cluster.process_ready(member, crash_before_save=True)
         cluster.crash(name)
     elif draw < 0.6:
         cluster.compact(name)
@@ -259,5 +261,5 @@
 
 
 def copy(message: raft_messages.Message) -> raft_messages.Message:
-    """Return a message as the network would carry it."""
+    """Return a message after encoding and decoding."""
     return msgspec.msgpack.decode(msgspec.msgpack.encode(message), type=type(message))
--- a/tests/test_leader_duties.py
+++ b/tests/test_leader_duties.py
@@ -22,7 +22,7 @@
         join = messages.Join("n0", "disk-n0", "", "", lost)
         duties.joiners["n0"] = (join, cluster.now)
         duties.look_after_members(cluster.now)
-        cluster.settle(leader)
+        cluster.process_ready(leader)
     assert lost not in leader.raft.log.voters.voters, "still a voter after 3 s"
     cluster.crash(second)
     cluster.run(3.0)
--- a/tests/test_log_repair.py
+++ b/tests/test_log_repair.py
@@ -1,4 +1,4 @@
-"""Control VMs that are lost for good and replaced: the group bears the next loss in time."""
+"""Control VMs that fail permanently and are replaced: the group tolerates the next failure."""
 
 import asyncio
 import time
@@ -10,7 +10,6 @@
 from tests import fleet_nodes
 from tests.test_control_nodes import put, read, run
 
-# The shortest time that a deployment has given a replacement so far.
 CATCH_UP_S = 4.0
 REPLACEMENT = f"{fleet_nodes.NETWORK}.19"
 WATCH = node_messages.Watch("entry", "", 0, 0, 0.0)
@@ -22,7 +21,7 @@
 
 
 async def replace(controls, lost: str, new: str) -> None:
-    """Lose one for good; let its replacement have the time that the deployment gives it."""
+    """Stop one permanently, start its replacement, and wait for the catch-up time."""
     controls.kill(lost)
     await controls.start(new)
     set_catch_up(controls)
@@ -139,7 +138,7 @@
         await fleet_nodes.until(lambda: new.name in new.raft.log.voters.voters)
         await controls.nodes[leader].leave()
         fleet_nodes.end_tasks(controls.nodes.pop(leader))
-        # The next loss comes at once: three members are left, of which two decide.
+        # A further failure right away: of three remaining voters, two are a majority.
         assert len(new.raft.log.voters.voters) == 3
         controls.kill(next(ip for ip in controls.nodes if ip != REPLACEMENT))
         await put(controls, 2)
@@ -162,7 +161,7 @@
         gone = next(ip for ip in controls.nodes if ip not in (leader, REPLACEMENT))
         lost = controls.nodes[gone].member.name
         controls.kill(gone)
-        # The removal is in the leader's log and has not left it yet.
+        # The removal is in the leader's log and not replicated yet.
         member.raft.change_membership(raft_members.MembershipChange(remove=lost), time.monotonic())
         assert member.raft.log.has_membership_change_after(member.raft.commit)
         await controls.nodes[leader].leave()
--- a/tests/test_raft_machine.py
+++ b/tests/test_raft_machine.py
@@ -1,4 +1,4 @@
-"""The replicated log under any order of loss, delay, crash, compaction and change of members."""
+"""Raft under message loss, delay and duplication, crashes, compaction and membership changes."""
 
 import random
 
@@ -17,7 +17,7 @@
 
 
 class RaftMachine(stateful.RuleBasedStateMachine):
-    """Rules are what the world may do; the cluster checks what must hold after each."""
+    """Rules are faults and inputs; the cluster checks the invariants after each."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -63,10 +63,10 @@
 
     @stateful.rule(seed=st.integers(0, 2**32), loss=st.sampled_from([0.0, 0.1, 0.4]))
     def a_rough_while(self, seed: int, loss: float) -> None:
-        """Many small steps in a random order, so that deep states are reached."""
+        """Run many random steps at once, to reach states far from the initial one."""
         rng = random.Random(seed)
         for _ in range(rng.choice((30, 120))):
-            raft_cluster.rough_step(self.cluster, rng, loss)
+            raft_cluster.random_step(self.cluster, rng, loss)
 
     @stateful.rule(name=NAMES)
     def a_command_is_proposed(self, name: str) -> None:
@@ -77,7 +77,7 @@
         member = self.cluster.members[name]
         if during_save and member.is_up:
             member.raft.tick(self.cluster.now)
-            self.cluster.settle(member, crash_before_save=True)
+            self.cluster.process_ready(member, crash_before_save=True)
         self.cluster.crash(name)
 
     @stateful.rule(name=NAMES)
@@ -86,7 +86,7 @@
 
     @stateful.rule(name=NAMES)
     def a_member_is_cut_off(self, name: str) -> None:
-        self.cluster.cut ^= {name}
+        self.cluster.partitioned ^= {name}
 
     @stateful.rule(name=NAMES)
     def a_disk_fills(self, name: str) -> None:
@@ -122,7 +122,7 @@
 
     @stateful.invariant()
     def what_was_committed_stands(self) -> None:
-        """Every member's applied commands are a prefix of the one order."""
+        """The commands applied by each member are a prefix of the committed ones."""
         order = [
             data
             for _, (_, kind, data) in sorted(self.cluster.committed.items())
@@ -132,11 +132,11 @@
             assert member.applied == order[: len(member.applied)]
 
     def teardown(self) -> None:
-        """Once all is well again, a command is committed everywhere within a few seconds."""
-        self.cluster.heal()
+        """After recovery from all faults, a command is committed by every voter within seconds."""
+        self.cluster.recover()
         self.cluster.run(6.0)
         data = self.cluster.propose()
-        assert data is not None, "no leader although all is well"
+        assert data is not None, "no leader after recovery"
         self.cluster.run(2.0)
         leader = self.cluster.leader()
         for name in leader.raft.log.voters.voters:
@@ -161,19 +161,19 @@
         cluster = raft_cluster.Cluster(rng.choice((3, 3, 5)), rng.randrange(1000))
         loss = rng.choice((0.0, 0.05, 0.3))
         for _ in range(800):
-            raft_cluster.rough_step(cluster, rng, loss)
-        cluster.heal()
+            raft_cluster.random_step(cluster, rng, loss)
+        cluster.recover()
         cluster.run(6.0)
         data = cluster.propose()
-        assert data is not None, "no leader although all is well"
+        assert data is not None, "no leader after recovery"
         cluster.run(2.0)
         for member in cluster.members.values():
             assert data in member.applied, f"{member.name} lacks the last command"
 
 
 def test_a_log_that_does_not_sync_loses_committed_entries():
-    """The check can fail: without the save, a crash of two members loses a command."""
-    cluster = raft_cluster.Cluster(3, syncs=False)
+    """Guards the checks themselves: without durable storage, crashes lose a committed command."""
+    cluster = raft_cluster.Cluster(3, is_durable=False)
     cluster.run(2.0)
     data = cluster.propose()
     cluster.run(1.0)
@@ -194,9 +194,9 @@
     leader = cluster.leader()
     other = next(name for name in cluster.names if name != leader.name)
     term = leader.raft.hard_state.term
-    cluster.cut = {other}
+    cluster.partitioned = {other}
     cluster.run(10.0)
-    cluster.cut = set()
+    cluster.partitioned = set()
     cluster.run(2.0)
     assert cluster.leader() is leader
     assert leader.raft.hard_state.term == term
@@ -207,7 +207,7 @@
     cluster.run(2.0)
     leader = cluster.leader()
     assert leader.raft.holds_lease(cluster.now)
-    cluster.cut = {leader.name}
+    cluster.partitioned = {leader.name}
     cluster.advance(0.7)
     assert leader.raft.is_leader() and not leader.raft.holds_lease(cluster.now)
     cluster.run(2.0)
@@ -245,8 +245,8 @@
         cluster.run(0.1)
         leader = cluster.leader()
         matches = {name: p.match for name, p in leader.raft.progress.items()}
-        facts = raft_members.ReplicationStatus(leader.name, leader.raft.commit, matches)
-        change = raft_members.next_change(leader.raft.log.voters, joiner, facts, True)
+        status = raft_members.ReplicationStatus(leader.name, leader.raft.commit, matches)
+        change = raft_members.next_change(leader.raft.log.voters, joiner, status, True)
         if change and cluster.change(change):
             steps.append("add" if change.add else "promote" if change.promote else "remove")
     assert steps == ["add", "promote", "remove"]
@@ -264,7 +264,7 @@
     cluster.run(2.0)
     leader = cluster.leader()
     leader.raft.limits.uncommitted_max = 5
-    cluster.cut = {leader.name}
+    cluster.partitioned = {leader.name}
     for _ in range(5):
         leader.raft.propose(b"x", cluster.now)
     with pytest.raises(errors.ControlError) as caught:
@@ -273,18 +273,18 @@
 
 
 def test_entries_of_an_earlier_term_are_not_committed_by_counting():
-    """Figure 8 of the Raft paper: a majority that holds them may still be overruled."""
+    """Figure 8 of the Raft paper: replicated entries of an earlier term may be overwritten."""
     cluster = raft_cluster.Cluster(3)
     disk = cluster.members["c0"].disk
     disk.hard_state = journal.HardState(2, "")
     disk.entries = [journal.Entry(1, 1, "empty"), journal.Entry(2, 2, "command", b"old")]
     cluster.crash("c0")
     cluster.restart("c0")
-    cluster.cut = {"c1", "c2"}
+    cluster.partitioned = {"c1", "c2"}
     member = cluster.members["c0"].raft
     member.campaign(cluster.now, is_pre_vote=False)
     member.step(raft_messages.VoteReply("c1", 3, True, False), cluster.now)
-    cluster.settle(cluster.members["c0"])
+    cluster.process_ready(cluster.members["c0"])
     assert member.is_leader() and member.log.last_index() == 3
     member.step(raft_messages.AppendReply("c1", 3, True, 2, cluster.now), cluster.now)
     assert member.commit == 0
@@ -296,13 +296,13 @@
     cluster = raft_cluster.Cluster(3)
     cluster.run(2.0)
     leader = cluster.leader()
-    gave, other = (name for name in cluster.names if name != leader.name)
-    cluster.cut = {other}
+    lease_voter, other = (name for name in cluster.names if name != leader.name)
+    cluster.partitioned = {other}
     cluster.run(3.0)
     assert leader.raft.holds_lease(cluster.now)
-    cluster.crash(gave)
-    cluster.restart(gave)
-    cluster.cut = {leader.name}
+    cluster.crash(lease_voter)
+    cluster.restart(lease_voter)
+    cluster.partitioned = {leader.name}
     cluster.members[other].raft.election_at = cluster.now
     cluster.tick(other)
     cluster.deliver_all()
@@ -328,7 +328,7 @@
     resigned.raft.resign(cluster.now)
     assert not resigned.raft.is_leader()
     for _ in range(5):
-        # Its time to stand has come before that of any other.
+        # Its election timer expires before that of any other member.
         cluster.advance(0.05)
         resigned.raft.election_at = cluster.now
         cluster.tick(resigned.name)
--- a/tests/test_repair_policy.py
+++ b/tests/test_repair_policy.py
@@ -1,4 +1,4 @@
-"""Repairs of the replicated log, decided from facts and in a cluster without sockets."""
+"""Membership repair: single decisions, and repeated failures in a simulated cluster."""
 
 import random
 
@@ -9,7 +9,7 @@
 from tests import raft_cluster
 
 CATCH_UP_S = 4.0
-DUTIES_EVERY_S = 0.2
+REPAIR_INTERVAL_S = 0.2
 
 
 def policy(losses_max: int = 1) -> log_repair.RepairPolicy:
@@ -21,7 +21,7 @@
 def group(
     voters, silent_s=(), joiners=(), leaving=(), learners=(), match=9
 ) -> log_repair.GroupStatus:
-    """Return a group whose first voter leads; `silent_s` is by name, the others were just heard."""
+    """Return a group led by its first voter; `silent_s` maps names to seconds of silence."""
     members = raft_messages.Voters(list(voters), list(learners))
     others = [name for name in members.members() if name != voters[0]]
     return log_repair.GroupStatus(
@@ -54,7 +54,7 @@
 
 
 def test_a_voter_whose_removal_wins_no_loss_stays_until_it_was_silent_for_long():
-    # Seven voters need four, six need four as well.
+    # The majority of six voters is four, as is that of seven.
     assert change(group("abcdefg", {"c": 7.9}.items()), 2) is None
     assert change(group("abcdefg", {"c": 8.1}.items()), 2) == raft_members.MembershipChange(
         remove="c"
@@ -93,20 +93,20 @@
 
 
 class Fleet:
-    """A cluster whose leader repairs it, and whose members are lost for good and replaced."""
+    """A cluster that its leader repairs, whose members fail permanently and are replaced."""
 
     def __init__(self, size: int, losses_max: int, seed: int) -> None:
         self.cluster = raft_cluster.Cluster(size, seed)
         self.policy = policy(losses_max)
         self.joiners: list[str] = []
-        self.duties_at = 0.0
+        self.repair_at = 0.0
 
     def run(self, seconds: float) -> None:
         stop_at = self.cluster.now + seconds
         while self.cluster.now < stop_at:
             self.cluster.run(raft_cluster.STEP_S)
-            if self.cluster.now >= self.duties_at:
-                self.duties_at = self.cluster.now + DUTIES_EVERY_S
+            if self.cluster.now >= self.repair_at:
+                self.repair_at = self.cluster.now + REPAIR_INTERVAL_S
                 self.repair()
 
     def repair(self) -> None:
@@ -115,7 +115,7 @@
             if not member.raft.holds_lease(now):
                 continue
             progress = member.raft.progress
-            facts = log_repair.GroupStatus(
+            status = log_repair.GroupStatus(
                 member.raft.log.voters,
                 member.name,
                 member.raft.commit,
@@ -124,7 +124,7 @@
                 [name for name in self.joiners if self.cluster.members[name].is_up],
                 [],
             )
-            decided = log_repair.next_change(facts, self.policy, now)
+            decided = log_repair.next_change(status, self.policy, now)
             if decided is not None:
                 self.cluster.change(decided)
 
@@ -137,7 +137,7 @@
         self.cluster.add_member(name)
 
     def is_committing(self) -> bool:
-        """Return whether a command is committed everywhere within an election's time."""
+        """Return whether, after time for an election, a command is applied by all members."""
         self.run(2.0)
         data = self.cluster.propose()
         self.run(0.5)
