--- a/tests/test_crash_ledger.py
+++ b/tests/test_crash_ledger.py
@@ -1,4 +1,4 @@
-"""Which requests are suspected and held back, decided without network."""
+"""Detection of requests that crash processes, and the holds on them."""
 
 import random
 
@@ -13,14 +13,14 @@
 CLEARED = crash_ledger.HoldState.CLEARED
 
 
-def end(instance: str, at: float, ran_s: float = 0.3) -> crash_ledger.Crash:
+def crash(instance: str, at: float, ran_s: float = 0.3) -> crash_ledger.Crash:
     return crash_ledger.Crash(at, instance, at - ran_s)
 
 
 def ledger_with(fingerprint: str, times: list[float]) -> crash_ledger.CrashLedger:
     ledger = crash_ledger.CrashLedger()
     for number, at in enumerate(times):
-        ledger.record_crash(fingerprint, "label", end(f"i-{number}", at))
+        ledger.record_crash(fingerprint, "label", crash(f"i-{number}", at))
     return ledger
 
 
@@ -32,7 +32,7 @@
 def test_an_instance_under_the_same_id_counts_for_each_of_its_lives():
     ledger = crash_ledger.CrashLedger()
     for at in (1.0, 1.1, 3.0, 5.0):
-        ledger.record_crash("f", "", end("i-1", at))
+        ledger.record_crash("f", "", crash("i-1", at))
     assert ledger.records["f"].incident_count() == 3
     assert ledger.is_held("f")
 
@@ -45,32 +45,35 @@
 def test_an_attempt_that_began_after_the_end_before_it_counts_however_soon_it_ends():
     ledger = crash_ledger.CrashLedger()
     for number in range(3):
-        ledger.record_crash("f", "", end(f"i-{number}", 1.0 + 0.06 * number, ran_s=0.05))
+        ledger.record_crash("f", "", crash(f"i-{number}", 1.0 + 0.06 * number, ran_s=0.05))
     assert ledger.is_held("f")
 
 
 def test_a_report_that_took_longer_than_the_next_one_does_not_make_two_ends_one():
     ledger = crash_ledger.CrashLedger()
-    for number, way_s in enumerate((0.02, 0.0, 0.02)):
-        told = crash_ledger.ReportedCrash(f"i-{number}", 0.0, 0.05)
-        ledger.merge(crash_ledger.SuspectReport("f", "", [told]), 1.0 + 0.055 * number + way_s)
+    for number, latency_s in enumerate((0.02, 0.0, 0.02)):
+        reported = crash_ledger.ReportedCrash(f"i-{number}", 0.0, 0.05)
+        ledger.merge(
+            crash_ledger.SuspectReport("f", "", [reported]), 1.0 + 0.055 * number + latency_s
+        )
     assert ledger.is_held("f")
 
 
 def test_a_whole_answer_clears_a_request_of_all_ends_before_it():
     ledger = ledger_with("f", [1.0, 2.0])
     ledger.clear("f", 2.5)
-    ledger.record_crash("f", "", end("i-7", 3.0))
+    ledger.record_crash("f", "", crash("i-7", 3.0))
     assert not ledger.is_held("f")
-    # An end that was noticed before the answer and is told late changes nothing.
-    assert not ledger.record_crash("f", "", end("i-8", 2.2))
+    # A crash before the response that is reported late changes nothing.
+    assert not ledger.record_crash("f", "", crash("i-8", 2.2))
     assert ledger.records["f"].incident_count() == 1
 
 
 def test_a_popular_request_that_is_there_at_every_end_is_not_held_back_for_long():
-    """Another request ends a worker every 0.4 s; the popular one is at each, and is answered too.
+    """Guards against long holds on a frequent request that runs beside one that crashes workers.
 
-    It runs 30 times a second for 1.5 s on ten workers: those that another worker runs end whole.
+    Of ten workers one crashes every 0.4 s; the frequent request runs on all of them, for 1.5 s each
+    and 30 times a second, and gets complete responses from the others.
     """
     rng = random.Random(5)
     ledger = crash_ledger.CrashLedger()
@@ -78,8 +81,8 @@
     for step in range(400):
         now = step * 0.05
         if step % 8 == 0:
-            ledger.record_crash("popular", "", end(f"i-{step}", now))
-            ledger.record_crash("deadly", "", end(f"i-{step}", now))
+            ledger.record_crash("popular", "", crash(f"i-{step}", now))
+            ledger.record_crash("deadly", "", crash(f"i-{step}", now))
         if rng.random() < 1 - 0.5**1.5:
             ledger.clear("popular", now)
         held_s += 0.05 * ledger.is_held("popular")
@@ -105,7 +108,7 @@
     assert agree(3.0 + crash_ledger.FIRST_HOLD_S - 1) == []
     assert agree(4.0 + crash_ledger.FIRST_HOLD_S) == [fleet_state.ReleaseHold("f", 1, HALF_OPEN)]
     assert not ledger.is_held("f")
-    ledger.record_crash("f", "", end("i-9", 5.0 + crash_ledger.FIRST_HOLD_S))
+    ledger.record_crash("f", "", crash("i-9", 5.0 + crash_ledger.FIRST_HOLD_S))
     assert [command.times for command in agree(5.0 + crash_ledger.FIRST_HOLD_S)] == [2]
     assert crash_ledger.hold_duration_s(state.held["f"].hold) == 2 * crash_ledger.FIRST_HOLD_S
 
@@ -139,25 +142,25 @@
 
 def test_an_account_with_several_requests_held_back_ends_one_process_with_each_further_one():
     ledger = crash_ledger.CrashLedger()
-    ledger.record_crash("there-before", "", end("i-0", 0.5), "account-1")
+    ledger.record_crash("there-before", "", crash("i-0", 0.5), "account-1")
     for number in range(crash_ledger.ACCOUNT_HELD_THRESHOLD):
         assert not ledger.is_strict("account-1")
         for at in (1.0, 2.0, 3.0):
-            ledger.record_crash(f"f-{number}", "", end(f"i-{at}", at), "account-1")
+            ledger.record_crash(f"f-{number}", "", crash(f"i-{at}", at), "account-1")
     assert ledger.is_strict("account-1")
-    ledger.record_crash("next", "", end("i-9", 5.0), "account-1")
+    ledger.record_crash("next", "", crash("i-9", 5.0), "account-1")
     assert ledger.is_held("next")
-    # Not what was there earlier, nor another account's, nor what has no account.
-    ledger.record_crash("of another", "", end("i-9", 5.0), "account-2")
-    ledger.record_crash("of nobody", "", end("i-9", 5.0), "")
+    # Requests that crashed earlier, of another account or without an account are not held.
+    ledger.record_crash("of another", "", crash("i-9", 5.0), "account-2")
+    ledger.record_crash("of nobody", "", crash("i-9", 5.0), "")
     assert not any(ledger.is_held(name) for name in ("there-before", "of another", "of nobody"))
-    # Other nodes are told, and come to the same.
-    told = ledger.changes_since(0, 6.0)
+    # Other nodes reach the same state from its reports.
+    reports = ledger.changes_since(0, 6.0)
     other = crash_ledger.CrashLedger()
-    for suspicion in told:
-        other.merge(suspicion, 6.0)
+    for report in reports:
+        other.merge(report, 6.0)
     assert other.is_held("next") and other.is_strict("account-1")
-    # A whole answer clears it all the same.
+    # A complete response clears it nevertheless.
     ledger.clear("next", 6.0)
     assert not ledger.is_held("next")
 
@@ -165,7 +168,7 @@
 def test_what_is_remembered_is_bounded_and_what_is_held_back_goes_last():
     ledger = ledger_with("held", [1.0, 2.0, 3.0])
     for number in range(3 * crash_ledger.RECORDS_MAX):
-        ledger.record_crash(f"f-{number}", "", end("i-1", 10.0 + number))
+        ledger.record_crash(f"f-{number}", "", crash("i-1", 10.0 + number))
     assert len(ledger.records) == crash_ledger.RECORDS_MAX
     assert ledger.is_held("held")
     state = fleet_state.FleetState()
@@ -174,7 +177,7 @@
     assert len(state.held) == fleet_state.HELD_REQUESTS_MAX
 
 
-def told_end(instance: str, age_s: float) -> crash_ledger.ReportedCrash:
+def reported_crash(instance: str, age_s: float) -> crash_ledger.ReportedCrash:
     return crash_ledger.ReportedCrash(instance, age_s, age_s + 0.3)
 
 
@@ -188,23 +191,23 @@
 @hypothesis.given(ENDS, CLEARINGS, st.randoms(use_true_random=False))
 @hypothesis.settings(max_examples=300)
 def test_nodes_that_tell_each_other_in_any_order_and_again_know_the_same(ends, clearings, rng):
-    """Ends lie on a grid of 0.5 s, so that two reports of one end are exactly alike."""
+    """Merging is idempotent and independent of order; crash times are multiples of 0.5 s."""
     now = 100.0
-    told = [
-        crash_ledger.SuspectReport(name, "", [told_end(instance, now - at / 2)])
+    reports = [
+        crash_ledger.SuspectReport(name, "", [reported_crash(instance, now - at / 2)])
         for name, instance, at in ends
     ]
-    told += [crash_ledger.SuspectReport(name, "", [], now - at / 2) for name, at in clearings]
-    known = []
+    reports += [crash_ledger.SuspectReport(name, "", [], now - at / 2) for name, at in clearings]
+    records = []
     for _ in range(2):
         ledger = crash_ledger.CrashLedger()
-        # A clearing of a request that nobody suspects is not kept: each is suspected first.
+        # Reports of a response to an unknown request are ignored, so each gets a crash first.
         for name in "abc":
-            ledger.record_crash(name, "", end("i-0", 0.0))
-        for suspicion in rng.sample(told, len(told)) + told:
-            ledger.merge(suspicion, now)
-        known.append({name: record.crashes for name, record in ledger.records.items()})
-    assert known[0] == known[1]
+            ledger.record_crash(name, "", crash("i-0", 0.0))
+        for report in rng.sample(reports, len(reports)) + reports:
+            ledger.merge(report, now)
+        records.append({name: record.crashes for name, record in ledger.records.items()})
+    assert records[0] == records[1]
 
 
 def test_a_fingerprint_is_of_what_is_asked_and_for_whom_not_of_the_id():
--- a/tests/test_deciders.py
+++ b/tests/test_deciders.py
@@ -1,4 +1,4 @@
-"""The pure deciders: shares, placement, switch, membership, claims, routing."""
+"""Decision logic: fair queue, placement, switch, membership, claims, bundles, routing."""
 
 import random
 
@@ -39,7 +39,7 @@
 
 
 def serve(queue: fair_queue.FairQueue, rounds: int) -> dict[str, float]:
-    """Run an engine with one place; return the tokens that each account got."""
+    """Run an engine with one slot; return the tokens served to each account."""
     got: dict[str, float] = {}
     for _ in range(rounds):
         chosen = queue.next()
@@ -176,7 +176,7 @@
 
 
 class ReportsMachine(stateful.RuleBasedStateMachine):
-    """Reports that come late, twice and crossed never bring an older state back."""
+    """Delayed, duplicated and reordered reports never restore an older state."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -231,7 +231,7 @@
 
 
 class SessionsMachine(stateful.RuleBasedStateMachine):
-    """What is told by change arrives as if told whole, through lost answers and new leaders."""
+    """Incremental updates lead to the same state as full ones despite loss and new leaders."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -319,14 +319,14 @@
 
 
 class ClaimsMachine(stateful.RuleBasedStateMachine):
-    """Attempts at several entries over one key: at most one ever runs, all learn the same."""
+    """Of concurrent attempts with one key at most one runs, and all get the same answer."""
 
     def __init__(self) -> None:
         super().__init__()
         self.state = control_state.ControlState()
         self.index = 0
         self.pending: list[commands.Command] = []
-        self.given_up: set[str] = set()
+        self.abandoned: set[str] = set()
         self.ran: dict[str, list[str]] = {}
         self.answers: dict[str, set[bytes]] = {}
         self.number = 0
@@ -349,8 +349,8 @@
         if not isinstance(command, commands.Claim):
             return
         if not hears:
-            # The entry gives up: it does not run the call and frees the key when it can.
-            self.given_up.add(command.attempt)
+            # The entry abandons the attempt: it does not run the request and releases the key.
+            self.abandoned.add(command.attempt)
             self.pending.append(
                 commands.Complete(command.key, command.attempt, 0, b"", not_run=True)
             )
--- a/tests/test_fleet_deciders.py
+++ b/tests/test_fleet_deciders.py
@@ -1,4 +1,4 @@
-"""The pure parts of a fed deployment: routes, registry of back ends, budgets, places, pace."""
+"""Decision logic of deployments: routes, instance registry, retry budgets, dispatch, pacing."""
 
 import math
 import random
@@ -186,7 +186,7 @@
 
 
 def test_the_last_back_end_there_is_is_tried_by_one_request_at_a_time_after_a_failure():
-    # A service of three plain back ends of which two were taken away; one opening packet is lost.
+    # Two of three back ends were removed, and one connection attempt to the last one failed.
     demand = dispatch.Demand("s")
     only, taken_away = backend("only"), backend("taken away")
     taken_away.is_draining = True
@@ -403,7 +403,7 @@
 
 
 def test_a_late_heartbeat_of_an_ended_instance_does_not_replace_the_one_at_its_address():
-    # A control VM that has never heard of the old instance: it has just started, or was cut off.
+    # The control VM does not know the old instance, since it has just started or was partitioned.
     registry = instances.InstanceRegistry(BEAT_S)
     registry.record_heartbeat(beat("new", sequence=3), 0.0)
     assert not registry.record_heartbeat(beat("old", sequence=40), 0.5)
--- a/tests/test_rivals.py
+++ b/tests/test_rivals.py
@@ -1,4 +1,4 @@
-"""Who can't be there beside a back end is found without a look at all others."""
+"""Conflicting incarnations are found by an index, not by a scan of all back ends."""
 
 import hypothesis
 from hypothesis import strategies as st
@@ -9,7 +9,7 @@
 NAMES = st.sampled_from(["a", "b", "a@1", "a@2", "b@7", "c@x"])
 ADDRESSES = st.sampled_from(["h:1", "h:2", "h:3"])
 BACKENDS = 600
-# Each name is taken apart a few times when it comes, whatever the number of the others.
+# A name may be parsed a few times when it is added, regardless of the number of others.
 PARSED_MAX = 12
 
 
@@ -25,7 +25,7 @@
     )
 
 
-def are_rivals(one: fleet.Heartbeat, other: fleet.Heartbeat) -> bool:
+def are_conflicting(one: fleet.Heartbeat, other: fleet.Heartbeat) -> bool:
     if one.instance == other.instance:
         return False
     ids = incarnations.parse(one.instance).id, incarnations.parse(other.instance).id
@@ -44,7 +44,7 @@
             present.pop(other, None)
     new = beat(name, address)
     assert index.conflicts(new) == sorted(
-        o for o, known in present.items() if are_rivals(known, new)
+        o for o, known in present.items() if are_conflicting(known, new)
     )
     same = sorted(o for o in present if incarnations.parse(o).id == name)
     assert index.with_id(name) == same
@@ -79,8 +79,8 @@
 
 def test_a_node_that_is_told_an_older_heartbeat_keeps_the_newer_one_but_for_a_departure():
     watcher = fleet_nodes.make_watcher(fleet_nodes.make_settings("entry"))
-    told = [beat("i-1", "h:2", sequence=5), beat("i-1", "h:1", sequence=4)]
-    for heartbeat in told:
+    reported = [beat("i-1", "h:2", sequence=5), beat("i-1", "h:1", sequence=4)]
+    for heartbeat in reported:
         watcher.take_instance(instances.Instance(heartbeat), 0.0)
     assert watcher.instances["i-1"].address == "h:2"
     leaving = beat("i-1", "h:1", sequence=3)
