--- a/src/merlinthread/coordination/placement.py
+++ b/src/merlinthread/coordination/placement.py
@@ -9,7 +9,7 @@
 class Plan:
     """Placement changes by agent name, with a summary for the log."""
 
-    changes: dict[str, commands.Placed]
+    changes: dict[str, commands.VmPlacement]
     reason: str
 
 
@@ -75,7 +75,7 @@
 def plan(
     bundle: bundles.Bundle,
     live: list[agents.AgentReport],
-    present: dict[str, commands.Placed],
+    present: dict[str, commands.VmPlacement],
 ) -> Plan:
     """Return the changes that bring the live engines of every zone to the bundle's shares.
 
@@ -104,6 +104,6 @@
     return Plan(changes, reason)
 
 
-def make_placement(report: agents.AgentReport, models: list[str]) -> commands.Placed:
+def make_placement(report: agents.AgentReport, models: list[str]) -> commands.VmPlacement:
     """Return the placement of `models` on the VM that sent `report`."""
-    return commands.Placed(models, report.availability_zone, report.region, report.bus)
+    return commands.VmPlacement(models, report.availability_zone, report.region, report.bus)
--- a/src/merlinthread/nodes/control_node.py
+++ b/src/merlinthread/nodes/control_node.py
@@ -48,7 +48,7 @@
         self.settings = settings
         self.clock = clock
         self.caller = node_bus.RpcClient(codec)
-        self.registry = instances.Instances(settings.heartbeat_s)
+        self.registry = instances.InstanceRegistry(settings.heartbeat_s)
         self.named_at: dict[str, float] = {}
         self.feed = secrets.token_hex(8)
         self.changed = asyncio.Event()
@@ -106,12 +106,12 @@
         """Take a command into what is told to nodes; it was committed `age_s` ago at most."""
         if isinstance(command, fleet_state.Depart):
             # Whoever took the call may not have known which life of the back end it was about.
-            for instance in self.registry.lives(command.instance):
+            for instance in self.registry.incarnations_of(command.instance):
                 self.depart(instance, command.state)
         elif isinstance(command, fleet_state.NameVersion):
             self.named_at[command.model] = self.clock() - age_s
             self.registry.advance()
-        elif isinstance(command, fleet_state.HoldBack | fleet_state.LetGo):
+        elif isinstance(command, fleet_state.PlaceHold | fleet_state.ReleaseHold):
             self.crashes.on_applied()
         name = self.member.command_names[type(command)]
         logs.event("applied", command=name, **described(command))
@@ -129,9 +129,9 @@
     def depart(self, instance: str, state: str) -> None:
         """Take over that an instance leaves."""
         if state == fleet.GONE:
-            self.registry.remove(instance)
+            self.registry.mark_gone(instance)
         else:
-            self.registry.drain(instance)
+            self.registry.mark_draining(instance)
 
     def tell(self) -> None:
         """Wake those who wait for news."""
@@ -226,7 +226,7 @@
         """Return whether there is anything that the asker does not know."""
         if watch.feed != self.feed or watch.position < self.registry.position:
             return True
-        if 0 <= watch.suspicions < self.crashes.ledger.told_revision:
+        if 0 <= watch.suspicions < self.crashes.ledger.reported_revision:
             return True
         if 0 <= watch.limits < self.limits.ledger.revision:
             return True
@@ -236,11 +236,13 @@
         """Return what the asker does not know."""
         now = self.clock()
         position = watch.position if watch.feed == self.feed else 0
-        is_full, changed, gone = self.registry.since(position, now)
+        is_full, changed, gone = self.registry.changes_since(position, now)
         state = self.member.state
         is_newer = state.version > watch.configuration
         suspicions_from = watch.suspicions if watch.feed == self.feed else min(0, watch.suspicions)
-        suspicions = self.crashes.ledger.since(suspicions_from, now) if suspicions_from >= 0 else []
+        suspicions = (
+            self.crashes.ledger.changes_since(suspicions_from, now) if suspicions_from >= 0 else []
+        )
         limits_from = watch.limits if watch.feed == self.feed else min(0, watch.limits)
         return node_messages.WatchReply(
             self.feed,
@@ -257,7 +259,7 @@
             self.member.member_addresses(),
             self.member.majority_age(now),
             suspicions,
-            self.crashes.ledger.told_revision,
+            self.crashes.ledger.reported_revision,
             self.limits.since(limits_from),
             self.limits.ledger.revision,
         )
@@ -270,9 +272,9 @@
         if state == fleet.GONE:
             return
         is_new = heartbeat.instance not in self.registry.known
-        if self.registry.take(heartbeat, self.clock()):
+        if self.registry.record_heartbeat(heartbeat, self.clock()):
             if state == fleet.DRAINING:
-                self.registry.drain(heartbeat.instance)
+                self.registry.mark_draining(heartbeat.instance)
             if is_new:
                 logs.event(
                     "instance_new",
@@ -322,7 +324,7 @@
         return {"version": command.version, "bytes": len(command.body)}
     if isinstance(command, fleet_state.NameVersion):
         return {"model": command.model, "version": command.version}
-    if isinstance(command, fleet_state.HoldBack | fleet_state.LetGo):
+    if isinstance(command, fleet_state.PlaceHold | fleet_state.ReleaseHold):
         return {"fingerprint": command.fingerprint, "times": command.times}
     return {"instance": command.instance, "state": command.state}
 
--- a/src/merlinthread/nodes/crash_registry.py
+++ b/src/merlinthread/nodes/crash_registry.py
@@ -64,7 +64,7 @@
         if not report.is_passed_on:
             self.pass_on(report.suspicions)
 
-    def pass_on(self, suspicions: list[crash_ledger.Suspicion]) -> None:
+    def pass_on(self, suspicions: list[crash_ledger.SuspectReport]) -> None:
         """Tell the other control VMs."""
         for address in self.others():
             self.start_sending(address, suspicions)
@@ -74,7 +74,7 @@
         members = self.member.member_addresses()
         return [address for address in members if address != self.member.address]
 
-    def start_sending(self, address: str, suspicions: list[crash_ledger.Suspicion]) -> None:
+    def start_sending(self, address: str, suspicions: list[crash_ledger.SuspectReport]) -> None:
         """Tell one control VM, beside other work."""
         message = node_messages.CrashReport(self.settings.name, suspicions, True)
         task = asyncio.get_running_loop().create_task(self.send(address, message))
@@ -87,7 +87,7 @@
             reply = await self.caller.call(address, message, PASS_ON_TIMEOUT_S)
             if not reply.level:
                 # An older build that tells no level, and reads reports: it reads their entries too.
-                self.member.levels.note_shown(address, levels.Level.HELD_REQUESTS)
+                self.member.levels.record_inferred(address, levels.FormatLevel.HELD_REQUESTS)
         except errors.MerlinthreadError as error:
             logs.debug("crash_report_lost", control=address, reason=error.message)
             missed = self.missed.setdefault(address, {})
@@ -99,7 +99,7 @@
         now = self.clock()
         for address in self.others():
             records = [self.ledger.records.get(name) for name in missed.get(address, {})]
-            found = [self.ledger.suspicion(record, now) for record in records if record is not None]
+            found = [self.ledger.report_of(record, now) for record in records if record is not None]
             if found:
                 self.start_sending(address, found)
 
@@ -157,31 +157,31 @@
 
     def ask_levels(self) -> None:
         """Find out by an empty report whether members that tell no level read such entries."""
-        for address in self.member.levels.untold(self.others()):
+        for address in self.member.levels.without_level(self.others()):
             self.start_sending(address, [])
 
 
 def decisions(
     ledger: crash_ledger.CrashLedger, held_since: dict[str, float], now: float, patience_s: float
-) -> list[fleet_state.HoldBack | fleet_state.LetGo]:
+) -> list[fleet_state.PlaceHold | fleet_state.ReleaseHold]:
     """Return what the log should say of requests, and does not say `patience_s` later."""
-    found: list[fleet_state.HoldBack | fleet_state.LetGo] = []
+    found: list[fleet_state.PlaceHold | fleet_state.ReleaseHold] = []
     for record in ledger.held():
         if now - record.changed_at < patience_s:
             continue
         hold = record.hold
         since = held_since.get(record.fingerprint, now)
         if not hold.is_held():
-            ended = [end.instance for end in record.ends]
+            ended = [end.instance for end in record.crashes]
             found.append(
-                fleet_state.HoldBack(
+                fleet_state.PlaceHold(
                     record.fingerprint, record.label, ended, hold.times + 1, record.account
                 )
             )
-        elif not record.ends and record.cleared_at >= since - COMMIT_S_MAX:
+        elif not record.crashes and record.cleared_at >= since - COMMIT_S_MAX:
             state = crash_ledger.HoldState.CLEARED
-            found.append(fleet_state.LetGo(record.fingerprint, hold.times, state))
-        elif now - since > crash_ledger.hold_s(hold) + patience_s:
+            found.append(fleet_state.ReleaseHold(record.fingerprint, hold.times, state))
+        elif now - since > crash_ledger.hold_duration_s(hold) + patience_s:
             state = crash_ledger.HoldState.HALF_OPEN
-            found.append(fleet_state.LetGo(record.fingerprint, hold.times, state))
+            found.append(fleet_state.ReleaseHold(record.fingerprint, hold.times, state))
     return found
--- a/src/merlinthread/nodes/crash_watch.py
+++ b/src/merlinthread/nodes/crash_watch.py
@@ -43,9 +43,9 @@
     began_at: float
     at: float
 
-    def end(self) -> crash_ledger.End:
+    def end(self) -> crash_ledger.Crash:
         """Return the end of the back end's process, once it is proven."""
-        return crash_ledger.End(self.at, self.backend.instance, self.began_at)
+        return crash_ledger.Crash(self.at, self.backend.instance, self.began_at)
 
 
 class CrashWatch:
@@ -173,7 +173,7 @@
         """Note that the processes under some attempts have ended."""
         log_breaks(found, True, proof)
         for known in found:
-            if self.ledger.note_end(known.fingerprint, known.label, known.end(), known.account):
+            if self.ledger.record_crash(known.fingerprint, known.label, known.end(), known.account):
                 self.report(known.fingerprint)
 
     def note_whole_answer(self, fingerprint: str) -> None:
@@ -207,7 +207,7 @@
         told, self.unreported = self.unreported, {}
         now = self.clock()
         records = [self.ledger.records.get(fingerprint) for fingerprint in told]
-        suspicions = [self.ledger.suspicion(record, now) for record in records if record]
+        suspicions = [self.ledger.report_of(record, now) for record in records if record]
         if not suspicions:
             return True
         report = node_messages.CrashReport(self.name, suspicions)
--- a/src/merlinthread/nodes/log_member.py
+++ b/src/merlinthread/nodes/log_member.py
@@ -148,7 +148,7 @@
             self.state = msgspec.msgpack.decode(snapshot.state, type=fleet_state.FleetState)
             if self.state.held:
                 # Builds that wrote such entries before levels were told name none.
-                self.state.level = max(self.state.level, levels.Level.HELD_REQUESTS)
+                self.state.level = max(self.state.level, levels.FormatLevel.HELD_REQUESTS)
         self.applied = snapshot.index
         metrics.log_level.set(self.state.level)
 
@@ -187,7 +187,7 @@
         if now >= self.duties_at:
             self.duties_at = now + DUTIES_EVERY_S
             self.keep_commit(now)
-            self.gate.look_at(self.other_addresses(), now)
+            self.gate.update(self.other_addresses(), now)
             self.tell_missing_leader(now)
             self.members.look_after(now)
 
@@ -211,7 +211,7 @@
                 self.sender.send(receiver, message)
             for entry in ready.committed:
                 self.apply(entry)
-            self.raft.saved(ready)
+            self.raft.mark_saved(ready)
             self.raft.flush(now)
             if self.raft.is_leader() and any(entry.data for entry in ready.committed):
                 # The others learn at once, not with the next heartbeat, that it is committed.
@@ -223,7 +223,7 @@
     def save(self, ready: raft_messages.Ready) -> None:
         """Make `ready` durable."""
         if ready.snapshot is not None:
-            self.journal.compact(ready.snapshot, self.raft.log.saved())
+            self.journal.compact(ready.snapshot, self.raft.log.saved_entries())
             self.restore(ready.snapshot)
             self.on_restored()
         if ready.hard_state is not None or ready.entries:
@@ -250,9 +250,9 @@
         if now >= self.full_until:
             logs.warning("disk_full", message=error.message)
         self.full_until = now + DISK_RETRY_S
-        self.raft.drop_unsaved(now)
+        self.raft.discard_unsaved(now)
         for index, (_, answer) in list(self.waiting.items()):
-            if index > self.raft.log.stable:
+            if index > self.raft.log.saved_index:
                 del self.waiting[index]
                 set_error(answer, error)
 
@@ -265,7 +265,7 @@
         """Replace the applied part of the log by a snapshot."""
         snapshot = self.raft.compact(self.applied, msgspec.msgpack.encode(self.state))
         try:
-            self.journal.compact(snapshot, self.raft.log.saved())
+            self.journal.compact(snapshot, self.raft.log.saved_entries())
         except errors.DiskFullError as error:
             self.full_until = now + DISK_RETRY_S
             logs.warning("disk_full", message=error.message)
@@ -354,7 +354,9 @@
         """
         now = self.clock()
         others = self.other_addresses()
-        objection = self.gate.objection(self.level_of(command), others, self.state.level, now)
+        objection = self.gate.reason_not_writable(
+            self.level_of(command), others, self.state.level, now
+        )
         if objection:
             raise errors.ControlError(objection)
         if now < self.full_until:
@@ -382,9 +384,9 @@
         """
         if self.raft.is_leader():
             if self.raft.commit >= self.raft.term_start:
-                span_s = TIMING.election_min_s * TIMING.lease_share
+                span_s = TIMING.election_min_s * TIMING.lease_fraction
                 self.current_at = self.raft.lease_until() - span_s
-        elif self.raft.led_by and self.applied >= self.raft.leader_commit:
+        elif self.raft.last_known_leader and self.applied >= self.raft.leader_commit:
             self.current_at = self.raft.heard_leader_at
 
     def leader_address(self) -> str:
@@ -399,7 +401,7 @@
         """Return the addresses of the other members."""
         return [address for address in self.member_addresses() if address != self.address]
 
-    def level_of(self, command: bytes) -> levels.Level:
+    def level_of(self, command: bytes) -> levels.FormatLevel:
         """Return the level that an encoded command needs; raise ControlError if it can't be read.
 
         An entry can't be taken back: older builds end at one that they can't read, at each start.
--- a/src/merlinthread/nodes/log_sender.py
+++ b/src/merlinthread/nodes/log_sender.py
@@ -55,11 +55,11 @@
         try:
             reply = await self.caller.call(address, message, SEND_TIMEOUT_S)
         except errors.MerlinthreadError:
-            self.levels.note_lost(address)
+            self.levels.record_unreachable(address)
             return
         if not isinstance(reply, node_messages.Acknowledgement):
             logs.warning("member_answer_unknown", member=address, answer=type(reply).__name__)
-        elif self.levels.note_told(address, reply.level):
+        elif self.levels.record_reported(address, reply.level):
             logs.event("member_level", member=address, level=reply.level)
 
     def tasks(self) -> list[asyncio.Task]:
--- a/src/merlinthread/nodes/member_changes.py
+++ b/src/merlinthread/nodes/member_changes.py
@@ -59,10 +59,10 @@
         self.leaving: dict[str, float] = {}
         self.ask_at = clock()
 
-    def policy(self) -> log_repair.Policy:
+    def policy(self) -> log_repair.RepairPolicy:
         """Return when voters are taken out, by the deployment's bounds."""
         catch_up_s = self.settings.bounds.catch_up_s
-        return log_repair.Policy(
+        return log_repair.RepairPolicy(
             self.settings.members_lost_max,
             SPARE_SILENCE_SHARE * catch_up_s,
             SILENCE_SHARE * catch_up_s,
@@ -162,7 +162,7 @@
     async def has_settled(self) -> bool:
         """Return whether no change of members that this leader has begun is uncommitted."""
         member = self.current()
-        return not (member.is_leader() and member.log.has_voters_after(member.commit))
+        return not (member.is_leader() and member.log.has_membership_change_after(member.commit))
 
     async def may_end(self) -> bool:
         """Return whether the leader says that nothing is left to do for this member's end."""
@@ -184,7 +184,7 @@
     def is_needless(self, member: raft.Raft) -> bool:
         """Return whether the group bears more losses without `member` than with it missing."""
         number = len(member.log.voters.voters)
-        return member.is_voter() and log_repair.is_spare(number, 1, self.policy())
+        return member.is_voter() and log_repair.removal_improves_tolerance(number, 1, self.policy())
 
     async def on_resign(self, resign: node_messages.LeaveRequest) -> node_messages.LeaveReply:
         """Note a leaver if this member leads."""
@@ -193,7 +193,7 @@
         if not member.holds_lease(now):
             raise errors.NotLeaderError("this member does not surely lead", member.leader)
         if resign.name not in member.log.voters.voters:
-            has_settled = not member.log.has_voters_after(member.commit)
+            has_settled = not member.log.has_membership_change_after(member.commit)
             return node_messages.LeaveReply(has_settled)
         self.leaving[resign.name] = now
         return node_messages.LeaveReply(False)
@@ -209,20 +209,20 @@
         if change is None:
             return
         try:
-            member.change_voters(change, now)
+            member.change_membership(change, now)
         except errors.ControlError as error:
             logs.debug("members_unchanged", reason=error.message)
             return
         self.wake()
         self.tell(change, member, now)
 
-    def group(self, member: raft.Raft, now: float) -> log_repair.Group:
+    def group(self, member: raft.Raft, now: float) -> log_repair.GroupStatus:
         """Return what this leader knows of the group."""
         for askers in (self.joiners, self.leaving):
             for name, asked_at in list(askers.items()):
                 if now - asked_at > ASKER_KEPT_S:
                     del askers[name]
-        return log_repair.Group(
+        return log_repair.GroupStatus(
             member.log.voters,
             member.name,
             member.commit,
@@ -232,12 +232,12 @@
             list(self.leaving),
         )
 
-    def tell(self, change: raft_members.Change, member: raft.Raft, now: float) -> None:
+    def tell(self, change: raft_members.MembershipChange, member: raft.Raft, now: float) -> None:
         """Log a change of members, and how many more losses the group can bear after it."""
         voters = member.log.voters
         silence_s = member.timing.election_max_s
         silent = log_repair.silent_voters(self.group(member, now), silence_s, now)
-        bearable = raft_members.losses_bearable(len(voters.voters), len(silent))
+        bearable = raft_members.failures_tolerated(len(voters.voters), len(silent))
         metrics.losses_bearable.set(bearable)
         logs.event(
             "members_change",
--- a/src/merlinthread/nodes/news_watcher.py
+++ b/src/merlinthread/nodes/news_watcher.py
@@ -14,10 +14,10 @@
 from merlinthread import errors, logs, metrics
 from merlinthread.coordination import (
     backend_signals,
+    conflict_index,
     crash_ledger,
     fleet,
     instances,
-    rivals,
     route_table,
 )
 from merlinthread.nodes import dialect as dialects
@@ -75,7 +75,7 @@
         self.table: route_table.RouteTable | None = None
         self.version = 0
         self.instances: dict[str, fleet.Heartbeat] = {}
-        self.index = rivals.RivalIndex()
+        self.index = conflict_index.ConflictIndex()
         self.cold_until: dict[str, float] = {}
         self.heard_at: dict[str, float] = {}
         self.gone: set[str] = set()
@@ -323,7 +323,7 @@
                 age_s=told.age_s,
             )
         self.heard_at[heartbeat.instance] = now - told.age_s
-        for name in self.index.rivals(heartbeat):
+        for name in self.index.conflicts(heartbeat):
             # Two at one address, or of one id: the one heard of last is there.
             if self.heard_at[name] > now - told.age_s:
                 return
--- a/src/merlinthread/roles/leader_duties.py
+++ b/src/merlinthread/roles/leader_duties.py
@@ -35,20 +35,20 @@
         voters = self.task.raft.log.voters
         unknown = {
             name: identity
-            for name, identity in self.task.raft.identities_heard().items()
+            for name, identity in self.task.raft.reported_identities().items()
             if name in voters.members() and name not in voters.identities
         }
         if unknown:
-            self.change_members(raft_members.Change(identities=unknown), now)
+            self.change_members(raft_members.MembershipChange(identities=unknown), now)
             return
         matches = {name: progress.match for name, progress in self.task.raft.progress.items()}
-        facts = raft_members.Facts(self.task.name, self.task.raft.commit, matches)
+        facts = raft_members.ReplicationStatus(self.task.name, self.task.raft.commit, matches)
         for name, (join, heard_at) in list(self.joiners.items()):
             if now - heard_at > JOIN_HEARD_S:
                 del self.joiners[name]
                 continue
             address = raft_messages.Address(join.log_bus, join.bus)
-            joiner = raft_members.Joiner(name, join.identity, address, join.replaces)
+            joiner = raft_members.JoiningMember(name, join.identity, address, join.replaces)
             lost = self.task.raft.progress.get(join.replaces)
             is_silent = lost is None or now - lost.heard_at > LOST_SILENT_S
             change = raft_members.next_change(voters, joiner, facts, is_silent)
@@ -56,10 +56,10 @@
                 self.change_members(change, now)
                 return
 
-    def change_members(self, change: raft_members.Change, now: float) -> None:
+    def change_members(self, change: raft_members.MembershipChange, now: float) -> None:
         """Put a change of members into the log, if it is safe now."""
         try:
-            index = self.task.raft.change_voters(change, now)
+            index = self.task.raft.change_membership(change, now)
         except errors.ControlError as error:
             logs.debug("members_unchanged", reason=error.message)
             return
@@ -74,7 +74,7 @@
 
     def place(self, now: float) -> None:
         """Decide which VMs hold which models, and pause a roll that a target refuses."""
-        bundle = self.task.state.in_force()
+        bundle = self.task.state.active_bundle()
         if bundle is None or self.task.raft.log.last_index() > self.task.applied:
             return
         if now < self.placed_from and self.task.state.placement:
--- a/tests/test_control_nodes.py
+++ b/tests/test_control_nodes.py
@@ -465,9 +465,9 @@
         node = controls.nodes[controls.leader()]
         others = node.member.other_addresses()
         await fleet_nodes.until(lambda: not node.member.levels.below(others, levels.NEWEST))
-        command = fleet_state.HoldBack("f", "label", ["i-1"], 1)
+        command = fleet_state.PlaceHold("f", "label", ["i-1"], 1)
         # One runs an older build: its answers tell no level.
-        node.member.levels.told[others[0]] = 0
+        node.member.levels.reported[others[0]] = 0
         with pytest.raises(errors.ControlError, match=f"level 2.*{others[0]}.*newer builds"):
             node.member.propose(node.member.encode_command(command))
         # It tells its level, as the newer build does that takes its place, with its next answer.
@@ -475,7 +475,7 @@
         assert await node.submit(command)
         for each in controls.nodes.values():
             await fleet_nodes.until(lambda each=each: "f" in each.member.state.held)
-            assert each.member.state.level == levels.Level.HELD_REQUESTS
+            assert each.member.state.level == levels.FormatLevel.HELD_REQUESTS
 
     run(tmp_path, scenario)
 
@@ -516,58 +516,60 @@
 
 
 def test_what_an_older_build_can_not_read_is_written_once_going_back_has_had_its_time():
-    level, others = levels.Level.HELD_REQUESTS, ["10.0.0.2:1", "10.0.0.3:1"]
+    level, others = levels.FormatLevel.HELD_REQUESTS, ["10.0.0.2:1", "10.0.0.3:1"]
     members = levels.MemberLevels()
     gate = levels.WriteGate(members, first_level=0)
 
     def objection(now, written=levels.LOWEST):
-        gate.look_at(others, now)
-        return gate.objection(level, others, written, now)
+        gate.update(others, now)
+        return gate.reason_not_writable(level, others, written, now)
 
-    members.note_told(others[0], level)
-    members.note_told(others[1], 0)
+    members.record_reported(others[0], level)
+    members.record_reported(others[1], 0)
     assert f"{others[1]} are not known" in objection(10.0)
-    members.note_told(others[1], level)
+    members.record_reported(others[1], level)
     assert "going back is possible" in objection(20.0)
-    assert "going back" in objection(20.0 + levels.SETTLED_S - 0.1)
+    assert "going back" in objection(20.0 + levels.ROLLBACK_WINDOW_S - 0.1)
     # A VM goes back, and is replaced again: the time begins anew.
-    members.note_told(others[0], 0)
+    members.record_reported(others[0], 0)
     assert objection(25.0)
-    members.note_told(others[0], level)
+    members.record_reported(others[0], level)
     assert objection(30.0)
-    assert objection(30.0 + levels.SETTLED_S - 0.1)
-    assert not objection(30.0 + levels.SETTLED_S)
+    assert objection(30.0 + levels.ROLLBACK_WINDOW_S - 0.1)
+    assert not objection(30.0 + levels.ROLLBACK_WINDOW_S)
 
 
 def test_nobody_waits_where_no_build_that_reads_less_was_there():
-    level, others = levels.Level.HELD_REQUESTS, ["10.0.0.2:1"]
+    level, others = levels.FormatLevel.HELD_REQUESTS, ["10.0.0.2:1"]
     members = levels.MemberLevels()
-    members.note_told(others[0], level)
+    members.record_reported(others[0], level)
     gate = levels.WriteGate(members, first_level=0)
-    assert gate.objection(level, others, levels.LOWEST, 1.0)
-    assert not gate.objection(level, others, level, 1.0), "one was written before"
-    assert not levels.WriteGate(members, level).objection(level, others, levels.LOWEST, 1.0)
+    assert gate.reason_not_writable(level, others, levels.LOWEST, 1.0)
+    assert not gate.reason_not_writable(level, others, level, 1.0), "one was written before"
+    assert not levels.WriteGate(members, level).reason_not_writable(
+        level, others, levels.LOWEST, 1.0
+    )
     # A build that tells no level answered what only level 2 reads; then a newer one took its place.
-    members.note_told(others[0], 0)
-    members.note_shown(others[0], level)
-    assert not gate.objection(level, others, levels.LOWEST, 1.0)
-    members.note_told(others[0], level)
-    assert not gate.objection(level, others, levels.LOWEST, 1.0)
+    members.record_reported(others[0], 0)
+    members.record_inferred(others[0], level)
+    assert not gate.reason_not_writable(level, others, levels.LOWEST, 1.0)
+    members.record_reported(others[0], level)
+    assert not gate.reason_not_writable(level, others, levels.LOWEST, 1.0)
 
 
 def test_what_a_silent_member_has_shown_counts_no_more():
-    level, other = levels.Level.HELD_REQUESTS, "10.0.0.2:1"
+    level, other = levels.FormatLevel.HELD_REQUESTS, "10.0.0.2:1"
     members = levels.MemberLevels()
     assert members.below([other], level) == [other], "one that was never heard"
-    assert members.untold([other]) == [], "it may be new: it is not asked before it answers"
-    members.note_told(other, 0)
-    assert members.untold([other]) == [other]
-    members.note_shown(other, level)
-    assert members.below([other], level) == members.untold([other]) == []
-    members.note_lost(other)
+    assert members.without_level([other]) == [], "it may be new: it is not asked before it answers"
+    members.record_reported(other, 0)
+    assert members.without_level([other]) == [other]
+    members.record_inferred(other, level)
+    assert members.below([other], level) == members.without_level([other]) == []
+    members.record_unreachable(other)
     assert members.below([other], level) == [other]
-    members.note_told(other, level)
-    members.note_lost(other)
+    members.record_reported(other, level)
+    members.record_unreachable(other)
     assert members.below([other], level) == [], "what it told stays until it tells another one"
 
 
@@ -582,6 +584,6 @@
         assert node.member.membership.first_level == levels.NEWEST
         others = node.member.other_addresses()
         await fleet_nodes.until(lambda: not node.member.levels.below(others, levels.NEWEST))
-        assert await node.submit(fleet_state.HoldBack("f", "label", ["i-1"], 1))
+        assert await node.submit(fleet_state.PlaceHold("f", "label", ["i-1"], 1))
 
     run(tmp_path, scenario)
--- a/tests/test_crash_ledger.py
+++ b/tests/test_crash_ledger.py
@@ -1,4 +1,4 @@
-"""Which requests are suspected and held back, decided without network."""
+"""Detection of requests that crash processes, and the holds on them."""
 
 import random
 
@@ -13,14 +13,14 @@
 CLEARED = crash_ledger.HoldState.CLEARED
 
 
-def end(instance: str, at: float, ran_s: float = 0.3) -> crash_ledger.End:
-    return crash_ledger.End(at, instance, at - ran_s)
+def crash(instance: str, at: float, ran_s: float = 0.3) -> crash_ledger.Crash:
+    return crash_ledger.Crash(at, instance, at - ran_s)
 
 
 def ledger_with(fingerprint: str, times: list[float]) -> crash_ledger.CrashLedger:
     ledger = crash_ledger.CrashLedger()
     for number, at in enumerate(times):
-        ledger.note_end(fingerprint, "label", end(f"i-{number}", at))
+        ledger.record_crash(fingerprint, "label", crash(f"i-{number}", at))
     return ledger
 
 
@@ -32,8 +32,8 @@
 def test_an_instance_under_the_same_id_counts_for_each_of_its_lives():
     ledger = crash_ledger.CrashLedger()
     for at in (1.0, 1.1, 3.0, 5.0):
-        ledger.note_end("f", "", end("i-1", at))
-    assert ledger.records["f"].moments() == 3
+        ledger.record_crash("f", "", crash("i-1", at))
+    assert ledger.records["f"].incident_count() == 3
     assert ledger.is_held("f")
 
 
@@ -45,32 +45,35 @@
 def test_an_attempt_that_began_after_the_end_before_it_counts_however_soon_it_ends():
     ledger = crash_ledger.CrashLedger()
     for number in range(3):
-        ledger.note_end("f", "", end(f"i-{number}", 1.0 + 0.06 * number, ran_s=0.05))
+        ledger.record_crash("f", "", crash(f"i-{number}", 1.0 + 0.06 * number, ran_s=0.05))
     assert ledger.is_held("f")
 
 
 def test_a_report_that_took_longer_than_the_next_one_does_not_make_two_ends_one():
     ledger = crash_ledger.CrashLedger()
-    for number, way_s in enumerate((0.02, 0.0, 0.02)):
-        told = crash_ledger.ToldEnd(f"i-{number}", 0.0, 0.05)
-        ledger.merge(crash_ledger.Suspicion("f", "", [told]), 1.0 + 0.055 * number + way_s)
+    for number, latency_s in enumerate((0.02, 0.0, 0.02)):
+        reported = crash_ledger.ReportedCrash(f"i-{number}", 0.0, 0.05)
+        ledger.merge(
+            crash_ledger.SuspectReport("f", "", [reported]), 1.0 + 0.055 * number + latency_s
+        )
     assert ledger.is_held("f")
 
 
 def test_a_whole_answer_clears_a_request_of_all_ends_before_it():
     ledger = ledger_with("f", [1.0, 2.0])
     ledger.clear("f", 2.5)
-    ledger.note_end("f", "", end("i-7", 3.0))
+    ledger.record_crash("f", "", crash("i-7", 3.0))
     assert not ledger.is_held("f")
-    # An end that was noticed before the answer and is told late changes nothing.
-    assert not ledger.note_end("f", "", end("i-8", 2.2))
-    assert ledger.records["f"].moments() == 1
+    # A crash before the response that is reported late changes nothing.
+    assert not ledger.record_crash("f", "", crash("i-8", 2.2))
+    assert ledger.records["f"].incident_count() == 1
 
 
 def test_a_popular_request_that_is_there_at_every_end_is_not_held_back_for_long():
-    """Another request ends a worker every 0.4 s; the popular one is at each, and is answered too.
+    """Guards against long holds on a frequent request that runs beside one that crashes workers.
 
-    It runs 30 times a second for 1.5 s on ten workers: those that another worker runs end whole.
+    Of ten workers one crashes every 0.4 s; the frequent request runs on all of them, for 1.5 s each
+    and 30 times a second, and gets complete responses from the others.
     """
     rng = random.Random(5)
     ledger = crash_ledger.CrashLedger()
@@ -78,8 +81,8 @@
     for step in range(400):
         now = step * 0.05
         if step % 8 == 0:
-            ledger.note_end("popular", "", end(f"i-{step}", now))
-            ledger.note_end("deadly", "", end(f"i-{step}", now))
+            ledger.record_crash("popular", "", crash(f"i-{step}", now))
+            ledger.record_crash("deadly", "", crash(f"i-{step}", now))
         if rng.random() < 1 - 0.5**1.5:
             ledger.clear("popular", now)
         held_s += 0.05 * ledger.is_held("popular")
@@ -101,13 +104,13 @@
             since["f"] = now
         return commands
 
-    assert agree(3.0) == [fleet_state.HoldBack("f", "label", ["i-0", "i-1", "i-2"], 1)]
-    assert agree(3.0 + crash_ledger.HOLD_S - 1) == []
-    assert agree(4.0 + crash_ledger.HOLD_S) == [fleet_state.LetGo("f", 1, HALF_OPEN)]
+    assert agree(3.0) == [fleet_state.PlaceHold("f", "label", ["i-0", "i-1", "i-2"], 1)]
+    assert agree(3.0 + crash_ledger.FIRST_HOLD_S - 1) == []
+    assert agree(4.0 + crash_ledger.FIRST_HOLD_S) == [fleet_state.ReleaseHold("f", 1, HALF_OPEN)]
     assert not ledger.is_held("f")
-    ledger.note_end("f", "", end("i-9", 5.0 + crash_ledger.HOLD_S))
-    assert [command.times for command in agree(5.0 + crash_ledger.HOLD_S)] == [2]
-    assert crash_ledger.hold_s(state.held["f"].hold) == 2 * crash_ledger.HOLD_S
+    ledger.record_crash("f", "", crash("i-9", 5.0 + crash_ledger.FIRST_HOLD_S))
+    assert [command.times for command in agree(5.0 + crash_ledger.FIRST_HOLD_S)] == [2]
+    assert crash_ledger.hold_duration_s(state.held["f"].hold) == 2 * crash_ledger.FIRST_HOLD_S
 
 
 def test_a_request_that_is_answered_while_it_is_held_back_is_let_go():
@@ -116,66 +119,66 @@
     ledger.clear("f", 4.0)
     assert ledger.is_held("f")
     commands = crash_registry.decisions(ledger, {"f": 3.1}, 4.0, 0.0)
-    assert commands == [fleet_state.LetGo("f", 1, CLEARED)]
+    assert commands == [fleet_state.ReleaseHold("f", 1, CLEARED)]
 
 
 def test_an_old_clearing_told_to_a_control_vm_that_has_just_started_lets_nothing_go():
     ledger = crash_ledger.CrashLedger()
     ledger.set_hold("f", "", crash_ledger.Hold(1, HELD), 100.0)
-    ledger.merge(crash_ledger.Suspicion("f", "", [], 50.0), 100.1)
+    ledger.merge(crash_ledger.SuspectReport("f", "", [], 50.0), 100.1)
     assert crash_registry.decisions(ledger, {"f": 100.0}, 100.2, 0.0) == []
 
 
 def test_the_log_keeps_the_later_decision_whatever_comes_again():
     state = fleet_state.FleetState()
-    first = fleet_state.HoldBack("f", "", [], 1)
+    first = fleet_state.PlaceHold("f", "", [], 1)
     assert state.apply(first) and not state.apply(first)
-    assert state.apply(fleet_state.LetGo("f", 1, CLEARED))
+    assert state.apply(fleet_state.ReleaseHold("f", 1, CLEARED))
     assert not state.apply(first)
-    assert not state.apply(fleet_state.LetGo("f", 1, HALF_OPEN))
-    assert state.apply(fleet_state.HoldBack("f", "", [], 2))
+    assert not state.apply(fleet_state.ReleaseHold("f", 1, HALF_OPEN))
+    assert state.apply(fleet_state.PlaceHold("f", "", [], 2))
     assert state.held["f"].hold == crash_ledger.Hold(2, HELD)
 
 
 def test_an_account_with_several_requests_held_back_ends_one_process_with_each_further_one():
     ledger = crash_ledger.CrashLedger()
-    ledger.note_end("there-before", "", end("i-0", 0.5), "account-1")
-    for number in range(crash_ledger.ACCOUNT_HELD_MAX):
+    ledger.record_crash("there-before", "", crash("i-0", 0.5), "account-1")
+    for number in range(crash_ledger.ACCOUNT_HELD_THRESHOLD):
         assert not ledger.is_strict("account-1")
         for at in (1.0, 2.0, 3.0):
-            ledger.note_end(f"f-{number}", "", end(f"i-{at}", at), "account-1")
+            ledger.record_crash(f"f-{number}", "", crash(f"i-{at}", at), "account-1")
     assert ledger.is_strict("account-1")
-    ledger.note_end("next", "", end("i-9", 5.0), "account-1")
+    ledger.record_crash("next", "", crash("i-9", 5.0), "account-1")
     assert ledger.is_held("next")
-    # Not what was there earlier, nor another account's, nor what has no account.
-    ledger.note_end("of another", "", end("i-9", 5.0), "account-2")
-    ledger.note_end("of nobody", "", end("i-9", 5.0), "")
+    # Requests that crashed earlier, of another account or without an account are not held.
+    ledger.record_crash("of another", "", crash("i-9", 5.0), "account-2")
+    ledger.record_crash("of nobody", "", crash("i-9", 5.0), "")
     assert not any(ledger.is_held(name) for name in ("there-before", "of another", "of nobody"))
-    # Other nodes are told, and come to the same.
-    told = ledger.since(0, 6.0)
+    # Other nodes reach the same state from its reports.
+    reports = ledger.changes_since(0, 6.0)
     other = crash_ledger.CrashLedger()
-    for suspicion in told:
-        other.merge(suspicion, 6.0)
+    for report in reports:
+        other.merge(report, 6.0)
     assert other.is_held("next") and other.is_strict("account-1")
-    # A whole answer clears it all the same.
+    # A complete response clears it nevertheless.
     ledger.clear("next", 6.0)
     assert not ledger.is_held("next")
 
 
 def test_what_is_remembered_is_bounded_and_what_is_held_back_goes_last():
     ledger = ledger_with("held", [1.0, 2.0, 3.0])
-    for number in range(3 * crash_ledger.KEPT):
-        ledger.note_end(f"f-{number}", "", end("i-1", 10.0 + number))
-    assert len(ledger.records) == crash_ledger.KEPT
+    for number in range(3 * crash_ledger.RECORDS_MAX):
+        ledger.record_crash(f"f-{number}", "", crash("i-1", 10.0 + number))
+    assert len(ledger.records) == crash_ledger.RECORDS_MAX
     assert ledger.is_held("held")
     state = fleet_state.FleetState()
-    for number in range(2 * fleet_state.HELD_KEPT):
-        state.apply(fleet_state.HoldBack(f"f-{number}", "", [], 1))
-    assert len(state.held) == fleet_state.HELD_KEPT
+    for number in range(2 * fleet_state.HELD_REQUESTS_MAX):
+        state.apply(fleet_state.PlaceHold(f"f-{number}", "", [], 1))
+    assert len(state.held) == fleet_state.HELD_REQUESTS_MAX
 
 
-def told_end(instance: str, age_s: float) -> crash_ledger.ToldEnd:
-    return crash_ledger.ToldEnd(instance, age_s, age_s + 0.3)
+def reported_crash(instance: str, age_s: float) -> crash_ledger.ReportedCrash:
+    return crash_ledger.ReportedCrash(instance, age_s, age_s + 0.3)
 
 
 ENDS = st.lists(
@@ -188,28 +191,28 @@
 @hypothesis.given(ENDS, CLEARINGS, st.randoms(use_true_random=False))
 @hypothesis.settings(max_examples=300)
 def test_nodes_that_tell_each_other_in_any_order_and_again_know_the_same(ends, clearings, rng):
-    """Ends lie on a grid of 0.5 s, so that two reports of one end are exactly alike."""
+    """Merging is idempotent and independent of order; crash times are multiples of 0.5 s."""
     now = 100.0
-    told = [
-        crash_ledger.Suspicion(name, "", [told_end(instance, now - at / 2)])
+    reports = [
+        crash_ledger.SuspectReport(name, "", [reported_crash(instance, now - at / 2)])
         for name, instance, at in ends
     ]
-    told += [crash_ledger.Suspicion(name, "", [], now - at / 2) for name, at in clearings]
-    known = []
+    reports += [crash_ledger.SuspectReport(name, "", [], now - at / 2) for name, at in clearings]
+    records = []
     for _ in range(2):
         ledger = crash_ledger.CrashLedger()
-        # A clearing of a request that nobody suspects is not kept: each is suspected first.
+        # Reports of a response to an unknown request are ignored, so each gets a crash first.
         for name in "abc":
-            ledger.note_end(name, "", end("i-0", 0.0))
-        for suspicion in rng.sample(told, len(told)) + told:
-            ledger.merge(suspicion, now)
-        known.append({name: record.ends for name, record in ledger.records.items()})
-    assert known[0] == known[1]
+            ledger.record_crash(name, "", crash("i-0", 0.0))
+        for report in rng.sample(reports, len(reports)) + reports:
+            ledger.merge(report, now)
+        records.append({name: record.crashes for name, record in ledger.records.items()})
+    assert records[0] == records[1]
 
 
 def test_a_fingerprint_is_of_what_is_asked_and_for_whom_not_of_the_id():
     def digest(request_id="id", method=b"POST", path=b"/a/x", host="h", account="a", body=b"b"):
-        call = fleet.Call(request_id, method, path, host)
+        call = fleet.RequestHead(request_id, method, path, host)
         return fingerprints.fingerprint(call, account, body)
 
     assert digest() == digest(request_id="another")
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -197,7 +197,9 @@
         await fleet_nodes.until(lambda: set(fleet.entries[0].node.pool.backends) == {"i-next"})
         assert not crashes.ledger.records
         await task
-        assert [end.instance for record in crashes.ledger.records.values() for end in record.ends]
+        assert [
+            end.instance for record in crashes.ledger.records.values() for end in record.crashes
+        ]
 
     run(tmp_path, scenario, entries=1, workers=1)
 
@@ -239,7 +241,7 @@
                 await fleet.until_known()
                 with contextlib.suppress(Exception):
                     await fleet.ask(number % 2, body, f"/safe/deadly-{number}")
-            if number == crash_ledger.ACCOUNT_HELD_MAX - 1:
+            if number == crash_ledger.ACCOUNT_HELD_THRESHOLD - 1:
                 before = len(fleet.ends())
                 for entry in fleet.entries:
                     ledger = entry.node.crashes.ledger
@@ -268,8 +270,8 @@
         task = asyncio.get_running_loop().create_task(crashes.run())
 
         def see(instance):
-            end = crash_ledger.End(crashes.clock(), instance, crashes.clock())
-            crashes.ledger.note_end("f", "", end)
+            end = crash_ledger.Crash(crashes.clock(), instance, crashes.clock())
+            crashes.ledger.record_crash("f", "", end)
             crashes.report("f")
 
         see("i-1")
--- a/tests/test_leaving_answers.py
+++ b/tests/test_leaving_answers.py
@@ -175,13 +175,13 @@
 
 
 def test_news_in_full_tell_who_has_left():
-    registry = instances.Instances(1.0)
+    registry = instances.InstanceRegistry(1.0)
     for instance in ("i-1", "i-2"):
         address = f"10.0.0.{instance[-1]}:1"
         beat = fleet.Heartbeat(instance, "safe", address, "z", 1, fleet.READY, 1)
-        registry.take(beat, 10.0)
-    registry.remove("i-1")
-    is_full, told, gone = registry.since(0, 11.0)
+        registry.record_heartbeat(beat, 10.0)
+    registry.mark_gone("i-1")
+    is_full, told, gone = registry.changes_since(0, 11.0)
     assert (is_full, [one.heartbeat.instance for one in told], gone) == (True, ["i-2"], ["i-1"])
 
 
--- a/tests/test_repair_policy.py
+++ b/tests/test_repair_policy.py
@@ -1,4 +1,4 @@
-"""Repairs of the replicated log, decided from facts and in a cluster without sockets."""
+"""Membership repair: single decisions, and repeated failures in a simulated cluster."""
 
 import random
 
@@ -9,20 +9,22 @@
 from tests import raft_cluster
 
 CATCH_UP_S = 4.0
-DUTIES_EVERY_S = 0.2
+REPAIR_INTERVAL_S = 0.2
 
 
-def policy(losses_max: int = 1) -> log_repair.Policy:
-    return log_repair.Policy(
+def policy(losses_max: int = 1) -> log_repair.RepairPolicy:
+    return log_repair.RepairPolicy(
         losses_max, member_changes.SPARE_SILENCE_SHARE * CATCH_UP_S, 2 * CATCH_UP_S
     )
 
 
-def group(voters, silent_s=(), joiners=(), leaving=(), learners=(), match=9) -> log_repair.Group:
-    """Return a group whose first voter leads; `silent_s` is by name, the others were just heard."""
+def group(
+    voters, silent_s=(), joiners=(), leaving=(), learners=(), match=9
+) -> log_repair.GroupStatus:
+    """Return a group led by its first voter; `silent_s` maps names to seconds of silence."""
     members = raft_messages.Voters(list(voters), list(learners))
     others = [name for name in members.members() if name != voters[0]]
-    return log_repair.Group(
+    return log_repair.GroupStatus(
         members,
         voters[0],
         9,
@@ -39,7 +41,7 @@
 
 def test_a_spare_voter_is_removed_well_before_a_replacement_has_had_its_time():
     assert change(group("abcd", {"c": 1.3}.items())) is None
-    assert change(group("abcd", {"c": 1.5}.items())) == raft_members.Change(remove="c")
+    assert change(group("abcd", {"c": 1.5}.items())) == raft_members.MembershipChange(remove="c")
 
 
 def test_two_silent_voters_of_an_odd_number_go_although_one_of_them_wins_nothing():
@@ -52,9 +54,11 @@
 
 
 def test_a_voter_whose_removal_wins_no_loss_stays_until_it_was_silent_for_long():
-    # Seven voters need four, six need four as well.
+    # The majority of six voters is four, as is that of seven.
     assert change(group("abcdefg", {"c": 7.9}.items()), 2) is None
-    assert change(group("abcdefg", {"c": 8.1}.items()), 2) == raft_members.Change(remove="c")
+    assert change(group("abcdefg", {"c": 8.1}.items()), 2) == raft_members.MembershipChange(
+        remove="c"
+    )
 
 
 def test_a_large_group_that_bears_enough_losses_keeps_a_silent_voter():
@@ -63,11 +67,11 @@
 
 def test_of_two_silent_voters_the_longer_silent_goes_first():
     decided = change(group("abcdef", {"c": 3.0, "d": 5.0}.items()), 2)
-    assert decided == raft_members.Change(remove="d")
+    assert decided == raft_members.MembershipChange(remove="d")
 
 
 def test_a_leaving_spare_voter_is_removed_at_once_and_a_needed_one_is_not():
-    assert change(group("abcd", leaving="c")) == raft_members.Change(remove="c")
+    assert change(group("abcd", leaving="c")) == raft_members.MembershipChange(remove="c")
     assert change(group("abc", leaving="c")) is None
     assert change(group("abcde", leaving="c")) is None
 
@@ -78,31 +82,31 @@
 
 def test_a_member_whose_disk_is_lost_is_removed_before_its_successor_joins():
     decided = change(group(["a", "b", "c"], joiners=["c#2"]))
-    assert decided == raft_members.Change(remove="c")
+    assert decided == raft_members.MembershipChange(remove="c")
 
 
 def test_a_joiner_becomes_a_learner_and_then_a_voter_once_it_has_caught_up():
     assert change(group("abc", joiners="d")).add == "d"
     assert change(group("abc", joiners="d", learners="d", match=8)) is None
     decided = change(group("abc", joiners="d", learners="d"))
-    assert decided == raft_members.Change(promote="d")
+    assert decided == raft_members.MembershipChange(promote="d")
 
 
 class Fleet:
-    """A cluster whose leader repairs it, and whose members are lost for good and replaced."""
+    """A cluster that its leader repairs, whose members fail permanently and are replaced."""
 
     def __init__(self, size: int, losses_max: int, seed: int) -> None:
         self.cluster = raft_cluster.Cluster(size, seed)
         self.policy = policy(losses_max)
         self.joiners: list[str] = []
-        self.duties_at = 0.0
+        self.repair_at = 0.0
 
     def run(self, seconds: float) -> None:
         stop_at = self.cluster.now + seconds
         while self.cluster.now < stop_at:
             self.cluster.run(raft_cluster.STEP_S)
-            if self.cluster.now >= self.duties_at:
-                self.duties_at = self.cluster.now + DUTIES_EVERY_S
+            if self.cluster.now >= self.repair_at:
+                self.repair_at = self.cluster.now + REPAIR_INTERVAL_S
                 self.repair()
 
     def repair(self) -> None:
@@ -111,7 +115,7 @@
             if not member.raft.holds_lease(now):
                 continue
             progress = member.raft.progress
-            facts = log_repair.Group(
+            status = log_repair.GroupStatus(
                 member.raft.log.voters,
                 member.name,
                 member.raft.commit,
@@ -120,7 +124,7 @@
                 [name for name in self.joiners if self.cluster.members[name].is_up],
                 [],
             )
-            decided = log_repair.next_change(facts, self.policy, now)
+            decided = log_repair.next_change(status, self.policy, now)
             if decided is not None:
                 self.cluster.change(decided)
 
@@ -133,7 +137,7 @@
         self.cluster.add_member(name)
 
     def is_committing(self) -> bool:
-        """Return whether a command is committed everywhere within an election's time."""
+        """Return whether, after time for an election, a command is applied by all members."""
         self.run(2.0)
         data = self.cluster.propose()
         self.run(0.5)
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -116,15 +116,15 @@
 
 def test_heartbeats_and_suspicions_grow_old_over_a_suspension(tmp_path):
     clock = fleet_nodes.JumpingClock()
-    registry = instances.Instances(1.2)
+    registry = instances.InstanceRegistry(1.2)
     heartbeat = fleet_nodes.dialect.bodies.heartbeat(
         "i",
         b'{"service":"s","address":"1.1.1.1:1","zone":"z","slots":1,"state":"ready","sequence":1}',
     )
-    registry.take(heartbeat, clock())
+    registry.record_heartbeat(heartbeat, clock())
     ledger = crash_ledger.CrashLedger()
-    ledger.note_end("f", "", crash_ledger.End(clock(), "i", clock()))
-    clock.suspended_s = 2 * crash_ledger.FORGET_S
+    ledger.record_crash("f", "", crash_ledger.Crash(clock(), "i", clock()))
+    clock.suspended_s = 2 * crash_ledger.RECORD_EXPIRY_S
     assert registry.expire(clock(), 9.6) == ["i"]
     ledger.expire(clock())
     assert not ledger.records
