--- a/src/merlinthread/coordination/backend_record.py
+++ b/src/merlinthread/coordination/backend_record.py
@@ -95,16 +95,16 @@
 
     def load(self, now: float) -> int:
         """Return how many requests run or wait there."""
-        return self.in_flight + (self.others if self.others_known(now) else 0)
+        return self.in_flight + (self.others if self.has_fresh_load(now) else 0)
 
     def has_room(self, now: float) -> bool:
         """Return whether it surely has places to spare and no prompt waits to be read there."""
-        if not self.others_known(now) or self.load(now) > ROOM_SHARE * self.slots:
+        if not self.has_fresh_load(now) or self.load(now) > ROOM_SHARE * self.slots:
             return False
         unread = self.unread_tokens + (self.others_unread_tokens or 0.0)
         return unread == 0 and not self.others_queued
 
-    def others_known(self, now: float) -> bool:
+    def has_fresh_load(self, now: float) -> bool:
         """Return whether a fresh report tells of the requests of other entries."""
         return now - self.heard_at() <= REPORT_FRESH_S
 
@@ -114,7 +114,7 @@
 
     def is_unheard(self, now: float) -> bool:
         """Return whether reports came once and come no more: its machine may stand still."""
-        return self.reported_at > float("-inf") and not self.others_known(now)
+        return self.reported_at > float("-inf") and not self.has_fresh_load(now)
 
     def is_changing(self, now: float) -> bool:
         """Return whether it is changing its weights, as far as known.
@@ -123,7 +123,7 @@
         fresh; it would never be asked again otherwise.
         """
         is_heard = self.reported_at > float("-inf")
-        return self.is_busy and (is_heard or self.others_known(now))
+        return self.is_busy and (is_heard or self.has_fresh_load(now))
 
     def is_aside(self, now: float) -> bool:
         """Return whether it has just failed, so that others are tried before it."""
--- a/src/merlinthread/coordination/dispatch.py
+++ b/src/merlinthread/coordination/dispatch.py
@@ -77,7 +77,7 @@
         return work_s * (1 + waiting / max(1, backend.slots)) + running_s
     pass_s = engine.step_s * engine.steps_per_pass
     unread = backend.unread_tokens
-    if backend.others_known(now):
+    if backend.has_fresh_load(now):
         unread += others_unread(backend, engine)
     unread_s = reading_s(engine, unread + tokens)
     waiting = max(0, load - backend.slots + 1)
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -109,7 +109,7 @@
         clock.suspended_s = 30.0
         assert pool.required_version("m", clock()) == 2
         assert budget.spend(clock())
-        assert not backend.others_known(clock())
+        assert not backend.has_fresh_load(clock())
 
     asyncio.run(scenario())
 
