--- a/src/merlinthread/coordination/backend_record.py
+++ b/src/merlinthread/coordination/backend_record.py
@@ -106,9 +106,9 @@
 
     def has_fresh_load(self, now: float) -> bool:
         """Return whether a fresh report tells of the requests of other entries."""
-        return now - self.heard_at() <= REPORT_FRESH_S
+        return now - self.load_updated_at() <= REPORT_FRESH_S
 
-    def heard_at(self) -> float:
+    def load_updated_at(self) -> float:
         """Return when its agent last told its load, in a report or an answer."""
         return max(self.reported_at, self.answered_at)
 
--- a/src/merlinthread/nodes/attempt_notes.py
+++ b/src/merlinthread/nodes/attempt_notes.py
@@ -9,7 +9,7 @@
 ) -> str:
     """Return what is believed of a back end for a request that arrived at `arrived`."""
     backend = choice.backend
-    age_ms = round(1000 * (now - backend.heard_at())) if backend.has_fresh_load(now) else -1
+    age_ms = round(1000 * (now - backend.load_updated_at())) if backend.has_fresh_load(now) else -1
     waited_ms = round(1000 * (now - arrived))
     expected_ms = round(1000 * choice.first_s)
     unread = round(backend.unread_tokens + (backend.others_unread_tokens or 0.0))
