--- a/src/merlinthread/coordination/backend_record.py
+++ b/src/merlinthread/coordination/backend_record.py
@@ -112,7 +112,7 @@
         """Return when its agent last told its load, in a report or an answer."""
         return max(self.reported_at, self.answered_at)
 
-    def is_unheard(self, now: float) -> bool:
+    def has_stale_reports(self, now: float) -> bool:
         """Return whether reports came once and come no more: its machine may stand still."""
         return self.reported_at > float("-inf") and not self.has_fresh_load(now)
 
--- a/src/merlinthread/coordination/dispatch.py
+++ b/src/merlinthread/coordination/dispatch.py
@@ -290,7 +290,7 @@
     cost_s = first_s + DISTANCE_COST_S[backend.distance]
     if now < backend.cold_until:
         cost_s += first_s
-    if backend.is_unheard(now):
+    if backend.has_stale_reports(now):
         cost_s += UNHEARD_COST_S
     if backend.is_silent:
         cost_s += SILENT_COST_S
