--- a/src/merlinthread/coordination/backend_record.py
+++ b/src/merlinthread/coordination/backend_record.py
@@ -125,7 +125,7 @@
         is_heard = self.reported_at > float("-inf")
         return self.is_busy and (is_heard or self.has_fresh_load(now))
 
-    def is_aside(self, now: float) -> bool:
+    def is_ejected(self, now: float) -> bool:
         """Return whether it has just failed, so that others are tried before it."""
         return now < self.aside_until
 
--- a/src/merlinthread/coordination/dispatch.py
+++ b/src/merlinthread/coordination/dispatch.py
@@ -130,7 +130,7 @@
     backend: backend_record.Backend, demand: Demand, engine: fleet.Engine | None, now: float
 ) -> bool:
     """Return whether a back end may get this attempt, and has not just failed."""
-    return is_fit(backend, demand, engine, now) and not backend.is_aside(now)
+    return is_fit(backend, demand, engine, now) and not backend.is_ejected(now)
 
 
 def is_fit(
@@ -183,7 +183,7 @@
     half-open state of a circuit breaker, Nygard 2007).
     """
     fit = [backend for backend in backends if is_fit(backend, demand, engine, now)]
-    sound = [backend for backend in fit if not backend.is_aside(now)]
+    sound = [backend for backend in fit if not backend.is_ejected(now)]
     return sound or [backend for backend in fit if not backend.in_flight]
 
 
@@ -202,7 +202,7 @@
         for backend in backends
         if is_fit_with_permit(backend, demand, engine, now)
         and begins_in_time(backend, demand, engine, now)
-        and not backend.is_aside(now)
+        and not backend.is_ejected(now)
     ]
     if not all(backend.standing.is_limited() for backend in fit):
         return []
@@ -294,7 +294,7 @@
         cost_s += UNHEARD_COST_S
     if backend.is_silent:
         cost_s += SILENT_COST_S
-    if backend.is_aside(now):
+    if backend.is_ejected(now):
         return Choice(backend, first_s, math.inf, math.inf)
     return Choice(backend, first_s, first_s - reading_s(engine, demand.prompt_tokens), cost_s)
 
--- a/src/merlinthread/nodes/request_task.py
+++ b/src/merlinthread/nodes/request_task.py
@@ -322,7 +322,7 @@
         has_begun = self.sent() > 0 or self.exchange.is_started
         if has_begun or self.facts.route.kind != fleet.STREAMING:
             return choice
-        if choice.backend.is_aside(self.clock()):
+        if choice.backend.is_ejected(self.clock()):
             return choice
         reason = f"every back end is busy: {self.belief(choice)}"
         raise self.no_place(reason, self.return_after_s(False))
--- a/tests/test_leaving_answers.py
+++ b/tests/test_leaving_answers.py
@@ -129,7 +129,7 @@
                 await fleet_.ask()
         liar.behaviour.is_leaving = liar.behaviour.wrong_request_id = False
         pool = fleet_.entry.node.pool
-        await fleet_nodes.until(lambda: not pool.backends[liar.instance].is_aside(pool.clock()))
+        await fleet_nodes.until(lambda: not pool.backends[liar.instance].is_ejected(pool.clock()))
         assert await fleet_.is_used(liar)
 
     asyncio.run(scenario())
