--- a/src/merlinthread/coordination/backend_record.py
+++ b/src/merlinthread/coordination/backend_record.py
@@ -74,7 +74,7 @@
     is_busy: bool = False
     reported_at: float = float("-inf")
     failures: int = 0
-    aside_until: float = float("-inf")
+    ejected_until: float = float("-inf")
     full_until: float = float("-inf")
     slow_until: float = float("-inf")
     usual: WorkTime = dataclasses.field(default_factory=WorkTime)
@@ -127,7 +127,7 @@
 
     def is_ejected(self, now: float) -> bool:
         """Return whether it has just failed, so that others are tried before it."""
-        return now < self.aside_until
+        return now < self.ejected_until
 
     def is_prompt(self, now: float) -> bool:
         """Return whether a request sent now surely reaches it soon: its agent has just answered."""
--- a/src/merlinthread/coordination/dispatch.py
+++ b/src/merlinthread/coordination/dispatch.py
@@ -303,7 +303,7 @@
     """Set a back end aside after a failure, longer each time."""
     wait = min(FAILED_WAIT_MAX_S, FAILED_WAIT_S * 2**backend.failures)
     backend.failures += 1
-    backend.aside_until = now + wait
+    backend.ejected_until = now + wait
 
 
 def note_success(backend: backend_record.Backend, work_s: float) -> None:
--- a/tests/test_entry_node.py
+++ b/tests/test_entry_node.py
@@ -361,7 +361,7 @@
             orders.add(runs([lost]))
             lost.runs.clear()
             for backend in entry.node.pool.backends.values():
-                backend.aside_until = backend.full_until = 0.0
+                backend.ejected_until = backend.full_until = 0.0
                 backend.failures = 0
         assert 1 in orders
 
--- a/tests/test_fleet_deciders.py
+++ b/tests/test_fleet_deciders.py
@@ -176,7 +176,7 @@
     waits = []
     for _ in range(3):
         dispatch.note_failure(one, 100.0)
-        waits.append(one.aside_until - 100.0)
+        waits.append(one.ejected_until - 100.0)
     assert waits == sorted(set(waits))
     demand = dispatch.Demand("s")
     assert not dispatch.is_able(one, demand, None, 100.0)
