--- a/src/merlinthread/coordination/backend_record.py
+++ b/src/merlinthread/coordination/backend_record.py
@@ -129,7 +129,7 @@
         """Return whether it has just failed, so that others are tried before it."""
         return now < self.ejected_until
 
-    def is_prompt(self, now: float) -> bool:
+    def is_responsive(self, now: float) -> bool:
         """Return whether a request sent now surely reaches it soon: its agent has just answered."""
         return now >= self.slow_until and now - self.answered_at <= PROMPT_ANSWER_S
 
--- a/src/merlinthread/coordination/dispatch.py
+++ b/src/merlinthread/coordination/dispatch.py
@@ -167,7 +167,7 @@
     if not demand.model or engine is None:
         return True
     held = backend.version_of(demand.model, engine.layers)
-    return held >= demand.version_soon or backend.is_prompt(now)
+    return held >= demand.version_soon or backend.is_responsive(now)
 
 
 def candidates(
