--- a/src/merlinthread/coordination/backend_record.py
+++ b/src/merlinthread/coordination/backend_record.py
@@ -69,7 +69,7 @@
     others_queued: int = 0
     others_unread_tokens: float | None = None
     pace: float = 1.0
-    is_silent: bool = False
+    probe_unanswered: bool = False
     answered_at: float = float("-inf")
     is_busy: bool = False
     reported_at: float = float("-inf")
@@ -153,7 +153,7 @@
             self.others = others.attempts
             self.others_unread_tokens = others.unread_tokens
         self.pace = max(1.0, report.pace)
-        self.is_silent = False
+        self.probe_unanswered = False
         self.is_busy = report.is_busy
         self.weights = report.weights
         self.ready_at = None if report.ready_in_s is None else now + report.ready_in_s
@@ -161,7 +161,7 @@
 
     def take_answer(self, answer: load_ledger.EngineNow | None, now: float) -> None:
         """Take its agent's answer to a question, or note that there was none."""
-        self.is_silent = answer is None
+        self.probe_unanswered = answer is None
         if answer is not None:
             self.others = answer.others.attempts
             self.others_unread_tokens = answer.others.unread_tokens
--- a/src/merlinthread/coordination/dispatch.py
+++ b/src/merlinthread/coordination/dispatch.py
@@ -292,7 +292,7 @@
         cost_s += first_s
     if backend.has_stale_reports(now):
         cost_s += UNHEARD_COST_S
-    if backend.is_silent:
+    if backend.probe_unanswered:
         cost_s += SILENT_COST_S
     if backend.is_ejected(now):
         return Choice(backend, first_s, math.inf, math.inf)
--- a/src/merlinthread/nodes/backend_pool.py
+++ b/src/merlinthread/nodes/backend_pool.py
@@ -243,7 +243,7 @@
         others = self.unheard(backends, heard)
         asked = dispatch.shortlist(others, demand, engine, self.clock(), self.rng, PROBED)
         await self.ask_loads(asked)
-        known = [*heard, *(backend for backend in asked if not backend.is_silent)]
+        known = [*heard, *(backend for backend in asked if not backend.probe_unanswered)]
         # Of one that is not heard and does not answer nothing is known: it is the last resort.
         choice = dispatch.best_of(known, demand, engine, self.clock())
         return choice or dispatch.best_of(asked, demand, engine, self.clock())
