--- a/src/merlinthread/coordination/backend_record.py
+++ b/src/merlinthread/coordination/backend_record.py
@@ -138,7 +138,7 @@
         if took_s > SLOW_FIRST_S:
             self.slow_until = now + SLOW_FOR_S
 
-    def take_report(
+    def apply_report(
         self,
         report: fleet.EngineReport,
         now: float,
--- a/src/merlinthread/coordination/load_ledger.py
+++ b/src/merlinthread/coordination/load_ledger.py
@@ -64,7 +64,7 @@
         """Note that an attempt is over."""
         self.open.pop((entry, number), None)
 
-    def take_report(self, running: int, now: float) -> None:
+    def apply_report(self, running: int, now: float) -> None:
         """Compare with what the engine tells: the difference is of unknown origin."""
         for key, attempt in list(self.open.items()):
             if now - attempt.began_at > OPEN_S_MAX:
--- a/src/merlinthread/nodes/agent_node.py
+++ b/src/merlinthread/nodes/agent_node.py
@@ -129,7 +129,7 @@
                 self.note_engine(True, "")
                 self.weights.note_report(report)
                 report.ready_in_s = self.weights.ready_in_s()
-                self.ledger.take_report(report.running + report.queued, self.clock())
+                self.ledger.apply_report(report.running + report.queued, self.clock())
                 self.tell(report)
             except errors.MerlinthreadError as error:
                 self.note_engine(False, error.message)
--- a/src/merlinthread/nodes/backend_pool.py
+++ b/src/merlinthread/nodes/backend_pool.py
@@ -182,7 +182,7 @@
         backend = self.by_address.get(load.address)
         if backend is None or not is_of(load.report, backend):
             return
-        backend.take_report(load.report, self.clock(), load.others)
+        backend.apply_report(load.report, self.clock(), load.others)
         room = self.rooms.get(backend.service)
         if room is not None and len(room):
             room.wake(WAKE_AT_ONCE)
--- a/tests/test_entry_node.py
+++ b/tests/test_entry_node.py
@@ -119,13 +119,13 @@
         report = fleet.EngineReport(weights=[fleet.Weights("m", 1, 16)])
         waits = []
         for number in range(8):
-            backend.take_report(report, entry.node.clock())
+            backend.apply_report(report, entry.node.clock())
             backend.unread_tokens = unread
             answer = await entry.ask("/model/", f"id-{number}", **STREAM)
             assert (answer.status, runs([worker])) == (503, 0)
             waits.append(float(http_messages.header(answer.headers, b"retry-after")))
         assert min(waits) >= 0.4 and max(waits) <= 2.5 / 3 and len(set(waits)) > 1
-        backend.take_report(report, entry.node.clock())
+        backend.apply_report(report, entry.node.clock())
         late = STREAM | {"X_Merlinthread_Deadline_Ms": "2000"}
         assert (await entry.ask("/model/", "id-late", **late)).status == 200
 
@@ -299,7 +299,7 @@
         now = pool.clock()
         for backend in pool.backends.values():
             held = 1 if backend.instance == old.instance else 2
-            backend.take_report(fleet.EngineReport(weights=[fleet.Weights("m", held, 16)]), now)
+            backend.apply_report(fleet.EngineReport(weights=[fleet.Weights("m", held, 16)]), now)
         pool.backends[new.instance].is_draining = True
         watcher.named, watcher.named_at = {"m": 2}, {"m": {2: now}}
         connection = await entry.send("/model/", "id-1", **STREAM)
@@ -321,7 +321,7 @@
         watcher, pool = entry.node.watcher, entry.node.pool
         now = pool.clock()
         report = fleet.EngineReport(weights=[fleet.Weights("m", 3, 16)])
-        pool.backends[engine.instance].take_report(report, now)
+        pool.backends[engine.instance].apply_report(report, now)
         watcher.named, watcher.named_at = {"m": 3}, {"m": {2: now - 60.0, 3: now}}
         assert pool.required_version("m", now) == 2
         answer = await entry.ask("/model/", "id-1", **STREAM)
@@ -405,11 +405,11 @@
         report = fleet.EngineReport(weights=[fleet.Weights("m", 1, 16)])
         # As after connections that timed out: the time for admission is over.
         monkeypatch.setattr(request_task, "ADMIT_SHARE", -1.0)
-        backend.take_report(report, entry.node.clock())
+        backend.apply_report(report, entry.node.clock())
         assert (await entry.ask("/model/", "id-1", **STREAM)).status == 200
         # Where others wait, it would only make them late too.
         report.running = backend.slots
-        backend.take_report(report, entry.node.clock())
+        backend.apply_report(report, entry.node.clock())
         answer = await entry.ask("/model/", "id-2", **STREAM)
         assert (answer.status, runs([worker])) == (503, 1)
 
@@ -425,7 +425,7 @@
         pool.agent_of = lambda backend: backend.instance
         pool.heard = {"model": [heard]}
         report = fleet.EngineReport(running=8, queued=4, weights=[fleet.Weights("m", 1, 16)])
-        heard.take_report(report, pool.clock())
+        heard.apply_report(report, pool.clock())
 
         async def answers_of_the_heard_one(agents, wait_s):
             others = load_ledger.Outstanding(12, 4, 100_000.0)
@@ -450,7 +450,7 @@
         heard = [pool.backends[worker.instance] for worker in workers[:2]]
         pool.heard = {"model": heard}
         for engine in heard:
-            engine.take_report(fleet.EngineReport(ready_in_s=3.0), pool.clock())
+            engine.apply_report(fleet.EngineReport(ready_in_s=3.0), pool.clock())
         assert pool.ready_in_s("model") == pytest.approx(3.0, abs=0.2)
         heard[0].stop_hearing()
         assert heard[0].ready_at is None
--- a/tests/test_fleet_deciders.py
+++ b/tests/test_fleet_deciders.py
@@ -206,7 +206,7 @@
 
 def test_an_old_report_is_not_believed():
     one = backend(in_flight=2)
-    one.take_report(fleet.EngineReport(running=9), 0.0)
+    one.apply_report(fleet.EngineReport(running=9), 0.0)
     assert one.load(0.5) == 9
     assert one.load(5.0) == 2
 
@@ -214,7 +214,7 @@
 def test_a_back_end_whose_reports_have_stopped_is_chosen_last():
     silent, heard = backend("silent"), backend("heard", in_flight=8)
     for one, at in ((silent, 0.0), (heard, 9.5)):
-        one.take_report(fleet.EngineReport(weights=[fleet.Weights("m", 1, 16)]), at)
+        one.apply_report(fleet.EngineReport(weights=[fleet.Weights("m", 1, 16)]), at)
     demand = dispatch.Demand("s", "m", prompt_tokens=900.0)
     choice = dispatch.choose([silent, heard], demand, ENGINE, 10.0, random.Random(1))
     assert choice.backend is heard
@@ -290,18 +290,18 @@
     ledger.began("entry-1", 1, 900.0, 10.0)
     late = 10.0 + load_ledger.UNREAD_S_MAX + 0.1
     assert ledger.outstanding("entry-2", late) == load_ledger.Outstanding(1, 0, 0.0)
-    ledger.take_report(4, late)
+    ledger.apply_report(4, late)
     assert ledger.outstanding("entry-2", late).attempts == 4
-    ledger.take_report(0, late)
+    ledger.apply_report(0, late)
     assert ledger.outstanding("entry-2", late).attempts == 0
-    ledger.take_report(0, 10.0 + load_ledger.OPEN_S_MAX + 0.1)
+    ledger.apply_report(0, 10.0 + load_ledger.OPEN_S_MAX + 0.1)
     assert not ledger.open
 
 
 def test_prompts_that_others_have_sent_put_the_first_byte_off():
     busy, idle = backend("busy"), backend("idle")
     for one, tokens in ((busy, 5000.0), (idle, 0.0)):
-        one.take_report(fleet.EngineReport(weights=[fleet.Weights("m", 1, 16)]), 9.95)
+        one.apply_report(fleet.EngineReport(weights=[fleet.Weights("m", 1, 16)]), 9.95)
         one.take_answer(load_ledger.EngineNow(load_ledger.Outstanding(3, 2, tokens)), 10.0)
     demand = dispatch.Demand("s", "m", prompt_tokens=1000.0)
     choices = [dispatch.rate(one, demand, ENGINE, 10.0) for one in (busy, idle)]
@@ -326,7 +326,7 @@
     prompt, silent, slow = backend("prompt"), backend("silent"), backend("slow")
     for one, pace in ((prompt, 1.0), (silent, 1.0), (slow, 4.0)):
         report = fleet.EngineReport(weights=[fleet.Weights("m", 1, 16)], pace=pace)
-        one.take_report(report, 9.95)
+        one.apply_report(report, 9.95)
     silent.take_answer(None, 10.0)
     demand = dispatch.Demand("s", "m", prompt_tokens=1000.0)
     asked = dispatch.shortlist([slow, silent, prompt], demand, ENGINE, 10.0, random.Random(1), 3)
@@ -387,7 +387,7 @@
     )
     nothing = load_ledger.EngineNow(load_ledger.Outstanding())
     for one in (prompt, slow, silent, asked_before):
-        one.take_report(report, 9.99)
+        one.apply_report(report, 9.99)
     prompt.take_answer(nothing, 9.99)
     slow.take_answer(nothing, 9.99)
     slow.note_first(0.8, 9.0)
--- a/tests/test_load_feed.py
+++ b/tests/test_load_feed.py
@@ -103,7 +103,7 @@
 
 def test_silence_of_an_engine_that_is_no_longer_heard_costs_nothing():
     engine = engines(1, 1, 0)[0]
-    engine.take_report(fleet.EngineReport(), 10.0)
+    engine.apply_report(fleet.EngineReport(), 10.0)
     assert engine.has_stale_reports(20.0)
     engine.stop_hearing()
     assert not engine.has_stale_reports(20.0)
--- a/tests/test_return_times.py
+++ b/tests/test_return_times.py
@@ -76,7 +76,7 @@
     found = []
     for number, told_s in enumerate(ready_in_s):
         engine = backend_record.Backend(f"i-{number}", "s", "10.0.0.1:1", "z", 0, 12)
-        engine.take_report(fleet.EngineReport(ready_in_s=told_s), 10.0)
+        engine.apply_report(fleet.EngineReport(ready_in_s=told_s), 10.0)
         found.append(engine)
     return found
 
