--- a/src/merlinthread/coordination/backend_record.py
+++ b/src/merlinthread/coordination/backend_record.py
@@ -169,7 +169,7 @@
             self.pace = max(1.0, answer.pace)
             self.answered_at = now
 
-    def stop_hearing(self) -> None:
+    def stop_reports(self) -> None:
         """Note that its agent is no longer asked to tell its load: silence means nothing then."""
         self.reported_at = float("-inf")
         self.ready_at = None
--- a/src/merlinthread/nodes/backend_pool.py
+++ b/src/merlinthread/nodes/backend_pool.py
@@ -129,7 +129,7 @@
         for heard in before.values():
             for backend in heard:
                 if backend.instance not in kept:
-                    backend.stop_hearing()
+                    backend.stop_reports()
 
     def update_one(self, instance: str, heartbeat: fleet.Heartbeat) -> None:
         """Take over one back end."""
--- a/tests/test_entry_node.py
+++ b/tests/test_entry_node.py
@@ -452,7 +452,7 @@
         for engine in heard:
             engine.apply_report(fleet.EngineReport(ready_in_s=3.0), pool.clock())
         assert pool.ready_in_s("model") == pytest.approx(3.0, abs=0.2)
-        heard[0].stop_hearing()
+        heard[0].stop_reports()
         assert heard[0].ready_at is None
         assert pool.ready_in_s("no such service") is None
 
--- a/tests/test_load_feed.py
+++ b/tests/test_load_feed.py
@@ -105,7 +105,7 @@
     engine = engines(1, 1, 0)[0]
     engine.apply_report(fleet.EngineReport(), 10.0)
     assert engine.has_stale_reports(20.0)
-    engine.stop_hearing()
+    engine.stop_reports()
     assert not engine.has_stale_reports(20.0)
     choices = dispatch.shortlist([engine], dispatch.Demand("s"), None, 20.0, random.Random(1), 2)
     assert choices == [engine]
