--- a/src/merlinthread/coordination/backend_record.py
+++ b/src/merlinthread/coordination/backend_record.py
@@ -27,7 +27,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class WorkTime:
+class ResponseTime:
     """How long answers took, in the mean of the last ones, in seconds."""
 
     mean_s: float = USUAL_WORK_S
@@ -77,8 +77,8 @@
     ejected_until: float = float("-inf")
     full_until: float = float("-inf")
     slow_until: float = float("-inf")
-    usual: WorkTime = dataclasses.field(default_factory=WorkTime)
-    work: WorkTime = dataclasses.field(default_factory=WorkTime)
+    usual: ResponseTime = dataclasses.field(default_factory=ResponseTime)
+    work: ResponseTime = dataclasses.field(default_factory=ResponseTime)
     ready_at: float | None = None
     missing_since: float | None = None
     standing: backend_signals.Standing = dataclasses.field(default_factory=backend_signals.Standing)
--- a/src/merlinthread/nodes/backend_pool.py
+++ b/src/merlinthread/nodes/backend_pool.py
@@ -91,7 +91,7 @@
         self.heard: dict[str, list[backend_record.Backend]] = {}
         self.signals = signals
         self.words = signal_taker.SignalTaker(signals, teller, clock)
-        self.usual_work: dict[str, backend_record.WorkTime] = {}
+        self.usual_work: dict[str, backend_record.ResponseTime] = {}
         self.rooms: dict[str, waiting_room.WaitingRoom] = {}
         self.budgets: dict[str, retry_budget.RetryBudget] = {}
         self.place_numbers = itertools.count(1)
@@ -143,7 +143,7 @@
                 self.settings.distance(heartbeat.zone),
                 heartbeat.slots,
                 standing=self.signals.of(instance),
-                usual=self.usual_work.setdefault(heartbeat.service, backend_record.WorkTime()),
+                usual=self.usual_work.setdefault(heartbeat.service, backend_record.ResponseTime()),
             )
             self.backends[instance] = backend
         backend.slots = heartbeat.slots
--- a/tests/test_new_back_ends.py
+++ b/tests/test_new_back_ends.py
@@ -51,7 +51,7 @@
 
 
 def test_one_slow_answer_after_the_start_does_not_keep_a_back_end_from_work():
-    usual = backend_record.WorkTime()
+    usual = backend_record.ResponseTime()
     for _ in range(50):
         usual.note(WORK_S)
     backend = backend_record.Backend("i", "safe", "a:1", "zone", 0, 8, usual=usual)
@@ -64,7 +64,7 @@
 
 
 def test_a_guess_without_grounds_gives_way_to_the_first_answers_of_the_service():
-    usual = backend_record.WorkTime()
+    usual = backend_record.ResponseTime()
     backends = [
         backend_record.Backend(f"i-{number}", "safe", "a:1", "zone", 0, 8, usual=usual)
         for number in range(2)
@@ -78,7 +78,7 @@
     quicker = backend_record.Backend("quicker", "safe", "a:1", "zone", 0, 8)
     slower = backend_record.Backend("slower", "safe", "a:2", "zone", 0, 8)
     for backend, work_s in ((quicker, 0.0213), (slower, 0.0214)):
-        backend.work = backend_record.WorkTime(work_s, answers=1000)
+        backend.work = backend_record.ResponseTime(work_s, answers=1000)
     taken = [
         dispatch.choose([quicker, slower], dispatch.Demand("safe"), None, 0.0, rng).backend
         for _ in range(100)
