--- a/src/merlinthread/coordination/backend_record.py
+++ b/src/merlinthread/coordination/backend_record.py
@@ -77,7 +77,7 @@
     ejected_until: float = float("-inf")
     full_until: float = float("-inf")
     slow_until: float = float("-inf")
-    usual: ResponseTime = dataclasses.field(default_factory=ResponseTime)
+    service_response_time: ResponseTime = dataclasses.field(default_factory=ResponseTime)
     work: ResponseTime = dataclasses.field(default_factory=ResponseTime)
     ready_at: float | None = None
     missing_since: float | None = None
@@ -91,7 +91,9 @@
         to learn better.
         """
         weight = self.work.answers / (GUESS_ANSWERS + self.work.answers)
-        return self.usual.mean_s + weight * (self.work.mean_s - self.usual.mean_s)
+        return self.service_response_time.mean_s + weight * (
+            self.work.mean_s - self.service_response_time.mean_s
+        )
 
     def load(self, now: float) -> int:
         """Return how many requests run or wait there."""
--- a/src/merlinthread/nodes/backend_pool.py
+++ b/src/merlinthread/nodes/backend_pool.py
@@ -143,7 +143,9 @@
                 self.settings.distance(heartbeat.zone),
                 heartbeat.slots,
                 standing=self.signals.of(instance),
-                usual=self.usual_work.setdefault(heartbeat.service, backend_record.ResponseTime()),
+                service_response_time=self.usual_work.setdefault(
+                    heartbeat.service, backend_record.ResponseTime()
+                ),
             )
             self.backends[instance] = backend
         backend.slots = heartbeat.slots
--- a/tests/test_new_back_ends.py
+++ b/tests/test_new_back_ends.py
@@ -54,7 +54,7 @@
     usual = backend_record.ResponseTime()
     for _ in range(50):
         usual.note(WORK_S)
-    backend = backend_record.Backend("i", "safe", "a:1", "zone", 0, 8, usual=usual)
+    backend = backend_record.Backend("i", "safe", "a:1", "zone", 0, 8, service_response_time=usual)
     assert backend.work_s() == pytest.approx(WORK_S)
     dispatch.note_success(backend, 10 * WORK_S)
     assert backend.work_s() < 4 * WORK_S
@@ -66,7 +66,9 @@
 def test_a_guess_without_grounds_gives_way_to_the_first_answers_of_the_service():
     usual = backend_record.ResponseTime()
     backends = [
-        backend_record.Backend(f"i-{number}", "safe", "a:1", "zone", 0, 8, usual=usual)
+        backend_record.Backend(
+            f"i-{number}", "safe", "a:1", "zone", 0, 8, service_response_time=usual
+        )
         for number in range(2)
     ]
     dispatch.note_success(backends[0], WORK_S)
