--- a/src/merlinthread/coordination/backend_record.py
+++ b/src/merlinthread/coordination/backend_record.py
@@ -83,7 +83,7 @@
     missing_since: float | None = None
     standing: backend_signals.Standing = dataclasses.field(default_factory=backend_signals.Standing)
 
-    def work_s(self) -> float:
+    def expected_response_s(self) -> float:
         """Return how long a request is taken to need there.
 
         Of one that has answered little that is what the others of its service need: with a guess
--- a/src/merlinthread/coordination/dispatch.py
+++ b/src/merlinthread/coordination/dispatch.py
@@ -72,7 +72,7 @@
     load = backend.load(now)
     if engine is None or not engine.read_tokens_per_s:
         waiting = max(0, load - backend.slots + 1)
-        work_s = backend.work_s()
+        work_s = backend.expected_response_s()
         running_s = load * max(work_s, PLAIN_RUNNING_COST_S)
         return work_s * (1 + waiting / max(1, backend.slots)) + running_s
     pass_s = engine.step_s * engine.steps_per_pass
