--- a/src/merlinthread/coordination/backend_record.py
+++ b/src/merlinthread/coordination/backend_record.py
@@ -78,7 +78,7 @@
     full_until: float = float("-inf")
     slow_until: float = float("-inf")
     service_response_time: ResponseTime = dataclasses.field(default_factory=ResponseTime)
-    work: ResponseTime = dataclasses.field(default_factory=ResponseTime)
+    response_time: ResponseTime = dataclasses.field(default_factory=ResponseTime)
     ready_at: float | None = None
     missing_since: float | None = None
     standing: backend_signals.Standing = dataclasses.field(default_factory=backend_signals.Standing)
@@ -90,9 +90,9 @@
         that is too long it would look slower than they are, idle as it is, and get nothing by which
         to learn better.
         """
-        weight = self.work.answers / (GUESS_ANSWERS + self.work.answers)
+        weight = self.response_time.answers / (GUESS_ANSWERS + self.response_time.answers)
         return self.service_response_time.mean_s + weight * (
-            self.work.mean_s - self.service_response_time.mean_s
+            self.response_time.mean_s - self.service_response_time.mean_s
         )
 
     def load(self, now: float) -> int:
--- a/src/merlinthread/coordination/dispatch.py
+++ b/src/merlinthread/coordination/dispatch.py
@@ -309,7 +309,7 @@
 def note_success(backend: backend_record.Backend, work_s: float) -> None:
     """Note a whole answer and how long it took."""
     backend.failures = 0
-    backend.work.note(work_s)
+    backend.response_time.note(work_s)
     backend.service_response_time.note(work_s)
 
 
