--- a/src/merlinthread/coordination/backend_record.py
+++ b/src/merlinthread/coordination/backend_record.py
@@ -135,7 +135,7 @@
         """Return whether a request sent now surely reaches it soon: its agent has just answered."""
         return now >= self.slow_until and now - self.answered_at <= PROMPT_ANSWER_S
 
-    def note_first(self, took_s: float, now: float) -> None:
+    def record_first_byte_delay(self, took_s: float, now: float) -> None:
         """Note how long an attempt waited for its first byte, or for its end without one."""
         if took_s > SLOW_FIRST_S:
             self.slow_until = now + SLOW_FOR_S
--- a/src/merlinthread/nodes/backend_pool.py
+++ b/src/merlinthread/nodes/backend_pool.py
@@ -314,7 +314,7 @@
         place.is_read = True
         self.tell_agent(place, node_messages.Stage.READ)
         now = self.clock()
-        place.backend.note_first(now - place.started, now)
+        place.backend.record_first_byte_delay(now - place.started, now)
         place.backend.unread -= 1
         place.backend.unread_tokens -= place.tokens
 
--- a/tests/test_fleet_deciders.py
+++ b/tests/test_fleet_deciders.py
@@ -390,7 +390,7 @@
         one.apply_report(report, 9.99)
     prompt.apply_probe_answer(nothing, 9.99)
     slow.apply_probe_answer(nothing, 9.99)
-    slow.note_first(0.8, 9.0)
+    slow.record_first_byte_delay(0.8, 9.0)
     silent.apply_probe_answer(None, 9.99)
     asked_before.apply_probe_answer(nothing, 9.9)
     all_of_them = [prompt, slow, silent, asked_before]
