--- a/src/merlinthread/coordination/backend_signals.py
+++ b/src/merlinthread/coordination/backend_signals.py
@@ -124,14 +124,14 @@
     def __init__(self) -> None:
         self.standings: dict[str, Standing] = {}
 
-    def of(self, instance: str) -> Standing:
+    def availability_of(self, instance: str) -> Standing:
         """Return the standing of an incarnation, the same object each time."""
         return self.standings.setdefault(instance, Standing())
 
     def take_told_limit(self, told: limit_ledger.ToldLimit, now: float) -> None:
         """Take over what another VM heard of a back end's limit, or of its end."""
         if told.per_s is not None or told.instance in self.standings:
-            self.of(told.instance).note_told_limit(told.per_s, now - told.heard_age_s)
+            self.availability_of(told.instance).note_told_limit(told.per_s, now - told.heard_age_s)
 
     def forget_others(self, present: set[str], now: float) -> None:
         """Forget absent incarnations of which nothing was said, then the oldest ones."""
--- a/src/merlinthread/nodes/attempts.py
+++ b/src/merlinthread/nodes/attempts.py
@@ -133,7 +133,7 @@
         an answer said while this one waited for its connection counts.
         """
         now = self.clock()
-        standing = self.pool.signals.of(self.backend.instance)
+        standing = self.pool.signals.availability_of(self.backend.instance)
         if standing.is_closed(now):
             raise ClosedError("it said that it leaves" if standing.is_leaving else "it is at rest")
         if not standing.is_limited():
--- a/src/merlinthread/nodes/backend_pool.py
+++ b/src/merlinthread/nodes/backend_pool.py
@@ -142,7 +142,7 @@
                 heartbeat.zone,
                 self.settings.distance(heartbeat.zone),
                 heartbeat.slots,
-                standing=self.signals.of(instance),
+                standing=self.signals.availability_of(instance),
                 service_response_time=self.usual_work.setdefault(
                     heartbeat.service, backend_record.ResponseTime()
                 ),
--- a/src/merlinthread/nodes/signal_taker.py
+++ b/src/merlinthread/nodes/signal_taker.py
@@ -42,7 +42,7 @@
         Other VMs are not told. Each hears it with its own first answer, which is still served; a
         word that was wrong would take the back end from all of them for the rest of its life.
         """
-        standing = self.signals.of(instance)
+        standing = self.signals.availability_of(instance)
         if standing.note_leaving(backend_signals.Source.ANSWER, self.clock()):
             logs.event("backend_leaves", instance=instance, request=request_id)
             self.count()
@@ -53,7 +53,7 @@
         It turns all away, so it has nothing to do and looks best of all: left alone for a moment
         only it drew half of an entry's attempts while four others had room.
         """
-        if rest_s > 0 and self.signals.of(instance).note_rest(rest_s, self.clock()):
+        if rest_s > 0 and self.signals.availability_of(instance).note_rest(rest_s, self.clock()):
             logs.event("backend_rests", instance=instance, rest_s=rest_s, request=request_id)
             self.count()
 
@@ -65,7 +65,7 @@
         `sent_at` is when the request was sent that it answers. What changes is told to the other
         entries, through the control VMs.
         """
-        standing = self.signals.of(instance)
+        standing = self.signals.availability_of(instance)
         before = standing.limit_per_s
         if not standing.note_limit(per_s, sent_at, self.clock()):
             return
--- a/tests/test_backend_signals.py
+++ b/tests/test_backend_signals.py
@@ -94,7 +94,7 @@
         self.is_leaving = False
 
     def standing(self) -> backend_signals.Standing:
-        return self.signals.of("i-1")
+        return self.signals.availability_of("i-1")
 
     @stateful.rule(seconds=st.floats(0.01, 400.0))
     def wait(self, seconds):
@@ -117,7 +117,7 @@
 
     @stateful.rule()
     def live_again(self):
-        later = self.signals.of("i-1@5")
+        later = self.signals.availability_of("i-1@5")
         assert not later.is_closed(self.now)
 
     @stateful.invariant()
@@ -133,11 +133,11 @@
     signals = backend_signals.BackendSignals()
     count = backend_signals.KEPT_MAX + 100
     for number in range(count):
-        signals.of(f"i-{number}").note_leaving(backend_signals.Source.NEWS, number)
+        signals.availability_of(f"i-{number}").note_leaving(backend_signals.Source.NEWS, number)
     signals.forget_others({"i-0"}, count)
     assert len(signals.standings) == backend_signals.KEPT_MAX + 1
-    assert signals.of("i-0").is_leaving, "it is still there"
-    assert signals.of(f"i-{count - 1}").is_leaving
+    assert signals.availability_of("i-0").is_leaving, "it is still there"
+    assert signals.availability_of(f"i-{count - 1}").is_leaving
     assert "i-1" not in signals.standings
 
 
--- a/tests/test_rest.py
+++ b/tests/test_rest.py
@@ -83,7 +83,7 @@
         fleet = await Fleet("safe", 1).start()
         (worker,) = fleet.workers
         fleet.let_rest([worker])
-        standing = fleet.entry.node.pool.signals.of(worker.instance)
+        standing = fleet.entry.node.pool.signals.availability_of(worker.instance)
         for _ in range(2):
             before = worker.refusals
             async with asyncio.timeout(5.0):
