--- a/src/merlinthread/coordination/backend_record.py
+++ b/src/merlinthread/coordination/backend_record.py
@@ -81,7 +81,9 @@
     response_time: ResponseTime = dataclasses.field(default_factory=ResponseTime)
     ready_at: float | None = None
     missing_since: float | None = None
-    standing: backend_signals.Standing = dataclasses.field(default_factory=backend_signals.Standing)
+    standing: backend_signals.Availability = dataclasses.field(
+        default_factory=backend_signals.Availability
+    )
 
     def expected_response_s(self) -> float:
         """Return how long a request is taken to need there.
--- a/src/merlinthread/coordination/backend_signals.py
+++ b/src/merlinthread/coordination/backend_signals.py
@@ -35,7 +35,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Standing:
+class Availability:
     """Whether one incarnation takes requests; times are those of the VM's clock.
 
     `told_by` and `told_at` say from where it is known that it leaves. `limit_per_s` is how many
@@ -122,11 +122,11 @@
     """What is known of all back ends, by the names of their incarnations."""
 
     def __init__(self) -> None:
-        self.standings: dict[str, Standing] = {}
+        self.standings: dict[str, Availability] = {}
 
-    def availability_of(self, instance: str) -> Standing:
+    def availability_of(self, instance: str) -> Availability:
         """Return the standing of an incarnation, the same object each time."""
-        return self.standings.setdefault(instance, Standing())
+        return self.standings.setdefault(instance, Availability())
 
     def take_told_limit(self, told: limit_ledger.ToldLimit, now: float) -> None:
         """Take over what another VM heard of a back end's limit, or of its end."""
--- a/tests/permit_net.py
+++ b/tests/permit_net.py
@@ -89,7 +89,9 @@
             clock,
             self.rng,
         )
-        standing = backend_signals.Standing(limit_per_s=self.limit_per_s, limit_heard_at=clock())
+        standing = backend_signals.Availability(
+            limit_per_s=self.limit_per_s, limit_heard_at=clock()
+        )
         return Entry(
             asking, backend_record.Backend("i", "s", "a:1", "zone", 0, 8, standing=standing)
         )
--- a/tests/test_backend_signals.py
+++ b/tests/test_backend_signals.py
@@ -93,7 +93,7 @@
         self.ends: list[float] = []
         self.is_leaving = False
 
-    def standing(self) -> backend_signals.Standing:
+    def standing(self) -> backend_signals.Availability:
         return self.signals.availability_of("i-1")
 
     @stateful.rule(seconds=st.floats(0.01, 400.0))
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -180,7 +180,7 @@
 
 
 def test_a_limit_that_another_vm_heard_before_does_not_undo_what_was_heard_since():
-    standing = backend_signals.Standing()
+    standing = backend_signals.Availability()
     standing.note_limit(2.0, sent_at=0.0, now=5.0)
     standing.note_told_limit(None, heard_at=4.0)
     assert standing.limit_per_s == 2.0
@@ -189,7 +189,7 @@
 
 
 def test_an_answer_that_was_overtaken_does_not_lift_a_limit():
-    standing = backend_signals.Standing()
+    standing = backend_signals.Availability()
     standing.note_limit(8.0, sent_at=0.0, now=1.0)
     assert standing.note_limit(0.5, sent_at=0.5, now=2.0)
     assert not standing.note_limit(8.0, sent_at=1.9, now=2.1)
