--- a/src/merlinthread/coordination/backend_record.py
+++ b/src/merlinthread/coordination/backend_record.py
@@ -81,7 +81,7 @@
     response_time: ResponseTime = dataclasses.field(default_factory=ResponseTime)
     ready_at: float | None = None
     missing_since: float | None = None
-    standing: backend_signals.Availability = dataclasses.field(
+    availability: backend_signals.Availability = dataclasses.field(
         default_factory=backend_signals.Availability
     )
 
--- a/src/merlinthread/coordination/backend_signals.py
+++ b/src/merlinthread/coordination/backend_signals.py
@@ -137,8 +137,8 @@
         """Forget absent incarnations of which nothing was said, then the oldest ones."""
         absent = [name for name in self.standings if name not in present]
         for name in absent:
-            standing = self.standings[name]
-            if not standing.is_closed(now) and not standing.is_limited():
+            availability = self.standings[name]
+            if not availability.is_closed(now) and not availability.is_limited():
                 del self.standings[name]
         while len(self.standings) > KEPT_MAX + len(present):
             oldest = next(name for name in self.standings if name not in present)
@@ -146,12 +146,12 @@
 
     def count_leaving(self) -> int:
         """Return how many are known to leave, or to have left."""
-        return sum(standing.is_leaving for standing in self.standings.values())
+        return sum(availability.is_leaving for availability in self.standings.values())
 
     def count_limited(self) -> int:
         """Return how many take only so many requests a second."""
-        return sum(standing.is_limited() for standing in self.standings.values())
+        return sum(availability.is_limited() for availability in self.standings.values())
 
     def count_resting(self, now: float) -> int:
         """Return how many want nothing now."""
-        return sum(standing.rests(now) for standing in self.standings.values())
+        return sum(availability.rests(now) for availability in self.standings.values())
--- a/src/merlinthread/coordination/dispatch.py
+++ b/src/merlinthread/coordination/dispatch.py
@@ -114,8 +114,8 @@
     found = list(backends)
     if not found:
         return None
-    staying = [backend.standing for backend in found if not backend.is_draining]
-    opens_at = min((standing.opens_at(now) for standing in staying), default=math.inf)
+    staying = [backend.availability for backend in found if not backend.is_draining]
+    opens_at = min((availability.opens_at(now) for availability in staying), default=math.inf)
     return opens_at if opens_at > now else None
 
 
@@ -137,7 +137,7 @@
     backend: backend_record.Backend, demand: Demand, engine: fleet.Engine | None, now: float
 ) -> bool:
     """Return whether a back end could serve this attempt now if it is sound."""
-    if backend.standing.is_spent(now):
+    if backend.availability.is_spent(now):
         return False
     return is_fit_with_permit(backend, demand, engine, now)
 
@@ -152,7 +152,7 @@
         return False
     if now < backend.full_until or backend.is_changing(now):
         return False
-    if backend.standing.is_closed(now):
+    if backend.availability.is_closed(now):
         return False
     if not demand.model or engine is None:
         return True
@@ -204,7 +204,7 @@
         and begins_in_time(backend, demand, engine, now)
         and not backend.is_ejected(now)
     ]
-    if not all(backend.standing.is_limited() for backend in fit):
+    if not all(backend.availability.is_limited() for backend in fit):
         return []
     return sorted(fit, key=lambda backend: rate(backend, demand, engine, now).cost_s)
 
--- a/src/merlinthread/nodes/attempt_notes.py
+++ b/src/merlinthread/nodes/attempt_notes.py
@@ -24,12 +24,12 @@
     backend: backend_record.Backend, permit: permits.Permit | None, now: float
 ) -> str:
     """Return what is believed of a back end's limit, empty if it named none."""
-    standing = backend.standing
-    if standing.limit_per_s is None:
+    availability = backend.availability
+    if availability.limit_per_s is None:
         return ""
     told_by = permit.told_by if permit is not None else "nobody"
-    heard_ms = round(1000 * (now - standing.limit_heard_at))
-    return f", limit {standing.limit_per_s:g} a second heard {heard_ms} ms ago, permit by {told_by}"
+    heard_ms = round(1000 * (now - availability.limit_heard_at))
+    return f", limit {availability.limit_per_s:g} a second heard {heard_ms} ms ago, permit by {told_by}"
 
 
 def told_of_itself(facts: fleet.AnswerFacts) -> str:
--- a/src/merlinthread/nodes/attempts.py
+++ b/src/merlinthread/nodes/attempts.py
@@ -133,10 +133,12 @@
         an answer said while this one waited for its connection counts.
         """
         now = self.clock()
-        standing = self.pool.signals.availability_of(self.backend.instance)
-        if standing.is_closed(now):
-            raise ClosedError("it said that it leaves" if standing.is_leaving else "it is at rest")
-        if not standing.is_limited():
+        availability = self.pool.signals.availability_of(self.backend.instance)
+        if availability.is_closed(now):
+            raise ClosedError(
+                "it said that it leaves" if availability.is_leaving else "it is at rest"
+            )
+        if not availability.is_limited():
             return
         if self.permit is None or not self.permit.is_valid(self.backend.instance, now):
             raise ClosedError("it named a limit, and there is no permit for this request")
--- a/src/merlinthread/nodes/backend_pool.py
+++ b/src/merlinthread/nodes/backend_pool.py
@@ -142,7 +142,7 @@
                 heartbeat.zone,
                 self.settings.distance(heartbeat.zone),
                 heartbeat.slots,
-                standing=self.signals.availability_of(instance),
+                availability=self.signals.availability_of(instance),
                 service_response_time=self.usual_work.setdefault(
                     heartbeat.service, backend_record.ResponseTime()
                 ),
@@ -150,9 +150,9 @@
             self.backends[instance] = backend
         backend.slots = heartbeat.slots
         if heartbeat.state != fleet.READY:
-            backend.standing.note_leaving(backend_signals.Source.NEWS, self.clock())
+            backend.availability.note_leaving(backend_signals.Source.NEWS, self.clock())
         # A heartbeat that says `ready` does not take back what an answer said.
-        backend.is_draining = backend.standing.is_leaving
+        backend.is_draining = backend.availability.is_leaving
         backend.cold_until = self.watcher.cold_until.get(instance, 0.0)
         if self.clock() - backend.reported_at > backend_record.REPORT_FRESH_S:
             backend.weights = heartbeat.weights
--- a/src/merlinthread/nodes/permits.py
+++ b/src/merlinthread/nodes/permits.py
@@ -102,7 +102,7 @@
         metrics.permits_asked_total.labels("given" if decision.instance else "denied", by).inc()
         now = self.clock()
         for backend, free_in_s in zip(backends, decision.free_in_s, strict=False):
-            backend.standing.permits_from = now + free_in_s
+            backend.availability.permits_from = now + free_in_s
         if not decision.instance:
             return Denial(decision.back_in_s, told_by)
         if decision.start_in_s > 0:
@@ -242,8 +242,8 @@
 
 def named_limit(backend: backend_record.Backend, now: float) -> rate_limits.NamedLimit:
     """Return what a back end named, for the control VM."""
-    standing = backend.standing
-    assert standing.limit_per_s is not None
+    availability = backend.availability
+    assert availability.limit_per_s is not None
     return rate_limits.NamedLimit(
-        backend.instance, standing.limit_per_s, max(0.0, now - standing.limit_heard_at)
+        backend.instance, availability.limit_per_s, max(0.0, now - availability.limit_heard_at)
     )
--- a/src/merlinthread/nodes/request_task.py
+++ b/src/merlinthread/nodes/request_task.py
@@ -254,7 +254,7 @@
         """
         assert self.facts is not None
         self.permit = None
-        if choice is not None and not choice.backend.standing.is_limited():
+        if choice is not None and not choice.backend.availability.is_limited():
             return choice
         demand = self.demand()
         limited = self.pool.limited(demand)
--- a/src/merlinthread/nodes/signal_taker.py
+++ b/src/merlinthread/nodes/signal_taker.py
@@ -42,8 +42,8 @@
         Other VMs are not told. Each hears it with its own first answer, which is still served; a
         word that was wrong would take the back end from all of them for the rest of its life.
         """
-        standing = self.signals.availability_of(instance)
-        if standing.note_leaving(backend_signals.Source.ANSWER, self.clock()):
+        availability = self.signals.availability_of(instance)
+        if availability.note_leaving(backend_signals.Source.ANSWER, self.clock()):
             logs.event("backend_leaves", instance=instance, request=request_id)
             self.count()
 
@@ -65,9 +65,9 @@
         `sent_at` is when the request was sent that it answers. What changes is told to the other
         entries, through the control VMs.
         """
-        standing = self.signals.availability_of(instance)
-        before = standing.limit_per_s
-        if not standing.note_limit(per_s, sent_at, self.clock()):
+        availability = self.signals.availability_of(instance)
+        before = availability.limit_per_s
+        if not availability.note_limit(per_s, sent_at, self.clock()):
             return
         logs.event(
             "backend_limit", instance=instance, per_s=per_s, before=before, request=request_id
--- a/tests/permit_net.py
+++ b/tests/permit_net.py
@@ -89,11 +89,11 @@
             clock,
             self.rng,
         )
-        standing = backend_signals.Availability(
+        availability = backend_signals.Availability(
             limit_per_s=self.limit_per_s, limit_heard_at=clock()
         )
         return Entry(
-            asking, backend_record.Backend("i", "s", "a:1", "zone", 0, 8, standing=standing)
+            asking, backend_record.Backend("i", "s", "a:1", "zone", 0, 8, availability=availability)
         )
 
     def carry(self, deliver: Callable[..., None], *what: object) -> None:
@@ -127,7 +127,7 @@
         while self.loop.time() < until:
             await asyncio.sleep(self.rng.expovariate(per_s))
             entry = self.rng.choice(list(self.entries.values()))
-            if not entry.backend.standing.is_spent(entry.permits.clock()):
+            if not entry.backend.availability.is_spent(entry.permits.clock()):
                 task = asyncio.create_task(self.ask(entry, self.rng.choice("abc")))
                 self.pending.add(task)
                 task.add_done_callback(self.pending.discard)
--- a/tests/test_backend_signals.py
+++ b/tests/test_backend_signals.py
@@ -93,7 +93,7 @@
         self.ends: list[float] = []
         self.is_leaving = False
 
-    def standing(self) -> backend_signals.Availability:
+    def availability(self) -> backend_signals.Availability:
         return self.signals.availability_of("i-1")
 
     @stateful.rule(seconds=st.floats(0.01, 400.0))
@@ -102,12 +102,12 @@
 
     @stateful.rule(rest_s=st.floats(0.01, 1000.0))
     def ask_for_rest(self, rest_s):
-        self.standing().note_rest(rest_s, self.now)
+        self.availability().note_rest(rest_s, self.now)
         self.ends.append(self.now + min(rest_s, backend_signals.REST_S_MAX))
 
     @stateful.rule(source=st.sampled_from(backend_signals.Source))
     def leave(self, source):
-        is_new = self.standing().note_leaving(source, self.now)
+        is_new = self.availability().note_leaving(source, self.now)
         assert is_new != self.is_leaving
         self.is_leaving = True
 
@@ -123,7 +123,7 @@
     @stateful.invariant()
     def is_closed_as_long_as_any_word_says_so(self):
         is_closed = self.is_leaving or any(self.now < end for end in self.ends)
-        assert self.standing().is_closed(self.now) == is_closed
+        assert self.availability().is_closed(self.now) == is_closed
 
 
 TestSignals = Signals.TestCase
@@ -143,7 +143,7 @@
 
 def backend(name: str, rest_until: float = -math.inf) -> backend_record.Backend:
     found = backend_record.Backend(name, "s", "10.0.0.1:1", "z", 0, 8)
-    found.standing.rest_until = rest_until
+    found.availability.rest_until = rest_until
     return found
 
 
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -97,8 +97,8 @@
 
 
 def limited_backend(per_s: float) -> backend_record.Backend:
-    standing = backend_signals.Availability(limit_per_s=per_s, limit_heard_at=0.0)
-    return backend_record.Backend("i", "s", "a:1", "zone", 0, 8, standing=standing)
+    availability = backend_signals.Availability(limit_per_s=per_s, limit_heard_at=0.0)
+    return backend_record.Backend("i", "s", "a:1", "zone", 0, 8, availability=availability)
 
 
 def make_asking() -> tuple[permits.Permits, list]:
@@ -121,7 +121,7 @@
         assert asking.clock() - began < 10 * permits.ANSWER_S
         assert len({message.number for _, message in sent}) == 1
         assert sum(isinstance(each, permits.Permit) for each in found) <= 1
-        assert backend.standing.is_spent(asking.clock())
+        assert backend.availability.is_spent(asking.clock())
 
     asyncio.run(scenario())
 
--- a/tests/test_rest.py
+++ b/tests/test_rest.py
@@ -83,17 +83,17 @@
         fleet = await Fleet("safe", 1).start()
         (worker,) = fleet.workers
         fleet.let_rest([worker])
-        standing = fleet.entry.node.pool.signals.availability_of(worker.instance)
+        availability = fleet.entry.node.pool.signals.availability_of(worker.instance)
         for _ in range(2):
             before = worker.refusals
             async with asyncio.timeout(5.0):
                 while worker.refusals == before:
                     await fleet.ask()
-            assert standing.rests(fleet.now())
+            assert availability.rests(fleet.now())
             for _ in range(MANY):
                 assert (await fleet.ask()).status == 503
             assert worker.refusals == before + 1
-            await fleet_nodes.until(lambda: not standing.rests(fleet.now()))
+            await fleet_nodes.until(lambda: not availability.rests(fleet.now()))
         worker.behaviour.is_full = False
         answers = await asyncio.gather(*[fleet.ask() for _ in range(MANY)])
         assert {answer.status for answer in answers} == {200}
