--- a/src/merlinthread/coordination/backend_signals.py
+++ b/src/merlinthread/coordination/backend_signals.py
@@ -122,36 +122,36 @@
     """What is known of all back ends, by the names of their incarnations."""
 
     def __init__(self) -> None:
-        self.standings: dict[str, Availability] = {}
+        self.availabilities: dict[str, Availability] = {}
 
     def availability_of(self, instance: str) -> Availability:
         """Return the standing of an incarnation, the same object each time."""
-        return self.standings.setdefault(instance, Availability())
+        return self.availabilities.setdefault(instance, Availability())
 
     def take_told_limit(self, told: limit_ledger.ToldLimit, now: float) -> None:
         """Take over what another VM heard of a back end's limit, or of its end."""
-        if told.per_s is not None or told.instance in self.standings:
+        if told.per_s is not None or told.instance in self.availabilities:
             self.availability_of(told.instance).note_told_limit(told.per_s, now - told.heard_age_s)
 
     def forget_others(self, present: set[str], now: float) -> None:
         """Forget absent incarnations of which nothing was said, then the oldest ones."""
-        absent = [name for name in self.standings if name not in present]
+        absent = [name for name in self.availabilities if name not in present]
         for name in absent:
-            availability = self.standings[name]
+            availability = self.availabilities[name]
             if not availability.is_closed(now) and not availability.is_limited():
-                del self.standings[name]
-        while len(self.standings) > KEPT_MAX + len(present):
-            oldest = next(name for name in self.standings if name not in present)
-            del self.standings[oldest]
+                del self.availabilities[name]
+        while len(self.availabilities) > KEPT_MAX + len(present):
+            oldest = next(name for name in self.availabilities if name not in present)
+            del self.availabilities[oldest]
 
     def count_leaving(self) -> int:
         """Return how many are known to leave, or to have left."""
-        return sum(availability.is_leaving for availability in self.standings.values())
+        return sum(availability.is_leaving for availability in self.availabilities.values())
 
     def count_limited(self) -> int:
         """Return how many take only so many requests a second."""
-        return sum(availability.is_limited() for availability in self.standings.values())
+        return sum(availability.is_limited() for availability in self.availabilities.values())
 
     def count_resting(self, now: float) -> int:
         """Return how many want nothing now."""
-        return sum(availability.rests(now) for availability in self.standings.values())
+        return sum(availability.rests(now) for availability in self.availabilities.values())
--- a/tests/test_backend_signals.py
+++ b/tests/test_backend_signals.py
@@ -135,10 +135,10 @@
     for number in range(count):
         signals.availability_of(f"i-{number}").note_leaving(backend_signals.Source.NEWS, number)
     signals.forget_others({"i-0"}, count)
-    assert len(signals.standings) == backend_signals.KEPT_MAX + 1
+    assert len(signals.availabilities) == backend_signals.KEPT_MAX + 1
     assert signals.availability_of("i-0").is_leaving, "it is still there"
     assert signals.availability_of(f"i-{count - 1}").is_leaving
-    assert "i-1" not in signals.standings
+    assert "i-1" not in signals.availabilities
 
 
 def backend(name: str, rest_until: float = -math.inf) -> backend_record.Backend:
