--- a/src/merlinthread/coordination/backend_signals.py
+++ b/src/merlinthread/coordination/backend_signals.py
@@ -27,7 +27,7 @@
 KEPT_MAX = 4096
 
 
-class Source(enum.StrEnum):
+class LeavingSource(enum.StrEnum):
     """Who told that a back end leaves."""
 
     ANSWER = "answer"
@@ -44,7 +44,7 @@
     """
 
     is_leaving: bool = False
-    told_by: Source | None = None
+    told_by: LeavingSource | None = None
     told_at: float = float("-inf")
     rest_until: float = float("-inf")
     limit_per_s: float | None = None
@@ -99,7 +99,7 @@
         self.limit_per_s = per_s
         self.limit_heard_at = heard_at
 
-    def note_leaving(self, source: Source, now: float) -> bool:
+    def note_leaving(self, source: LeavingSource, now: float) -> bool:
         """Note that it leaves; return whether that is new."""
         if self.is_leaving:
             return False
--- a/src/merlinthread/nodes/signal_taker.py
+++ b/src/merlinthread/nodes/signal_taker.py
@@ -43,7 +43,7 @@
         word that was wrong would take the back end from all of them for the rest of its life.
         """
         availability = self.signals.availability_of(instance)
-        if availability.note_leaving(backend_signals.Source.ANSWER, self.clock()):
+        if availability.note_leaving(backend_signals.LeavingSource.ANSWER, self.clock()):
             logs.event("backend_leaves", instance=instance, request=request_id)
             self.count()
 
--- a/tests/test_backend_signals.py
+++ b/tests/test_backend_signals.py
@@ -105,7 +105,7 @@
         self.availability().note_rest(rest_s, self.now)
         self.ends.append(self.now + min(rest_s, backend_signals.REST_S_MAX))
 
-    @stateful.rule(source=st.sampled_from(backend_signals.Source))
+    @stateful.rule(source=st.sampled_from(backend_signals.LeavingSource))
     def leave(self, source):
         is_new = self.availability().note_leaving(source, self.now)
         assert is_new != self.is_leaving
@@ -133,7 +133,9 @@
     signals = backend_signals.BackendSignals()
     count = backend_signals.KEPT_MAX + 100
     for number in range(count):
-        signals.availability_of(f"i-{number}").note_leaving(backend_signals.Source.NEWS, number)
+        signals.availability_of(f"i-{number}").note_leaving(
+            backend_signals.LeavingSource.NEWS, number
+        )
     signals.forget_others({"i-0"}, count)
     assert len(signals.availabilities) == backend_signals.KEPT_MAX + 1
     assert signals.availability_of("i-0").is_leaving, "it is still there"
