--- a/src/merlinthread/coordination/backend_signals.py
+++ b/src/merlinthread/coordination/backend_signals.py
@@ -72,7 +72,7 @@
         permits_from = self.permits_from if self.is_limited() else now
         return max(now, self.rest_until, permits_from)
 
-    def note_limit(self, per_s: float | None, sent_at: float, now: float) -> bool:
+    def record_limit(self, per_s: float | None, sent_at: float, now: float) -> bool:
         """Note the limit in the answer to a request sent at `sent_at`; return whether it changed.
 
         Answers may overtake each other. A lower limit holds at once; a higher one, or none, only
@@ -90,7 +90,7 @@
         self.limit_heard_at = now
         return per_s != before
 
-    def note_told_limit(self, per_s: float | None, heard_at: float) -> None:
+    def merge_limit(self, per_s: float | None, heard_at: float) -> None:
         """Note what another VM heard at `heard_at`, unless this one has heard something since."""
         if heard_at <= self.limit_heard_at:
             return
@@ -99,7 +99,7 @@
         self.limit_per_s = per_s
         self.limit_heard_at = heard_at
 
-    def note_leaving(self, source: LeavingSource, now: float) -> bool:
+    def record_leaving(self, source: LeavingSource, now: float) -> bool:
         """Note that it leaves; return whether that is new."""
         if self.is_leaving:
             return False
@@ -108,7 +108,7 @@
         self.told_at = now
         return True
 
-    def note_rest(self, rest_s: float, now: float) -> bool:
+    def record_rest(self, rest_s: float, now: float) -> bool:
         """Note that it wants nothing for `rest_s`; return whether it was not at rest before.
 
         Refusals that were on their way together may overtake each other: the latest end holds.
@@ -131,7 +131,7 @@
     def take_told_limit(self, told: limit_ledger.ToldLimit, now: float) -> None:
         """Take over what another VM heard of a back end's limit, or of its end."""
         if told.per_s is not None or told.instance in self.availabilities:
-            self.availability_of(told.instance).note_told_limit(told.per_s, now - told.heard_age_s)
+            self.availability_of(told.instance).merge_limit(told.per_s, now - told.heard_age_s)
 
     def forget_others(self, present: set[str], now: float) -> None:
         """Forget absent incarnations of which nothing was said, then the oldest ones."""
--- a/src/merlinthread/nodes/backend_pool.py
+++ b/src/merlinthread/nodes/backend_pool.py
@@ -150,7 +150,7 @@
             self.backends[instance] = backend
         backend.slots = heartbeat.slots
         if heartbeat.state != fleet.READY:
-            backend.availability.note_leaving(backend_signals.LeavingSource.NEWS, self.clock())
+            backend.availability.record_leaving(backend_signals.LeavingSource.NEWS, self.clock())
         # A heartbeat that says `ready` does not take back what an answer said.
         backend.is_draining = backend.availability.is_leaving
         backend.cold_until = self.watcher.cold_until.get(instance, 0.0)
--- a/src/merlinthread/nodes/signal_taker.py
+++ b/src/merlinthread/nodes/signal_taker.py
@@ -43,7 +43,7 @@
         word that was wrong would take the back end from all of them for the rest of its life.
         """
         availability = self.signals.availability_of(instance)
-        if availability.note_leaving(backend_signals.LeavingSource.ANSWER, self.clock()):
+        if availability.record_leaving(backend_signals.LeavingSource.ANSWER, self.clock()):
             logs.event("backend_leaves", instance=instance, request=request_id)
             self.count()
 
@@ -53,7 +53,7 @@
         It turns all away, so it has nothing to do and looks best of all: left alone for a moment
         only it drew half of an entry's attempts while four others had room.
         """
-        if rest_s > 0 and self.signals.availability_of(instance).note_rest(rest_s, self.clock()):
+        if rest_s > 0 and self.signals.availability_of(instance).record_rest(rest_s, self.clock()):
             logs.event("backend_rests", instance=instance, rest_s=rest_s, request=request_id)
             self.count()
 
@@ -67,7 +67,7 @@
         """
         availability = self.signals.availability_of(instance)
         before = availability.limit_per_s
-        if not availability.note_limit(per_s, sent_at, self.clock()):
+        if not availability.record_limit(per_s, sent_at, self.clock()):
             return
         logs.event(
             "backend_limit", instance=instance, per_s=per_s, before=before, request=request_id
--- a/tests/test_backend_signals.py
+++ b/tests/test_backend_signals.py
@@ -102,12 +102,12 @@
 
     @stateful.rule(rest_s=st.floats(0.01, 1000.0))
     def ask_for_rest(self, rest_s):
-        self.availability().note_rest(rest_s, self.now)
+        self.availability().record_rest(rest_s, self.now)
         self.ends.append(self.now + min(rest_s, backend_signals.REST_S_MAX))
 
     @stateful.rule(source=st.sampled_from(backend_signals.LeavingSource))
     def leave(self, source):
-        is_new = self.availability().note_leaving(source, self.now)
+        is_new = self.availability().record_leaving(source, self.now)
         assert is_new != self.is_leaving
         self.is_leaving = True
 
@@ -133,7 +133,7 @@
     signals = backend_signals.BackendSignals()
     count = backend_signals.KEPT_MAX + 100
     for number in range(count):
-        signals.availability_of(f"i-{number}").note_leaving(
+        signals.availability_of(f"i-{number}").record_leaving(
             backend_signals.LeavingSource.NEWS, number
         )
     signals.forget_others({"i-0"}, count)
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -181,20 +181,20 @@
 
 def test_a_limit_that_another_vm_heard_before_does_not_undo_what_was_heard_since():
     availability = backend_signals.Availability()
-    availability.note_limit(2.0, sent_at=0.0, now=5.0)
-    availability.note_told_limit(None, heard_at=4.0)
+    availability.record_limit(2.0, sent_at=0.0, now=5.0)
+    availability.merge_limit(None, heard_at=4.0)
     assert availability.limit_per_s == 2.0
-    availability.note_told_limit(None, heard_at=6.0)
+    availability.merge_limit(None, heard_at=6.0)
     assert not availability.is_limited()
 
 
 def test_an_answer_that_was_overtaken_does_not_lift_a_limit():
     availability = backend_signals.Availability()
-    availability.note_limit(8.0, sent_at=0.0, now=1.0)
-    assert availability.note_limit(0.5, sent_at=0.5, now=2.0)
-    assert not availability.note_limit(8.0, sent_at=1.9, now=2.1)
-    assert not availability.note_limit(None, sent_at=1.9, now=2.2)
+    availability.record_limit(8.0, sent_at=0.0, now=1.0)
+    assert availability.record_limit(0.5, sent_at=0.5, now=2.0)
+    assert not availability.record_limit(8.0, sent_at=1.9, now=2.1)
+    assert not availability.record_limit(None, sent_at=1.9, now=2.2)
     assert availability.limit_per_s == 0.5
-    assert availability.note_limit(6.0, sent_at=2.3, now=2.5)
-    assert availability.note_limit(None, sent_at=2.6, now=2.7)
+    assert availability.record_limit(6.0, sent_at=2.3, now=2.5)
+    assert availability.record_limit(None, sent_at=2.6, now=2.7)
     assert not availability.is_limited()
