--- a/src/merlinthread/nodes/news_watcher.py
+++ b/src/merlinthread/nodes/news_watcher.py
@@ -221,7 +221,7 @@
                 self.suspects.merge(suspicion, now)
         if self.signals is not None:
             for limit in news.limits:
-                self.signals.take_told_limit(limit, now)
+                self.signals.merge_reported_limit(limit, now)
         self.count()
         self.on_news()
 
