--- a/src/merlinthread/coordination/backend_signals.py
+++ b/src/merlinthread/coordination/backend_signals.py
@@ -133,7 +133,7 @@
         if told.per_s is not None or told.instance in self.availabilities:
             self.availability_of(told.instance).merge_limit(told.per_s, now - told.heard_age_s)
 
-    def forget_others(self, present: set[str], now: float) -> None:
+    def prune(self, present: set[str], now: float) -> None:
         """Forget absent incarnations of which nothing was said, then the oldest ones."""
         absent = [name for name in self.availabilities if name not in present]
         for name in absent:
--- a/src/merlinthread/nodes/backend_pool.py
+++ b/src/merlinthread/nodes/backend_pool.py
@@ -106,7 +106,7 @@
             del self.backends[instance]
         for instance, heartbeat in self.watcher.instances.items():
             self.update_one(instance, heartbeat)
-        self.signals.forget_others(set(self.backends), self.clock())
+        self.signals.prune(set(self.backends), self.clock())
         self.words.count()
         self.by_service = {}
         self.by_address = {}
--- a/tests/test_backend_signals.py
+++ b/tests/test_backend_signals.py
@@ -113,7 +113,7 @@
 
     @stateful.rule(is_present=st.booleans())
     def be_dropped_and_told_again(self, is_present):
-        self.signals.forget_others({"i-1"} if is_present else set(), self.now)
+        self.signals.prune({"i-1"} if is_present else set(), self.now)
 
     @stateful.rule()
     def live_again(self):
@@ -136,7 +136,7 @@
         signals.availability_of(f"i-{number}").record_leaving(
             backend_signals.LeavingSource.NEWS, number
         )
-    signals.forget_others({"i-0"}, count)
+    signals.prune({"i-0"}, count)
     assert len(signals.availabilities) == backend_signals.KEPT_MAX + 1
     assert signals.availability_of("i-0").is_leaving, "it is still there"
     assert signals.availability_of(f"i-{count - 1}").is_leaving
