--- a/src/merlinthread/coordination/backend_signals.py
+++ b/src/merlinthread/coordination/backend_signals.py
@@ -63,7 +63,7 @@
         """Return whether each request needs a permit."""
         return self.limit_per_s is not None
 
-    def is_spent(self, now: float) -> bool:
+    def lacks_permit(self, now: float) -> bool:
         """Return whether it is known that there is no permit now."""
         return self.is_limited() and now < self.permits_from
 
--- a/src/merlinthread/coordination/dispatch.py
+++ b/src/merlinthread/coordination/dispatch.py
@@ -137,7 +137,7 @@
     backend: backend_record.Backend, demand: Demand, engine: fleet.Engine | None, now: float
 ) -> bool:
     """Return whether a back end could serve this attempt now if it is sound."""
-    if backend.availability.is_spent(now):
+    if backend.availability.lacks_permit(now):
         return False
     return is_fit_with_permit(backend, demand, engine, now)
 
--- a/tests/permit_net.py
+++ b/tests/permit_net.py
@@ -127,7 +127,7 @@
         while self.loop.time() < until:
             await asyncio.sleep(self.rng.expovariate(per_s))
             entry = self.rng.choice(list(self.entries.values()))
-            if not entry.backend.availability.is_spent(entry.permits.clock()):
+            if not entry.backend.availability.lacks_permit(entry.permits.clock()):
                 task = asyncio.create_task(self.ask(entry, self.rng.choice("abc")))
                 self.pending.add(task)
                 task.add_done_callback(self.pending.discard)
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -121,7 +121,7 @@
         assert asking.clock() - began < 10 * permits.ANSWER_S
         assert len({message.number for _, message in sent}) == 1
         assert sum(isinstance(each, permits.Permit) for each in found) <= 1
-        assert backend.availability.is_spent(asking.clock())
+        assert backend.availability.lacks_permit(asking.clock())
 
     asyncio.run(scenario())
 
