--- a/src/merlinthread/coordination/backend_signals.py
+++ b/src/merlinthread/coordination/backend_signals.py
@@ -51,13 +51,13 @@
     limit_heard_at: float = float("-inf")
     permits_from: float = float("-inf")
 
-    def rests(self, now: float) -> bool:
+    def is_resting(self, now: float) -> bool:
         """Return whether it wants nothing now."""
         return now < self.rest_until
 
     def is_closed(self, now: float) -> bool:
         """Return whether nothing may be sent there now."""
-        return self.is_leaving or self.rests(now)
+        return self.is_leaving or self.is_resting(now)
 
     def is_limited(self) -> bool:
         """Return whether each request needs a permit."""
@@ -113,7 +113,7 @@
 
         Refusals that were on their way together may overtake each other: the latest end holds.
         """
-        was_resting = self.rests(now)
+        was_resting = self.is_resting(now)
         self.rest_until = max(self.rest_until, now + min(rest_s, REST_S_MAX))
         return not was_resting
 
@@ -154,4 +154,4 @@
 
     def count_resting(self, now: float) -> int:
         """Return how many want nothing now."""
-        return sum(availability.rests(now) for availability in self.availabilities.values())
+        return sum(availability.is_resting(now) for availability in self.availabilities.values())
--- a/tests/test_rest.py
+++ b/tests/test_rest.py
@@ -89,11 +89,11 @@
             async with asyncio.timeout(5.0):
                 while worker.refusals == before:
                     await fleet.ask()
-            assert availability.rests(fleet.now())
+            assert availability.is_resting(fleet.now())
             for _ in range(MANY):
                 assert (await fleet.ask()).status == 503
             assert worker.refusals == before + 1
-            await fleet_nodes.until(lambda: not availability.rests(fleet.now()))
+            await fleet_nodes.until(lambda: not availability.is_resting(fleet.now()))
         worker.behaviour.is_full = False
         answers = await asyncio.gather(*[fleet.ask() for _ in range(MANY)])
         assert {answer.status for answer in answers} == {200}
