--- a/src/merlinthread/coordination/backend_signals.py
+++ b/src/merlinthread/coordination/backend_signals.py
@@ -55,7 +55,7 @@
         """Return whether it wants nothing now."""
         return now < self.rest_until
 
-    def is_closed(self, now: float) -> bool:
+    def is_unavailable(self, now: float) -> bool:
         """Return whether nothing may be sent there now."""
         return self.is_leaving or self.is_resting(now)
 
@@ -138,7 +138,7 @@
         absent = [name for name in self.availabilities if name not in present]
         for name in absent:
             availability = self.availabilities[name]
-            if not availability.is_closed(now) and not availability.is_limited():
+            if not availability.is_unavailable(now) and not availability.is_limited():
                 del self.availabilities[name]
         while len(self.availabilities) > KEPT_MAX + len(present):
             oldest = next(name for name in self.availabilities if name not in present)
--- a/src/merlinthread/coordination/dispatch.py
+++ b/src/merlinthread/coordination/dispatch.py
@@ -152,7 +152,7 @@
         return False
     if now < backend.full_until or backend.is_changing(now):
         return False
-    if backend.availability.is_closed(now):
+    if backend.availability.is_unavailable(now):
         return False
     if not demand.model or engine is None:
         return True
--- a/src/merlinthread/nodes/attempts.py
+++ b/src/merlinthread/nodes/attempts.py
@@ -134,7 +134,7 @@
         """
         now = self.clock()
         availability = self.pool.signals.availability_of(self.backend.instance)
-        if availability.is_closed(now):
+        if availability.is_unavailable(now):
             raise ClosedError(
                 "it said that it leaves" if availability.is_leaving else "it is at rest"
             )
--- a/tests/test_backend_signals.py
+++ b/tests/test_backend_signals.py
@@ -118,12 +118,12 @@
     @stateful.rule()
     def live_again(self):
         later = self.signals.availability_of("i-1@5")
-        assert not later.is_closed(self.now)
+        assert not later.is_unavailable(self.now)
 
     @stateful.invariant()
     def is_closed_as_long_as_any_word_says_so(self):
         is_closed = self.is_leaving or any(self.now < end for end in self.ends)
-        assert self.availability().is_closed(self.now) == is_closed
+        assert self.availability().is_unavailable(self.now) == is_closed
 
 
 TestSignals = Signals.TestCase
