--- a/src/merlinthread/coordination/backend_signals.py
+++ b/src/merlinthread/coordination/backend_signals.py
@@ -67,7 +67,7 @@
         """Return whether it is known that there is no permit now."""
         return self.is_limited() and now < self.permits_from
 
-    def opens_at(self, now: float) -> float:
+    def available_at(self, now: float) -> float:
         """Return when it takes a request again: `now`, or later if it rests or has no permit."""
         permits_from = self.permits_from if self.is_limited() else now
         return max(now, self.rest_until, permits_from)
--- a/src/merlinthread/coordination/dispatch.py
+++ b/src/merlinthread/coordination/dispatch.py
@@ -106,7 +106,7 @@
     return max(0.0, told[half - 1] - now)
 
 
-def opens_at(backends: Iterable[backend_record.Backend], now: float) -> float | None:
+def available_at(backends: Iterable[backend_record.Backend], now: float) -> float | None:
     """Return when the first of some back ends takes requests again, if all are closed now.
 
     That is infinite if all leave; None if one is open, or if there is none at all.
@@ -115,7 +115,7 @@
     if not found:
         return None
     staying = [backend.availability for backend in found if not backend.is_draining]
-    opens_at = min((availability.opens_at(now) for availability in staying), default=math.inf)
+    opens_at = min((availability.available_at(now) for availability in staying), default=math.inf)
     return opens_at if opens_at > now else None
 
 
--- a/src/merlinthread/nodes/backend_pool.py
+++ b/src/merlinthread/nodes/backend_pool.py
@@ -177,7 +177,7 @@
 
     def opens_at(self, service: str) -> float | None:
         """Return when the first back end of a service takes requests again, if all are closed."""
-        return dispatch.opens_at(self.by_service.get(service, []), self.clock())
+        return dispatch.available_at(self.by_service.get(service, []), self.clock())
 
     def take_load(self, load: node_messages.Load) -> None:
         """Take an agent's report of its engine."""
--- a/tests/test_backend_signals.py
+++ b/tests/test_backend_signals.py
@@ -152,10 +152,10 @@
 def test_when_the_first_opens_is_known_only_if_all_are_closed():
     one, other, leaving = backend("1", 12.0), backend("2", 11.0), backend("3")
     leaving.is_draining = True
-    assert dispatch.opens_at([one, other, leaving], 10.0) == 11.0
-    assert dispatch.opens_at([one, other, leaving], 11.5) is None
-    assert dispatch.opens_at([leaving], 10.0) == math.inf
-    assert dispatch.opens_at([], 10.0) is None, "none is known yet: one may be told any moment"
+    assert dispatch.available_at([one, other, leaving], 10.0) == 11.0
+    assert dispatch.available_at([one, other, leaving], 11.5) is None
+    assert dispatch.available_at([leaving], 10.0) == math.inf
+    assert dispatch.available_at([], 10.0) is None, "none is known yet: one may be told any moment"
 
 
 def test_who_is_refused_for_a_rest_comes_back_after_it_and_not_all_at_once():
