--- a/src/merlinthread/coordination/backend_signals.py
+++ b/src/merlinthread/coordination/backend_signals.py
@@ -40,7 +40,7 @@
 
     `told_by` and `told_at` say from where it is known that it leaves. `limit_per_s` is how many
     requests a second it takes from all VMs together, as heard at `limit_heard_at`, None if it names
-    no limit; no permit is to be had before `permits_from`.
+    no limit; no permit is to be had before `next_permit_at`.
     """
 
     is_leaving: bool = False
@@ -49,7 +49,7 @@
     rest_until: float = float("-inf")
     limit_per_s: float | None = None
     limit_heard_at: float = float("-inf")
-    permits_from: float = float("-inf")
+    next_permit_at: float = float("-inf")
 
     def is_resting(self, now: float) -> bool:
         """Return whether it wants nothing now."""
@@ -65,12 +65,12 @@
 
     def lacks_permit(self, now: float) -> bool:
         """Return whether it is known that there is no permit now."""
-        return self.is_limited() and now < self.permits_from
+        return self.is_limited() and now < self.next_permit_at
 
     def available_at(self, now: float) -> float:
         """Return when it takes a request again: `now`, or later if it rests or has no permit."""
-        permits_from = self.permits_from if self.is_limited() else now
-        return max(now, self.rest_until, permits_from)
+        next_permit_at = self.next_permit_at if self.is_limited() else now
+        return max(now, self.rest_until, next_permit_at)
 
     def record_limit(self, per_s: float | None, sent_at: float, now: float) -> bool:
         """Note the limit in the answer to a request sent at `sent_at`; return whether it changed.
@@ -85,7 +85,7 @@
                 return False
         if per_s is None or before is None or per_s > before:
             # What is known of permits is about the limit that held.
-            self.permits_from = float("-inf")
+            self.next_permit_at = float("-inf")
         self.limit_per_s = per_s
         self.limit_heard_at = now
         return per_s != before
@@ -95,7 +95,7 @@
         if heard_at <= self.limit_heard_at:
             return
         if per_s != self.limit_per_s:
-            self.permits_from = float("-inf")
+            self.next_permit_at = float("-inf")
         self.limit_per_s = per_s
         self.limit_heard_at = heard_at
 
--- a/src/merlinthread/nodes/permits.py
+++ b/src/merlinthread/nodes/permits.py
@@ -102,7 +102,7 @@
         metrics.permits_asked_total.labels("given" if decision.instance else "denied", by).inc()
         now = self.clock()
         for backend, free_in_s in zip(backends, decision.free_in_s, strict=False):
-            backend.availability.permits_from = now + free_in_s
+            backend.availability.next_permit_at = now + free_in_s
         if not decision.instance:
             return Denial(decision.back_in_s, told_by)
         if decision.start_in_s > 0:
