--- a/src/merlinthread/coordination/backend_signals.py
+++ b/src/merlinthread/coordination/backend_signals.py
@@ -24,7 +24,7 @@
 # The longest rest that is kept, in seconds: after it the back end may ask for another one.
 REST_S_MAX = 300.0
 # Back ends that left and are remembered; some 590 of a large fleet are restarted in a day.
-KEPT_MAX = 4096
+RECORDS_MAX = 4096
 
 
 class LeavingSource(enum.StrEnum):
@@ -140,7 +140,7 @@
             availability = self.availabilities[name]
             if not availability.is_unavailable(now) and not availability.is_limited():
                 del self.availabilities[name]
-        while len(self.availabilities) > KEPT_MAX + len(present):
+        while len(self.availabilities) > RECORDS_MAX + len(present):
             oldest = next(name for name in self.availabilities if name not in present)
             del self.availabilities[oldest]
 
--- a/src/merlinthread/coordination/limit_ledger.py
+++ b/src/merlinthread/coordination/limit_ledger.py
@@ -14,7 +14,7 @@
 
 # Records kept; the one that has not changed for longest goes first. A tenth of 1,500 back ends is
 # in need at a time.
-KEPT_MAX = 4096
+RECORDS_MAX = 4096
 # How long it is remembered that a limit is over, in seconds: words that are older are on their way.
 OVER_KEPT_S = 60.0
 
@@ -71,7 +71,7 @@
                 for instance, known in self.records.items()
                 if known.per_s is not None or now - known.heard_at <= OVER_KEPT_S
             }
-        while len(self.records) > KEPT_MAX:
+        while len(self.records) > RECORDS_MAX:
             del self.records[next(iter(self.records))]
 
     def told(self, instances: Iterable[str], now: float) -> list[ToldLimit]:
--- a/tests/test_backend_signals.py
+++ b/tests/test_backend_signals.py
@@ -131,13 +131,13 @@
 
 def test_what_is_remembered_is_bounded_and_the_oldest_goes_first():
     signals = backend_signals.BackendSignals()
-    count = backend_signals.KEPT_MAX + 100
+    count = backend_signals.RECORDS_MAX + 100
     for number in range(count):
         signals.availability_of(f"i-{number}").record_leaving(
             backend_signals.LeavingSource.NEWS, number
         )
     signals.prune({"i-0"}, count)
-    assert len(signals.availabilities) == backend_signals.KEPT_MAX + 1
+    assert len(signals.availabilities) == backend_signals.RECORDS_MAX + 1
     assert signals.availability_of("i-0").is_leaving, "it is still there"
     assert signals.availability_of(f"i-{count - 1}").is_leaving
     assert "i-1" not in signals.availabilities
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -169,9 +169,9 @@
 
 def test_what_is_remembered_of_limits_is_bounded():
     ledger = limit_ledger.LimitLedger()
-    for number in range(limit_ledger.KEPT_MAX + 50):
+    for number in range(limit_ledger.RECORDS_MAX + 50):
         ledger.merge(limit_ledger.ToldLimit(f"i-{number}", 1.0, 0.0), number)
-    assert len(ledger.records) == limit_ledger.KEPT_MAX
+    assert len(ledger.records) == limit_ledger.RECORDS_MAX
     assert len(ledger.since(ledger.revision - 3, 0.0)) == 3
     ledger.merge(limit_ledger.ToldLimit("over", None, 0.0), 10_000.0)
     ledger.merge(limit_ledger.ToldLimit("i-4000", None, 0.0), 10_000.0)
