--- a/src/merlinthread/nodes/attempt_notes.py
+++ b/src/merlinthread/nodes/attempt_notes.py
@@ -29,7 +29,10 @@
         return ""
     told_by = permit.told_by if permit is not None else "nobody"
     heard_ms = round(1000 * (now - availability.limit_heard_at))
-    return f", limit {availability.limit_per_s:g} a second heard {heard_ms} ms ago, permit by {told_by}"
+    return (
+        f", limit {availability.limit_per_s:g} a second heard {heard_ms} ms ago, "
+        f"permit by {told_by}"
+    )
 
 
 def told_of_itself(facts: fleet.AnswerFacts) -> str:
