--- a/src/merlinthread/coordination/dispatch.py
+++ b/src/merlinthread/coordination/dispatch.py
@@ -206,7 +206,7 @@
     ]
     if not all(backend.availability.is_limited() for backend in fit):
         return []
-    return sorted(fit, key=lambda backend: rate(backend, demand, engine, now).cost_s)
+    return sorted(fit, key=lambda backend: evaluate(backend, demand, engine, now).cost_s)
 
 
 def choose(
@@ -226,7 +226,7 @@
         for backend in candidates(backends, demand, engine, now)
         if begins_in_time(backend, demand, engine, now)
     ]
-    choices = [rate(backend, demand, engine, now) for backend in able]
+    choices = [evaluate(backend, demand, engine, now) for backend in able]
     if not choices:
         return None
     # Entries decide apart on reports of some age: if all took the best one, it would be flooded. Of
@@ -261,7 +261,9 @@
     if len(backends) > SAMPLED:
         backends = rng.sample(backends, SAMPLED)
     able = candidates(backends, demand, engine, now)
-    rated = [(rate(backend, demand, engine, now).cost_s, rng.random(), backend) for backend in able]
+    rated = [
+        (evaluate(backend, demand, engine, now).cost_s, rng.random(), backend) for backend in able
+    ]
     rated.sort(key=lambda entry: entry[:2])
     return [backend for _, _, backend in rated[skipped : skipped + count]]
 
@@ -278,11 +280,11 @@
         for backend in candidates(backends, demand, engine, now)
         if begins_in_time(backend, demand, engine, now)
     ]
-    choices = [rate(backend, demand, engine, now) for backend in able]
+    choices = [evaluate(backend, demand, engine, now) for backend in able]
     return min(choices, key=lambda choice: choice.cost_s, default=None)
 
 
-def rate(
+def evaluate(
     backend: backend_record.Backend, demand: Demand, engine: fleet.Engine | None, now: float
 ) -> Choice:
     """Return what choosing a back end would mean."""
--- a/src/merlinthread/nodes/backend_pool.py
+++ b/src/merlinthread/nodes/backend_pool.py
@@ -253,7 +253,7 @@
     def rate(self, backend: backend_record.Backend, demand: dispatch.Demand) -> dispatch.Choice:
         """Return what choosing a back end would mean now."""
         engine = self.engine_of(demand.service)
-        return dispatch.rate(backend, demand, engine, self.clock())
+        return dispatch.evaluate(backend, demand, engine, self.clock())
 
     def unheard(
         self, backends: list[backend_record.Backend], heard: list[backend_record.Backend]
--- a/tests/test_fleet_deciders.py
+++ b/tests/test_fleet_deciders.py
@@ -304,7 +304,7 @@
         one.apply_report(fleet.EngineReport(weights=[fleet.Weights("m", 1, 16)]), 9.95)
         one.apply_probe_answer(load_ledger.EngineNow(load_ledger.Outstanding(3, 2, tokens)), 10.0)
     demand = dispatch.Demand("s", "m", prompt_tokens=1000.0)
-    choices = [dispatch.rate(one, demand, ENGINE, 10.0) for one in (busy, idle)]
+    choices = [dispatch.evaluate(one, demand, ENGINE, 10.0) for one in (busy, idle)]
     expected = 5000.0 / ENGINE.read_tokens_per_s
     assert choices[0].first_s - choices[1].first_s == pytest.approx(expected)
     best = dispatch.best_of([busy, idle], demand, ENGINE, 10.0)
