--- a/src/merlinthread/coordination/dispatch.py
+++ b/src/merlinthread/coordination/dispatch.py
@@ -187,7 +187,7 @@
     return sound or [backend for backend in fit if not backend.in_flight]
 
 
-def limited(
+def permit_candidates(
     backends: Iterable[backend_record.Backend],
     demand: Demand,
     engine: fleet.Engine | None,
--- a/src/merlinthread/nodes/backend_pool.py
+++ b/src/merlinthread/nodes/backend_pool.py
@@ -173,7 +173,7 @@
         """
         engine = self.engine_of(demand.service)
         backends = self.by_service.get(demand.service, [])
-        return dispatch.limited(backends, demand, engine, self.clock())
+        return dispatch.permit_candidates(backends, demand, engine, self.clock())
 
     def opens_at(self, service: str) -> float | None:
         """Return when the first back end of a service takes requests again, if all are closed."""
