--- a/src/merlinthread/coordination/dispatch.py
+++ b/src/merlinthread/coordination/dispatch.py
@@ -268,7 +268,7 @@
     return [backend for _, _, backend in rated[skipped : skipped + count]]
 
 
-def best_of(
+def choose_best(
     backends: Iterable[backend_record.Backend],
     demand: Demand,
     engine: fleet.Engine | None,
--- a/src/merlinthread/nodes/backend_pool.py
+++ b/src/merlinthread/nodes/backend_pool.py
@@ -239,7 +239,7 @@
         heard = self.heard.get(demand.service, [])
         asked = dispatch.shortlist(heard, demand, engine, self.clock(), self.rng, PROBED)
         await self.ask_loads(asked)
-        choice = dispatch.best_of(asked, demand, engine, self.clock())
+        choice = dispatch.choose_best(asked, demand, engine, self.clock())
         if choice is not None and choice.wait_s <= wait_s_max:
             return choice
         others = self.unheard(backends, heard)
@@ -247,8 +247,8 @@
         await self.ask_loads(asked)
         known = [*heard, *(backend for backend in asked if not backend.probe_unanswered)]
         # Of one that is not heard and does not answer nothing is known: it is the last resort.
-        choice = dispatch.best_of(known, demand, engine, self.clock())
-        return choice or dispatch.best_of(asked, demand, engine, self.clock())
+        choice = dispatch.choose_best(known, demand, engine, self.clock())
+        return choice or dispatch.choose_best(asked, demand, engine, self.clock())
 
     def rate(self, backend: backend_record.Backend, demand: dispatch.Demand) -> dispatch.Choice:
         """Return what choosing a back end would mean now."""
--- a/tests/test_fleet_deciders.py
+++ b/tests/test_fleet_deciders.py
@@ -307,7 +307,7 @@
     choices = [dispatch.evaluate(one, demand, ENGINE, 10.0) for one in (busy, idle)]
     expected = 5000.0 / ENGINE.read_tokens_per_s
     assert choices[0].first_s - choices[1].first_s == pytest.approx(expected)
-    best = dispatch.best_of([busy, idle], demand, ENGINE, 10.0)
+    best = dispatch.choose_best([busy, idle], demand, ENGINE, 10.0)
     assert best is not None and best.backend is idle
 
 
@@ -398,7 +398,7 @@
     found = dispatch.shortlist(all_of_them, demand, ENGINE, 10.0, random.Random(1), 4)
     assert len(found) == 4, "each may be asked"
     for one in all_of_them:
-        choice = dispatch.best_of([one], demand, ENGINE, 10.0)
+        choice = dispatch.choose_best([one], demand, ENGINE, 10.0)
         assert (choice is not None) == (one is prompt)
 
 
