--- a/src/merlinthread/coordination/dispatch.py
+++ b/src/merlinthread/coordination/dispatch.py
@@ -126,7 +126,7 @@
     return tokens / engine.read_tokens_per_s
 
 
-def is_able(
+def is_eligible(
     backend: backend_record.Backend, demand: Demand, engine: fleet.Engine | None, now: float
 ) -> bool:
     """Return whether a back end may get this attempt, and has not just failed."""
--- a/tests/test_fleet_deciders.py
+++ b/tests/test_fleet_deciders.py
@@ -167,7 +167,7 @@
     }
     backends = [backend(name, weights=weights) for name, weights in held.items()]
     demand = dispatch.Demand("s", "m", 2)
-    able = [b.instance for b in backends if dispatch.is_able(b, demand, ENGINE, 0.0)]
+    able = [b.instance for b in backends if dispatch.is_eligible(b, demand, ENGINE, 0.0)]
     assert able == ["new"]
 
 
@@ -179,8 +179,8 @@
         waits.append(one.ejected_until - 100.0)
     assert waits == sorted(set(waits))
     demand = dispatch.Demand("s")
-    assert not dispatch.is_able(one, demand, None, 100.0)
-    assert dispatch.is_able(one, demand, None, 110.0)
+    assert not dispatch.is_eligible(one, demand, None, 100.0)
+    assert dispatch.is_eligible(one, demand, None, 110.0)
     dispatch.note_success(one, 0.1)
     assert one.failures == 0
 
--- a/tests/test_load_feed.py
+++ b/tests/test_load_feed.py
@@ -96,9 +96,9 @@
     engine = engines(1, 1, 0)[0]
     engine.apply_probe_answer(load_ledger.EngineNow(load_ledger.Outstanding(), is_busy=True), 10.0)
     demand = dispatch.Demand("s")
-    assert not dispatch.is_able(engine, demand, None, 10.5)
+    assert not dispatch.is_eligible(engine, demand, None, 10.5)
     later = 10.1 + backend_record.REPORT_FRESH_S
-    assert dispatch.is_able(engine, demand, None, later)
+    assert dispatch.is_eligible(engine, demand, None, later)
 
 
 def test_silence_of_an_engine_that_is_no_longer_heard_costs_nothing():
