--- a/src/merlinthread/coordination/dispatch.py
+++ b/src/merlinthread/coordination/dispatch.py
@@ -57,7 +57,7 @@
     """
 
     backend: backend_record.Backend
-    first_s: float
+    first_byte_s: float
     wait_s: float
     cost_s: float
 
@@ -288,17 +288,19 @@
     backend: backend_record.Backend, demand: Demand, engine: fleet.Engine | None, now: float
 ) -> Choice:
     """Return what choosing a back end would mean."""
-    first_s = expected_first_s(backend, engine, demand.prompt_tokens, now)
-    cost_s = first_s + DISTANCE_COST_S[backend.distance]
+    first_byte_s = expected_first_s(backend, engine, demand.prompt_tokens, now)
+    cost_s = first_byte_s + DISTANCE_COST_S[backend.distance]
     if now < backend.cold_until:
-        cost_s += first_s
+        cost_s += first_byte_s
     if backend.has_stale_reports(now):
         cost_s += UNHEARD_COST_S
     if backend.probe_unanswered:
         cost_s += SILENT_COST_S
     if backend.is_ejected(now):
-        return Choice(backend, first_s, math.inf, math.inf)
-    return Choice(backend, first_s, first_s - reading_s(engine, demand.prompt_tokens), cost_s)
+        return Choice(backend, first_byte_s, math.inf, math.inf)
+    return Choice(
+        backend, first_byte_s, first_byte_s - reading_s(engine, demand.prompt_tokens), cost_s
+    )
 
 
 def note_failure(backend: backend_record.Backend, now: float) -> None:
--- a/src/merlinthread/nodes/attempt_notes.py
+++ b/src/merlinthread/nodes/attempt_notes.py
@@ -11,7 +11,7 @@
     backend = choice.backend
     age_ms = round(1000 * (now - backend.load_updated_at())) if backend.has_fresh_load(now) else -1
     waited_ms = round(1000 * (now - arrived))
-    expected_ms = round(1000 * choice.first_s)
+    expected_ms = round(1000 * choice.first_byte_s)
     unread = round(backend.unread_tokens + (backend.others_unread_tokens or 0.0))
     return (
         f"{backend.instance} after {waited_ms} ms, load {backend.load(now)}, "
--- a/tests/test_fleet_deciders.py
+++ b/tests/test_fleet_deciders.py
@@ -306,7 +306,7 @@
     demand = dispatch.Demand("s", "m", prompt_tokens=1000.0)
     choices = [dispatch.evaluate(one, demand, ENGINE, 10.0) for one in (busy, idle)]
     expected = 5000.0 / ENGINE.read_tokens_per_s
-    assert choices[0].first_s - choices[1].first_s == pytest.approx(expected)
+    assert choices[0].first_byte_s - choices[1].first_byte_s == pytest.approx(expected)
     best = dispatch.choose_best([busy, idle], demand, ENGINE, 10.0)
     assert best is not None and best.backend is idle
 
