--- a/src/merlinthread/coordination/dispatch.py
+++ b/src/merlinthread/coordination/dispatch.py
@@ -62,7 +62,7 @@
     cost_s: float
 
 
-def expected_first_s(
+def expected_first_byte_s(
     backend: backend_record.Backend, engine: fleet.Engine | None, tokens: float, now: float
 ) -> float:
     """Return the expected time until the first byte of a request sent now.
@@ -288,7 +288,7 @@
     backend: backend_record.Backend, demand: Demand, engine: fleet.Engine | None, now: float
 ) -> Choice:
     """Return what choosing a back end would mean."""
-    first_byte_s = expected_first_s(backend, engine, demand.prompt_tokens, now)
+    first_byte_s = expected_first_byte_s(backend, engine, demand.prompt_tokens, now)
     cost_s = first_byte_s + DISTANCE_COST_S[backend.distance]
     if now < backend.cold_until:
         cost_s += first_byte_s
--- a/tests/test_fleet_deciders.py
+++ b/tests/test_fleet_deciders.py
@@ -316,7 +316,7 @@
     found = []
     for load in range(one.slots - 2, one.slots + 2):
         one.in_flight = load
-        found.append(dispatch.expected_first_s(one, ENGINE, 0.0, 10.0))
+        found.append(dispatch.expected_first_byte_s(one, ENGINE, 0.0, 10.0))
     steps = [after - before for before, after in zip(found, found[1:], strict=False)]
     bare_s = ENGINE.usual_answer * ENGINE.step_s / one.slots
     assert steps[0] < bare_s < 2 * bare_s < steps[1] == pytest.approx(steps[2])
