--- a/src/merlinthread/coordination/dispatch.py
+++ b/src/merlinthread/coordination/dispatch.py
@@ -303,20 +303,20 @@
     )
 
 
-def note_failure(backend: backend_record.Backend, now: float) -> None:
+def record_failure(backend: backend_record.Backend, now: float) -> None:
     """Set a back end aside after a failure, longer each time."""
     wait = min(FAILED_WAIT_MAX_S, FAILED_WAIT_S * 2**backend.failures)
     backend.failures += 1
     backend.ejected_until = now + wait
 
 
-def note_success(backend: backend_record.Backend, work_s: float) -> None:
+def record_success(backend: backend_record.Backend, work_s: float) -> None:
     """Note a whole answer and how long it took."""
     backend.failures = 0
     backend.response_time.note(work_s)
     backend.service_response_time.note(work_s)
 
 
-def note_full(backend: backend_record.Backend, now: float) -> None:
+def record_full(backend: backend_record.Backend, now: float) -> None:
     """Leave a back end alone for a moment that said it is full."""
     backend.full_until = now + FULL_WAIT_S
--- a/src/merlinthread/nodes/attempts.py
+++ b/src/merlinthread/nodes/attempts.py
@@ -109,14 +109,14 @@
         except TimeoutError:
             self.note_silence(connection)
             if not self.relay.exchange.is_started:
-                dispatch.note_failure(self.backend, self.clock())
+                dispatch.record_failure(self.backend, self.clock())
             self.note_break(True)
             return Outcome(State.UNKNOWN, "the time is over")
         except errors.MerlinthreadError as error:
             if isinstance(error, SilentError):
                 self.note_silence(connection)
             if not isinstance(error, OverdueError | ClosedError):
-                dispatch.note_failure(self.backend, self.clock())
+                dispatch.record_failure(self.backend, self.clock())
             if self.is_sent:
                 self.note_break(isinstance(error, SilentError | OverdueError))
                 return Outcome(State.UNKNOWN, error.message)
@@ -169,11 +169,11 @@
         """Note what an attempt tells of its back end."""
         now = self.clock()
         if outcome.state is State.DONE:
-            dispatch.note_success(self.backend, now - self.place.started)
+            dispatch.record_success(self.backend, now - self.place.started)
             if self.pool.crashes.ledger.records:
                 self.pool.crashes.note_whole_answer(self.facts.fingerprint())
         elif outcome.state is State.NOT_RUN:
-            dispatch.note_full(self.backend, now)
+            dispatch.record_full(self.backend, now)
 
     def request(self) -> http_messages.Request:
         """Return the request as the back end gets it."""
--- a/tests/test_entry_node.py
+++ b/tests/test_entry_node.py
@@ -372,7 +372,7 @@
     async def scenario():
         entry, (worker,), _ = await make("safe", 1)
         backend = next(iter(entry.node.pool.backends.values()))
-        dispatch.note_failure(backend, entry.node.clock())
+        dispatch.record_failure(backend, entry.node.clock())
         assert (await entry.ask("/safe/", "id-1")).status == 200
         assert runs([worker]) == 1
 
--- a/tests/test_fleet_deciders.py
+++ b/tests/test_fleet_deciders.py
@@ -175,13 +175,13 @@
     one = backend()
     waits = []
     for _ in range(3):
-        dispatch.note_failure(one, 100.0)
+        dispatch.record_failure(one, 100.0)
         waits.append(one.ejected_until - 100.0)
     assert waits == sorted(set(waits))
     demand = dispatch.Demand("s")
     assert not dispatch.is_eligible(one, demand, None, 100.0)
     assert dispatch.is_eligible(one, demand, None, 110.0)
-    dispatch.note_success(one, 0.1)
+    dispatch.record_success(one, 0.1)
     assert one.failures == 0
 
 
@@ -190,7 +190,7 @@
     demand = dispatch.Demand("s")
     only, taken_away = backend("only"), backend("taken away")
     taken_away.is_draining = True
-    dispatch.note_failure(only, 10.0)
+    dispatch.record_failure(only, 10.0)
     choice = dispatch.choose([only, taken_away], demand, None, 10.05, random.Random(1))
     assert choice.backend is only
     assert choice.wait_s == math.inf, "others are preferred, a request waits a moment for them"
--- a/tests/test_new_back_ends.py
+++ b/tests/test_new_back_ends.py
@@ -56,10 +56,10 @@
         usual.note(WORK_S)
     backend = backend_record.Backend("i", "safe", "a:1", "zone", 0, 8, service_response_time=usual)
     assert backend.expected_response_s() == pytest.approx(WORK_S)
-    dispatch.note_success(backend, 10 * WORK_S)
+    dispatch.record_success(backend, 10 * WORK_S)
     assert backend.expected_response_s() < 4 * WORK_S
     for _ in range(30):
-        dispatch.note_success(backend, 2 * WORK_S)
+        dispatch.record_success(backend, 2 * WORK_S)
     assert backend.expected_response_s() == pytest.approx(2 * WORK_S, rel=0.2)
 
 
@@ -71,7 +71,7 @@
         )
         for number in range(2)
     ]
-    dispatch.note_success(backends[0], WORK_S)
+    dispatch.record_success(backends[0], WORK_S)
     assert backends[1].expected_response_s() == pytest.approx(WORK_S)
 
 
