--- a/src/merlinthread/coordination/dispatch.py
+++ b/src/merlinthread/coordination/dispatch.py
@@ -17,7 +17,7 @@
 BASE_S = 0.06
 FAILED_WAIT_S = 0.5
 FAILED_WAIT_MAX_S = 4.0
-FULL_WAIT_S = 0.08
+FULL_BACKOFF_S = 0.08
 DRAWN = 2
 # Costs that differ by less than this share are alike.
 ALIKE_SHARE = 0.1
@@ -319,4 +319,4 @@
 
 def record_full(backend: backend_record.Backend, now: float) -> None:
     """Leave a back end alone for a moment that said it is full."""
-    backend.full_until = now + FULL_WAIT_S
+    backend.full_until = now + FULL_BACKOFF_S
--- a/tests/test_rest.py
+++ b/tests/test_rest.py
@@ -131,7 +131,7 @@
         fleet.let_rest([worker], value)
         await fleet.until_refused([worker])
         worker.behaviour.is_full = False
-        await asyncio.sleep(dispatch.FULL_WAIT_S)
+        await asyncio.sleep(dispatch.FULL_BACKOFF_S)
         assert (await fleet.ask()).status == 200, value
 
     for value in ("nan", "-5", "1e400", "", "3, 4", "123456789012345678901", "x", "0"):
