--- a/bench/requests.py
+++ b/bench/requests.py
@@ -168,7 +168,9 @@
             if rng.random() < load * weight / 10 * 8 / 40:
                 tokens = rng.randrange(20, 60)
                 shown = account if policy == "fair" else "everybody"
-                found.add(fair_queue.Ticket(f"{account} {number}", shown, 1, 0, tokens, step))
+                found.add(
+                    fair_queue.QueuedRequest(f"{account} {number}", shown, 1, 0, tokens, step)
+                )
                 number += 1
         while (ticket := found.next()) is not None:
             left[ticket.id] = ticket.output_tokens
--- a/examples/embed_fair_queue.py
+++ b/examples/embed_fair_queue.py
@@ -11,7 +11,7 @@
     queue.set_weights({"publisher": 3.0, "school": 1.0})
     for number in range(400):
         account = "publisher" if number % 2 else "school"
-        queue.add(fair_queue.Ticket(f"t{number}", account, 1, 0, TOKENS, arrived_at=0.0))
+        queue.add(fair_queue.QueuedRequest(f"t{number}", account, 1, 0, TOKENS, arrived_at=0.0))
     served = {"publisher": 0, "school": 0}
     for _ in range(200):
         ticket = queue.next()
--- a/src/merlinthread/coordination/fair_queue.py
+++ b/src/merlinthread/coordination/fair_queue.py
@@ -13,7 +13,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Ticket:
+class QueuedRequest:
     """One waiting or running request; tokens are estimates until it runs."""
 
     id: str
@@ -40,8 +40,8 @@
         self.waiting_max = waiting_max
         self.weights: dict[str, float] = {}
         self.service: dict[str, float] = {}
-        self.waiting: dict[str, collections.deque[Ticket]] = {}
-        self.running: dict[str, Ticket] = {}
+        self.waiting: dict[str, collections.deque[QueuedRequest]] = {}
+        self.running: dict[str, QueuedRequest] = {}
         self.waiting_tokens = 0
         self.tokens_per_s = 0.0
 
@@ -53,7 +53,7 @@
         """Return how many requests wait."""
         return sum(len(line) for line in self.waiting.values())
 
-    def add(self, ticket: Ticket) -> None:
+    def add(self, ticket: QueuedRequest) -> None:
         """Put a request in line; raise RequestError (overloaded) if it is full."""
         if self.count_waiting() >= self.waiting_max:
             raise errors.RequestError(
@@ -83,7 +83,7 @@
             return 1.0
         return max(0.1, self.waiting_tokens / self.tokens_per_s)
 
-    def next(self) -> Ticket | None:
+    def next(self) -> QueuedRequest | None:
         """Move the request that is due onto the engine and return it, or None."""
         if len(self.running) >= self.slots or not self.waiting:
             return None
--- a/src/merlinthread/roles/target.py
+++ b/src/merlinthread/roles/target.py
@@ -40,7 +40,7 @@
         self.made_tokens = 0.0
         self.measured_from = clock()
 
-    def enter(self, ticket: fair_queue.Ticket, deadline: float) -> None:
+    def enter(self, ticket: fair_queue.QueuedRequest, deadline: float) -> None:
         """Wait for the engine.
 
         Raises RequestError: overloaded if the line is full, not_run if the deadline passes first.
@@ -251,7 +251,7 @@
         call = msgspec.json.decode(request.body, type=GenerateCall)
         self.check_digest(call, attempt)
         deadline = self.parts.clock() + attempt.deadline_ms / 1000
-        ticket = fair_queue.Ticket(
+        ticket = fair_queue.QueuedRequest(
             attempt.id,
             attempt.account,
             attempt.priority,
@@ -318,7 +318,9 @@
             )
         return stream
 
-    def relay(self, stream: http_client.Stream, ticket: fair_queue.Ticket) -> Iterator[bytes]:
+    def relay(
+        self, stream: http_client.Stream, ticket: fair_queue.QueuedRequest
+    ) -> Iterator[bytes]:
         """Give the engine's events on and charge its tokens."""
         is_whole = False
         try:
@@ -357,7 +359,7 @@
         """Run one call on a plain service and return its whole answer."""
         attempt = self.admit(request, request.path)
         deadline = self.parts.clock() + attempt.deadline_ms / 1000
-        ticket = fair_queue.Ticket(
+        ticket = fair_queue.QueuedRequest(
             attempt.id, attempt.account, attempt.priority, 1, 0, self.parts.clock()
         )
         self.line.enter(ticket, deadline)
--- a/tests/test_deciders.py
+++ b/tests/test_deciders.py
@@ -34,8 +34,10 @@
 # Fair queue
 
 
-def ticket(number: int, account: str, tokens: int = 10, priority: int = 1) -> fair_queue.Ticket:
-    return fair_queue.Ticket(f"t{number}", account, priority, tokens, 0, 0.0)
+def ticket(
+    number: int, account: str, tokens: int = 10, priority: int = 1
+) -> fair_queue.QueuedRequest:
+    return fair_queue.QueuedRequest(f"t{number}", account, priority, tokens, 0, 0.0)
 
 
 def serve(queue: fair_queue.FairQueue, rounds: int) -> dict[str, float]:
