--- a/bench/requests.py
+++ b/bench/requests.py
@@ -172,7 +172,7 @@
                     fair_queue.QueuedRequest(f"{account} {number}", shown, 1, 0, tokens, step)
                 )
                 number += 1
-        while (ticket := found.next()) is not None:
+        while (ticket := found.start_next()) is not None:
             left[ticket.id] = ticket.output_tokens
         busy += len(left)
         for name in list(left):
--- a/examples/embed_fair_queue.py
+++ b/examples/embed_fair_queue.py
@@ -14,7 +14,7 @@
         queue.add(fair_queue.QueuedRequest(f"t{number}", account, 1, 0, TOKENS, arrived_at=0.0))
     served = {"publisher": 0, "school": 0}
     for _ in range(200):
-        ticket = queue.next()
+        ticket = queue.start_next()
         assert ticket is not None
         queue.charge(ticket.id, TOKENS)
         queue.finish(ticket.id)
--- a/src/merlinthread/coordination/fair_queue.py
+++ b/src/merlinthread/coordination/fair_queue.py
@@ -83,7 +83,7 @@
             return 1.0
         return max(0.1, self.waiting_tokens / self.tokens_per_s)
 
-    def next(self) -> QueuedRequest | None:
+    def start_next(self) -> QueuedRequest | None:
         """Move the request that is due onto the engine and return it, or None."""
         if len(self.running) >= self.slots or not self.waiting:
             return None
--- a/src/merlinthread/roles/target.py
+++ b/src/merlinthread/roles/target.py
@@ -65,7 +65,7 @@
 
     def call_next(self) -> None:
         """Let those go who are due; the caller holds the lock."""
-        while (ticket := self.queue.next()) is not None:
+        while (ticket := self.queue.start_next()) is not None:
             self.turns.pop(ticket.id).set()
         metrics.queue_length.set(self.queue.count_waiting())
 
--- a/tests/test_deciders.py
+++ b/tests/test_deciders.py
@@ -44,7 +44,7 @@
     """Run an engine with one place; return the tokens that each account got."""
     got: dict[str, float] = {}
     for _ in range(rounds):
-        chosen = queue.next()
+        chosen = queue.start_next()
         if chosen is None:
             break
         got[chosen.account] = got.get(chosen.account, 0) + chosen.tokens()
@@ -99,10 +99,10 @@
     queue = fair_queue.FairQueue(2, 1000)
     for number in range(3):
         queue.add(ticket(number, "only"))
-    assert queue.next() and queue.next() and queue.next() is None
+    assert queue.start_next() and queue.start_next() and queue.start_next() is None
     queue.add(ticket(10, "night", priority=0))
     queue.finish("t0")
-    assert queue.next().account == "night"
+    assert queue.start_next().account == "night"
 
 
 def test_a_full_line_refuses_with_the_time_it_will_take():
