--- a/src/merlinthread/coordination/fair_queue.py
+++ b/src/merlinthread/coordination/fair_queue.py
@@ -126,7 +126,7 @@
                     return True
         return False
 
-    def note_speed(self, tokens: float, seconds: float) -> None:
+    def record_throughput(self, tokens: float, seconds: float) -> None:
         """Note how many tokens the engine made in `seconds`, for the estimate of waiting."""
         if seconds <= 0:
             return
--- a/src/merlinthread/roles/target.py
+++ b/src/merlinthread/roles/target.py
@@ -82,7 +82,7 @@
         if now - self.measured_from < SPEED_EVERY_S:
             return
         if self.queue.waiting:
-            self.queue.note_speed(self.made_tokens, now - self.measured_from)
+            self.queue.record_throughput(self.made_tokens, now - self.measured_from)
         self.made_tokens = 0.0
         self.measured_from = now
 
--- a/tests/test_deciders.py
+++ b/tests/test_deciders.py
@@ -107,7 +107,7 @@
 
 def test_a_full_line_refuses_with_the_time_it_will_take():
     queue = fair_queue.FairQueue(1, 5)
-    queue.note_speed(100, 1.0)
+    queue.record_throughput(100, 1.0)
     for number in range(5):
         queue.add(ticket(number, "a", 200))
     with pytest.raises(errors.RequestError) as caught:
