--- a/bench/permits.py
+++ b/bench/permits.py
@@ -64,7 +64,7 @@
     spent = Spent()
     for number in range(QUESTIONS):
         times[0] += 0.008
-        limits = [rate_limits.NamedLimit(name, 1.5, 0.25) for name in rng.sample(names, named)]
+        limits = [rate_limits.AdvertisedLimit(name, 1.5, 0.25) for name in rng.sample(names, named)]
         request = rate_limits.PermitRequest("service", "account", 0.048, limits)
         address = f"10.0.{rng.randrange(entries) // 250}.{rng.randrange(250)}:7702"
         began = time.process_time()
--- a/src/merlinthread/coordination/permit_turns.py
+++ b/src/merlinthread/coordination/permit_turns.py
@@ -64,7 +64,7 @@
         decision.free_in_s[best] = after_at - now
         return decision
 
-    def next_slot(self, named: rate_limits.NamedLimit, now: float) -> int:
+    def next_slot(self, named: rate_limits.AdvertisedLimit, now: float) -> int:
         """Return this entry's next slot at a back end, the present one if it is unused."""
         interval_s = rate_limits.interval_s(named.per_s)
         present = math.floor((now + self.ahead_s) / interval_s)
--- a/src/merlinthread/coordination/rate_limits.py
+++ b/src/merlinthread/coordination/rate_limits.py
@@ -33,7 +33,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class NamedLimit:
+class AdvertisedLimit:
     """The limit that one VM heard a back end name, and how long ago."""
 
     instance: str
@@ -58,7 +58,7 @@
     service: str
     account: str
     patience_s: float
-    limits: list[NamedLimit]
+    limits: list[AdvertisedLimit]
 
 
 @dataclasses.dataclass(slots=True)
@@ -183,7 +183,7 @@
         ]
         return decision
 
-    def allowance(self, named: NamedLimit, now: float) -> Allowance:
+    def allowance(self, named: AdvertisedLimit, now: float) -> Allowance:
         """Return a back end's allowance with the newest limit that is known."""
         known = self.allowances.get(named.instance)
         heard_at = now - named.heard_age_s
--- a/src/merlinthread/nodes/permits.py
+++ b/src/merlinthread/nodes/permits.py
@@ -240,10 +240,10 @@
             answered.set_result(answer)
 
 
-def named_limit(backend: backend_record.Backend, now: float) -> rate_limits.NamedLimit:
+def named_limit(backend: backend_record.Backend, now: float) -> rate_limits.AdvertisedLimit:
     """Return what a back end named, for the control VM."""
     availability = backend.availability
     assert availability.limit_per_s is not None
-    return rate_limits.NamedLimit(
+    return rate_limits.AdvertisedLimit(
         backend.instance, availability.limit_per_s, max(0.0, now - availability.limit_heard_at)
     )
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -40,7 +40,7 @@
 
 
 def query(number: int, entry: str = "entry:1", per_s: float = 2.0) -> node_messages.LoadQuery:
-    limit = rate_limits.NamedLimit("i", per_s, 0.0)
+    limit = rate_limits.AdvertisedLimit("i", per_s, 0.0)
     request = rate_limits.PermitRequest("s", "a", 0.0, [limit])
     return node_messages.LoadQuery(entry, number, request)
 
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -17,12 +17,14 @@
 WINDOW_S = 4.0
 
 
-def permit_request(*limits: rate_limits.NamedLimit, account="a", patience_s=0.0):
+def permit_request(*limits: rate_limits.AdvertisedLimit, account="a", patience_s=0.0):
     return rate_limits.PermitRequest("s", account, patience_s, list(limits))
 
 
-def named(per_s: float, instance: str = "i", heard_age_s: float = 0.0) -> rate_limits.NamedLimit:
-    return rate_limits.NamedLimit(instance, per_s, heard_age_s)
+def named(
+    per_s: float, instance: str = "i", heard_age_s: float = 0.0
+) -> rate_limits.AdvertisedLimit:
+    return rate_limits.AdvertisedLimit(instance, per_s, heard_age_s)
 
 
 def starts_of(counter, per_s: float, gaps: list[float], patience_s: float) -> list[float]:
