--- a/src/merlinthread/coordination/rate_limits.py
+++ b/src/merlinthread/coordination/rate_limits.py
@@ -147,7 +147,7 @@
         return len(accounts) > 1 and had * len(accounts) > total
 
 
-class PermitCounter:
+class PermitAllocator:
     """Counts for all back ends, from `began_at` on.
 
     Who counts anew does not know what was given out before, and begins with nothing, and not before
--- a/src/merlinthread/nodes/permit_office.py
+++ b/src/merlinthread/nodes/permit_office.py
@@ -28,7 +28,7 @@
     def __init__(self, member: log_member.LogMember, clock: Callable[[], float]) -> None:
         self.member = member
         self.clock = clock
-        self.counter: rate_limits.PermitCounter | None = None
+        self.counter: rate_limits.PermitAllocator | None = None
         # When each entry asked last, by its address.
         self.asked_at: dict[str, float] = {}
         self.ranks: list[str] = []
@@ -60,7 +60,7 @@
             is_other = leader != self.member.address
             return node_messages.PermitAnswer(None, leader if is_other else "")
         if self.counter is None:
-            self.counter = rate_limits.PermitCounter(now)
+            self.counter = rate_limits.PermitAllocator(now)
             logs.event("permits_counted_here", entry=entry)
         self.note_asked(entry, now)
         decision = self.counter.decide(request, now)
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -47,7 +47,7 @@
     st.floats(0.0, 0.2),
 )
 def test_no_window_has_more_than_the_limit_allows(per_s, gaps, patience_s):
-    starts = starts_of(rate_limits.PermitCounter(), per_s, gaps, patience_s)
+    starts = starts_of(rate_limits.PermitAllocator(), per_s, gaps, patience_s)
     assert most_in_a_window(starts) <= per_s * WINDOW_S + SPARE
 
 
@@ -55,7 +55,7 @@
 def test_what_is_named_is_used_where_twice_as_much_is_asked_for(per_s, seed):
     rng = random.Random(seed)
     gaps = [rng.expovariate(2 * per_s) for _ in range(400)]
-    starts = starts_of(rate_limits.PermitCounter(), per_s, gaps, 0.05)
+    starts = starts_of(rate_limits.PermitAllocator(), per_s, gaps, 0.05)
     assert len(starts) >= 0.9 * rate_limits.GIVEN_SHARE * per_s * sum(gaps) - SPARE
 
 
@@ -82,14 +82,14 @@
 
 
 def test_whoever_counts_anew_begins_with_nothing():
-    counter = rate_limits.PermitCounter()
+    counter = rate_limits.PermitAllocator()
     decision = counter.decide(permit_request(named(1.0)), 100.0)
     assert not decision.instance
     assert 1.0 <= decision.free_in_s[0] <= 1.1
 
 
 def test_the_newest_limit_holds_whoever_tells_it():
-    counter = rate_limits.PermitCounter()
+    counter = rate_limits.PermitAllocator()
     counter.decide(permit_request(named(8.0)), 0.0)
     counter.decide(permit_request(named(0.5)), 1.0)
     counter.decide(permit_request(named(8.0, heard_age_s=3.0)), 2.0)
@@ -101,12 +101,12 @@
 
 def test_a_back_end_that_names_next_to_nothing_is_asked_now_and_then():
     gaps = [0.1] * 600
-    starts = starts_of(rate_limits.PermitCounter(), 0.0001, gaps, 0.0)
+    starts = starts_of(rate_limits.PermitAllocator(), 0.0001, gaps, 0.0)
     assert 5 <= len(starts) <= 6
 
 
 def test_who_can_wait_gets_a_permit_ahead_of_time_and_who_can_not_is_told_when():
-    counter = rate_limits.PermitCounter()
+    counter = rate_limits.PermitAllocator()
     counter.decide(permit_request(named(10.0)), 0.0)
     first = counter.decide(permit_request(named(10.0)), 1.0)
     assert first.instance and first.start_in_s == 0.0
@@ -118,14 +118,14 @@
 
 
 def test_those_who_are_refused_together_are_told_different_times():
-    counter = rate_limits.PermitCounter()
+    counter = rate_limits.PermitAllocator()
     told = [counter.decide(permit_request(named(10.0)), 0.0).back_in_s for _ in range(10)]
     assert len({round(at, 3) for at in told}) == len(told)
     assert max(told) <= rate_limits.RETURN_OVER_S + 0.1
 
 
 def test_of_several_back_ends_the_first_free_one_is_taken():
-    counter = rate_limits.PermitCounter()
+    counter = rate_limits.PermitAllocator()
     limits = [named(0.1, "slow"), named(10.0, "quick")]
     counter.decide(permit_request(*limits), 0.0)
     assert counter.decide(permit_request(*limits), 1.0).instance == "quick"
@@ -133,7 +133,7 @@
 
 
 def test_an_account_that_asks_seldom_is_served_though_another_asks_always():
-    counter = rate_limits.PermitCounter()
+    counter = rate_limits.PermitAllocator()
     rng = random.Random(3)
     asked = {"often": 0, "seldom": 0}
     served = {"often": 0, "seldom": 0}
@@ -149,7 +149,7 @@
 
 
 def test_nothing_is_kept_of_back_ends_that_nobody_asks_for():
-    counter = rate_limits.PermitCounter()
+    counter = rate_limits.PermitAllocator()
     for number in range(50):
         counter.decide(permit_request(named(1.0, f"i-{number}")), 0.0)
     counter.decide(permit_request(named(1.0, "present")), 200.0)
