--- a/src/merlinthread/coordination/rate_limits.py
+++ b/src/merlinthread/coordination/rate_limits.py
@@ -13,7 +13,7 @@
 
 # Share of a limit that is given out. The rest is for requests that arrive closer together than they
 # were permitted.
-GIVEN_SHARE = 0.98
+GRANTED_SHARE = 0.98
 # How early a permit may be used, as a share of the time between two: an allowance is not lost to
 # the time by which the next request is late. With it a window of any length has the limit's share
 # and two requests at most.
@@ -78,7 +78,7 @@
 
 def interval_s(per_s: float) -> float:
     """Return the time between two permits for a back end that takes `per_s` requests a second."""
-    return min(INTERVAL_S_MAX, 1.0 / (GIVEN_SHARE * per_s))
+    return min(INTERVAL_S_MAX, 1.0 / (GRANTED_SHARE * per_s))
 
 
 @dataclasses.dataclass(slots=True)
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -56,7 +56,7 @@
     rng = random.Random(seed)
     gaps = [rng.expovariate(2 * per_s) for _ in range(400)]
     starts = starts_of(rate_limits.PermitAllocator(), per_s, gaps, 0.05)
-    assert len(starts) >= 0.9 * rate_limits.GIVEN_SHARE * per_s * sum(gaps) - SPARE
+    assert len(starts) >= 0.9 * rate_limits.GRANTED_SHARE * per_s * sum(gaps) - SPARE
 
 
 @hypothesis.given(st.floats(0.2, 20.0), st.integers(2, 12), st.integers(0, 1000))
