--- a/src/merlinthread/coordination/rate_limits.py
+++ b/src/merlinthread/coordination/rate_limits.py
@@ -24,7 +24,7 @@
 # Back ends that nobody has asked for in so long are forgotten, in seconds.
 KEPT_S = 60.0
 # Within this time entries find who counts now, in seconds; until then some go by their turns.
-FOUND_S = 0.35
+LEADER_DISCOVERY_S = 0.35
 # Over this time accounts' use of a service is compared, in seconds, and once more as long before.
 ACCOUNT_PERIOD_S = 4.0
 # Those who are refused together are told to return over this time, in seconds. Clients with 6 s
@@ -155,7 +155,7 @@
     """
 
     def __init__(self, began_at: float = -math.inf) -> None:
-        self.first_at = began_at + FOUND_S
+        self.first_at = began_at + LEADER_DISCOVERY_S
         self.allowances: dict[str, Allowance] = {}
         self.uses: dict[str, AccountUse] = {}
         self.last_returns: dict[str, float] = {}
--- a/src/merlinthread/nodes/permits.py
+++ b/src/merlinthread/nodes/permits.py
@@ -142,7 +142,9 @@
         silence that is older than the next leader waits says nothing of now: they wait for this
         search then, since turns beside a leader's permits are more than is allowed.
         """
-        self.silent_until = min(self.clock() + SILENCE_S, self.silent_at + rate_limits.FOUND_S)
+        self.silent_until = min(
+            self.clock() + SILENCE_S, self.silent_at + rate_limits.LEADER_DISCOVERY_S
+        )
         self.searched = asyncio.Event()
         try:
             decision = await self.decision_of(self.controls(), request)
