--- a/src/merlinthread/coordination/permit_turns.py
+++ b/src/merlinthread/coordination/permit_turns.py
@@ -79,10 +79,10 @@
 
     def sweep(self, now: float) -> None:
         """Forget what is long past."""
-        if now - self.swept_at >= rate_limits.KEPT_S:
+        if now - self.swept_at >= rate_limits.IDLE_EXPIRY_S:
             self.swept_at = now
             self.used = {
                 instance: used_at
                 for instance, used_at in self.used.items()
-                if now - used_at < rate_limits.KEPT_S
+                if now - used_at < rate_limits.IDLE_EXPIRY_S
             }
--- a/src/merlinthread/coordination/rate_limits.py
+++ b/src/merlinthread/coordination/rate_limits.py
@@ -22,7 +22,7 @@
 # needs its limit no more, so that one which names next to nothing must still be asked.
 INTERVAL_S_MAX = 10.0
 # Back ends that nobody has asked for in so long are forgotten, in seconds.
-KEPT_S = 60.0
+IDLE_EXPIRY_S = 60.0
 # Within this time entries find who counts now, in seconds; until then some go by their turns.
 LEADER_DISCOVERY_S = 0.35
 # Over this time accounts' use of a service is compared, in seconds, and once more as long before.
@@ -207,19 +207,21 @@
 
     def sweep(self, now: float) -> None:
         """Forget back ends and services that nobody has asked for in a while."""
-        if now - self.swept_at < KEPT_S:
+        if now - self.swept_at < IDLE_EXPIRY_S:
             return
         self.swept_at = now
         self.allowances = {
             instance: known
             for instance, known in self.allowances.items()
-            if now - known.asked_at < KEPT_S
+            if now - known.asked_at < IDLE_EXPIRY_S
         }
         self.uses = {
-            service: use for service, use in self.uses.items() if now - use.period_began < KEPT_S
+            service: use
+            for service, use in self.uses.items()
+            if now - use.period_began < IDLE_EXPIRY_S
         }
         self.last_returns = {
-            service: at for service, at in self.last_returns.items() if now - at < KEPT_S
+            service: at for service, at in self.last_returns.items() if now - at < IDLE_EXPIRY_S
         }
 
 
