--- a/src/merlinthread/coordination/rate_limits.py
+++ b/src/merlinthread/coordination/rate_limits.py
@@ -29,7 +29,7 @@
 ACCOUNT_PERIOD_S = 4.0
 # Those who are refused together are told to return over this time, in seconds. Clients with 6 s
 # left wait 2 s at most; where more press for longer, no return is early enough.
-RETURN_OVER_S = 2.0
+RETRY_SPREAD_S = 2.0
 
 
 @dataclasses.dataclass(slots=True)
@@ -200,7 +200,7 @@
         earliest = max(now, min(known.free_at() for known in allowances))
         step_s = 1.0 / sum(1.0 / known.interval_s() for known in allowances)
         at = max(earliest, self.last_returns.get(service, -math.inf) + step_s)
-        if at > earliest + RETURN_OVER_S:
+        if at > earliest + RETRY_SPREAD_S:
             at = earliest
         self.last_returns[service] = at
         return at
--- a/src/merlinthread/coordination/return_times.py
+++ b/src/merlinthread/coordination/return_times.py
@@ -23,7 +23,7 @@
 # How much later than the engines are forecast to serve the first ones return (forecasts err by some
 # tenths of a second, and who comes too early is lost), and over how long the others follow.
 FORECAST_ERROR_S = 0.4
-RETURN_OVER_S = 0.8
+RETRY_SPREAD_S = 0.8
 
 
 @dataclasses.dataclass(slots=True)
@@ -46,7 +46,7 @@
     That is known and no forecast, so nobody is told to come before it, however little time it has:
     it would only be refused again. Who was refused together comes back apart.
     """
-    return max(LEAST_S, opens_in_s + RETURN_OVER_S * rng.random())
+    return max(LEAST_S, opens_in_s + RETRY_SPREAD_S * rng.random())
 
 
 Way = Callable[[Refusal, random.Random], float]
@@ -72,5 +72,5 @@
     if refusal.ready_in_s is None:
         return by_share(refusal, rng)
     latest_s = refusal.left_s - SECOND_TRY_S
-    later_s = FORECAST_ERROR_S + RETURN_OVER_S * rng.random()
+    later_s = FORECAST_ERROR_S + RETRY_SPREAD_S * rng.random()
     return max(LEAST_S, min(latest_s, refusal.ready_in_s + later_s))
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -121,7 +121,7 @@
     counter = rate_limits.PermitAllocator()
     told = [counter.decide(permit_request(named(10.0)), 0.0).back_in_s for _ in range(10)]
     assert len({round(at, 3) for at in told}) == len(told)
-    assert max(told) <= rate_limits.RETURN_OVER_S + 0.1
+    assert max(told) <= rate_limits.RETRY_SPREAD_S + 0.1
 
 
 def test_of_several_back_ends_the_first_free_one_is_taken():
