--- a/src/merlinthread/coordination/backend_signals.py
+++ b/src/merlinthread/coordination/backend_signals.py
@@ -128,7 +128,7 @@
         """Return the standing of an incarnation, the same object each time."""
         return self.availabilities.setdefault(instance, Availability())
 
-    def merge_reported_limit(self, told: limit_ledger.ToldLimit, now: float) -> None:
+    def merge_reported_limit(self, told: limit_ledger.LimitReport, now: float) -> None:
         """Take over what another VM heard of a back end's limit, or of its end."""
         if told.per_s is not None or told.instance in self.availabilities:
             self.availability_of(told.instance).merge_limit(told.per_s, now - told.heard_age_s)
--- a/src/merlinthread/coordination/limit_ledger.py
+++ b/src/merlinthread/coordination/limit_ledger.py
@@ -20,7 +20,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class ToldLimit:
+class LimitReport:
     """What an answer that came `heard_age_s` ago said: requests a second, None for no limit."""
 
     instance: str
@@ -45,7 +45,7 @@
         self.revision = 0
         self.swept_at = -math.inf
 
-    def merge(self, told: ToldLimit, now: float) -> bool:
+    def merge(self, told: LimitReport, now: float) -> bool:
         """Take over what was told; return whether it is new."""
         known = self.records.get(told.instance)
         heard_at = now - told.heard_age_s
@@ -74,12 +74,12 @@
         while len(self.records) > RECORDS_MAX:
             del self.records[next(iter(self.records))]
 
-    def told(self, instances: Iterable[str], now: float) -> list[ToldLimit]:
+    def told(self, instances: Iterable[str], now: float) -> list[LimitReport]:
         """Return what is known of some back ends."""
         found = [(name, self.records[name]) for name in instances if name in self.records]
-        return [ToldLimit(name, known.per_s, now - known.heard_at) for name, known in found]
+        return [LimitReport(name, known.per_s, now - known.heard_at) for name, known in found]
 
-    def since(self, revision: int, now: float) -> list[ToldLimit]:
+    def since(self, revision: int, now: float) -> list[LimitReport]:
         """Return what has changed after `revision`."""
         changed = [name for name, known in self.records.items() if known.revision > revision]
         return self.told(changed, now)
--- a/src/merlinthread/nodes/limit_registry.py
+++ b/src/merlinthread/nodes/limit_registry.py
@@ -17,12 +17,12 @@
         # The back ends whose limits are to be passed on to the other control VMs.
         self.outgoing: set[str] = set()
 
-    def take_heard(self, told: list[limit_ledger.ToldLimit]) -> None:
+    def take_heard(self, told: list[limit_ledger.LimitReport]) -> None:
         """Take over what an entry heard, to be passed on."""
         if self.take(told):
             self.outgoing.update(each.instance for each in told)
 
-    def take(self, told: list[limit_ledger.ToldLimit]) -> bool:
+    def take(self, told: list[limit_ledger.LimitReport]) -> bool:
         """Take over limits; return whether anything is new."""
         now = self.clock()
         is_new = any([self.ledger.merge(each, now) for each in told])
@@ -30,12 +30,12 @@
             self.tell()
         return is_new
 
-    def pop_outgoing(self) -> list[limit_ledger.ToldLimit]:
+    def pop_outgoing(self) -> list[limit_ledger.LimitReport]:
         """Return what is to be passed on now."""
         found = self.ledger.told(self.outgoing, self.clock())
         self.outgoing = set()
         return found
 
-    def since(self, revision: int) -> list[limit_ledger.ToldLimit]:
+    def since(self, revision: int) -> list[limit_ledger.LimitReport]:
         """Return what has changed after `revision`; nothing if that is below 0."""
         return self.ledger.since(revision, self.clock()) if revision >= 0 else []
--- a/src/merlinthread/nodes/signal_taker.py
+++ b/src/merlinthread/nodes/signal_taker.py
@@ -72,7 +72,7 @@
         logs.event(
             "backend_limit", instance=instance, per_s=per_s, before=before, request=request_id
         )
-        self.teller.tell(limit_ledger.ToldLimit(instance, per_s, 0.0))
+        self.teller.tell(limit_ledger.LimitReport(instance, per_s, 0.0))
         self.count()
 
     def count(self) -> None:
--- a/src/merlinthread/protocol/node_messages.py
+++ b/src/merlinthread/protocol/node_messages.py
@@ -88,7 +88,7 @@
     leader_age_s: float
     suspicions: list[crash_ledger.Suspicion] = dataclasses.field(default_factory=list)
     suspicion_revision: int = 0
-    limits: list[limit_ledger.ToldLimit] = dataclasses.field(default_factory=list)
+    limits: list[limit_ledger.LimitReport] = dataclasses.field(default_factory=list)
     limit_revision: int = 0
 
 
@@ -99,7 +99,7 @@
 
     sender: str
     heartbeats: list[fleet.Heartbeat]
-    limits: list[limit_ledger.ToldLimit] = dataclasses.field(default_factory=list)
+    limits: list[limit_ledger.LimitReport] = dataclasses.field(default_factory=list)
 
 
 @MESSAGES.add("node.crash_report")
@@ -114,7 +114,7 @@
     sender: str
     suspicions: list[crash_ledger.Suspicion]
     is_passed_on: bool = False
-    limits: list[limit_ledger.ToldLimit] = dataclasses.field(default_factory=list)
+    limits: list[limit_ledger.LimitReport] = dataclasses.field(default_factory=list)
 
 
 @MESSAGES.add("node.submit")
