--- a/src/merlinthread/coordination/limit_ledger.py
+++ b/src/merlinthread/coordination/limit_ledger.py
@@ -37,7 +37,7 @@
     revision: int
 
 
-class LimitLedger:
+class LimitTable:
     """The limits of all back ends, in the order of their changes."""
 
     def __init__(self) -> None:
--- a/src/merlinthread/nodes/limit_registry.py
+++ b/src/merlinthread/nodes/limit_registry.py
@@ -13,7 +13,7 @@
     def __init__(self, clock: Callable[[], float], tell: Callable[[], None]) -> None:
         self.clock = clock
         self.tell = tell
-        self.ledger = limit_ledger.LimitLedger()
+        self.ledger = limit_ledger.LimitTable()
         # The back ends whose limits are to be passed on to the other control VMs.
         self.outgoing: set[str] = set()
 
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -163,14 +163,14 @@
         limit_ledger.LimitReport("i", None, 1.0),
     ]
     for order in itertools.permutations(told):
-        ledger = limit_ledger.LimitLedger()
+        ledger = limit_ledger.LimitTable()
         for each in [*order, *order]:
             ledger.merge(each, 10.0)
         assert ledger.records["i"].per_s is None, order
 
 
 def test_what_is_remembered_of_limits_is_bounded():
-    ledger = limit_ledger.LimitLedger()
+    ledger = limit_ledger.LimitTable()
     for number in range(limit_ledger.RECORDS_MAX + 50):
         ledger.merge(limit_ledger.LimitReport(f"i-{number}", 1.0, 0.0), number)
     assert len(ledger.records) == limit_ledger.RECORDS_MAX
