--- a/src/merlinthread/coordination/limit_ledger.py
+++ b/src/merlinthread/coordination/limit_ledger.py
@@ -74,7 +74,7 @@
         while len(self.records) > RECORDS_MAX:
             del self.records[next(iter(self.records))]
 
-    def told(self, instances: Iterable[str], now: float) -> list[LimitReport]:
+    def reports_for(self, instances: Iterable[str], now: float) -> list[LimitReport]:
         """Return what is known of some back ends."""
         found = [(name, self.records[name]) for name in instances if name in self.records]
         return [LimitReport(name, known.per_s, now - known.heard_at) for name, known in found]
@@ -82,4 +82,4 @@
     def since(self, revision: int, now: float) -> list[LimitReport]:
         """Return what has changed after `revision`."""
         changed = [name for name, known in self.records.items() if known.revision > revision]
-        return self.told(changed, now)
+        return self.reports_for(changed, now)
--- a/src/merlinthread/nodes/limit_registry.py
+++ b/src/merlinthread/nodes/limit_registry.py
@@ -32,7 +32,7 @@
 
     def pop_outgoing(self) -> list[limit_ledger.LimitReport]:
         """Return what is to be passed on now."""
-        found = self.ledger.told(self.outgoing, self.clock())
+        found = self.ledger.reports_for(self.outgoing, self.clock())
         self.outgoing = set()
         return found
 
