--- a/src/merlinthread/coordination/load_feed.py
+++ b/src/merlinthread/coordination/load_feed.py
@@ -17,7 +17,7 @@
 # for the two best of them to be nearly the best of all; of 16 drawn by lot, the second best is
 # within the best eighth. The zones of the deployments known have 2 to 12 engines, and up to 21 with
 # those that join.
-HEARD_MAX = 16
+SUBSCRIPTIONS_MAX = 16
 # Share of an agent's link that its words about the load may take.
 LINK_SHARE = 0.02
 # An encoded load with the heads of UDP and IP, in bytes.
@@ -29,7 +29,7 @@
 
 
 def heard_engines(
-    entry: str, engines: Iterable[backend_record.Backend], count: int = HEARD_MAX
+    entry: str, engines: Iterable[backend_record.Backend], count: int = SUBSCRIPTIONS_MAX
 ) -> list[backend_record.Backend]:
     """Return the engines that an entry hears unasked: the nearest ones, `count` at most.
 
--- a/tests/test_load_feed.py
+++ b/tests/test_load_feed.py
@@ -48,7 +48,7 @@
 
 def test_an_entry_hears_a_bounded_number_of_engines_and_its_own_zone_first():
     heard = load_feed.heard_engines("entry", engines(60, 5, 2))
-    assert len(heard) == load_feed.HEARD_MAX
+    assert len(heard) == load_feed.SUBSCRIPTIONS_MAX
     assert sum(engine.distance == 0 for engine in heard) == 12
 
 
@@ -67,7 +67,7 @@
 
 def test_entries_spread_over_the_engines_of_a_zone():
     heard = listeners(330, 1500, 8)
-    mean = 330 * load_feed.HEARD_MAX / 1500
+    mean = 330 * load_feed.SUBSCRIPTIONS_MAX / 1500
     assert max(heard.values()) <= 4 * mean
 
 
