--- a/src/merlinthread/coordination/load_feed.py
+++ b/src/merlinthread/coordination/load_feed.py
@@ -28,7 +28,7 @@
 TELL_EVERY_MAX_S = 0.45
 
 
-def heard_engines(
+def engines_to_subscribe(
     entry: str, engines: Iterable[backend_record.Backend], count: int = SUBSCRIPTIONS_MAX
 ) -> list[backend_record.Backend]:
     """Return the engines that an entry hears unasked: the nearest ones, `count` at most.
--- a/src/merlinthread/nodes/backend_pool.py
+++ b/src/merlinthread/nodes/backend_pool.py
@@ -121,7 +121,7 @@
         """Choose the engines that this entry hears unasked, by service."""
         before = self.heard
         self.heard = {
-            service: load_feed.heard_engines(self.settings.name, backends)
+            service: load_feed.engines_to_subscribe(self.settings.name, backends)
             for service, backends in self.by_service.items()
             if self.engine_of(service) is not None
         }
--- a/tests/test_load_feed.py
+++ b/tests/test_load_feed.py
@@ -32,7 +32,7 @@
     found: dict[str, int] = {}
     for entry in range(entries):
         seen = engines(count, zones, entry % zones)
-        for engine in load_feed.heard_engines(f"entry-{entry}", seen):
+        for engine in load_feed.engines_to_subscribe(f"entry-{entry}", seen):
             found[engine.instance] = found.get(engine.instance, 0) + 1
     return found
 
@@ -47,21 +47,21 @@
 
 
 def test_an_entry_hears_a_bounded_number_of_engines_and_its_own_zone_first():
-    heard = load_feed.heard_engines("entry", engines(60, 5, 2))
+    heard = load_feed.engines_to_subscribe("entry", engines(60, 5, 2))
     assert len(heard) == load_feed.SUBSCRIPTIONS_MAX
     assert sum(engine.distance == 0 for engine in heard) == 12
 
 
 def test_a_small_fleet_is_heard_whole():
-    assert len(load_feed.heard_engines("entry", engines(6, 3, 0))) == 6
+    assert len(load_feed.engines_to_subscribe("entry", engines(6, 3, 0))) == 6
 
 
 def test_one_engine_less_changes_one_place():
     everything = engines(1500, 8, 0)
-    before = {engine.instance for engine in load_feed.heard_engines("entry", everything)}
+    before = {engine.instance for engine in load_feed.engines_to_subscribe("entry", everything)}
     lost = sorted(before)[0]
     rest = [engine for engine in everything if engine.instance != lost]
-    after = {engine.instance for engine in load_feed.heard_engines("entry", rest)}
+    after = {engine.instance for engine in load_feed.engines_to_subscribe("entry", rest)}
     assert len(before - after) == 1
 
 
