--- a/src/merlinthread/coordination/load_feed.py
+++ b/src/merlinthread/coordination/load_feed.py
@@ -21,7 +21,7 @@
 # Share of an agent's link that its words about the load may take.
 LINK_SHARE = 0.02
 # An encoded load with the heads of UDP and IP, in bytes.
-LOAD_BYTES = 292
+LOAD_DATAGRAM_BYTES = 292
 # How often a load is told at most, and at least: what a node holds of it bears one lost word
 # (`backend_record.REPORT_FRESH_S`).
 TELL_EVERY_MIN_S = 0.2
@@ -50,7 +50,7 @@
 
 def tell_every_s(subscribers: int, link_bytes_per_s: float) -> float:
     """Return how often an agent tells a changed load to `subscribers` entries."""
-    needed_s = subscribers * LOAD_BYTES / (LINK_SHARE * link_bytes_per_s)
+    needed_s = subscribers * LOAD_DATAGRAM_BYTES / (LINK_SHARE * link_bytes_per_s)
     return min(TELL_EVERY_MAX_S, max(TELL_EVERY_MIN_S, needed_s))
 
 
--- a/tests/test_load_feed.py
+++ b/tests/test_load_feed.py
@@ -42,7 +42,7 @@
     entries, count, zones
 ):
     told = max(listeners(entries, count, zones).values())
-    bytes_per_s = told * load_feed.LOAD_BYTES / load_feed.tell_every_s(told, LINK)
+    bytes_per_s = told * load_feed.LOAD_DATAGRAM_BYTES / load_feed.tell_every_s(told, LINK)
     assert bytes_per_s <= 0.05 * LINK, f"{told} entries, {bytes_per_s / LINK:.3f} of the link"
 
 
@@ -79,7 +79,7 @@
         "10.128.0.90:8080", 100000, report, load_ledger.Outstanding(11, 4, 4123.0)
     )
     frame = codec.Codec([node_messages.MESSAGES], []).encode(message)
-    assert len(frame) + UDP_AND_IP_BYTES <= load_feed.LOAD_BYTES
+    assert len(frame) + UDP_AND_IP_BYTES <= load_feed.LOAD_DATAGRAM_BYTES
 
 
 def test_weights_and_their_changes_are_told_at_once():
