--- a/src/merlinthread/coordination/load_feed.py
+++ b/src/merlinthread/coordination/load_feed.py
@@ -48,7 +48,7 @@
     return blake3.blake3(f"{entry} {instance}".encode()).digest(8)
 
 
-def tell_every_s(subscribers: int, link_bytes_per_s: float) -> float:
+def report_interval_s(subscribers: int, link_bytes_per_s: float) -> float:
     """Return how often an agent tells a changed load to `subscribers` entries."""
     needed_s = subscribers * LOAD_DATAGRAM_BYTES / (LINK_SHARE * link_bytes_per_s)
     return min(TELL_EVERY_MAX_S, max(TELL_EVERY_MIN_S, needed_s))
--- a/src/merlinthread/nodes/agent_node.py
+++ b/src/merlinthread/nodes/agent_node.py
@@ -159,7 +159,7 @@
         if load_feed.is_urgent(report, self.told):
             return True
         link = self.settings.link_bytes_per_s
-        every_s = load_feed.tell_every_s(len(self.subscribers), link)
+        every_s = load_feed.report_interval_s(len(self.subscribers), link)
         if report == self.told:
             every_s = max(every_s, REPEAT_EVERY_S)
         # A report is read each REPORT_EVERY_S: half of it is borne, or every second one is skipped.
--- a/tests/test_load_feed.py
+++ b/tests/test_load_feed.py
@@ -42,7 +42,7 @@
     entries, count, zones
 ):
     told = max(listeners(entries, count, zones).values())
-    bytes_per_s = told * load_feed.LOAD_DATAGRAM_BYTES / load_feed.tell_every_s(told, LINK)
+    bytes_per_s = told * load_feed.LOAD_DATAGRAM_BYTES / load_feed.report_interval_s(told, LINK)
     assert bytes_per_s <= 0.05 * LINK, f"{told} entries, {bytes_per_s / LINK:.3f} of the link"
 
 
