--- a/src/merlinthread/coordination/load_ledger.py
+++ b/src/merlinthread/coordination/load_ledger.py
@@ -50,17 +50,17 @@
         self.open: dict[tuple[str, int], Attempt] = {}
         self.surplus = 0
 
-    def began(self, entry: str, number: int, tokens: float, now: float) -> None:
+    def record_start(self, entry: str, number: int, tokens: float, now: float) -> None:
         """Note that an entry has sent an attempt."""
         self.open[entry, number] = Attempt(entry, now, tokens)
 
-    def read(self, entry: str, number: int) -> None:
+    def record_first_byte(self, entry: str, number: int) -> None:
         """Note that an attempt's first byte came: its prompt was read."""
         attempt = self.open.get((entry, number))
         if attempt is not None:
             attempt.is_read = True
 
-    def ended(self, entry: str, number: int) -> None:
+    def record_end(self, entry: str, number: int) -> None:
         """Note that an attempt is over."""
         self.open.pop((entry, number), None)
 
--- a/src/merlinthread/nodes/agent_node.py
+++ b/src/merlinthread/nodes/agent_node.py
@@ -100,11 +100,11 @@
     def on_attempt(self, note: node_messages.AttemptNote) -> None:
         """Keep account of an attempt on the engine."""
         if note.stage is node_messages.Stage.SENT:
-            self.ledger.began(note.entry, note.number, note.tokens, self.clock())
+            self.ledger.record_start(note.entry, note.number, note.tokens, self.clock())
         elif note.stage is node_messages.Stage.READ:
-            self.ledger.read(note.entry, note.number)
+            self.ledger.record_first_byte(note.entry, note.number)
         else:
-            self.ledger.ended(note.entry, note.number)
+            self.ledger.record_end(note.entry, note.number)
 
     def load(self, report: fleet.EngineReport, entry: str) -> node_messages.Load:
         """Return the load as an entry is told it."""
--- a/tests/test_fleet_deciders.py
+++ b/tests/test_fleet_deciders.py
@@ -275,19 +275,19 @@
 
 def test_a_ledger_tells_each_entry_what_the_others_have_to_be_read():
     ledger = load_ledger.LoadLedger()
-    ledger.began("entry-1", 1, 900.0, 10.0)
-    ledger.began("entry-2", 1, 500.0, 10.0)
-    ledger.began("entry-2", 2, 700.0, 10.1)
+    ledger.record_start("entry-1", 1, 900.0, 10.0)
+    ledger.record_start("entry-2", 1, 500.0, 10.0)
+    ledger.record_start("entry-2", 2, 700.0, 10.1)
     assert ledger.outstanding("entry-1", 10.2) == load_ledger.Outstanding(2, 2, 1200.0)
-    ledger.read("entry-2", 1)
-    ledger.ended("entry-2", 2)
+    ledger.record_first_byte("entry-2", 1)
+    ledger.record_end("entry-2", 2)
     assert ledger.outstanding("entry-1", 10.2) == load_ledger.Outstanding(1, 0, 0.0)
     assert ledger.outstanding("entry-3", 10.2) == load_ledger.Outstanding(2, 1, 900.0)
 
 
 def test_lost_notes_are_forgotten_and_unknown_load_counts():
     ledger = load_ledger.LoadLedger()
-    ledger.began("entry-1", 1, 900.0, 10.0)
+    ledger.record_start("entry-1", 1, 900.0, 10.0)
     late = 10.0 + load_ledger.UNREAD_S_MAX + 0.1
     assert ledger.outstanding("entry-2", late) == load_ledger.Outstanding(1, 0, 0.0)
     ledger.apply_report(4, late)
