--- a/src/merlinthread/coordination/backend_record.py
+++ b/src/merlinthread/coordination/backend_record.py
@@ -163,7 +163,7 @@
         self.ready_at = None if report.ready_in_s is None else now + report.ready_in_s
         self.reported_at = now
 
-    def apply_probe_answer(self, answer: load_ledger.EngineNow | None, now: float) -> None:
+    def apply_probe_answer(self, answer: load_ledger.EngineLoad | None, now: float) -> None:
         """Take its agent's answer to a question, or note that there was none."""
         self.probe_unanswered = answer is None
         if answer is not None:
--- a/src/merlinthread/coordination/load_ledger.py
+++ b/src/merlinthread/coordination/load_ledger.py
@@ -32,7 +32,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class EngineNow:
+class EngineLoad:
     """An agent's answer to a question: what others have on its engine, and the engine's own state.
 
     `is_busy` is set while it changes its weights; `pace` over 1 tells that it works slower.
--- a/src/merlinthread/nodes/load_prober.py
+++ b/src/merlinthread/nodes/load_prober.py
@@ -22,11 +22,11 @@
         self.address = address
         self.send = send
         self.numbers = itertools.count(1)
-        self.waiting: dict[int, asyncio.Future[load_ledger.EngineNow]] = {}
+        self.waiting: dict[int, asyncio.Future[load_ledger.EngineLoad]] = {}
 
     async def ask(
         self, agents: Sequence[str], wait_s: float
-    ) -> dict[str, load_ledger.EngineNow | None]:
+    ) -> dict[str, load_ledger.EngineLoad | None]:
         """Ask agents for their loads; return what each tells within `wait_s`, or None."""
         loop = asyncio.get_running_loop()
         asked = {agent: next(self.numbers) for agent in agents}
@@ -47,7 +47,7 @@
         future = self.waiting.pop(answer.number, None)
         if future is not None and not future.done():
             others = load_ledger.Outstanding(answer.attempts, answer.unread, answer.tokens)
-            future.set_result(load_ledger.EngineNow(others, answer.is_busy, answer.pace))
+            future.set_result(load_ledger.EngineLoad(others, answer.is_busy, answer.pace))
 
     def note(self, agent: str, number: int, stage: node_messages.Stage, tokens: float) -> None:
         """Note at an agent how far an attempt is."""
--- a/tests/test_fleet_deciders.py
+++ b/tests/test_fleet_deciders.py
@@ -302,7 +302,7 @@
     busy, idle = backend("busy"), backend("idle")
     for one, tokens in ((busy, 5000.0), (idle, 0.0)):
         one.apply_report(fleet.EngineReport(weights=[fleet.Weights("m", 1, 16)]), 9.95)
-        one.apply_probe_answer(load_ledger.EngineNow(load_ledger.Outstanding(3, 2, tokens)), 10.0)
+        one.apply_probe_answer(load_ledger.EngineLoad(load_ledger.Outstanding(3, 2, tokens)), 10.0)
     demand = dispatch.Demand("s", "m", prompt_tokens=1000.0)
     choices = [dispatch.evaluate(one, demand, ENGINE, 10.0) for one in (busy, idle)]
     expected = 5000.0 / ENGINE.read_tokens_per_s
@@ -385,7 +385,7 @@
     prompt, slow, silent, asked_before = (
         backend(name) for name in ("prompt", "slow", "silent", "asked-before")
     )
-    nothing = load_ledger.EngineNow(load_ledger.Outstanding())
+    nothing = load_ledger.EngineLoad(load_ledger.Outstanding())
     for one in (prompt, slow, silent, asked_before):
         one.apply_report(report, 9.99)
     prompt.apply_probe_answer(nothing, 9.99)
--- a/tests/test_load_feed.py
+++ b/tests/test_load_feed.py
@@ -94,7 +94,7 @@
 
 def test_an_engine_that_is_not_heard_is_asked_again_after_it_said_that_it_changes_its_weights():
     engine = engines(1, 1, 0)[0]
-    engine.apply_probe_answer(load_ledger.EngineNow(load_ledger.Outstanding(), is_busy=True), 10.0)
+    engine.apply_probe_answer(load_ledger.EngineLoad(load_ledger.Outstanding(), is_busy=True), 10.0)
     demand = dispatch.Demand("s")
     assert not dispatch.is_eligible(engine, demand, None, 10.5)
     later = 10.1 + backend_record.REPORT_FRESH_S
--- a/tests/test_load_prober.py
+++ b/tests/test_load_prober.py
@@ -17,8 +17,8 @@
     return node_messages.LoadAnswer(query.number, 2, 1, tokens, True, 1.5)
 
 
-def engine_now(tokens: float) -> load_ledger.EngineNow:
-    return load_ledger.EngineNow(load_ledger.Outstanding(2, 1, tokens), True, 1.5)
+def engine_now(tokens: float) -> load_ledger.EngineLoad:
+    return load_ledger.EngineLoad(load_ledger.Outstanding(2, 1, tokens), True, 1.5)
 
 
 def test_all_answers_end_the_wait_and_each_goes_to_its_agent():
