--- a/src/merlinthread/coordination/load_ledger.py
+++ b/src/merlinthread/coordination/load_ledger.py
@@ -8,7 +8,7 @@
 import dataclasses
 
 # A note that an attempt was read or has ended may be lost: then it is dropped after a while.
-UNREAD_S_MAX = 3.0
+UNREAD_EXPIRY_S = 3.0
 OPEN_S_MAX = 60.0
 
 
@@ -78,7 +78,7 @@
             if attempt.entry == entry:
                 continue
             found.attempts += 1
-            if not attempt.is_read and now - attempt.began_at <= UNREAD_S_MAX:
+            if not attempt.is_read and now - attempt.began_at <= UNREAD_EXPIRY_S:
                 found.unread += 1
                 found.unread_tokens += attempt.tokens
         found.attempts = max(found.unread, found.attempts + self.surplus)
--- a/tests/test_fleet_deciders.py
+++ b/tests/test_fleet_deciders.py
@@ -288,7 +288,7 @@
 def test_lost_notes_are_forgotten_and_unknown_load_counts():
     ledger = load_ledger.LoadLedger()
     ledger.record_start("entry-1", 1, 900.0, 10.0)
-    late = 10.0 + load_ledger.UNREAD_S_MAX + 0.1
+    late = 10.0 + load_ledger.UNREAD_EXPIRY_S + 0.1
     assert ledger.outstanding("entry-2", late) == load_ledger.Outstanding(1, 0, 0.0)
     ledger.apply_report(4, late)
     assert ledger.outstanding("entry-2", late).attempts == 4
