--- a/src/merlinthread/coordination/load_ledger.py
+++ b/src/merlinthread/coordination/load_ledger.py
@@ -9,7 +9,7 @@
 
 # A note that an attempt was read or has ended may be lost: then it is dropped after a while.
 UNREAD_EXPIRY_S = 3.0
-OPEN_S_MAX = 60.0
+ATTEMPT_EXPIRY_S = 60.0
 
 
 @dataclasses.dataclass(slots=True)
@@ -67,7 +67,7 @@
     def apply_report(self, running: int, now: float) -> None:
         """Compare with what the engine tells: the difference is of unknown origin."""
         for key, attempt in list(self.open.items()):
-            if now - attempt.began_at > OPEN_S_MAX:
+            if now - attempt.began_at > ATTEMPT_EXPIRY_S:
                 del self.open[key]
         self.surplus = running - len(self.open)
 
--- a/tests/test_fleet_deciders.py
+++ b/tests/test_fleet_deciders.py
@@ -294,7 +294,7 @@
     assert ledger.outstanding("entry-2", late).attempts == 4
     ledger.apply_report(0, late)
     assert ledger.outstanding("entry-2", late).attempts == 0
-    ledger.apply_report(0, 10.0 + load_ledger.OPEN_S_MAX + 0.1)
+    ledger.apply_report(0, 10.0 + load_ledger.ATTEMPT_EXPIRY_S + 0.1)
     assert not ledger.open
 
 
