--- a/src/merlinthread/coordination/permit_turns.py
+++ b/src/merlinthread/coordination/permit_turns.py
@@ -14,7 +14,7 @@
 ENTRIES_UNTOLD = 16
 
 
-class PermitTurns:
+class PermitSlots:
     """One entry's turns: the `rank`th of `entries`.
 
     `ahead_s` is by how much the clock of the slots is ahead of this VM's.
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -64,7 +64,7 @@
     rng = random.Random(seed)
     starts = []
     for rank in range(entries):
-        turns = permit_turns.PermitTurns(0)
+        turns = permit_turns.PermitSlots(0)
         # Their clocks differ, and their view of the leader's by what is on its way.
         offset = rng.uniform(-100.0, 100.0)
         turns.take_told(entries, rank, -offset + rng.uniform(0.0, 0.01))
@@ -74,7 +74,7 @@
 
 
 def test_a_turn_is_not_lost_when_the_limit_falls():
-    turns = permit_turns.PermitTurns(0)
+    turns = permit_turns.PermitSlots(0)
     turns.take_told(1, 0, 1000.0)
     assert turns.decide(permit_request(named(8.0)), 1.0).instance
     decision = turns.decide(permit_request(named(0.5)), 1.0)
