--- a/src/merlinthread/coordination/permit_turns.py
+++ b/src/merlinthread/coordination/permit_turns.py
@@ -11,7 +11,7 @@
 from merlinthread.coordination import rate_limits
 
 # How many entries there are taken to be before a control VM has ever told.
-ENTRIES_UNTOLD = 16
+DEFAULT_ENTRIES = 16
 
 
 class PermitSlots:
@@ -21,8 +21,8 @@
     """
 
     def __init__(self, rank: int) -> None:
-        self.entries = ENTRIES_UNTOLD
-        self.rank = rank % ENTRIES_UNTOLD
+        self.entries = DEFAULT_ENTRIES
+        self.rank = rank % DEFAULT_ENTRIES
         self.ahead_s = 0.0
         self.began_at = -math.inf
         # The middle of the last slot used of each back end, by its name: another limit has others.
--- a/src/merlinthread/nodes/permits.py
+++ b/src/merlinthread/nodes/permits.py
@@ -78,7 +78,7 @@
         self.silent_until = float("-inf")
         # Set once the search that is under way has ended.
         self.searched: asyncio.Event | None = None
-        self.turns = permit_turns.PermitSlots(rng.randrange(permit_turns.ENTRIES_UNTOLD))
+        self.turns = permit_turns.PermitSlots(rng.randrange(permit_turns.DEFAULT_ENTRIES))
 
     async def acquire(
         self,
