--- a/src/merlinthread/coordination/permit_turns.py
+++ b/src/merlinthread/coordination/permit_turns.py
@@ -36,7 +36,7 @@
         """
         self.began_at = now
 
-    def take_told(self, entries: int, rank: int, ahead_s: float) -> None:
+    def update(self, entries: int, rank: int, ahead_s: float) -> None:
         """Take over how many entries share the limits, and which turn this one has."""
         self.entries, self.rank, self.ahead_s = entries, rank, ahead_s
 
--- a/src/merlinthread/nodes/permits.py
+++ b/src/merlinthread/nodes/permits.py
@@ -184,7 +184,7 @@
             logs.event("permits_from", control=address, before=self.leader, entries=answer.entries)
         self.leader = address
         ahead_s = answer.at - self.clock()
-        self.turns.take_told(max(1, answer.entries), answer.rank, ahead_s)
+        self.turns.update(max(1, answer.entries), answer.rank, ahead_s)
 
     def note_silence(self) -> None:
         """Note that no leader answers."""
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -67,7 +67,7 @@
         turns = permit_turns.PermitSlots(0)
         # Their clocks differ, and their view of the leader's by what is on its way.
         offset = rng.uniform(-100.0, 100.0)
-        turns.take_told(entries, rank, -offset + rng.uniform(0.0, 0.01))
+        turns.update(entries, rank, -offset + rng.uniform(0.0, 0.01))
         gaps = [offset, *(rng.expovariate(4 * per_s) for _ in range(300))]
         starts += [at - offset for at in starts_of(turns, per_s, gaps, 0.05)]
     assert most_in_a_window(sorted(starts)) <= (per_s * 1.01) * WINDOW_S + SPARE
@@ -75,7 +75,7 @@
 
 def test_a_turn_is_not_lost_when_the_limit_falls():
     turns = permit_turns.PermitSlots(0)
-    turns.take_told(1, 0, 1000.0)
+    turns.update(1, 0, 1000.0)
     assert turns.decide(permit_request(named(8.0)), 1.0).instance
     decision = turns.decide(permit_request(named(0.5)), 1.0)
     assert max(decision.free_in_s) <= 2 / 0.5
