--- a/src/merlinthread/coordination/retry_budget.py
+++ b/src/merlinthread/coordination/retry_budget.py
@@ -17,7 +17,7 @@
         self.firsts: collections.deque[float] = collections.deque()
         self.repeats: collections.deque[float] = collections.deque()
 
-    def note_first(self, now: float) -> None:
+    def record_first_attempt(self, now: float) -> None:
         """Note a request's first attempt."""
         self.firsts.append(now)
         self.trim(now)
--- a/src/merlinthread/nodes/request_task.py
+++ b/src/merlinthread/nodes/request_task.py
@@ -89,7 +89,7 @@
         body = self.exchange.request.body
         self.facts = request_facts.Facts(self.call, route, account, deadline, body)
         self.check_not_held()
-        self.pool.budget(self.service).note_first(self.arrived)
+        self.pool.budget(self.service).record_first_attempt(self.arrived)
 
     def check_not_held(self) -> None:
         """Raise RequestError if too many back ends have ended under this request.
--- a/tests/test_fleet_deciders.py
+++ b/tests/test_fleet_deciders.py
@@ -133,7 +133,7 @@
     for step in range(2000):
         now = step * 0.01
         entry = entries[step % 7]
-        entry.note_first(now)
+        entry.record_first_attempt(now)
         requests += now > 10.0
         for _ in range(3):
             spent += entry.spend(now) and now > 10.0
