--- a/src/merlinthread/coordination/return_times.py
+++ b/src/merlinthread/coordination/return_times.py
@@ -10,7 +10,7 @@
 
 from merlinthread import registry
 
-LEAST_S = 0.3
+RETRY_AFTER_MIN_S = 0.3
 # Of the time that a client has left, what it may be sent away for; the rest is for its second try.
 RETURN_SHARE = 0.33
 # Who was refused together comes back apart: between this share of the time told and all of it.
@@ -46,7 +46,7 @@
     That is known and no forecast, so nobody is told to come before it, however little time it has:
     it would only be refused again. Who was refused together comes back apart.
     """
-    return max(LEAST_S, opens_in_s + RETRY_SPREAD_S * rng.random())
+    return max(RETRY_AFTER_MIN_S, opens_in_s + RETRY_SPREAD_S * rng.random())
 
 
 Way = Callable[[Refusal, random.Random], float]
@@ -59,7 +59,7 @@
     if refusal.is_none_free:
         return NONE_FREE_S
     latest_s = min(MOST_S, refusal.left_s * RETURN_SHARE)
-    return max(LEAST_S, latest_s * rng.uniform(RETURN_SPREAD, 1.0))
+    return max(RETRY_AFTER_MIN_S, latest_s * rng.uniform(RETURN_SPREAD, 1.0))
 
 
 @WAYS.add("forecast")
@@ -73,4 +73,4 @@
         return by_share(refusal, rng)
     latest_s = refusal.left_s - SECOND_TRY_S
     later_s = FORECAST_ERROR_S + RETRY_SPREAD_S * rng.random()
-    return max(LEAST_S, min(latest_s, refusal.ready_in_s + later_s))
+    return max(RETRY_AFTER_MIN_S, min(latest_s, refusal.ready_in_s + later_s))
--- a/src/merlinthread/nodes/request_task.py
+++ b/src/merlinthread/nodes/request_task.py
@@ -128,7 +128,9 @@
             if outcome.state is attempts.State.UNSENT:
                 failures += 1
                 if failures >= CONNECT_FAILURES_MAX:
-                    raise self.no_place("back ends can't be reached", return_times.LEAST_S)
+                    raise self.no_place(
+                        "back ends can't be reached", return_times.RETRY_AFTER_MIN_S
+                    )
                 continue
             if not self.may_repeat(outcome):
                 await self.give_up(outcome)
@@ -170,7 +172,7 @@
             await self.relay.give(outcome.answer)
             return
         if outcome.state is attempts.State.NOT_RUN:
-            raise self.no_place("back ends are full", return_times.LEAST_S)
+            raise self.no_place("back ends are full", return_times.RETRY_AFTER_MIN_S)
         if self.clock() >= self.facts.deadline:
             raise errors.RequestError("the time is over", kind=errors.ErrorKind.DEADLINE_EXCEEDED)
         raise errors.RequestError(
