--- a/src/merlinthread/coordination/return_times.py
+++ b/src/merlinthread/coordination/return_times.py
@@ -19,7 +19,7 @@
 # How long to wait where nothing is free and nothing is known of when that ends.
 NONE_FREE_S = 1.8
 # What a second try needs: answers of 22 events were seen to take 1.2 to 1.9 s (entries' logs).
-SECOND_TRY_S = 2.2
+SECOND_ATTEMPT_S = 2.2
 # How much later than the engines are forecast to serve the first ones return (forecasts err by some
 # tenths of a second, and who comes too early is lost), and over how long the others follow.
 FORECAST_ERROR_S = 0.4
@@ -71,6 +71,6 @@
     """
     if refusal.ready_in_s is None:
         return by_share(refusal, rng)
-    latest_s = refusal.left_s - SECOND_TRY_S
+    latest_s = refusal.left_s - SECOND_ATTEMPT_S
     later_s = FORECAST_ERROR_S + RETRY_SPREAD_S * rng.random()
     return max(RETRY_AFTER_MIN_S, min(latest_s, refusal.ready_in_s + later_s))
--- a/tests/test_return_times.py
+++ b/tests/test_return_times.py
@@ -55,7 +55,7 @@
     for ready_in_s in (1.0, 4.0, 9.0):
         refusal = return_times.Refusal(5.0, True, ready_in_s)
         wait_s = return_times.by_forecast(refusal, rng)
-        assert return_times.RETRY_AFTER_MIN_S <= wait_s <= 5.0 - return_times.SECOND_TRY_S
+        assert return_times.RETRY_AFTER_MIN_S <= wait_s <= 5.0 - return_times.SECOND_ATTEMPT_S
 
 
 @pytest.mark.parametrize("is_none_free", [True, False])
