--- a/src/merlinthread/coordination/return_times.py
+++ b/src/merlinthread/coordination/return_times.py
@@ -49,11 +49,11 @@
     return max(RETRY_AFTER_MIN_S, opens_in_s + RETRY_SPREAD_S * rng.random())
 
 
-Way = Callable[[Refusal, random.Random], float]
-WAYS: registry.Registry[Way] = registry.Registry("way to tell when to come back")
+Policy = Callable[[Refusal, random.Random], float]
+POLICIES: registry.Registry[Policy] = registry.Registry("way to tell when to come back")
 
 
-@WAYS.add("share")
+@POLICIES.add("share")
 def by_share(refusal: Refusal, rng: random.Random) -> float:
     """Return a share of the time left, and a fixed time where nothing is free."""
     if refusal.is_none_free:
@@ -62,7 +62,7 @@
     return max(RETRY_AFTER_MIN_S, latest_s * rng.uniform(RETURN_SPREAD, 1.0))
 
 
-@WAYS.add("forecast")
+@POLICIES.add("forecast")
 def by_forecast(refusal: Refusal, rng: random.Random) -> float:
     """Return when the engines are forecast to serve again, else as `by_share`.
 
--- a/src/merlinthread/nodes/node_policy.py
+++ b/src/merlinthread/nodes/node_policy.py
@@ -17,7 +17,7 @@
 
 DECISIONS: dict[str, registry.Registry] = {
     "fetch": fetch.POLICIES,
-    "returns": return_times.WAYS,
+    "returns": return_times.POLICIES,
 }
 
 
--- a/tests/test_return_times.py
+++ b/tests/test_return_times.py
@@ -28,7 +28,7 @@
         now = GAP_FROM + number / PER_S
         ready_in_s = max(0.0, GAP_TO - now + forecast_error_s)
         refusal = return_times.Refusal(DEADLINE_S, True, ready_in_s)
-        back_at = now + return_times.WAYS.get(way)(refusal, rng)
+        back_at = now + return_times.POLICIES.get(way)(refusal, rng)
         if back_at < GAP_TO:
             failed += 1
         else:
