--- a/src/merlinthread/coordination/return_times.py
+++ b/src/merlinthread/coordination/return_times.py
@@ -40,7 +40,7 @@
     ready_in_s: float | None = None
 
 
-def after_rest(opens_in_s: float, rng: random.Random) -> float:
+def delay_after_rest(opens_in_s: float, rng: random.Random) -> float:
     """Return when to come back to back ends of which the first takes requests in `opens_in_s`.
 
     That is known and no forecast, so nobody is told to come before it, however little time it has:
--- a/src/merlinthread/nodes/request_task.py
+++ b/src/merlinthread/nodes/request_task.py
@@ -288,7 +288,7 @@
         if math.isinf(opens_at):
             raise self.no_place("all back ends leave", self.return_after_s(True))
         opens_in_s = opens_at - self.clock()
-        wait_s = return_times.after_rest(opens_in_s, self.pool.rng)
+        wait_s = return_times.delay_after_rest(opens_in_s, self.pool.rng)
         raise self.no_place(f"all back ends are at rest for {opens_in_s:.2f} s", wait_s)
 
     def is_worth_taking(self, choice: dispatch.Choice, left_s: float) -> bool:
--- a/tests/test_backend_signals.py
+++ b/tests/test_backend_signals.py
@@ -160,6 +160,6 @@
 
 def test_who_is_refused_for_a_rest_comes_back_after_it_and_not_all_at_once():
     rng = random.Random(1)
-    times = [return_times.after_rest(3.0, rng) for _ in range(200)]
+    times = [return_times.delay_after_rest(3.0, rng) for _ in range(200)]
     assert min(times) >= 3.0
     assert max(times) - min(times) > 0.8 * return_times.RETRY_SPREAD_S
