--- a/src/merlinthread/coordination/route_table.py
+++ b/src/merlinthread/coordination/route_table.py
@@ -54,7 +54,7 @@
     return rng.choices([share.service for share in route.shares], weights)[0]
 
 
-def check(configuration: fleet.Configuration) -> None:
+def validate(configuration: fleet.Configuration) -> None:
     """Raise ConfigurationError if the configuration contradicts itself."""
     if configuration.version < 1:
         raise invalid("version", f"{configuration.version} is not 1 or more")
--- a/src/merlinthread/platform/dialect.py
+++ b/src/merlinthread/platform/dialect.py
@@ -33,7 +33,7 @@
             return dialects.GetConfiguration()
         if path == names.CONFIGURATION_PATH and request.method == b"PUT":
             found = bodies.configuration(request.body)
-            route_table.check(found)
+            route_table.validate(found)
             return dialects.PutConfiguration(found, request.body)
         if path == names.VERSION_PATH and request.method == b"POST":
             named = bodies.decode(bodies.VERSION, request.body)
--- a/tests/test_fleet_deciders.py
+++ b/tests/test_fleet_deciders.py
@@ -58,7 +58,7 @@
 )
 def test_a_configuration_that_contradicts_itself_is_refused_with_its_field(configuration):
     with pytest.raises(errors.ConfigurationError) as raised:
-        route_table.check(configuration)
+        route_table.validate(configuration)
     assert raised.value.field
 
 
