--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -141,7 +141,7 @@
     policy = routing.POLICIES.get("least_loaded")
     place = routing.Place("zone-0", "region-0")
     for _ in range(1000):
-        policy(candidates, routing.Wanted("generate", "model-0"), place, rng)
+        policy(candidates, routing.Requirements("generate", "model-0"), place, rng)
 
 
 # Working out
--- a/src/merlinthread/coordination/routing.py
+++ b/src/merlinthread/coordination/routing.py
@@ -12,7 +12,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Wanted:
+class Requirements:
     """What a request needs of its target; `digest` is the model version, or empty for a service."""
 
     kind: str
@@ -62,11 +62,11 @@
         return OTHER_REGION_COST
 
 
-Policy = Callable[[list[Candidate], Wanted, Place, random.Random], Choice]
+Policy = Callable[[list[Candidate], Requirements, Place, random.Random], Choice]
 POLICIES: registry.Registry[Policy] = registry.Registry("routing policy")
 
 
-def can_serve(report: agents.AgentReport, wanted: Wanted) -> bool:
+def can_serve(report: agents.AgentReport, wanted: Requirements) -> bool:
     """Return whether the target has what the request needs and takes new work."""
     if report.is_leaving or report.name in wanted.excluded or report.kind != wanted.kind:
         return False
@@ -84,7 +84,7 @@
 
 @POLICIES.add("least_loaded")
 def least_loaded(
-    candidates: list[Candidate], wanted: Wanted, place: Place, rng: random.Random
+    candidates: list[Candidate], wanted: Requirements, place: Place, rng: random.Random
 ) -> Choice:
     """Take the cheapest; the entry's own requests make up for the reports' lag."""
     best = min(candidates, key=lambda candidate: (cost(candidate, place), rng.random()))
@@ -93,7 +93,7 @@
 
 @POLICIES.add("two_choices")
 def two_choices(
-    candidates: list[Candidate], wanted: Wanted, place: Place, rng: random.Random
+    candidates: list[Candidate], wanted: Requirements, place: Place, rng: random.Random
 ) -> Choice:
     """Take the cheaper of two drawn at random, nearest zone first (Mitzenmacher 2001)."""
     nearest = min(place.distance_cost(candidate.report) for candidate in candidates)
@@ -105,7 +105,7 @@
 
 @POLICIES.add("random")
 def at_random(
-    candidates: list[Candidate], wanted: Wanted, place: Place, rng: random.Random
+    candidates: list[Candidate], wanted: Requirements, place: Place, rng: random.Random
 ) -> Choice:
     """Take any; a baseline."""
     return Choice(rng.choice(candidates).report, "random")
--- a/src/merlinthread/roles/completion.py
+++ b/src/merlinthread/roles/completion.py
@@ -44,7 +44,7 @@
                 kind=errors.ErrorKind.UNKNOWN_MODEL,
                 field="model",
             )
-        self.wanted = routing.Wanted(bundles.GENERATE, self.body.model, self.body.adapter)
+        self.wanted = routing.Requirements(bundles.GENERATE, self.body.model, self.body.adapter)
         self.target: agents.AgentReport | None = None
         self.upstream: http_client.Stream | None = None
         self.digest = ""
--- a/src/merlinthread/roles/forwarding.py
+++ b/src/merlinthread/roles/forwarding.py
@@ -44,10 +44,10 @@
         """Choose one of this entry's own targets."""
         if request.rest == "v1/completions":
             body = msgspec.json.decode(request.body, type=completion.CompletionCall)
-            wanted = routing.Wanted(bundles.GENERATE, body.model, body.adapter)
+            wanted = routing.Requirements(bundles.GENERATE, body.model, body.adapter)
         else:
             service = request.headers.get(attempts.SERVICE, "")
-            wanted = routing.Wanted(bundles.SERVICE, service)
+            wanted = routing.Requirements(bundles.SERVICE, service)
         return self.path.choose(attempt.id, wanted, frozenset(), is_local=True)
 
     def open_at(
--- a/src/merlinthread/roles/request_path.py
+++ b/src/merlinthread/roles/request_path.py
@@ -119,7 +119,7 @@
     def choose(
         self,
         request_id: str,
-        wanted: routing.Wanted,
+        wanted: routing.Requirements,
         tried: frozenset[str],
         is_local: bool = False,
     ) -> agents.AgentReport:
@@ -157,7 +157,7 @@
         return choice.report
 
     def others_as_targets(
-        self, others: list[summaries.Summary], wanted: routing.Wanted
+        self, others: list[summaries.Summary], wanted: routing.Requirements
     ) -> list[agents.AgentReport]:
         """Return the other entries that reach a target for the request."""
         found = [
--- a/src/merlinthread/roles/service_call.py
+++ b/src/merlinthread/roles/service_call.py
@@ -76,7 +76,7 @@
                 f"service {name!r} is not in the bundle in force",
                 kind=errors.ErrorKind.UNKNOWN_MODEL,
             )
-        self.wanted = routing.Wanted(bundles.SERVICE, name)
+        self.wanted = routing.Requirements(bundles.SERVICE, name)
         self.may_repeat = request.method == "GET" or self.service_path in service.repeatable
 
     def run(self) -> http_server.Response:
