--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -139,7 +139,7 @@
     """Choose a target 1,000 times."""
     rng = routing.random.Random(1)
     policy = routing.POLICIES.get("least_loaded")
-    place = routing.Place("zone-0", "region-0")
+    place = routing.Location("zone-0", "region-0")
     for _ in range(1000):
         policy(candidates, routing.Requirements("generate", "model-0"), place, rng)
 
--- a/src/merlinthread/coordination/routing.py
+++ b/src/merlinthread/coordination/routing.py
@@ -47,7 +47,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Place:
+class Location:
     """Where the deciding entry is."""
 
     availability_zone: str
@@ -62,7 +62,7 @@
         return OTHER_REGION_COST
 
 
-Policy = Callable[[list[Candidate], Requirements, Place, random.Random], Choice]
+Policy = Callable[[list[Candidate], Requirements, Location, random.Random], Choice]
 POLICIES: registry.Registry[Policy] = registry.Registry("routing policy")
 
 
@@ -77,14 +77,14 @@
     )
 
 
-def cost(candidate: Candidate, place: Place) -> float:
+def cost(candidate: Candidate, place: Location) -> float:
     """Return load plus distance; lower is better."""
     return candidate.load() + place.distance_cost(candidate.report)
 
 
 @POLICIES.add("least_loaded")
 def least_loaded(
-    candidates: list[Candidate], wanted: Requirements, place: Place, rng: random.Random
+    candidates: list[Candidate], wanted: Requirements, place: Location, rng: random.Random
 ) -> Choice:
     """Take the cheapest; the entry's own requests make up for the reports' lag."""
     best = min(candidates, key=lambda candidate: (cost(candidate, place), rng.random()))
@@ -93,7 +93,7 @@
 
 @POLICIES.add("two_choices")
 def two_choices(
-    candidates: list[Candidate], wanted: Requirements, place: Place, rng: random.Random
+    candidates: list[Candidate], wanted: Requirements, place: Location, rng: random.Random
 ) -> Choice:
     """Take the cheaper of two drawn at random, nearest zone first (Mitzenmacher 2001)."""
     nearest = min(place.distance_cost(candidate.report) for candidate in candidates)
@@ -105,7 +105,7 @@
 
 @POLICIES.add("random")
 def at_random(
-    candidates: list[Candidate], wanted: Requirements, place: Place, rng: random.Random
+    candidates: list[Candidate], wanted: Requirements, place: Location, rng: random.Random
 ) -> Choice:
     """Take any; a baseline."""
     return Choice(rng.choice(candidates).report, "random")
--- a/src/merlinthread/roles/request_path.py
+++ b/src/merlinthread/roles/request_path.py
@@ -64,7 +64,7 @@
         self.client = http_client.Client()
         self.outstanding = Outstanding()
         self.policy = routing.POLICIES.get(config.policy)
-        self.place = routing.Place(parts.settings.availability_zone, parts.settings.region)
+        self.place = routing.Location(parts.settings.availability_zone, parts.settings.region)
         self.rng = random.Random()
 
     def add_routes(self, routes: http_server.Routes) -> None:
--- a/tests/test_deciders.py
+++ b/tests/test_deciders.py
@@ -446,14 +446,14 @@
     ]
     candidates = [routing.Candidate(r, rng.randrange(3)) for r in reports]
     choice = routing.POLICIES.get(name)(
-        candidates, routing.Requirements("generate", "m"), routing.Place("z0", "r"), rng
+        candidates, routing.Requirements("generate", "m"), routing.Location("z0", "r"), rng
     )
     assert choice.report in reports and choice.reason
 
 
 def test_own_zone_first_but_not_at_any_price():
     near, far = report("near", "z0", slots=1), report("far", "z1", slots=1)
-    place, wanted = routing.Place("z0", "r"), routing.Requirements("generate", "m")
+    place, wanted = routing.Location("z0", "r"), routing.Requirements("generate", "m")
     chosen = routing.least_loaded(
         [routing.Candidate(near, 1), routing.Candidate(far, 0)], wanted, place, random.Random(1)
     )
