--- a/src/merlinthread/coordination/sessions.py
+++ b/src/merlinthread/coordination/sessions.py
@@ -10,7 +10,7 @@
 from merlinthread.coordination import agents
 
 
-def shape(report: agents.AgentReport) -> tuple[object, ...]:
+def reported_state(report: agents.AgentReport) -> tuple[object, ...]:
     """Return what must change for a report to be worth passing on: all but load and counters."""
     return (
         report.incarnation,
@@ -42,7 +42,9 @@
         if is_full:
             self.told = {}
         names = {report.name for report in live}
-        changed = [report for report in live if self.told.get(report.name) != shape(report)]
+        changed = [
+            report for report in live if self.told.get(report.name) != reported_state(report)
+        ]
         gone = [name for name in self.told if name not in names]
         return changed, gone, is_full
 
@@ -50,7 +52,7 @@
         """Note that the listener has taken it in."""
         self.listener = listener
         for report in changed:
-            self.told[report.name] = shape(report)
+            self.told[report.name] = reported_state(report)
         for name in gone:
             self.told.pop(name, None)
 
--- a/tests/test_deciders.py
+++ b/tests/test_deciders.py
@@ -280,8 +280,8 @@
     def teardown(self) -> None:
         for _ in range(3):
             self.tell(False, False)
-        told = {r.name: sessions.shape(r) for r in self.incoming.live(self.now)}
-        assert told == {name: sessions.shape(r) for name, r in self.live.items()}
+        told = {r.name: sessions.reported_state(r) for r in self.incoming.live(self.now)}
+        assert told == {name: sessions.reported_state(r) for name, r in self.live.items()}
         assert self.incoming.live(self.now + 6.0) == []
 
 
