--- a/src/merlinthread/coordination/sessions.py
+++ b/src/merlinthread/coordination/sessions.py
@@ -24,7 +24,7 @@
     )
 
 
-class Outgoing:
+class ReportSender:
     """What an entry still has to tell one listener."""
 
     def __init__(self) -> None:
--- a/src/merlinthread/roles/entry.py
+++ b/src/merlinthread/roles/entry.py
@@ -185,7 +185,7 @@
         self.names: dict[str, str] = {}
         self.leader = ""
         self.joined: dict[str, str] = {}
-        self.outgoing = sessions.Outgoing()
+        self.outgoing = sessions.ReportSender()
         self.listener = ""
         self.leader_address = ""
         self.told_at = float("-inf")
--- a/tests/test_deciders.py
+++ b/tests/test_deciders.py
@@ -237,7 +237,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.outgoing = sessions.Outgoing()
+        self.outgoing = sessions.ReportSender()
         self.incoming = sessions.Incoming(5.0)
         self.term = 1
         self.listener = ""
