--- a/src/merlinthread/coordination/sessions.py
+++ b/src/merlinthread/coordination/sessions.py
@@ -69,7 +69,7 @@
     names: set[str] = dataclasses.field(default_factory=set)
 
 
-class Incoming:
+class ReportReceiver:
     """What the leader knows of all agents by the entries' word."""
 
     def __init__(self, lost_after_s: float) -> None:
--- a/src/merlinthread/roles/log_task.py
+++ b/src/merlinthread/roles/log_task.py
@@ -87,7 +87,7 @@
         self.applied = 0
         self.restore(self.journal.snapshot)
         self.waiting: dict[int, tuple[int, futures.Future]] = {}
-        self.incoming = sessions.Incoming(config.agent_lost_after_s)
+        self.incoming = sessions.ReportReceiver(config.agent_lost_after_s)
         self.senders = {
             peer.name: bus.Sender(peer.log_bus, parts.codec)
             for peer in config.members
--- a/tests/test_deciders.py
+++ b/tests/test_deciders.py
@@ -238,7 +238,7 @@
     def __init__(self) -> None:
         super().__init__()
         self.outgoing = sessions.ReportSender()
-        self.incoming = sessions.Incoming(5.0)
+        self.incoming = sessions.ReportReceiver(5.0)
         self.term = 1
         self.listener = ""
         self.live: dict[str, agents.AgentReport] = {}
