--- a/src/merlinthread/coordination/agents.py
+++ b/src/merlinthread/coordination/agents.py
@@ -61,7 +61,7 @@
         self.forget_after_s = forget_after_s
         self.seen: dict[str, Seen] = {}
 
-    def take(self, report: AgentReport, now: float) -> bool:
+    def update(self, report: AgentReport, now: float) -> bool:
         """Take in a report; return whether it was news."""
         known = self.seen.get(report.name)
         if known and report.order() <= known.report.order():
@@ -69,7 +69,7 @@
         self.seen[report.name] = Seen(report, now)
         return True
 
-    def take_load(
+    def update_load(
         self,
         name: str,
         order: tuple[int, int],
@@ -88,7 +88,7 @@
         report = dataclasses.replace(
             known.report, counter=order[1], running=running, queued=queued, queued_tokens=tokens
         )
-        self.take(report, now)
+        self.update(report, now)
         return report
 
     def check_incarnation(self, name: str, incarnation: int) -> None:
--- a/src/merlinthread/roles/entry.py
+++ b/src/merlinthread/roles/entry.py
@@ -135,7 +135,7 @@
         report = heartbeat.report
         with self.lock:
             self.view.check_incarnation(report.name, report.incarnation)
-            self.view.take(report, self.parts.clock())
+            self.view.update(report, self.parts.clock())
             self.homes[report.name] = heartbeat.is_home
             self.publish()
         return self.reply_to(report)
@@ -146,7 +146,7 @@
         load = (beat.running, beat.queued, beat.queued_tokens)
         with self.lock:
             self.view.check_incarnation(beat.name, beat.incarnation)
-            report = self.view.take_load(beat.name, order, load, self.parts.clock())
+            report = self.view.update_load(beat.name, order, load, self.parts.clock())
             if report is None:
                 return messages.HeartbeatReply(self.name, 0.0, None, wants_full=True)
             self.homes[beat.name] = beat.is_home
--- a/tests/test_deciders.py
+++ b/tests/test_deciders.py
@@ -198,7 +198,7 @@
     @stateful.rule(which=st.integers(0, 99))
     def a_report_arrives(self, which: int) -> None:
         found = self.sent[which % len(self.sent)]
-        was_news = self.view.take(found, self.now)
+        was_news = self.view.update(found, self.now)
         assert was_news == (self.newest is None or found.order() > self.newest)
         self.newest = max(self.newest or found.order(), found.order())
 
@@ -221,14 +221,14 @@
 
 def test_a_beat_needs_the_full_report_of_its_incarnation():
     view = agents.AgentView(2.0)
-    assert view.take_load("vm", (1, 2), (3, 4, 5), 0.0) is None
-    view.take(report("vm", incarnation=1, counter=1, serving={"m": A}), 0.0)
-    merged = view.take_load("vm", (1, 2), (3, 4, 5), 0.0)
+    assert view.update_load("vm", (1, 2), (3, 4, 5), 0.0) is None
+    view.update(report("vm", incarnation=1, counter=1, serving={"m": A}), 0.0)
+    merged = view.update_load("vm", (1, 2), (3, 4, 5), 0.0)
     assert merged.serving == {"m": A} and (merged.running, merged.queued) == (3, 4)
     assert view.live(0.0) == [merged]
-    assert view.take_load("vm", (2, 1), (0, 0, 0), 0.0) is None
+    assert view.update_load("vm", (2, 1), (0, 0, 0), 0.0) is None
     with pytest.raises(errors.MerlinthreadError, match="replaced"):
-        view.take(report("vm", incarnation=2), 0.0)
+        view.update(report("vm", incarnation=2), 0.0)
         view.check_incarnation("vm", 1)
 
 
