--- a/src/merlinthread/coordination/waiting_room.py
+++ b/src/merlinthread/coordination/wait_queue.py
@@ -16,7 +16,7 @@
     woken: asyncio.Future = dataclasses.field(compare=False)
 
 
-class WaitingRoom:
+class WaitQueue:
     """The waiting requests of one service."""
 
     def __init__(self) -> None:
--- a/src/merlinthread/nodes/backend_pool.py
+++ b/src/merlinthread/nodes/backend_pool.py
@@ -17,7 +17,7 @@
     load_feed,
     retry_budget,
     return_times,
-    waiting_room,
+    wait_queue,
 )
 from merlinthread.nodes import (
     backend_connections,
@@ -92,7 +92,7 @@
         self.signals = signals
         self.words = signal_taker.SignalTaker(signals, teller, clock)
         self.usual_work: dict[str, backend_record.ResponseTime] = {}
-        self.rooms: dict[str, waiting_room.WaitingRoom] = {}
+        self.rooms: dict[str, wait_queue.WaitQueue] = {}
         self.budgets: dict[str, retry_budget.RetryBudget] = {}
         self.place_numbers = itertools.count(1)
         self.connections = backend_connections.BackendConnections(clock)
@@ -221,9 +221,9 @@
 
     # Places
 
-    def room(self, service: str) -> waiting_room.WaitingRoom:
+    def room(self, service: str) -> wait_queue.WaitQueue:
         """Return the waiting room of a service."""
-        return self.rooms.setdefault(service, waiting_room.WaitingRoom())
+        return self.rooms.setdefault(service, wait_queue.WaitQueue())
 
     async def choose(self, demand: dispatch.Demand, wait_s_max: float) -> dispatch.Choice | None:
         """Return a good back end now, if possible one with a wait up to `wait_s_max`.
