--- a/src/merlinthread/roles/agent.py
+++ b/src/merlinthread/roles/agent.py
@@ -152,7 +152,7 @@
     def tell(self, address: str, report: agents.AgentReport) -> messages.HeartbeatReply:
         """Send an entry the whole report, or only the load if nothing else has changed for it."""
         is_home = self.home == address
-        shape = sessions.shape(report)
+        shape = sessions.reported_state(report)
         callers = self.callers[address]
         if self.told.get(address) == shape:
             beat = messages.Beat(
