--- a/src/merlinthread/coordination/backend_record.py
+++ b/src/merlinthread/coordination/backend_record.py
@@ -1,56 +1,53 @@
-"""What an entry knows of one back end: its own attempts there, and what agents and answers told.
+"""The state that an entry keeps for each back end: its own attempts and the reported load.
 
-Which back end an attempt goes to is decided over these records in `coordination.dispatch`.
+`coordination.dispatch` chooses among back ends by these records.
 """
 
 import dataclasses
 
 from merlinthread.coordination import backend_signals, fleet, load_ledger
 
-# How long what an agent told of its engine's load holds.
+# Age up to which a load report counts as current.
 REPORT_FRESH_S = 1.0
-# What a request is taken to need where no back end of the service has answered one yet.
-USUAL_WORK_S = 0.1
-# Weight of one answer in what a plain back end is taken to need; the first ones weigh more.
-WORK_SMOOTHING = 0.1
-# What the whole service needs counts as so many answers of a back end that has started: a first one
-# that took long says little.
-GUESS_ANSWERS = 4
-# An engine with up to this share of its slots in use has room: one more request costs the others a
-# longer step of some hundredths, and its own prompt's reading.
+# Response time assumed before any back end of the service has answered.
+DEFAULT_RESPONSE_S = 0.1
+# Weight of one answer in the moving average of the response time; the first ones weigh more.
+RESPONSE_SMOOTHING = 0.1
+# Weight of the service's mean in a back end's estimate, as a number of answers.
+PRIOR_ANSWERS = 4
+# An engine with up to this share of its slots in use has room for another request.
 ROOM_SHARE = 0.5
-# A first byte later than this after sending tells that requests reach the back end late.
+# A back end whose first byte takes longer than this counts as slow for SLOW_FOR_S.
 SLOW_FIRST_S = 0.6
 SLOW_FOR_S = 3.0
-# An agent that answered this long ago shows that requests reach its VM now.
-PROMPT_ANSWER_S = 0.05
+# Age up to which an agent's answer to a probe shows that its VM is responsive.
+RESPONSIVE_WITHIN_S = 0.05
 
 
 @dataclasses.dataclass(slots=True)
 class ResponseTime:
-    """How long answers took, in the mean of the last ones, in seconds."""
+    """An exponential moving average of response times, in seconds."""
 
-    mean_s: float = USUAL_WORK_S
+    mean_s: float = DEFAULT_RESPONSE_S
     answers: int = 0
 
-    def note(self, work_s: float) -> None:
-        """Take an answer in."""
+    def note(self, response_s: float) -> None:
+        """Add the response time of one answer."""
         self.answers += 1
-        self.mean_s += max(WORK_SMOOTHING, 1.0 / self.answers) * (work_s - self.mean_s)
+        self.mean_s += max(RESPONSE_SMOOTHING, 1.0 / self.answers) * (response_s - self.mean_s)
 
 
 @dataclasses.dataclass(slots=True)
 class Backend:
-    """One back end as an entry sees it; times are those of the entry's clock.
-
-    `unread` counts this entry's attempts whose prompt is still to be read, `unread_tokens` their
-    tokens. `others` is the load that is not this entry's own, as of the last report, and
-    `others_queued` the part of it that waited for a slot; `others_unread_tokens` are the tokens of
-    others' prompts that were still to be read, None if its agent does not know. `is_silent` is set
-    while its agent has not answered the last question. `ready_at` is when it will hold weights that
-    may be used, None if it does or if its agent can't tell. `standing` is what it said of itself,
-    which outlives this record. `work` is how long its own answers took, `usual` how long those of
-    all back ends of its service did.
+    """One back end as seen by an entry; times are on the entry's clock, in seconds.
+
+    `unread` counts this entry's attempts whose prompt has not been read yet, `unread_tokens` their
+    tokens. `others` is the number of requests of other entries in the last report, `others_queued`
+    how many of them were queued, and `others_unread_tokens` the tokens of their unread prompts, or
+    None if unknown. `probe_unanswered` is set while the agent has not answered the last load probe.
+    `ready_at` is when usable weights are expected, or None if they are loaded or no time is known.
+    `availability` outlives this record. `response_time` is the mean of this back end,
+    `service_response_time` that of all back ends of its service.
     """
 
     instance: str
@@ -86,59 +83,58 @@
     )
 
     def expected_response_s(self) -> float:
-        """Return how long a request is taken to need there.
+        """Return the expected response time of a request, in seconds.
 
-        Of one that has answered little that is what the others of its service need: with a guess
-        that is too long it would look slower than they are, idle as it is, and get nothing by which
-        to learn better.
+        Blend the back end's own mean with that of its service until it has answered enough
+        requests. Otherwise a slow first answer could keep it from getting further requests.
         """
-        weight = self.response_time.answers / (GUESS_ANSWERS + self.response_time.answers)
+        weight = self.response_time.answers / (PRIOR_ANSWERS + self.response_time.answers)
         return self.service_response_time.mean_s + weight * (
             self.response_time.mean_s - self.service_response_time.mean_s
         )
 
     def load(self, now: float) -> int:
-        """Return how many requests run or wait there."""
+        """Return the number of requests known to be running or queued."""
         return self.in_flight + (self.others if self.has_fresh_load(now) else 0)
 
     def has_room(self, now: float) -> bool:
-        """Return whether it surely has places to spare and no prompt waits to be read there."""
+        """Return whether slots are known to be free and no prompt is unread."""
         if not self.has_fresh_load(now) or self.load(now) > ROOM_SHARE * self.slots:
             return False
         unread = self.unread_tokens + (self.others_unread_tokens or 0.0)
         return unread == 0 and not self.others_queued
 
     def has_fresh_load(self, now: float) -> bool:
-        """Return whether a fresh report tells of the requests of other entries."""
+        """Return whether the load of other entries is known from a current report."""
         return now - self.load_updated_at() <= REPORT_FRESH_S
 
     def load_updated_at(self) -> float:
-        """Return when its agent last told its load, in a report or an answer."""
+        """Return when the load was last updated by a report or a probe."""
         return max(self.reported_at, self.answered_at)
 
     def has_stale_reports(self, now: float) -> bool:
-        """Return whether reports came once and come no more: its machine may stand still."""
+        """Return whether reports have stopped arriving; the VM may be hung."""
         return self.reported_at > float("-inf") and not self.has_fresh_load(now)
 
     def is_changing(self, now: float) -> bool:
-        """Return whether it is changing its weights, as far as known.
+        """Return whether the engine is known to be changing its weights.
 
-        Of an engine that is only asked now and then that is known for as long as its answer is
-        fresh; it would never be asked again otherwise.
+        Without reports, a probe's answer counts only while it is current: otherwise the engine
+        would never be probed again.
         """
-        is_heard = self.reported_at > float("-inf")
-        return self.is_busy and (is_heard or self.has_fresh_load(now))
+        has_reports = self.reported_at > float("-inf")
+        return self.is_busy and (has_reports or self.has_fresh_load(now))
 
     def is_ejected(self, now: float) -> bool:
-        """Return whether it has just failed, so that others are tried before it."""
+        """Return whether the back end is ejected after a failure and is only a last resort."""
         return now < self.ejected_until
 
     def is_responsive(self, now: float) -> bool:
-        """Return whether a request sent now surely reaches it soon: its agent has just answered."""
-        return now >= self.slow_until and now - self.answered_at <= PROMPT_ANSWER_S
+        """Return whether a request sent now is expected to arrive without delay."""
+        return now >= self.slow_until and now - self.answered_at <= RESPONSIVE_WITHIN_S
 
     def record_first_byte_delay(self, took_s: float, now: float) -> None:
-        """Note how long an attempt waited for its first byte, or for its end without one."""
+        """Record how long an attempt waited for its first byte, or ended without one."""
         if took_s > SLOW_FIRST_S:
             self.slow_until = now + SLOW_FOR_S
 
@@ -148,7 +144,7 @@
         now: float,
         others: load_ledger.Outstanding | None = None,
     ) -> None:
-        """Take a fresh report of its load and weights, and its agent's account of the others."""
+        """Apply a report of load and weights, and the agent's count of other entries' attempts."""
         total = report.running + report.queued
         self.others = max(0, total - self.in_flight)
         self.others_queued = max(0, report.queued - self.unread)
@@ -164,7 +160,7 @@
         self.reported_at = now
 
     def apply_probe_answer(self, answer: load_ledger.EngineLoad | None, now: float) -> None:
-        """Take its agent's answer to a question, or note that there was none."""
+        """Apply the answer to a load probe; None means that the probe timed out."""
         self.probe_unanswered = answer is None
         if answer is not None:
             self.others = answer.others.attempts
@@ -174,12 +170,12 @@
             self.answered_at = now
 
     def stop_reports(self) -> None:
-        """Note that its agent is no longer asked to tell its load: silence means nothing then."""
+        """Discard the report state after unsubscribing, so that missing reports cost nothing."""
         self.reported_at = float("-inf")
         self.ready_at = None
 
     def version_of(self, model: str, layers: int) -> int:
-        """Return the version of a model's weights that it holds whole, or 0."""
+        """Return the highest fully loaded version of a model's weights, or 0."""
         whole = [
             held.version for held in self.weights if held.model == model and held.is_whole(layers)
         ]
--- a/tests/test_entry_node.py
+++ b/tests/test_entry_node.py
@@ -115,7 +115,7 @@
         entry, (worker,), _ = await make("model", 1, "m")
         backend = entry.node.pool.backends[worker.instance]
         # An expected first byte of 0.31 s: over 0.7 of the objective of 0.4 s, under the whole.
-        unread = 100_000 * (0.31 - dispatch.BASE_S)
+        unread = 100_000 * (0.31 - dispatch.BASE_LATENCY_S)
         report = fleet.EngineReport(weights=[fleet.Weights("m", 1, 16)])
         waits = []
         for number in range(8):
