--- a/src/merlinthread/coordination/load_feed.py
+++ b/src/merlinthread/coordination/load_feed.py
@@ -1,9 +1,8 @@
-"""Who tells whom an engine's load unasked, so that this costs a node the same at any size.
+"""Subscriptions to load reports, with a bounded cost per node at any fleet size.
 
-Every agent before every entry is a product: 60 agents that tell 98 entries five times a second are
-29,400 datagrams a second, three tenths of each engine VM's link of 3.65 Mbit/s. So an entry hears
-unasked from a bounded number of engines, the nearest, and an agent tells at a rate that keeps its
-words to a small share of its link. What an entry must know at the moment of a choice it asks for
+Reports from every agent to every entry would grow with the product of their numbers. An entry
+therefore subscribes to a bounded number of the nearest engines, and an agent limits its reports to
+a small share of its link. Entries probe other engines when they choose one
 (`nodes/load_prober.py`).
 """
 
@@ -13,51 +12,48 @@
 
 from merlinthread.coordination import backend_record, fleet
 
-# Engines that an entry hears unasked. Two of them are asked before each choice, so it needs enough
-# for the two best of them to be nearly the best of all; of 16 drawn by lot, the second best is
-# within the best eighth. The zones of the deployments known have 2 to 12 engines, and up to 21 with
-# those that join.
+# Engines that an entry subscribes to; enough for the best two to be close to the best of all.
 SUBSCRIPTIONS_MAX = 16
-# Share of an agent's link that its words about the load may take.
+# Share of an agent's link that load reports may use.
 LINK_SHARE = 0.02
-# An encoded load with the heads of UDP and IP, in bytes.
+# Size of an encoded load report with its UDP and IP headers.
 LOAD_DATAGRAM_BYTES = 292
-# How often a load is told at most, and at least: what a node holds of it bears one lost word
-# (`backend_record.REPORT_FRESH_S`).
-TELL_EVERY_MIN_S = 0.2
-TELL_EVERY_MAX_S = 0.45
+# Bounds of the report interval; one lost report must not exceed `backend_record.REPORT_FRESH_S`.
+REPORT_INTERVAL_MIN_S = 0.2
+REPORT_INTERVAL_MAX_S = 0.45
 
 
 def engines_to_subscribe(
     entry: str, engines: Iterable[backend_record.Backend], count: int = SUBSCRIPTIONS_MAX
 ) -> list[backend_record.Backend]:
-    """Return the engines that an entry hears unasked: the nearest ones, `count` at most.
+    """Return the engines that an entry subscribes to: the `count` nearest.
 
-    Of those equally far the choice is by rendezvous hashing (Thaler and Ravishankar 1998): entries
-    spread over the engines, and one engine more or less changes one place.
+    Rendezvous hashing (Thaler and Ravishankar 1998) orders those at the same distance. It spreads
+    entries over engines, and adding or removing an engine changes at most one subscription.
     """
     ordered = sorted(
         engines,
-        key=lambda engine: (engine.distance, rank(entry, engine.instance)),
+        key=lambda engine: (engine.distance, rendezvous_key(entry, engine.instance)),
     )
     return ordered[:count]
 
 
-def rank(entry: str, instance: str) -> bytes:
-    """Return an engine's place in an entry's rendezvous order; the lowest goes first."""
+def rendezvous_key(entry: str, instance: str) -> bytes:
+    """Return an engine's sort key in an entry's rendezvous order."""
     return blake3.blake3(f"{entry} {instance}".encode()).digest(8)
 
 
 def report_interval_s(subscribers: int, link_bytes_per_s: float) -> float:
-    """Return how often an agent tells a changed load to `subscribers` entries."""
+    """Return the interval of an agent's load reports to `subscribers` entries, in seconds."""
     needed_s = subscribers * LOAD_DATAGRAM_BYTES / (LINK_SHARE * link_bytes_per_s)
-    return min(TELL_EVERY_MAX_S, max(TELL_EVERY_MIN_S, needed_s))
+    return min(REPORT_INTERVAL_MAX_S, max(REPORT_INTERVAL_MIN_S, needed_s))
 
 
 def is_urgent(report: fleet.EngineReport, told: fleet.EngineReport | None) -> bool:
-    """Return whether a report differs from what was told in what decides whether work may come.
+    """Return whether a report must be sent at once instead of after the interval.
 
-    Weights and a change of weights under way are told at once; how much runs can wait.
+    That is so if it differs from `told`, the last one sent, in whether the engine is usable: in its
+    weights, or in whether it is changing them.
     """
     if told is None:
         return True
--- a/src/merlinthread/coordination/load_ledger.py
+++ b/src/merlinthread/coordination/load_ledger.py
@@ -1,20 +1,20 @@
-"""An agent's account of the attempts that entries have on its engine.
+"""An agent's record of the attempts that entries have open on its engine.
 
-An engine's report is some hundred ms old and does not tell which prompts are still to be read, but
-those decide when the next request's first byte comes. Entries note each attempt at the agent; from
-the notes and the last report it can tell any entry what the others have there, as of now.
+An engine's reports are delayed and do not show which prompts are unread, although these determine
+the time to the next request's first byte. Entries therefore notify the agent of each attempt; it
+combines the notifications with the last report to tell an entry the current load of the others.
 """
 
 import dataclasses
 
-# A note that an attempt was read or has ended may be lost: then it is dropped after a while.
+# Timeouts for attempts whose notification of the first byte, or of the end, was lost.
 UNREAD_EXPIRY_S = 3.0
 ATTEMPT_EXPIRY_S = 60.0
 
 
 @dataclasses.dataclass(slots=True)
-class Attempt:
-    """One attempt of an entry; `tokens` are those of its prompt, 0 once they were read."""
+class OpenAttempt:
+    """One open attempt of an entry; `tokens` are those of its prompt."""
 
     entry: str
     began_at: float
@@ -24,7 +24,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Outstanding:
-    """What others than the asker have on an engine: attempts, and prompts still to be read."""
+    """The open attempts and unread prompts of all other entries on an engine."""
 
     attempts: int = 0
     unread: int = 0
@@ -33,9 +33,10 @@
 
 @dataclasses.dataclass(slots=True)
 class EngineLoad:
-    """An agent's answer to a question: what others have on its engine, and the engine's own state.
+    """An agent's answer to a load probe: other entries' load and the engine's state.
 
-    `is_busy` is set while it changes its weights; `pace` over 1 tells that it works slower.
+    `is_busy` is set while the engine changes its weights; a `pace` above 1 means that it is slower
+    than configured.
     """
 
     others: Outstanding
@@ -44,35 +45,35 @@
 
 
 class LoadLedger:
-    """The attempts on one engine, by entry and number."""
+    """The open attempts on one engine, by entry and attempt number."""
 
     def __init__(self) -> None:
-        self.open: dict[tuple[str, int], Attempt] = {}
-        self.surplus = 0
+        self.open: dict[tuple[str, int], OpenAttempt] = {}
+        self.unattributed = 0
 
     def record_start(self, entry: str, number: int, tokens: float, now: float) -> None:
-        """Note that an entry has sent an attempt."""
-        self.open[entry, number] = Attempt(entry, now, tokens)
+        """Record that an entry sent an attempt."""
+        self.open[entry, number] = OpenAttempt(entry, now, tokens)
 
     def record_first_byte(self, entry: str, number: int) -> None:
-        """Note that an attempt's first byte came: its prompt was read."""
+        """Record an attempt's first byte, which means that its prompt was read."""
         attempt = self.open.get((entry, number))
         if attempt is not None:
             attempt.is_read = True
 
     def record_end(self, entry: str, number: int) -> None:
-        """Note that an attempt is over."""
+        """Record that an attempt ended."""
         self.open.pop((entry, number), None)
 
     def apply_report(self, running: int, now: float) -> None:
-        """Compare with what the engine tells: the difference is of unknown origin."""
+        """Compare the open attempts with the number that the engine reports as running."""
         for key, attempt in list(self.open.items()):
             if now - attempt.began_at > ATTEMPT_EXPIRY_S:
                 del self.open[key]
-        self.surplus = running - len(self.open)
+        self.unattributed = running - len(self.open)
 
     def outstanding(self, entry: str, now: float) -> Outstanding:
-        """Return what others than `entry` have on the engine now."""
+        """Return the current load of all entries but `entry`."""
         found = Outstanding()
         for attempt in self.open.values():
             if attempt.entry == entry:
@@ -81,5 +82,5 @@
             if not attempt.is_read and now - attempt.began_at <= UNREAD_EXPIRY_S:
                 found.unread += 1
                 found.unread_tokens += attempt.tokens
-        found.attempts = max(found.unread, found.attempts + self.surplus)
+        found.attempts = max(found.unread, found.attempts + self.unattributed)
         return found
