--- a/src/merlinthread/coordination/agents.py
+++ b/src/merlinthread/coordination/agents.py
@@ -1,4 +1,4 @@
-"""What is known of agents: their reports, which come late, twice, crossed or by way of others."""
+"""Agent reports, which may arrive late, twice, out of order or relayed."""
 
 import dataclasses
 
@@ -7,13 +7,13 @@
 
 @dataclasses.dataclass(slots=True)
 class AgentReport:
-    """What an agent tells its entries: who it is, what its target serves and how busy it is.
+    """An agent's report to entries: its identity, and the state and load of its target.
 
-    `incarnation` grows with every start of the agent, `counter` with every report of one
-    incarnation. `serving` maps a model or adapter name to the manifest digest that the engine
-    reports, `fetched` maps a manifest digest to how many of its chunks are here. `running`,
-    `queued` and `queued_tokens` are the agent's own queue's; `trouble` says why it can't enforce
-    `revision`, if it can't.
+    `incarnation` increases with each start of the agent, `counter` with each report of an
+    incarnation. `serving` maps model and adapter names to the manifest digests that the engine
+    reports, `fetched` maps manifest digests to the number of chunks stored locally. `running`,
+    `queued` and `queued_tokens` describe the agent's own queue. `trouble` is the reason why
+    `revision` can't be applied, or empty.
     """
 
     name: str
@@ -37,13 +37,13 @@
     trouble: str = ""
 
     def order(self) -> tuple[int, int]:
-        """Return what newer reports of the same agent are higher in."""
+        """Return a sort key that is higher for newer reports of the same agent."""
         return (self.incarnation, self.counter)
 
 
 @dataclasses.dataclass(slots=True)
-class Seen:
-    """An agent's newest report and when it was heard of, on the listener's clock."""
+class ReceivedReport:
+    """An agent's newest report and when it arrived, on the receiver's clock."""
 
     report: AgentReport
     heard_at: float
@@ -52,21 +52,21 @@
 class AgentView:
     """The newest report of each agent.
 
-    An agent of which nothing new is heard for `lost_after_s` is lost; it stays known for
-    `forget_after_s`, so that an old report that still travels can't bring it back.
+    An agent without a new report for `lost_after_s` seconds is lost. It stays known for
+    `forget_after_s` seconds, so that a late old report can't revive it.
     """
 
     def __init__(self, lost_after_s: float, forget_after_s: float = 60.0) -> None:
         self.lost_after_s = lost_after_s
         self.forget_after_s = forget_after_s
-        self.seen: dict[str, Seen] = {}
+        self.received: dict[str, ReceivedReport] = {}
 
     def update(self, report: AgentReport, now: float) -> bool:
-        """Take in a report; return whether it was news."""
-        known = self.seen.get(report.name)
+        """Apply a report; return whether it was newer than the known one."""
+        known = self.received.get(report.name)
         if known and report.order() <= known.report.order():
             return False
-        self.seen[report.name] = Seen(report, now)
+        self.received[report.name] = ReceivedReport(report, now)
         return True
 
     def update_load(
@@ -76,12 +76,12 @@
         load: tuple[int, int, int],
         now: float,
     ) -> AgentReport | None:
-        """Take in a report that differs from the last only in its load; return it whole.
+        """Apply a report that differs from the last only in its load; return the full report.
 
-        `load` is running, queued and queued tokens. Returns None if the last report of that
-        incarnation is not known here.
+        `load` is running, queued and queued tokens. Return None if no report of that incarnation
+        is known.
         """
-        known = self.seen.get(name)
+        known = self.received.get(name)
         if known is None or known.report.incarnation != order[0]:
             return None
         running, queued, tokens = load
@@ -92,8 +92,8 @@
         return report
 
     def check_incarnation(self, name: str, incarnation: int) -> None:
-        """Raise MerlinthreadError (fenced) for an agent that a later start has replaced."""
-        known = self.seen.get(name)
+        """Raise MerlinthreadError (fenced) if a later incarnation of the agent is known."""
+        known = self.received.get(name)
         if known and known.report.incarnation > incarnation:
             raise errors.MerlinthreadError(
                 f"agent {name!r}: incarnation {incarnation} was replaced by "
@@ -102,15 +102,17 @@
             )
 
     def live(self, now: float) -> list[AgentReport]:
-        """Return the newest reports of agents that are not lost, by name."""
+        """Return the newest reports of agents that are not lost, sorted by name."""
         self.forget(now)
         found = [
-            seen.report for seen in self.seen.values() if now - seen.heard_at < self.lost_after_s
+            received.report
+            for received in self.received.values()
+            if now - received.heard_at < self.lost_after_s
         ]
         return sorted(found, key=lambda report: report.name)
 
     def forget(self, now: float) -> None:
-        """Drop agents that have been lost for long."""
-        for name, seen in list(self.seen.items()):
-            if now - seen.heard_at > self.forget_after_s:
-                del self.seen[name]
+        """Drop agents without a report for `forget_after_s` seconds."""
+        for name, received in list(self.received.items()):
+            if now - received.heard_at > self.forget_after_s:
+                del self.received[name]
--- a/src/merlinthread/coordination/fingerprints.py
+++ b/src/merlinthread/coordination/fingerprints.py
@@ -1,21 +1,21 @@
-"""Which requests are the same one: what they ask, for whom, not under which id.
+"""Fingerprints that identify repeated requests by content.
 
-A client gives each of its tries an id of its own, so an id can't tell that a request was here
-before. Its method, host, path with query, client account and body can.
+Clients use a new request id for each retry. The method, host, path with query, client account and
+body therefore identify a request.
 """
 
 import blake3
 
 from merlinthread.coordination import fleet
 
-# 96 bits: of 4,096 requests kept, two others share a digest with a probability of 1e-22.
+# 96 bits make collisions among the requests kept negligible.
 DIGEST_BYTES = 12
 
 
 def fingerprint(call: fleet.Call, account: str, body: bytes) -> str:
-    """Return the digest, in hex, of what makes a request the same as another.
+    """Return the hex digest of a request's identifying parts.
 
-    Each part goes in with its length, so that no two splits of the same bytes are alike.
+    Each part is prefixed with its length, so that different splits of the same bytes differ.
     """
     digest = blake3.blake3()
     for part in (call.method, call.host.encode(), call.path, account.encode(), body):
--- a/src/merlinthread/coordination/permit_turns.py
+++ b/src/merlinthread/coordination/permit_turns.py
@@ -1,8 +1,8 @@
-"""How entries keep to back ends' limits while no control VM counts for them: by taking turns.
+"""Decentralised rate limiting by time slots, used while no control VM grants permits.
 
-Time is cut into slots of one permit each, on the clock of the control VM that counted last, and the
-slots go round the entries that it knew (time-division multiple access). So no word between entries
-is needed, and no two of them use one slot. What an entry has no work for is lost to the others.
+Time is divided into slots of one permit each, on the clock of the last control VM that granted
+permits. The slots are assigned to its known entries in rotation (time-division multiple access), so
+entries need no communication and never share a slot. Unused slots are lost.
 """
 
 import math
@@ -10,43 +10,43 @@
 
 from merlinthread.coordination import rate_limits
 
-# How many entries there are taken to be before a control VM has ever told.
+# Number of entries assumed until a control VM has reported it.
 DEFAULT_ENTRIES = 16
 
 
 class PermitSlots:
-    """One entry's turns: the `rank`th of `entries`.
+    """One entry's time slots: number `rank`, from 0, of every `entries` slots.
 
-    `ahead_s` is by how much the clock of the slots is ahead of this VM's.
+    `ahead_s` is the offset of the slots' clock from this VM's clock, in seconds.
     """
 
     def __init__(self, rank: int) -> None:
         self.entries = DEFAULT_ENTRIES
         self.rank = rank % DEFAULT_ENTRIES
         self.ahead_s = 0.0
-        self.began_at = -math.inf
-        # The middle of the last slot used of each back end, by its name: another limit has others.
+        self.started_at = -math.inf
+        # Middle of the last used slot by back end: slot numbers change with the limit.
         self.used: dict[str, float] = {}
-        self.swept_at = -math.inf
+        self.pruned_at = -math.inf
 
     def begin(self, now: float) -> None:
-        """Note that no control VM counts from now on.
+        """Start using time slots because no control VM grants permits any more.
 
-        What it gave out last may have been ahead of time, so the first slot is left out.
+        The first slot is skipped: the control VM may have granted its permit in advance.
         """
-        self.began_at = now
+        self.started_at = now
 
     def update(self, entries: int, rank: int, ahead_s: float) -> None:
-        """Take over how many entries share the limits, and which turn this one has."""
+        """Update the number of entries, this entry's rank and the clock offset."""
         self.entries, self.rank, self.ahead_s = entries, rank, ahead_s
 
     def decide(self, request: rate_limits.PermitRequest, now: float) -> rate_limits.Decision:
-        """Give a permit for the back end at which this entry has its turn first, or say when."""
-        self.sweep(now)
-        slots = [self.next_slot(named, now) for named in request.limits]
+        """Grant the permit of the earliest slot, or refuse with a time to retry."""
+        self.prune(now)
+        slots = [self.next_slot(advertised, now) for advertised in request.limits]
         starts = [
-            max(now, slot * rate_limits.interval_s(named.per_s) - self.ahead_s)
-            for slot, named in zip(slots, request.limits, strict=True)
+            max(now, slot * rate_limits.interval_s(advertised.per_s) - self.ahead_s)
+            for slot, advertised in zip(slots, request.limits, strict=True)
         ]
         decision = rate_limits.Decision(free_in_s=[at - now for at in starts])
         best = min(range(len(starts)), key=lambda index: starts[index], default=None)
@@ -64,23 +64,23 @@
         decision.free_in_s[best] = after_at - now
         return decision
 
-    def next_slot(self, named: rate_limits.AdvertisedLimit, now: float) -> int:
-        """Return this entry's next slot at a back end, the present one if it is unused."""
-        interval_s = rate_limits.interval_s(named.per_s)
+    def next_slot(self, advertised: rate_limits.AdvertisedLimit, now: float) -> int:
+        """Return this entry's next unused slot number for a back end."""
+        interval_s = rate_limits.interval_s(advertised.per_s)
         present = math.floor((now + self.ahead_s) / interval_s)
-        if self.began_at > -math.inf:
-            present = max(present, math.floor((self.began_at + self.ahead_s) / interval_s) + 2)
-        used_at = self.used.get(named.instance, -math.inf)
+        if self.started_at > -math.inf:
+            present = max(present, math.floor((self.started_at + self.ahead_s) / interval_s) + 2)
+        used_at = self.used.get(advertised.instance, -math.inf)
         if used_at > -math.inf:
             present = max(present, math.floor((used_at + self.ahead_s) / interval_s) + 1)
-        # Turns begin elsewhere at each back end, else one entry would have them all at once.
-        begin = zlib.crc32(named.instance.encode()) + self.rank
+        # Offset the rotation by back end, so that an entry's slots don't all coincide.
+        begin = zlib.crc32(advertised.instance.encode()) + self.rank
         return present + (begin - present) % self.entries
 
-    def sweep(self, now: float) -> None:
-        """Forget what is long past."""
-        if now - self.swept_at >= rate_limits.IDLE_EXPIRY_S:
-            self.swept_at = now
+    def prune(self, now: float) -> None:
+        """Drop slots used long ago."""
+        if now - self.pruned_at >= rate_limits.IDLE_EXPIRY_S:
+            self.pruned_at = now
             self.used = {
                 instance: used_at
                 for instance, used_at in self.used.items()
--- a/src/merlinthread/coordination/retry_budget.py
+++ b/src/merlinthread/coordination/retry_budget.py
@@ -1,41 +1,41 @@
-"""How many second attempts an entry may make, so that all entries together stay within a ratio."""
+"""Limits retries to a ratio of the first attempts, over all entries together."""
 
 import collections
 
 
 class RetryBudget:
-    """A sliding window over first attempts and repeats for one service.
+    """A sliding window over the first attempts and retries of one service.
 
-    Each entry keeps to `ratio` of the requests that it has itself seen, plus a few; so the entries
-    together keep to it without telling each other, also when some of them are lost.
+    Allows `ratio` retries per first attempt within `window_s` seconds, plus `free` retries. Since
+    each entry applies the ratio to its own requests, they need no coordination.
     """
 
     def __init__(self, ratio: float, window_s: float, free: int) -> None:
         self.ratio = ratio
         self.window_s = window_s
         self.free = free
-        self.firsts: collections.deque[float] = collections.deque()
-        self.repeats: collections.deque[float] = collections.deque()
+        self.first_attempts: collections.deque[float] = collections.deque()
+        self.retries: collections.deque[float] = collections.deque()
 
     def record_first_attempt(self, now: float) -> None:
-        """Note a request's first attempt."""
-        self.firsts.append(now)
-        self.trim(now)
+        """Record a request's first attempt."""
+        self.first_attempts.append(now)
+        self.prune(now)
 
     def allows(self, now: float) -> bool:
-        """Return whether one more repeat is within the budget."""
-        self.trim(now)
-        return len(self.repeats) < self.ratio * len(self.firsts) + self.free
+        """Return whether one more retry is within the budget."""
+        self.prune(now)
+        return len(self.retries) < self.ratio * len(self.first_attempts) + self.free
 
     def spend(self, now: float) -> bool:
-        """Take one repeat out of the budget; return False if there is none left."""
+        """Use one retry of the budget; return False if it is exhausted."""
         if not self.allows(now):
             return False
-        self.repeats.append(now)
+        self.retries.append(now)
         return True
 
-    def trim(self, now: float) -> None:
-        """Forget what has left the window."""
-        for times in (self.firsts, self.repeats):
+    def prune(self, now: float) -> None:
+        """Drop attempts older than the window."""
+        for times in (self.first_attempts, self.retries):
             while times and times[0] < now - self.window_s:
                 times.popleft()
--- a/src/merlinthread/coordination/route_table.py
+++ b/src/merlinthread/coordination/route_table.py
@@ -1,4 +1,4 @@
-"""The configuration as entries use it: which route, service and account a call belongs to."""
+"""Lookup of routes, services and accounts in a configuration, and its validation."""
 
 import random
 
@@ -9,7 +9,7 @@
 
 
 class RouteTable:
-    """One version of the configuration, indexed; never changed after it was made."""
+    """An immutable index of one version of the configuration."""
 
     def __init__(self, configuration: fleet.Configuration) -> None:
         self.version = configuration.version
@@ -24,7 +24,7 @@
             routes.sort(key=lambda route: -len(route.prefix))
 
     def find(self, host: str, path: str) -> fleet.Route | None:
-        """Return the route of `host` whose prefix begins `path` and is longest, or None."""
+        """Return the route of `host` with the longest prefix of `path`, or None."""
         for route in self.hosts.get(host, ()):
             if path.startswith(route.prefix):
                 return route
@@ -42,12 +42,12 @@
         return None
 
     def origin(self) -> fleet.Service | None:
-        """Return the origin of weights, or None."""
+        """Return the service that is the origin of weights, or None."""
         return next((service for service in self.services.values() if service.origin), None)
 
 
 def choose_service(route: fleet.Route, rng: random.Random) -> str:
-    """Return one of the route's services, by weight."""
+    """Return one of the route's services at random, by weight."""
     if len(route.shares) == 1:
         return route.shares[0].service
     weights = [share.weight for share in route.shares]
@@ -55,47 +55,51 @@
 
 
 def validate(configuration: fleet.Configuration) -> None:
-    """Raise ConfigurationError if the configuration contradicts itself."""
+    """Raise ConfigurationError if the configuration is invalid."""
     if configuration.version < 1:
-        raise invalid("version", f"{configuration.version} is not 1 or more")
+        raise invalid_field("version", f"must be 1 or more, not {configuration.version}")
     if len(configuration.routes) > ROUTES_MAX:
-        raise invalid("routes", f"more than {ROUTES_MAX}; send fewer")
-    check_routes(configuration)
-    check_accounts(configuration)
+        raise invalid_field("routes", f"more than {ROUTES_MAX}; send fewer")
+    validate_routes(configuration)
+    validate_accounts(configuration)
 
 
-def check_routes(configuration: fleet.Configuration) -> None:
-    """Raise ConfigurationError for a route that can't be in force."""
+def validate_routes(configuration: fleet.Configuration) -> None:
+    """Raise ConfigurationError for an invalid route."""
     services = {service.name for service in configuration.services}
-    places: set[tuple[str, str]] = set()
+    prefixes: set[tuple[str, str]] = set()
     for route in configuration.routes:
         field = f"routes[{route.name}]"
         if route.timeout_s <= 0:
-            raise invalid(field, "its timeout is not above 0; set one")
+            raise invalid_field(field, "the timeout must be above 0; set one")
         if any(share.weight < 0 for share in route.shares):
-            raise invalid(field, "a weight is below 0")
+            raise invalid_field(field, "weights must not be below 0")
         if not route.shares or sum(share.weight for share in route.shares) <= 0:
-            raise invalid(field, "its weights add up to 0; give one service a weight")
+            raise invalid_field(field, "the weights add up to 0; give one service a weight")
         for share in route.shares:
             if share.service not in services:
-                raise invalid(field, f"names the unknown service {share.service!r}; add it")
-        if (route.host, route.prefix) in places:
-            raise invalid(field, f"shares {route.host}{route.prefix} with another route")
-        places.add((route.host, route.prefix))
+                raise invalid_field(
+                    field, f"refers to the unknown service {share.service!r}; add it"
+                )
+        if (route.host, route.prefix) in prefixes:
+            raise invalid_field(
+                field, f"has the same host and prefix, {route.host}{route.prefix}, as another route"
+            )
+        prefixes.add((route.host, route.prefix))
 
 
-def check_accounts(configuration: fleet.Configuration) -> None:
+def validate_accounts(configuration: fleet.Configuration) -> None:
     """Raise ConfigurationError if two accounts share a key."""
-    holders: dict[str, str] = {}
+    owners: dict[str, str] = {}
     for account in configuration.accounts:
         for key in account.keys:
-            if holders.setdefault(key, account.name) != account.name:
-                raise invalid(
+            if owners.setdefault(key, account.name) != account.name:
+                raise invalid_field(
                     f"accounts[{account.name}]",
-                    f"shares a key with {holders[key]!r}; give each its own",
+                    f"shares a key with {owners[key]!r}; give each its own",
                 )
 
 
-def invalid(field: str, message: str) -> errors.ConfigurationError:
-    """Return the error for a configuration that can't be in force."""
+def invalid_field(field: str, message: str) -> errors.ConfigurationError:
+    """Return the error for an invalid field of the configuration."""
     return errors.ConfigurationError(f"{field}: {message}", field=field)
--- a/src/merlinthread/coordination/routing.py
+++ b/src/merlinthread/coordination/routing.py
@@ -1,4 +1,4 @@
-"""Which target gets a request: pure policies over reports that are old by their lag."""
+"""Routing policies: choose the target of a request from delayed agent reports."""
 
 import dataclasses
 import random
@@ -13,7 +13,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Requirements:
-    """What a request needs of its target; `digest` is the model version, or empty for a service."""
+    """The requirements of a request; `name` is that of its model or service."""
 
     kind: str
     name: str
@@ -24,23 +24,23 @@
 
 @dataclasses.dataclass(slots=True)
 class Candidate:
-    """A target that can serve, with what the entry itself has there right now.
+    """A target that can serve a request.
 
-    `mine` is how many requests this entry has in flight there beyond what the report counts.
+    `own_in_flight` is the number of this entry's requests in flight there that are not in `report`.
     """
 
     report: agents.AgentReport
-    mine: int
+    own_in_flight: int
 
     def load(self) -> float:
-        """Return requests waiting or running for each slot, with this entry's own added."""
-        busy = self.report.running + self.report.queued + self.mine
+        """Return the number of queued and running requests per slot."""
+        busy = self.report.running + self.report.queued + self.own_in_flight
         return busy / max(1, self.report.slots)
 
 
 @dataclasses.dataclass(slots=True)
 class Choice:
-    """The chosen target and why."""
+    """The report of the chosen target, and the reason for the choice."""
 
     report: agents.AgentReport
     reason: str
@@ -48,13 +48,13 @@
 
 @dataclasses.dataclass(slots=True)
 class Location:
-    """Where the deciding entry is."""
+    """The location of the entry that chooses."""
 
     availability_zone: str
     region: str
 
     def distance_cost(self, report: agents.AgentReport) -> float:
-        """Return what a target costs for being far, in units of load."""
+        """Return the cost of a target's distance, in units of load."""
         if report.availability_zone == self.availability_zone:
             return 0.0
         if report.region == self.region:
@@ -66,46 +66,50 @@
 POLICIES: registry.Registry[Policy] = registry.Registry("routing policy")
 
 
-def can_serve(report: agents.AgentReport, wanted: Requirements) -> bool:
-    """Return whether the target has what the request needs and takes new work."""
-    if report.is_leaving or report.name in wanted.excluded or report.kind != wanted.kind:
+def can_serve(report: agents.AgentReport, requirements: Requirements) -> bool:
+    """Return whether the target meets the requirements and accepts new requests."""
+    if (
+        report.is_leaving
+        or report.name in requirements.excluded
+        or report.kind != requirements.kind
+    ):
         return False
-    if wanted.kind == "service":
-        return report.service == wanted.name
-    return wanted.name in report.serving and (
-        not wanted.adapter or wanted.adapter in report.serving
+    if requirements.kind == "service":
+        return report.service == requirements.name
+    return requirements.name in report.serving and (
+        not requirements.adapter or requirements.adapter in report.serving
     )
 
 
-def cost(candidate: Candidate, place: Location) -> float:
-    """Return load plus distance; lower is better."""
-    return candidate.load() + place.distance_cost(candidate.report)
+def cost(candidate: Candidate, location: Location) -> float:
+    """Return the load plus the cost of distance; lower is better."""
+    return candidate.load() + location.distance_cost(candidate.report)
 
 
 @POLICIES.add("least_loaded")
 def least_loaded(
-    candidates: list[Candidate], wanted: Requirements, place: Location, rng: random.Random
+    candidates: list[Candidate], requirements: Requirements, location: Location, rng: random.Random
 ) -> Choice:
-    """Take the cheapest; the entry's own requests make up for the reports' lag."""
-    best = min(candidates, key=lambda candidate: (cost(candidate, place), rng.random()))
+    """Choose the cheapest candidate, with ties broken at random."""
+    best = min(candidates, key=lambda candidate: (cost(candidate, location), rng.random()))
     return Choice(best.report, f"least load {best.load():.2f}")
 
 
 @POLICIES.add("two_choices")
 def two_choices(
-    candidates: list[Candidate], wanted: Requirements, place: Location, rng: random.Random
+    candidates: list[Candidate], requirements: Requirements, location: Location, rng: random.Random
 ) -> Choice:
-    """Take the cheaper of two drawn at random, nearest zone first (Mitzenmacher 2001)."""
-    nearest = min(place.distance_cost(candidate.report) for candidate in candidates)
-    near = [c for c in candidates if place.distance_cost(c.report) == nearest]
-    drawn = rng.sample(near, min(2, len(near)))
-    best = min(drawn, key=lambda candidate: cost(candidate, place))
-    return Choice(best.report, f"better of {len(drawn)}, load {best.load():.2f}")
+    """Choose the cheaper of two random candidates among the nearest (Mitzenmacher 2001)."""
+    nearest = min(location.distance_cost(candidate.report) for candidate in candidates)
+    near = [c for c in candidates if location.distance_cost(c.report) == nearest]
+    sampled = rng.sample(near, min(2, len(near)))
+    best = min(sampled, key=lambda candidate: cost(candidate, location))
+    return Choice(best.report, f"better of {len(sampled)}, load {best.load():.2f}")
 
 
 @POLICIES.add("random")
-def at_random(
-    candidates: list[Candidate], wanted: Requirements, place: Location, rng: random.Random
+def choose_random(
+    candidates: list[Candidate], requirements: Requirements, location: Location, rng: random.Random
 ) -> Choice:
-    """Take any; a baseline."""
+    """Choose a candidate uniformly at random, as a baseline."""
     return Choice(rng.choice(candidates).report, "random")
--- a/src/merlinthread/coordination/sessions.py
+++ b/src/merlinthread/coordination/sessions.py
@@ -1,8 +1,8 @@
-"""Reports that pass on by change: who says what of which agents, and for how long that holds.
+"""Incremental agent reports from entries to the leader.
 
-An entry tells the leader only what changed. What it told stands as long as it goes on talking; if
-it falls silent, the agents that it alone vouches for are lost. So the cost follows the changes and
-the number of entries, not the number of agents.
+An entry sends the leader only changed reports, in a session that stays valid while the entry keeps
+sending. When a session expires, agents that no other session covers are lost. The cost grows with
+the changes and the number of entries, not with the number of agents.
 """
 
 import dataclasses
@@ -11,7 +11,7 @@
 
 
 def reported_state(report: agents.AgentReport) -> tuple[object, ...]:
-    """Return what must change for a report to be worth passing on: all but load and counters."""
+    """Return the fields whose change makes a report worth sending: all but load and counters."""
     return (
         report.incarnation,
         report.kind,
@@ -25,52 +25,54 @@
 
 
 class ReportSender:
-    """What an entry still has to tell one listener."""
+    """Tracks which reports an entry has yet to send to its listener, the leader."""
 
     def __init__(self) -> None:
-        self.told: dict[str, tuple[object, ...]] = {}
+        self.acknowledged: dict[str, tuple[object, ...]] = {}
         self.listener = ""
 
     def changes(
         self, live: list[agents.AgentReport], listener: str
     ) -> tuple[list[agents.AgentReport], list[str], bool]:
-        """Return changed reports, names that are gone, and whether this is all there is.
+        """Return changed reports, names of removed agents, and whether this is a full update.
 
-        Everything is told again to a new listener.
+        A new listener gets a full update.
         """
         is_full = listener != self.listener
         if is_full:
-            self.told = {}
+            self.acknowledged = {}
         names = {report.name for report in live}
         changed = [
-            report for report in live if self.told.get(report.name) != reported_state(report)
+            report
+            for report in live
+            if self.acknowledged.get(report.name) != reported_state(report)
         ]
-        gone = [name for name in self.told if name not in names]
+        gone = [name for name in self.acknowledged if name not in names]
         return changed, gone, is_full
 
     def confirm(self, changed: list[agents.AgentReport], gone: list[str], listener: str) -> None:
-        """Note that the listener has taken it in."""
+        """Record that the listener acknowledged an update."""
         self.listener = listener
         for report in changed:
-            self.told[report.name] = reported_state(report)
+            self.acknowledged[report.name] = reported_state(report)
         for name in gone:
-            self.told.pop(name, None)
+            self.acknowledged.pop(name, None)
 
     def forget(self) -> None:
-        """Tell everything next time."""
+        """Force a full update next time."""
         self.listener = ""
 
 
 @dataclasses.dataclass(slots=True)
 class Session:
-    """One entry's word: the agents it vouches for, and when it last spoke."""
+    """One entry's session: the agents that it covers, and when it last sent an update."""
 
     heard_at: float
     names: set[str] = dataclasses.field(default_factory=set)
 
 
 class ReportReceiver:
-    """What the leader knows of all agents by the entries' word."""
+    """The leader's view of all agents, from the entries' updates."""
 
     def __init__(self, lost_after_s: float) -> None:
         self.lost_after_s = lost_after_s
@@ -85,7 +87,7 @@
         is_full: bool,
         now: float,
     ) -> bool:
-        """Take in what an entry tells; return False if it must tell everything first."""
+        """Apply an entry's update; return False if a full update is needed first."""
         session = self.sessions.get(source)
         if session is None and not is_full:
             return False
@@ -101,7 +103,7 @@
         return True
 
     def live(self, now: float) -> list[agents.AgentReport]:
-        """Return the reports of agents that some talking entry vouches for, by name."""
+        """Return the reports of agents covered by a live session, sorted by name."""
         for source, session in list(self.sessions.items()):
             if now - session.heard_at >= self.lost_after_s:
                 del self.sessions[source]
@@ -110,6 +112,6 @@
         return [self.reports[name] for name in sorted(names)]
 
     def clear(self) -> None:
-        """Forget everything; the entries tell it anew."""
+        """Drop all sessions and reports; entries must then send full updates."""
         self.sessions.clear()
         self.reports.clear()
--- a/src/merlinthread/coordination/wait_queue.py
+++ b/src/merlinthread/coordination/wait_queue.py
@@ -1,4 +1,4 @@
-"""Requests that wait a moment for a place, most urgent first, within a bound."""
+"""A priority queue for requests that wait for capacity."""
 
 import asyncio
 import dataclasses
@@ -8,7 +8,7 @@
 
 @dataclasses.dataclass(slots=True, order=True)
 class Waiter:
-    """A request that waits; `urgency` 0 goes first, then the earliest arrival."""
+    """A waiting request; the lowest `urgency` goes first, then the earliest arrival."""
 
     urgency: int
     arrived: float
@@ -27,7 +27,7 @@
         return len(self.waiters)
 
     async def wait(self, urgency: int, arrived: float, timeout_s: float) -> bool:
-        """Wait until it is this request's turn to look again; return False after `timeout_s`."""
+        """Wait until woken to try again; return False after `timeout_s` seconds."""
         woken = asyncio.get_running_loop().create_future()
         waiter = Waiter(urgency, arrived, next(self.numbers), woken)
         heapq.heappush(self.waiters, waiter)
@@ -41,13 +41,13 @@
             self.remove(waiter)
 
     def remove(self, waiter: Waiter) -> None:
-        """Take a waiter out."""
+        """Remove a waiter, if it is still queued."""
         if waiter in self.waiters:
             self.waiters.remove(waiter)
             heapq.heapify(self.waiters)
 
     def wake(self, count: int = 1) -> None:
-        """Let the first `count` waiters look again."""
+        """Wake the first `count` waiters, so that they try again."""
         for waiter in heapq.nsmallest(count, self.waiters):
             if not waiter.woken.done():
                 waiter.woken.set_result(None)
