--- a/tests/permit_net.py
+++ b/tests/permit_net.py
@@ -1,7 +1,6 @@
-"""Entries that ask control VMs for permits over a network that delays and loses, for tests.
+"""A simulated network of entries and control VMs for permit tests, with delay and loss.
 
-The parts are the product's; only the leader's lease and the network are stood in for, on the
-virtual time of `virtual_loop`.
+Only the leader's lease and the network are fakes, on the virtual time of `virtual_loop`.
 """
 
 import asyncio
@@ -14,32 +13,32 @@
 from merlinthread.protocol import node_messages
 
 CONTROLS = ["c0", "c1", "c2"]
-# One way within a zone, between zones and between regions, in seconds.
+# One-way delays within a zone, between zones and between regions.
 DELAYS_S = (0.0005, 0.003, 0.007)
-# How long a request waits for a permit, in seconds.
+# Longest wait of a request for a permit.
 PATIENCE_S = 0.06
-CLOCKS_APART_S = 1000.0
+CLOCK_OFFSET_MAX_S = 1000.0
 
 
 class Member:
-    """A member of the log; the net says who leads."""
+    """A fake log member; the network decides which one leads."""
 
     def __init__(self, net: "PermitNet", address: str) -> None:
         self.net = net
         self.address = address
 
     def holds_lease(self) -> bool:
-        """Return whether it surely leads."""
+        """Return whether this member holds the leader's lease."""
         return self.net.leader == self.address
 
     def leader_address(self) -> str:
-        """Return who leads, or did last: members don't know at once that it is lost."""
+        """Return the address of the leader, or of the last one after its loss."""
         return self.net.leader_before
 
 
 @dataclasses.dataclass
 class Watcher:
-    """What an entry knows of the control VMs."""
+    """The control VMs known to an entry."""
 
     controls: list[str]
     current: str
@@ -47,14 +46,14 @@
 
 @dataclasses.dataclass
 class Entry:
-    """An entry's questions, and what it knows of the one back end, which has a limit."""
+    """An entry's permit client and its record of the rate-limited back end."""
 
     permits: permits.Permits
     backend: backend_record.Backend
 
 
 class PermitNet:
-    """Entries before one back end that named `limit_per_s`; `rng` draws all that is by chance."""
+    """Entries that share one back end with a limit of `limit_per_s` requests a second."""
 
     def __init__(
         self, rng: random.Random, entries: int, limit_per_s: float, loss: float = 0.0
@@ -66,7 +65,7 @@
         self.leader = self.leader_before = CONTROLS[0]
         self.alive = set(CONTROLS)
         self.offices = {
-            address: permit_office.PermitOffice(Member(self, address), self.clock_of_a_vm())
+            address: permit_office.PermitOffice(Member(self, address), self.random_clock())
             for address in CONTROLS
         }
         self.entries = {f"e{number}": self.entry(f"e{number}") for number in range(entries)}
@@ -74,18 +73,18 @@
         self.used: list[float] = []
         self.pending: set[asyncio.Task] = set()
 
-    def clock_of_a_vm(self) -> Callable[[], float]:
-        """Return a clock that differs from the others'."""
-        ahead_s = self.rng.uniform(0.0, CLOCKS_APART_S)
-        return lambda: self.loop.time() + ahead_s
+    def random_clock(self) -> Callable[[], float]:
+        """Return a clock with a random offset."""
+        offset_s = self.rng.uniform(0.0, CLOCK_OFFSET_MAX_S)
+        return lambda: self.loop.time() + offset_s
 
     def entry(self, address: str) -> Entry:
-        """Return an entry that has heard the limit."""
-        clock = self.clock_of_a_vm()
-        asking = permits.Permits(
+        """Return an entry that knows the limit."""
+        clock = self.random_clock()
+        client = permits.Permits(
             address,
             Watcher(list(CONTROLS), self.rng.choice(CONTROLS)),
-            lambda control, query: self.carry(self.arrive, address, control, query),
+            lambda control, query: self.send_datagram(self.receive_query, address, control, query),
             clock,
             self.rng,
         )
@@ -93,37 +92,37 @@
             limit_per_s=self.limit_per_s, limit_heard_at=clock()
         )
         return Entry(
-            asking, backend_record.Backend("i", "s", "a:1", "zone", 0, 8, availability=availability)
+            client, backend_record.Backend("i", "s", "a:1", "zone", 0, 8, availability=availability)
         )
 
-    def carry(self, deliver: Callable[..., None], *what: object) -> None:
-        """Deliver a datagram after a while, or lose it."""
+    def send_datagram(self, deliver: Callable[..., None], *what: object) -> None:
+        """Deliver a datagram after a random delay, or drop it."""
         if self.rng.random() >= self.loss:
             self.loop.call_later(self.rng.choice(DELAYS_S), deliver, *what)
 
-    def arrive(self, entry: str, control: str, query: node_messages.LoadQuery) -> None:
-        """Let a control VM answer, if it lives."""
+    def receive_query(self, entry: str, control: str, query: node_messages.LoadQuery) -> None:
+        """Let a control VM answer a query, if it is alive."""
         if control in self.alive:
             answer = self.offices[control].answer(query)
-            self.carry(self.entries[entry].permits.take, query.number, answer)
+            self.send_datagram(self.entries[entry].permits.take, query.number, answer)
 
     def lose_leader(self) -> None:
-        """End the VM that leads; nobody does from now on."""
+        """Stop the leader, leaving no leader."""
         self.alive.discard(self.leader)
         self.leader = ""
 
     def elect(self, address: str) -> None:
-        """Let another VM lead."""
+        """Make another VM the leader."""
         self.leader = self.leader_before = address
 
     async def ask(self, entry: Entry, account: str) -> None:
-        """Ask for a permit for one request and use it."""
+        """Acquire a permit for one request and record its use."""
         found = await entry.permits.acquire("s", account, PATIENCE_S, [entry.backend])
         if isinstance(found, permits.Permit):
             self.used.append(self.loop.time())
 
     async def press(self, per_s: float, until: float) -> None:
-        """Send requests to entries by lot; as the router does, ask only where one may be had."""
+        """Send requests to random entries, skipping back ends known to lack a permit."""
         while self.loop.time() < until:
             await asyncio.sleep(self.rng.expovariate(per_s))
             entry = self.rng.choice(list(self.entries.values()))
@@ -135,9 +134,9 @@
             await asyncio.wait(list(self.pending))
 
     def most_in(self, seconds: float) -> int:
-        """Return the most permits that were used in any `seconds`."""
+        """Return the highest number of permits used in any window of `seconds`."""
         return max((sum(at <= t < at + seconds for t in self.used) for at in self.used), default=0)
 
     def used_between(self, since: float, until: float) -> int:
-        """Return how many permits were used between two times."""
+        """Return the number of permits used between two times."""
         return sum(since <= at < until for at in self.used)
--- a/tests/test_backend_signals.py
+++ b/tests/test_backend_signals.py
@@ -1,4 +1,4 @@
-"""What back ends say of themselves: how it is read, and how long each word holds."""
+"""Tests for back ends' availability signals: parsing, precedence and expiry."""
 
 import datetime
 import email.utils
@@ -67,7 +67,7 @@
 def test_a_date_is_measured_from_the_answers_own_date():
     later = http_date(DATE + datetime.timedelta(seconds=90))
     assert retry_after.parse(later, http_date(DATE)) == retry_after.RetryAfter(90.0)
-    # A server whose own date is past the one that it names wants no rest.
+    # A date before the server's own date means no rest.
     assert retry_after.parse(http_date(DATE), later) == retry_after.RetryAfter(0.0)
     assert retry_after.parse(later).problem
     assert retry_after.parse(later, b"yesterday").problem
@@ -84,7 +84,7 @@
 
 
 class Signals(stateful.RuleBasedStateMachine):
-    """Words of one back end in any order, beside a plain account of them."""
+    """Signals of one back end in any order, compared with a simple model."""
 
     def __init__(self) -> None:
         super().__init__()
--- a/tests/test_load_feed.py
+++ b/tests/test_load_feed.py
@@ -1,8 +1,6 @@
-"""What it costs to hear of engines' load, at sizes from 6 engines to 1,500: no network is needed.
+"""Tests for the cost of load reports at fleet sizes from 6 to 1,500 engines; no network is needed.
 
-The pattern: every entry hears every engine unasked. With 98 entries before 60 engines (the layout
-of the large deployment: 5 availability zones, links of 3.65 Mbit/s) that was a quarter of each
-engine VM's link, which requests and weights need.
+Guards against load reports that use up an engine VM's link as the fleet grows.
 """
 
 import random
@@ -12,13 +10,13 @@
 from merlinthread.coordination import backend_record, dispatch, fleet, load_feed, load_ledger
 from merlinthread.protocol import codec, node_messages
 
-# Links of engines' VMs in the deployments known, bytes a second.
+# Link of an engine's VM in bytes per second.
 LINK = 3.65e6 / 8
 UDP_AND_IP_BYTES = 28
 
 
 def engines(count: int, zones: int, zone: int) -> list[backend_record.Backend]:
-    """Return engines that stand in the zones by turns, as seen from `zone`."""
+    """Return engines spread evenly over the zones, as seen from `zone`."""
     return [
         backend_record.Backend(
             f"i-{n}", "s", f"10.0.0.{n}:1", f"z{n % zones}", 2 * (n % zones != zone), 8
@@ -27,8 +25,8 @@
     ]
 
 
-def listeners(entries: int, count: int, zones: int) -> dict[str, int]:
-    """Return for each engine by how many entries it is heard."""
+def subscriber_counts(entries: int, count: int, zones: int) -> dict[str, int]:
+    """Return the number of subscribed entries per engine."""
     found: dict[str, int] = {}
     for entry in range(entries):
         seen = engines(count, zones, entry % zones)
@@ -41,7 +39,7 @@
 def test_an_agents_words_about_its_load_take_a_small_share_of_its_link_at_any_size(
     entries, count, zones
 ):
-    told = max(listeners(entries, count, zones).values())
+    told = max(subscriber_counts(entries, count, zones).values())
     bytes_per_s = told * load_feed.LOAD_DATAGRAM_BYTES / load_feed.report_interval_s(told, LINK)
     assert bytes_per_s <= 0.05 * LINK, f"{told} entries, {bytes_per_s / LINK:.3f} of the link"
 
@@ -66,7 +64,7 @@
 
 
 def test_entries_spread_over_the_engines_of_a_zone():
-    heard = listeners(330, 1500, 8)
+    heard = subscriber_counts(330, 1500, 8)
     mean = 330 * load_feed.SUBSCRIPTIONS_MAX / 1500
     assert max(heard.values()) <= 4 * mean
 
--- a/tests/test_permit_handover.py
+++ b/tests/test_permit_handover.py
@@ -1,14 +1,7 @@
-"""Permits while the control VM that counts changes, or its answers are lost.
-
-What was seen: where all back ends take six requests a second, one got 15 in 2 s after the control
-VM that counted was lost; 14 are allowed. How it came about: an entry whose leader is silent takes
-its turns, and asks one control VM, drawn from all, every 0.3 s. Cause: the lost one is among them,
-so that an entry may draw it several times in a row; it goes on with its turns for seconds while the
-next leader already gives everything to the others. What proved that: on virtual time, with the same
-parts, windows above the limit hold turns of one entry beside permits of the next leader, up to
-4.7 s after that one began; with all control VMs asked at once no window is above it.
-Beside it little was used once the next leader gave permits, since an entry left the back end alone
-until its own next turn, up to seven seconds of the limit's time: it looks for a leader before that.
+"""Tests for permits during a change of leader and with lost messages.
+
+Guards against entries that keep using their time slots after a new leader grants permits, which
+exceeds the limit, and against permits left unused after the change.
 """
 
 import asyncio
@@ -18,16 +11,15 @@
 
 from tests import permit_net, virtual_loop
 
-# What may be spent of an allowance in a window: the limit's share of it and two requests.
+# Requests allowed in a window beyond the limit's share.
 SPARE = 2
 WINDOWS_S = (2.0, 4.0)
-# How much more is asked for than is allowed: by few, who come and go, and by many, so that there
-# is work for each permit.
-PRESSED = 2.5
-PRESSED_HARD = 6.0
+# Demand as a multiple of the limit; the higher one leaves no permit unused for lack of requests.
+OVERLOAD = 2.5
+HEAVY_OVERLOAD = 6.0
 LOST_AT_S = 3.5
-# When the next leader begins, after the one before was lost.
-ELECTED_S = (0.9, 2.3)
+# Range of the time from the loss of a leader to the election of the next.
+ELECTION_S = (0.9, 2.3)
 UNTIL_S = 10.0
 LIMITS_PER_S = (1.0, 1.8, 4.0, 6.0, 12.0)
 SEEDS = 100
@@ -39,16 +31,16 @@
         assert net.most_in(seconds) <= allowed, (seconds, net.most_in(seconds), allowed)
 
 
-def drawn_net(seed: int, entries: int, loss: float = 0.0) -> permit_net.PermitNet:
+def random_net(seed: int, entries: int, loss: float = 0.0) -> permit_net.PermitNet:
     rng = random.Random(seed)
     return permit_net.PermitNet(rng, entries, rng.choice(LIMITS_PER_S), loss)
 
 
 async def lose_and_elect(net: permit_net.PermitNet) -> float:
-    """Lose the leader; return when the next one began."""
+    """Stop the leader; return when the next one was elected."""
     await asyncio.sleep(LOST_AT_S + net.rng.random())
     net.lose_leader()
-    await asyncio.sleep(net.rng.uniform(*ELECTED_S))
+    await asyncio.sleep(net.rng.uniform(*ELECTION_S))
     net.elect(permit_net.CONTROLS[1])
     return net.loop.time()
 
@@ -57,9 +49,9 @@
 @pytest.mark.parametrize("loss", [0.0, 0.02])
 def test_no_window_exceeds_the_limit_while_the_vm_that_counts_changes(entries, loss):
     async def scenario(seed):
-        net = drawn_net(seed, entries, loss)
+        net = random_net(seed, entries, loss)
         changing = asyncio.create_task(lose_and_elect(net))
-        await net.press(PRESSED * net.limit_per_s, UNTIL_S)
+        await net.press(OVERLOAD * net.limit_per_s, UNTIL_S)
         await changing
         check_windows(net)
 
@@ -69,8 +61,8 @@
 
 def test_no_window_exceeds_the_limit_while_answers_are_lost():
     async def scenario(seed):
-        net = drawn_net(seed, 4, loss=0.1)
-        await net.press(PRESSED * net.limit_per_s, UNTIL_S)
+        net = random_net(seed, 4, loss=0.1)
+        await net.press(OVERLOAD * net.limit_per_s, UNTIL_S)
         check_windows(net)
 
     for seed in range(SEEDS):
@@ -80,22 +72,22 @@
 @pytest.mark.parametrize("entries", [2, 4, 7])
 def test_what_is_allowed_is_used_again_once_another_vm_counts(entries):
     async def scenario(seed):
-        net = drawn_net(seed, entries)
+        net = random_net(seed, entries)
         changing = asyncio.create_task(lose_and_elect(net))
-        await net.press(PRESSED_HARD * net.limit_per_s, UNTIL_S)
-        # The first second goes into finding it, and the first permit falls due an interval later.
+        await net.press(HEAVY_OVERLOAD * net.limit_per_s, UNTIL_S)
+        # Entries need up to a second to find it; the first permit falls due an interval later.
         since = await changing + 1.0 + 1.0 / net.limit_per_s
         used = net.used_between(since, UNTIL_S)
         return used, net.limit_per_s * (UNTIL_S - since)
 
     found = []
     for seed in range(SEEDS):
-        virtual_loop.run(note(found, scenario(seed)))
+        virtual_loop.run(append_result(found, scenario(seed)))
     used, allowed = (sum(column) for column in zip(*found, strict=True))
     assert used >= 0.9 * allowed, (used, allowed)
-    # A window of so few requests may miss one or two of them.
+    # With so few requests, one or two may be missed.
     assert all(used >= 0.9 * allowed - SPARE for used, allowed in found), found
 
 
-async def note(found: list, scenario) -> None:
+async def append_result(found: list, scenario) -> None:
     found.append(await scenario)
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -1,4 +1,4 @@
-"""Who gives out permits, and what an entry does while nobody answers."""
+"""Tests for granting permits and for entries without a leader."""
 
 import asyncio
 import math
@@ -14,7 +14,7 @@
 
 
 class Member:
-    """A member of the log that leads, or knows who does."""
+    """A fake log member that is the leader, or knows its address."""
 
     address = "here:1"
 
@@ -101,8 +101,8 @@
     return backend_record.Backend("i", "s", "a:1", "zone", 0, 8, availability=availability)
 
 
-def make_asking() -> tuple[permits.Permits, list]:
-    """Return an entry's questions, which nobody answers, and the list of those that were sent."""
+def make_permits() -> tuple[permits.Permits, list]:
+    """Return a permit client that gets no answers, and the list of its sent messages."""
     sent: list = []
     clock = asyncio.get_running_loop().time
 
@@ -114,31 +114,31 @@
 
 def test_while_nobody_answers_one_question_is_open_at_a_time_and_turns_decide():
     async def scenario():
-        asking, sent = make_asking()
+        client, sent = make_permits()
         backend = limited_backend(50.0)
-        began = asking.clock()
-        found = await asyncio.gather(*[asking.acquire("s", "a", 0.0, [backend]) for _ in range(20)])
-        assert asking.clock() - began < 10 * permits.ANSWER_S
+        began = client.clock()
+        found = await asyncio.gather(*[client.acquire("s", "a", 0.0, [backend]) for _ in range(20)])
+        assert client.clock() - began < 10 * permits.ANSWER_S
         assert len({message.number for _, message in sent}) == 1
         assert sum(isinstance(each, permits.Permit) for each in found) <= 1
-        assert backend.availability.lacks_permit(asking.clock())
+        assert backend.availability.lacks_permit(client.clock())
 
     asyncio.run(scenario())
 
 
 def test_a_client_that_leaves_while_it_looks_for_the_leader_sends_no_other_to_its_turn():
     async def scenario():
-        asking, sent = make_asking()
+        client, sent = make_permits()
         backend = limited_backend(50.0)
-        first = asyncio.create_task(asking.acquire("s", "a", 0.0, [backend]))
-        others = [asyncio.create_task(asking.acquire("s", "a", 0.0, [backend])) for _ in range(3)]
+        first = asyncio.create_task(client.acquire("s", "a", 0.0, [backend]))
+        others = [asyncio.create_task(client.acquire("s", "a", 0.0, [backend])) for _ in range(3)]
         while not sent:
             await asyncio.sleep(0)
         first.cancel()
         while len({message.number for _, message in sent}) < 2:
             await asyncio.sleep(0.001)
-        # One of the others looks in its place, and the rest wait for that.
-        assert asking.waiting and not any(task.done() for task in others)
+        # Another task takes over the search, and the rest wait for it.
+        assert client.waiting and not any(task.done() for task in others)
         await asyncio.gather(*others)
         assert len({message.number for _, message in sent}) == 2
 
@@ -147,10 +147,10 @@
 
 def test_an_answer_that_comes_too_late_is_dropped_with_its_permit():
     async def scenario():
-        asking, sent = make_asking()
-        await asking.acquire("s", "a", 0.0, [limited_backend(0.01)])
+        client, sent = make_permits()
+        await client.acquire("s", "a", 0.0, [limited_backend(0.01)])
         decision = rate_limits.Decision("i", 0.0, [1.0])
-        asking.take(sent[0][1].number, node_messages.PermitAnswer(decision, "", 3, 1, 0.0))
-        assert not asking.leader and not asking.waiting
+        client.take(sent[0][1].number, node_messages.PermitAnswer(decision, "", 3, 1, 0.0))
+        assert not client.leader and not client.waiting
 
     asyncio.run(scenario())
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -1,4 +1,4 @@
-"""The account of permits: what is given in any window, who gets it, and when to come back."""
+"""Tests for permits: the limit in any window, fairness between accounts, and retry times."""
 
 import itertools
 import random
@@ -65,7 +65,7 @@
     starts = []
     for rank in range(entries):
         turns = permit_turns.PermitSlots(0)
-        # Their clocks differ, and their view of the leader's by what is on its way.
+        # Clocks differ between entries; the offset to the leader's clock includes network delay.
         offset = rng.uniform(-100.0, 100.0)
         turns.update(entries, rank, -offset + rng.uniform(0.0, 0.01))
         gaps = [offset, *(rng.expovariate(4 * per_s) for _ in range(300))]
--- a/tests/test_rest.py
+++ b/tests/test_rest.py
@@ -1,12 +1,6 @@
-"""Back ends that turn requests away and ask for a rest.
-
-What was seen: two engines of six had each asked an entry for 3 s of rest and got 10 to 16 requests
-from it within the next second; a third of the requests of those seconds were refused or late,
-though the other engines had room. How it came about: the two turned everything away, so they ran
-nothing and looked best of all; each refusal left one alone for 80 ms, and a second attempt went to
-the other one. Cause: the time that a refusal asks for was not read, and there was no place to keep
-it. What proved it: the entries' logs show attempts on an engine with nothing to do, "503 not run",
-again and again, 0.08 s apart at the least whatever was asked for.
+"""Tests for back ends that refuse requests and ask for a rest.
+
+Guards against sending requests to a resting back end, which looks idle because it refuses all.
 """
 
 import asyncio
@@ -27,7 +21,7 @@
 
 
 class Fleet(fed_fleet.FedFleet):
-    """Workers that may turn requests away."""
+    """A fleet whose workers can refuse requests."""
 
     def __init__(self, service: str, count: int) -> None:
         super().__init__(service, count, work_s=0.05)
@@ -38,10 +32,9 @@
             worker.behaviour.rest = rest
 
     async def until_refused(self, workers: list[fleet_worker.Worker]) -> float:
-        """Ask until each of some workers has turned a request away; return when the first did.
+        """Send requests until each worker has refused one; return the time of the first refusal.
 
-        As many are asked at once as there are workers: one after the other the lot may come to one
-        of them only when the rest of another is nearly over.
+        Requests are sent in parallel, so that all workers refuse within the same rest.
         """
         first = 0.0
         async with asyncio.timeout(5.0):
@@ -67,7 +60,7 @@
         while fleet.now() < first + 0.8 * REST_S:
             tasks.append(asyncio.create_task(fleet.ask()))
             await asyncio.sleep(0.01)
-        # The others have room: whoever comes during the rest is served.
+        # The other workers have capacity and serve all requests during the rest.
         answers = await asyncio.gather(*tasks)
         assert {answer.status for answer in answers} == {200}, service
         assert refused(resting) - so_far <= ALLOWED, service
@@ -76,7 +69,7 @@
         asyncio.run(scenario(service))
 
 
-# The requests must come within one rest: a process that stands still sends them after it.
+# Requests must be sent within one rest, so a stalled process would fail this test.
 @pytest.mark.timed
 def test_a_back_end_is_used_again_once_its_rest_is_over_and_left_alone_again_if_it_asks():
     async def scenario():
@@ -101,7 +94,7 @@
     asyncio.run(scenario())
 
 
-# A refusal within 40 ms can be told only where other tests do not hold the process up.
+# Measures refusals within 40 ms, so other tests must not delay the process.
 @pytest.mark.timed
 def test_when_all_are_at_rest_clients_are_refused_at_once_and_told_when_the_first_is_not():
     async def scenario():
@@ -114,7 +107,7 @@
             asked_at = fleet.now()
             answer = await fleet.ask()
             assert answer.status == 503
-            # A request waits up to 0.05 s for a place where one may come free.
+            # A request that queued would wait up to 0.05 s for capacity.
             assert fleet.now() - asked_at < 0.04
             told_s = float(http_messages.header(answer.headers, b"retry-after"))
             back_at = fleet.now() + told_s
--- a/tests/test_return_times.py
+++ b/tests/test_return_times.py
@@ -1,8 +1,6 @@
-"""When those who are refused come back, while no engine may serve: no network is needed.
+"""Tests for retry delays while no engine can serve; no network is needed.
 
-The pattern: two versions are named 3 s apart while the origin is away; from 30.4 s on no engine
-holds weights that may be used, the new ones come at 15 pieces a second and are whole at 34.1 s
-(twin of a day, agents' logs); 120 clients a second, each with 6 s and one second try.
+Guards against clients whose only retry comes before the engines serve again.
 """
 
 import pathlib
@@ -14,33 +12,33 @@
 from merlinthread.coordination import backend_record, change_over, dispatch, fleet, retry_delays
 from merlinthread.nodes import node_policy
 
-GAP_FROM, GAP_TO = 30.4, 35.0
+OUTAGE_FROM, OUTAGE_TO = 30.4, 35.0
 DEADLINE_S = 6.0
 PER_S = 120
 
 
-def second_tries(way: str, forecast_error_s: float) -> tuple[float, float]:
-    """Return the share of second tries that fail and the mean time until they are served."""
+def second_attempts(policy_name: str, forecast_error_s: float) -> tuple[float, float]:
+    """Return the share of failed second attempts and the mean delay of the others."""
     rng = random.Random(1)
     failed, waits = 0, []
-    count = int((GAP_TO - GAP_FROM) * PER_S)
+    count = int((OUTAGE_TO - OUTAGE_FROM) * PER_S)
     for number in range(count):
-        now = GAP_FROM + number / PER_S
-        ready_in_s = max(0.0, GAP_TO - now + forecast_error_s)
+        now = OUTAGE_FROM + number / PER_S
+        ready_in_s = max(0.0, OUTAGE_TO - now + forecast_error_s)
         refusal = retry_delays.Refusal(DEADLINE_S, True, ready_in_s)
-        back_at = now + retry_delays.POLICIES.get(way)(refusal, rng)
-        if back_at < GAP_TO:
+        retry_at = now + retry_delays.POLICIES.get(policy_name)(refusal, rng)
+        if retry_at < OUTAGE_TO:
             failed += 1
         else:
-            waits.append(back_at - now)
+            waits.append(retry_at - now)
     return failed / count, sum(waits) / len(waits)
 
 
 def test_by_forecast_few_meet_the_same_again_though_it_is_wrong_by_some_tenths():
-    failed, _ = second_tries("share", 0.0)
+    failed, _ = second_attempts("share", 0.0)
     assert failed >= 0.55
     for error_s in (-0.3, 0.0, 0.3):
-        failed, _ = second_tries("forecast", error_s)
+        failed, _ = second_attempts("forecast", error_s)
         assert failed <= 0.25, f"off by {error_s} s"
 
 
@@ -74,9 +72,9 @@
 
 def engines(ready_in_s: list[float | None]) -> list[backend_record.Backend]:
     found = []
-    for number, told_s in enumerate(ready_in_s):
+    for number, forecast_s in enumerate(ready_in_s):
         engine = backend_record.Backend(f"i-{number}", "s", "10.0.0.1:1", "z", 0, 12)
-        engine.apply_report(fleet.EngineReport(ready_in_s=told_s), 10.0)
+        engine.apply_report(fleet.EngineReport(ready_in_s=forecast_s), 10.0)
         found.append(engine)
     return found
 
