--- a/src/merlinthread/nodes/node_policy.py
+++ b/src/merlinthread/nodes/node_policy.py
@@ -10,14 +10,14 @@
 import msgspec
 
 from merlinthread import errors, registry
-from merlinthread.coordination import fetch, fetch_claimed, fetch_policies, retry_delays
+from merlinthread.coordination import fetch, fetch_claimed, fetch_policies, return_times
 
 # The modules whose decorators fill the registries.
-WAYS_IN = (fetch_claimed, fetch_policies, retry_delays)
+WAYS_IN = (fetch_claimed, fetch_policies, return_times)
 
 DECISIONS: dict[str, registry.Registry] = {
     "fetch": fetch.POLICIES,
-    "returns": retry_delays.POLICIES,
+    "returns": return_times.POLICIES,
 }
 
 
