--- a/src/merlinthread/coordination/limit_ledger.py
+++ b/src/merlinthread/coordination/limit_ledger.py
@@ -3,7 +3,7 @@
 An entry learns of a limit from an answer of the back end. Without distribution each entry would
 send one unlimited request first, and would go on asking for permits after a limit is lifted.
 
-The most recently received limit wins. Merging is idempotent and does not depend on the order.
+The most recently received limit of a back end wins; merging the same report again changes nothing.
 """
 
 import dataclasses
