--- a/src/merlinthread/nodes/agent_node.py
+++ b/src/merlinthread/nodes/agent_node.py
@@ -100,11 +100,11 @@
     def on_attempt(self, note: node_messages.AttemptNotice) -> None:
         """Keep account of an attempt on the engine."""
         if note.stage is node_messages.AttemptStage.SENT:
-            self.ledger.began(note.entry, note.number, note.tokens, self.clock())
+            self.ledger.record_start(note.entry, note.number, note.tokens, self.clock())
         elif note.stage is node_messages.AttemptStage.READ:
-            self.ledger.read(note.entry, note.number)
+            self.ledger.record_first_byte(note.entry, note.number)
         else:
-            self.ledger.ended(note.entry, note.number)
+            self.ledger.record_end(note.entry, note.number)
 
     def load(self, report: fleet.EngineReport, entry: str) -> node_messages.LoadUpdate:
         """Return the load as an entry is told it."""
@@ -129,7 +129,7 @@
                 self.note_engine(True, "")
                 self.weights.note_report(report)
                 report.ready_in_s = self.weights.ready_in_s()
-                self.ledger.take_report(report.running + report.queued, self.clock())
+                self.ledger.apply_report(report.running + report.queued, self.clock())
                 self.tell(report)
             except errors.MerlinthreadError as error:
                 self.note_engine(False, error.message)
@@ -159,7 +159,7 @@
         if load_feed.is_urgent(report, self.told):
             return True
         link = self.settings.link_bytes_per_s
-        every_s = load_feed.tell_every_s(len(self.subscribers), link)
+        every_s = load_feed.report_interval_s(len(self.subscribers), link)
         if report == self.told:
             every_s = max(every_s, REPEAT_EVERY_S)
         # A report is read each REPORT_EVERY_S: half of it is borne, or every second one is skipped.
--- a/src/merlinthread/nodes/attempt_notes.py
+++ b/src/merlinthread/nodes/attempt_notes.py
@@ -9,9 +9,9 @@
 ) -> str:
     """Return what is believed of a back end for a request that arrived at `arrived`."""
     backend = choice.backend
-    age_ms = round(1000 * (now - backend.heard_at())) if backend.others_known(now) else -1
+    age_ms = round(1000 * (now - backend.load_updated_at())) if backend.has_fresh_load(now) else -1
     waited_ms = round(1000 * (now - arrived))
-    expected_ms = round(1000 * choice.first_s)
+    expected_ms = round(1000 * choice.first_byte_s)
     unread = round(backend.unread_tokens + (backend.others_unread_tokens or 0.0))
     return (
         f"{backend.instance} after {waited_ms} ms, load {backend.load(now)}, "
@@ -24,12 +24,15 @@
     backend: backend_record.Backend, permit: permits.Permit | None, now: float
 ) -> str:
     """Return what is believed of a back end's limit, empty if it named none."""
-    standing = backend.standing
-    if standing.limit_per_s is None:
+    availability = backend.availability
+    if availability.limit_per_s is None:
         return ""
     told_by = permit.told_by if permit is not None else "nobody"
-    heard_ms = round(1000 * (now - standing.limit_heard_at))
-    return f", limit {standing.limit_per_s:g} a second heard {heard_ms} ms ago, permit by {told_by}"
+    heard_ms = round(1000 * (now - availability.limit_heard_at))
+    return (
+        f", limit {availability.limit_per_s:g} a second heard {heard_ms} ms ago, "
+        f"permit by {told_by}"
+    )
 
 
 def told_of_itself(facts: fleet.ResponseHead) -> str:
--- a/src/merlinthread/nodes/attempts.py
+++ b/src/merlinthread/nodes/attempts.py
@@ -109,14 +109,14 @@
         except TimeoutError:
             self.note_silence(connection)
             if not self.relay.exchange.is_started:
-                dispatch.note_failure(self.backend, self.clock())
+                dispatch.record_failure(self.backend, self.clock())
             self.note_break(True)
             return Outcome(State.UNKNOWN, "the time is over")
         except errors.MerlinthreadError as error:
             if isinstance(error, SilentError):
                 self.note_silence(connection)
             if not isinstance(error, OverdueError | ClosedError):
-                dispatch.note_failure(self.backend, self.clock())
+                dispatch.record_failure(self.backend, self.clock())
             if self.is_sent:
                 self.note_break(isinstance(error, SilentError | OverdueError))
                 return Outcome(State.UNKNOWN, error.message)
@@ -133,10 +133,12 @@
         an answer said while this one waited for its connection counts.
         """
         now = self.clock()
-        standing = self.pool.signals.of(self.backend.instance)
-        if standing.is_closed(now):
-            raise ClosedError("it said that it leaves" if standing.is_leaving else "it is at rest")
-        if not standing.is_limited():
+        availability = self.pool.signals.availability_of(self.backend.instance)
+        if availability.is_unavailable(now):
+            raise ClosedError(
+                "it said that it leaves" if availability.is_leaving else "it is at rest"
+            )
+        if not availability.is_limited():
             return
         if self.permit is None or not self.permit.is_valid(self.backend.instance, now):
             raise ClosedError("it named a limit, and there is no permit for this request")
@@ -167,11 +169,11 @@
         """Note what an attempt tells of its back end."""
         now = self.clock()
         if outcome.state is State.DONE:
-            dispatch.note_success(self.backend, now - self.place.started)
+            dispatch.record_success(self.backend, now - self.place.started)
             if self.pool.crashes.ledger.records:
                 self.pool.crashes.note_whole_answer(self.facts.fingerprint())
         elif outcome.state is State.NOT_RUN:
-            dispatch.note_full(self.backend, now)
+            dispatch.record_full(self.backend, now)
 
     def request(self) -> http_messages.Request:
         """Return the request as the back end gets it."""
--- a/src/merlinthread/nodes/backend_pool.py
+++ b/src/merlinthread/nodes/backend_pool.py
@@ -17,7 +17,7 @@
     load_feed,
     retry_budget,
     return_times,
-    waiting_room,
+    wait_queue,
 )
 from merlinthread.nodes import (
     backend_connections,
@@ -84,15 +84,15 @@
         self.watcher = watcher
         self.clock = clock
         self.rng = rng
-        self.return_way = return_times.WAYS.get(settings.policy.returns)
+        self.return_way = return_times.POLICIES.get(settings.policy.returns)
         self.backends: dict[str, backend_record.Backend] = {}
         self.by_service: dict[str, list[backend_record.Backend]] = {}
         self.by_address: dict[str, backend_record.Backend] = {}
         self.heard: dict[str, list[backend_record.Backend]] = {}
         self.signals = signals
         self.words = signal_taker.SignalTaker(signals, teller, clock)
-        self.usual_work: dict[str, backend_record.WorkTime] = {}
-        self.rooms: dict[str, waiting_room.WaitingRoom] = {}
+        self.usual_work: dict[str, backend_record.ResponseTime] = {}
+        self.rooms: dict[str, wait_queue.WaitQueue] = {}
         self.budgets: dict[str, retry_budget.RetryBudget] = {}
         self.place_numbers = itertools.count(1)
         self.connections = backend_connections.BackendConnections(clock)
@@ -106,7 +106,7 @@
             del self.backends[instance]
         for instance, heartbeat in self.watcher.instances.items():
             self.update_one(instance, heartbeat)
-        self.signals.forget_others(set(self.backends), self.clock())
+        self.signals.prune(set(self.backends), self.clock())
         self.words.count()
         self.by_service = {}
         self.by_address = {}
@@ -121,7 +121,7 @@
         """Choose the engines that this entry hears unasked, by service."""
         before = self.heard
         self.heard = {
-            service: load_feed.heard_engines(self.settings.name, backends)
+            service: load_feed.engines_to_subscribe(self.settings.name, backends)
             for service, backends in self.by_service.items()
             if self.engine_of(service) is not None
         }
@@ -129,7 +129,7 @@
         for heard in before.values():
             for backend in heard:
                 if backend.instance not in kept:
-                    backend.stop_hearing()
+                    backend.stop_reports()
 
     def update_one(self, instance: str, heartbeat: fleet.Heartbeat) -> None:
         """Take over one back end."""
@@ -142,15 +142,17 @@
                 heartbeat.zone,
                 self.settings.distance(heartbeat.zone),
                 heartbeat.slots,
-                standing=self.signals.of(instance),
-                usual=self.usual_work.setdefault(heartbeat.service, backend_record.WorkTime()),
+                availability=self.signals.availability_of(instance),
+                service_response_time=self.usual_work.setdefault(
+                    heartbeat.service, backend_record.ResponseTime()
+                ),
             )
             self.backends[instance] = backend
         backend.slots = heartbeat.slots
         if heartbeat.state != fleet.READY:
-            backend.standing.note_leaving(backend_signals.Source.NEWS, self.clock())
+            backend.availability.record_leaving(backend_signals.LeavingSource.NEWS, self.clock())
         # A heartbeat that says `ready` does not take back what an answer said.
-        backend.is_draining = backend.standing.is_leaving
+        backend.is_draining = backend.availability.is_leaving
         backend.cold_until = self.watcher.cold_until.get(instance, 0.0)
         if self.clock() - backend.reported_at > backend_record.REPORT_FRESH_S:
             backend.weights = heartbeat.weights
@@ -171,18 +173,18 @@
         """
         engine = self.engine_of(demand.service)
         backends = self.by_service.get(demand.service, [])
-        return dispatch.limited(backends, demand, engine, self.clock())
+        return dispatch.permit_candidates(backends, demand, engine, self.clock())
 
     def opens_at(self, service: str) -> float | None:
         """Return when the first back end of a service takes requests again, if all are closed."""
-        return dispatch.opens_at(self.by_service.get(service, []), self.clock())
+        return dispatch.available_at(self.by_service.get(service, []), self.clock())
 
     def take_load(self, load: node_messages.LoadUpdate) -> None:
         """Take an agent's report of its engine."""
         backend = self.by_address.get(load.address)
         if backend is None or not is_of(load.report, backend):
             return
-        backend.take_report(load.report, self.clock(), load.others)
+        backend.apply_report(load.report, self.clock(), load.others)
         room = self.rooms.get(backend.service)
         if room is not None and len(room):
             room.wake(WAKE_AT_ONCE)
@@ -219,9 +221,9 @@
 
     # Places
 
-    def room(self, service: str) -> waiting_room.WaitingRoom:
+    def room(self, service: str) -> wait_queue.WaitQueue:
         """Return the waiting room of a service."""
-        return self.rooms.setdefault(service, waiting_room.WaitingRoom())
+        return self.rooms.setdefault(service, wait_queue.WaitQueue())
 
     async def choose(self, demand: dispatch.Demand, wait_s_max: float) -> dispatch.Choice | None:
         """Return a good back end now, if possible one with a wait up to `wait_s_max`.
@@ -237,21 +239,21 @@
         heard = self.heard.get(demand.service, [])
         asked = dispatch.shortlist(heard, demand, engine, self.clock(), self.rng, PROBED)
         await self.ask_loads(asked)
-        choice = dispatch.best_of(asked, demand, engine, self.clock())
+        choice = dispatch.choose_best(asked, demand, engine, self.clock())
         if choice is not None and choice.wait_s <= wait_s_max:
             return choice
         others = self.unheard(backends, heard)
         asked = dispatch.shortlist(others, demand, engine, self.clock(), self.rng, PROBED)
         await self.ask_loads(asked)
-        known = [*heard, *(backend for backend in asked if not backend.is_silent)]
+        known = [*heard, *(backend for backend in asked if not backend.probe_unanswered)]
         # Of one that is not heard and does not answer nothing is known: it is the last resort.
-        choice = dispatch.best_of(known, demand, engine, self.clock())
-        return choice or dispatch.best_of(asked, demand, engine, self.clock())
+        choice = dispatch.choose_best(known, demand, engine, self.clock())
+        return choice or dispatch.choose_best(asked, demand, engine, self.clock())
 
     def rate(self, backend: backend_record.Backend, demand: dispatch.Demand) -> dispatch.Choice:
         """Return what choosing a back end would mean now."""
         engine = self.engine_of(demand.service)
-        return dispatch.rate(backend, demand, engine, self.clock())
+        return dispatch.evaluate(backend, demand, engine, self.clock())
 
     def unheard(
         self, backends: list[backend_record.Backend], heard: list[backend_record.Backend]
@@ -269,7 +271,7 @@
         # Engines of one VM share its agent: its silence counts against each of them, else the one
         # that it does not count against gets all requests.
         for backend in asked:
-            backend.take_answer(answers[self.agent_of(backend)], self.clock())
+            backend.apply_probe_answer(answers[self.agent_of(backend)], self.clock())
 
     def ready_in_s(self, service: str) -> float | None:
         """Return when half of the engines heard of a service will serve again, None if not known.
@@ -312,7 +314,7 @@
         place.is_read = True
         self.tell_agent(place, node_messages.AttemptStage.READ)
         now = self.clock()
-        place.backend.note_first(now - place.started, now)
+        place.backend.record_first_byte_delay(now - place.started, now)
         place.backend.unread -= 1
         place.backend.unread_tokens -= place.tokens
 
--- a/src/merlinthread/nodes/permits.py
+++ b/src/merlinthread/nodes/permits.py
@@ -78,7 +78,7 @@
         self.silent_until = float("-inf")
         # Set once the search that is under way has ended.
         self.searched: asyncio.Event | None = None
-        self.turns = permit_turns.PermitTurns(rng.randrange(permit_turns.ENTRIES_UNTOLD))
+        self.turns = permit_turns.PermitSlots(rng.randrange(permit_turns.DEFAULT_ENTRIES))
 
     async def acquire(
         self,
@@ -102,7 +102,7 @@
         metrics.permits_asked_total.labels("given" if decision.instance else "denied", by).inc()
         now = self.clock()
         for backend, free_in_s in zip(backends, decision.free_in_s, strict=False):
-            backend.standing.permits_from = now + free_in_s
+            backend.availability.next_permit_at = now + free_in_s
         if not decision.instance:
             return Denial(decision.back_in_s, told_by)
         if decision.start_in_s > 0:
@@ -142,7 +142,9 @@
         silence that is older than the next leader waits says nothing of now: they wait for this
         search then, since turns beside a leader's permits are more than is allowed.
         """
-        self.silent_until = min(self.clock() + SILENCE_S, self.silent_at + rate_limits.FOUND_S)
+        self.silent_until = min(
+            self.clock() + SILENCE_S, self.silent_at + rate_limits.LEADER_DISCOVERY_S
+        )
         self.searched = asyncio.Event()
         try:
             decision = await self.decision_of(self.controls(), request)
@@ -182,7 +184,7 @@
             logs.event("permits_from", control=address, before=self.leader, entries=answer.entries)
         self.leader = address
         ahead_s = answer.at - self.clock()
-        self.turns.take_told(max(1, answer.entries), answer.rank, ahead_s)
+        self.turns.update(max(1, answer.entries), answer.rank, ahead_s)
 
     def note_silence(self) -> None:
         """Note that no leader answers."""
@@ -240,10 +242,10 @@
             answered.set_result(answer)
 
 
-def named_limit(backend: backend_record.Backend, now: float) -> rate_limits.NamedLimit:
+def named_limit(backend: backend_record.Backend, now: float) -> rate_limits.AdvertisedLimit:
     """Return what a back end named, for the control VM."""
-    standing = backend.standing
-    assert standing.limit_per_s is not None
-    return rate_limits.NamedLimit(
-        backend.instance, standing.limit_per_s, max(0.0, now - standing.limit_heard_at)
+    availability = backend.availability
+    assert availability.limit_per_s is not None
+    return rate_limits.AdvertisedLimit(
+        backend.instance, availability.limit_per_s, max(0.0, now - availability.limit_heard_at)
     )
--- a/src/merlinthread/nodes/request_task.py
+++ b/src/merlinthread/nodes/request_task.py
@@ -89,7 +89,7 @@
         body = self.exchange.request.body
         self.facts = request_facts.Facts(self.call, route, account, deadline, body)
         self.check_not_held()
-        self.pool.budget(self.service).note_first(self.arrived)
+        self.pool.budget(self.service).record_first_attempt(self.arrived)
 
     def check_not_held(self) -> None:
         """Raise RequestError if too many back ends have ended under this request.
@@ -128,7 +128,9 @@
             if outcome.state is attempts.State.UNSENT:
                 failures += 1
                 if failures >= CONNECT_FAILURES_MAX:
-                    raise self.no_place("back ends can't be reached", return_times.LEAST_S)
+                    raise self.no_place(
+                        "back ends can't be reached", return_times.RETRY_AFTER_MIN_S
+                    )
                 continue
             if not self.may_repeat(outcome):
                 await self.give_up(outcome)
@@ -170,7 +172,7 @@
             await self.relay.give(outcome.answer)
             return
         if outcome.state is attempts.State.NOT_RUN:
-            raise self.no_place("back ends are full", return_times.LEAST_S)
+            raise self.no_place("back ends are full", return_times.RETRY_AFTER_MIN_S)
         if self.clock() >= self.facts.deadline:
             raise errors.RequestError("the time is over", kind=errors.ErrorKind.DEADLINE_EXCEEDED)
         raise errors.RequestError(
@@ -254,7 +256,7 @@
         """
         assert self.facts is not None
         self.permit = None
-        if choice is not None and not choice.backend.standing.is_limited():
+        if choice is not None and not choice.backend.availability.is_limited():
             return choice
         demand = self.demand()
         limited = self.pool.limited(demand)
@@ -286,7 +288,7 @@
         if math.isinf(opens_at):
             raise self.no_place("all back ends leave", self.return_after_s(True))
         opens_in_s = opens_at - self.clock()
-        wait_s = return_times.after_rest(opens_in_s, self.pool.rng)
+        wait_s = return_times.delay_after_rest(opens_in_s, self.pool.rng)
         raise self.no_place(f"all back ends are at rest for {opens_in_s:.2f} s", wait_s)
 
     def is_worth_taking(self, choice: dispatch.Choice, left_s: float) -> bool:
@@ -322,7 +324,7 @@
         has_begun = self.sent() > 0 or self.exchange.is_started
         if has_begun or self.facts.route.kind != fleet.STREAMING:
             return choice
-        if choice.backend.is_aside(self.clock()):
+        if choice.backend.is_ejected(self.clock()):
             return choice
         reason = f"every back end is busy: {self.belief(choice)}"
         raise self.no_place(reason, self.return_after_s(False))
--- a/src/merlinthread/roles/request_path.py
+++ b/src/merlinthread/roles/request_path.py
@@ -64,7 +64,7 @@
         self.client = http_client.Client()
         self.outstanding = Outstanding()
         self.policy = routing.POLICIES.get(config.policy)
-        self.place = routing.Place(parts.settings.availability_zone, parts.settings.region)
+        self.place = routing.Location(parts.settings.availability_zone, parts.settings.region)
         self.rng = random.Random()
 
     def add_routes(self, routes: http_server.Routes) -> None:
@@ -119,7 +119,7 @@
     def choose(
         self,
         request_id: str,
-        wanted: routing.Wanted,
+        wanted: routing.Requirements,
         tried: frozenset[str],
         is_local: bool = False,
     ) -> agents.AgentReport:
@@ -157,7 +157,7 @@
         return choice.report
 
     def others_as_targets(
-        self, others: list[summaries.Summary], wanted: routing.Wanted
+        self, others: list[summaries.Summary], wanted: routing.Requirements
     ) -> list[agents.AgentReport]:
         """Return the other entries that reach a target for the request."""
         found = [
--- a/src/merlinthread/roles/target.py
+++ b/src/merlinthread/roles/target.py
@@ -40,7 +40,7 @@
         self.made_tokens = 0.0
         self.measured_from = clock()
 
-    def enter(self, ticket: fair_queue.Ticket, deadline: float) -> None:
+    def enter(self, ticket: fair_queue.QueuedRequest, deadline: float) -> None:
         """Wait for the engine.
 
         Raises RequestError: overloaded if the line is full, not_run if the deadline passes first.
@@ -65,7 +65,7 @@
 
     def call_next(self) -> None:
         """Let those go who are due; the caller holds the lock."""
-        while (ticket := self.queue.next()) is not None:
+        while (ticket := self.queue.start_next()) is not None:
             self.turns.pop(ticket.id).set()
         metrics.queue_length.set(self.queue.count_waiting())
 
@@ -82,7 +82,7 @@
         if now - self.measured_from < SPEED_EVERY_S:
             return
         if self.queue.waiting:
-            self.queue.note_speed(self.made_tokens, now - self.measured_from)
+            self.queue.record_throughput(self.made_tokens, now - self.measured_from)
         self.made_tokens = 0.0
         self.measured_from = now
 
@@ -251,7 +251,7 @@
         call = msgspec.json.decode(request.body, type=GenerateCall)
         self.check_digest(call, attempt)
         deadline = self.parts.clock() + attempt.deadline_ms / 1000
-        ticket = fair_queue.Ticket(
+        ticket = fair_queue.QueuedRequest(
             attempt.id,
             attempt.account,
             attempt.priority,
@@ -319,7 +319,7 @@
         return stream
 
     def relay(
-        self, stream: http_client.StreamingResponse, ticket: fair_queue.Ticket
+        self, stream: http_client.StreamingResponse, ticket: fair_queue.QueuedRequest
     ) -> Iterator[bytes]:
         """Give the engine's events on and charge its tokens."""
         is_whole = False
@@ -359,7 +359,7 @@
         """Run one call on a plain service and return its whole answer."""
         attempt = self.admit(request, request.path)
         deadline = self.parts.clock() + attempt.deadline_ms / 1000
-        ticket = fair_queue.Ticket(
+        ticket = fair_queue.QueuedRequest(
             attempt.id, attempt.account, attempt.priority, 1, 0, self.parts.clock()
         )
         self.line.enter(ticket, deadline)
--- a/tests/test_backend_signals.py
+++ b/tests/test_backend_signals.py
@@ -1,4 +1,4 @@
-"""What back ends say of themselves: how it is read, and how long each word holds."""
+"""Tests for back ends' availability signals: parsing, precedence and expiry."""
 
 import datetime
 import email.utils
@@ -67,7 +67,7 @@
 def test_a_date_is_measured_from_the_answers_own_date():
     later = http_date(DATE + datetime.timedelta(seconds=90))
     assert retry_after.parse(later, http_date(DATE)) == retry_after.RetryAfter(90.0)
-    # A server whose own date is past the one that it names wants no rest.
+    # A date before the server's own date means no rest.
     assert retry_after.parse(http_date(DATE), later) == retry_after.RetryAfter(0.0)
     assert retry_after.parse(later).problem
     assert retry_after.parse(later, b"yesterday").problem
@@ -84,7 +84,7 @@
 
 
 class Signals(stateful.RuleBasedStateMachine):
-    """Words of one back end in any order, beside a plain account of them."""
+    """Signals of one back end in any order, compared with a simple model."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -93,8 +93,8 @@
         self.ends: list[float] = []
         self.is_leaving = False
 
-    def standing(self) -> backend_signals.Standing:
-        return self.signals.of("i-1")
+    def availability(self) -> backend_signals.Availability:
+        return self.signals.availability_of("i-1")
 
     @stateful.rule(seconds=st.floats(0.01, 400.0))
     def wait(self, seconds):
@@ -102,28 +102,28 @@
 
     @stateful.rule(rest_s=st.floats(0.01, 1000.0))
     def ask_for_rest(self, rest_s):
-        self.standing().note_rest(rest_s, self.now)
+        self.availability().record_rest(rest_s, self.now)
         self.ends.append(self.now + min(rest_s, backend_signals.REST_S_MAX))
 
-    @stateful.rule(source=st.sampled_from(backend_signals.Source))
+    @stateful.rule(source=st.sampled_from(backend_signals.LeavingSource))
     def leave(self, source):
-        is_new = self.standing().note_leaving(source, self.now)
+        is_new = self.availability().record_leaving(source, self.now)
         assert is_new != self.is_leaving
         self.is_leaving = True
 
     @stateful.rule(is_present=st.booleans())
     def be_dropped_and_told_again(self, is_present):
-        self.signals.forget_others({"i-1"} if is_present else set(), self.now)
+        self.signals.prune({"i-1"} if is_present else set(), self.now)
 
     @stateful.rule()
     def live_again(self):
-        later = self.signals.of("i-1@5")
-        assert not later.is_closed(self.now)
+        later = self.signals.availability_of("i-1@5")
+        assert not later.is_unavailable(self.now)
 
     @stateful.invariant()
     def is_closed_as_long_as_any_word_says_so(self):
         is_closed = self.is_leaving or any(self.now < end for end in self.ends)
-        assert self.standing().is_closed(self.now) == is_closed
+        assert self.availability().is_unavailable(self.now) == is_closed
 
 
 TestSignals = Signals.TestCase
@@ -131,33 +131,35 @@
 
 def test_what_is_remembered_is_bounded_and_the_oldest_goes_first():
     signals = backend_signals.BackendSignals()
-    count = backend_signals.KEPT_MAX + 100
+    count = backend_signals.RECORDS_MAX + 100
     for number in range(count):
-        signals.of(f"i-{number}").note_leaving(backend_signals.Source.NEWS, number)
-    signals.forget_others({"i-0"}, count)
-    assert len(signals.standings) == backend_signals.KEPT_MAX + 1
-    assert signals.of("i-0").is_leaving, "it is still there"
-    assert signals.of(f"i-{count - 1}").is_leaving
-    assert "i-1" not in signals.standings
+        signals.availability_of(f"i-{number}").record_leaving(
+            backend_signals.LeavingSource.NEWS, number
+        )
+    signals.prune({"i-0"}, count)
+    assert len(signals.availabilities) == backend_signals.RECORDS_MAX + 1
+    assert signals.availability_of("i-0").is_leaving, "it is still there"
+    assert signals.availability_of(f"i-{count - 1}").is_leaving
+    assert "i-1" not in signals.availabilities
 
 
 def backend(name: str, rest_until: float = -math.inf) -> backend_record.Backend:
     found = backend_record.Backend(name, "s", "10.0.0.1:1", "z", 0, 8)
-    found.standing.rest_until = rest_until
+    found.availability.rest_until = rest_until
     return found
 
 
 def test_when_the_first_opens_is_known_only_if_all_are_closed():
     one, other, leaving = backend("1", 12.0), backend("2", 11.0), backend("3")
     leaving.is_draining = True
-    assert dispatch.opens_at([one, other, leaving], 10.0) == 11.0
-    assert dispatch.opens_at([one, other, leaving], 11.5) is None
-    assert dispatch.opens_at([leaving], 10.0) == math.inf
-    assert dispatch.opens_at([], 10.0) is None, "none is known yet: one may be told any moment"
+    assert dispatch.available_at([one, other, leaving], 10.0) == 11.0
+    assert dispatch.available_at([one, other, leaving], 11.5) is None
+    assert dispatch.available_at([leaving], 10.0) == math.inf
+    assert dispatch.available_at([], 10.0) is None, "none is known yet: one may be told any moment"
 
 
 def test_who_is_refused_for_a_rest_comes_back_after_it_and_not_all_at_once():
     rng = random.Random(1)
-    times = [return_times.after_rest(3.0, rng) for _ in range(200)]
+    times = [return_times.delay_after_rest(3.0, rng) for _ in range(200)]
     assert min(times) >= 3.0
-    assert max(times) - min(times) > 0.8 * return_times.RETURN_OVER_S
+    assert max(times) - min(times) > 0.8 * return_times.RETRY_SPREAD_S
--- a/tests/test_deciders.py
+++ b/tests/test_deciders.py
@@ -34,15 +34,17 @@
 # Fair queue
 
 
-def ticket(number: int, account: str, tokens: int = 10, priority: int = 1) -> fair_queue.Ticket:
-    return fair_queue.Ticket(f"t{number}", account, priority, tokens, 0, 0.0)
+def ticket(
+    number: int, account: str, tokens: int = 10, priority: int = 1
+) -> fair_queue.QueuedRequest:
+    return fair_queue.QueuedRequest(f"t{number}", account, priority, tokens, 0, 0.0)
 
 
 def serve(queue: fair_queue.FairQueue, rounds: int) -> dict[str, float]:
     """Run an engine with one slot; return the tokens served to each account."""
     got: dict[str, float] = {}
     for _ in range(rounds):
-        chosen = queue.next()
+        chosen = queue.start_next()
         if chosen is None:
             break
         got[chosen.account] = got.get(chosen.account, 0) + chosen.tokens()
@@ -97,15 +99,15 @@
     queue = fair_queue.FairQueue(2, 1000)
     for number in range(3):
         queue.add(ticket(number, "only"))
-    assert queue.next() and queue.next() and queue.next() is None
+    assert queue.start_next() and queue.start_next() and queue.start_next() is None
     queue.add(ticket(10, "night", priority=0))
     queue.finish("t0")
-    assert queue.next().account == "night"
+    assert queue.start_next().account == "night"
 
 
 def test_a_full_line_refuses_with_the_time_it_will_take():
     queue = fair_queue.FairQueue(1, 5)
-    queue.note_speed(100, 1.0)
+    queue.record_throughput(100, 1.0)
     for number in range(5):
         queue.add(ticket(number, "a", 200))
     with pytest.raises(errors.RequestError) as caught:
@@ -196,7 +198,7 @@
     @stateful.rule(which=st.integers(0, 99))
     def a_report_arrives(self, which: int) -> None:
         found = self.sent[which % len(self.sent)]
-        was_news = self.view.take(found, self.now)
+        was_news = self.view.update(found, self.now)
         assert was_news == (self.newest is None or found.order() > self.newest)
         self.newest = max(self.newest or found.order(), found.order())
 
@@ -219,14 +221,14 @@
 
 def test_a_beat_needs_the_full_report_of_its_incarnation():
     view = agents.AgentView(2.0)
-    assert view.take_load("vm", (1, 2), (3, 4, 5), 0.0) is None
-    view.take(report("vm", incarnation=1, counter=1, serving={"m": A}), 0.0)
-    merged = view.take_load("vm", (1, 2), (3, 4, 5), 0.0)
+    assert view.update_load("vm", (1, 2), (3, 4, 5), 0.0) is None
+    view.update(report("vm", incarnation=1, counter=1, serving={"m": A}), 0.0)
+    merged = view.update_load("vm", (1, 2), (3, 4, 5), 0.0)
     assert merged.serving == {"m": A} and (merged.running, merged.queued) == (3, 4)
     assert view.live(0.0) == [merged]
-    assert view.take_load("vm", (2, 1), (0, 0, 0), 0.0) is None
+    assert view.update_load("vm", (2, 1), (0, 0, 0), 0.0) is None
     with pytest.raises(errors.MerlinthreadError, match="replaced"):
-        view.take(report("vm", incarnation=2), 0.0)
+        view.update(report("vm", incarnation=2), 0.0)
         view.check_incarnation("vm", 1)
 
 
@@ -235,8 +237,8 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.outgoing = sessions.Outgoing()
-        self.incoming = sessions.Incoming(5.0)
+        self.outgoing = sessions.ReportSender()
+        self.incoming = sessions.ReportReceiver(5.0)
         self.term = 1
         self.listener = ""
         self.live: dict[str, agents.AgentReport] = {}
@@ -278,8 +280,8 @@
     def teardown(self) -> None:
         for _ in range(3):
             self.tell(False, False)
-        told = {r.name: sessions.shape(r) for r in self.incoming.live(self.now)}
-        assert told == {name: sessions.shape(r) for name, r in self.live.items()}
+        told = {r.name: sessions.reported_state(r) for r in self.incoming.live(self.now)}
+        assert told == {name: sessions.reported_state(r) for name, r in self.live.items()}
         assert self.incoming.live(self.now + 6.0) == []
 
 
@@ -444,14 +446,14 @@
     ]
     candidates = [routing.Candidate(r, rng.randrange(3)) for r in reports]
     choice = routing.POLICIES.get(name)(
-        candidates, routing.Wanted("generate", "m"), routing.Place("z0", "r"), rng
+        candidates, routing.Requirements("generate", "m"), routing.Location("z0", "r"), rng
     )
     assert choice.report in reports and choice.reason
 
 
 def test_own_zone_first_but_not_at_any_price():
     near, far = report("near", "z0", slots=1), report("far", "z1", slots=1)
-    place, wanted = routing.Place("z0", "r"), routing.Wanted("generate", "m")
+    place, wanted = routing.Location("z0", "r"), routing.Requirements("generate", "m")
     chosen = routing.least_loaded(
         [routing.Candidate(near, 1), routing.Candidate(far, 0)], wanted, place, random.Random(1)
     )
@@ -463,7 +465,7 @@
 
 
 def test_leaving_and_excluded_targets_are_never_candidates():
-    wanted = routing.Wanted("generate", "m", excluded=frozenset({"x"}))
+    wanted = routing.Requirements("generate", "m", excluded=frozenset({"x"}))
     assert routing.can_serve(report("a", serving={"m": A}), wanted)
     assert not routing.can_serve(report("a", serving={"m": A}, is_leaving=True), wanted)
     assert not routing.can_serve(report("x", serving={"m": A}), wanted)
--- a/tests/test_entry_node.py
+++ b/tests/test_entry_node.py
@@ -115,17 +115,17 @@
         entry, (worker,), _ = await make("model", 1, "m")
         backend = entry.node.pool.backends[worker.instance]
         # An expected first byte of 0.31 s: over 0.7 of the objective of 0.4 s, under the whole.
-        unread = 100_000 * (0.31 - dispatch.BASE_S)
+        unread = 100_000 * (0.31 - dispatch.BASE_LATENCY_S)
         report = fleet.EngineReport(weights=[fleet.Weights("m", 1, 16)])
         waits = []
         for number in range(8):
-            backend.take_report(report, entry.node.clock())
+            backend.apply_report(report, entry.node.clock())
             backend.unread_tokens = unread
             answer = await entry.ask("/model/", f"id-{number}", **STREAM)
             assert (answer.status, runs([worker])) == (503, 0)
             waits.append(float(http_messages.get_header(answer.headers, b"retry-after")))
         assert min(waits) >= 0.4 and max(waits) <= 2.5 / 3 and len(set(waits)) > 1
-        backend.take_report(report, entry.node.clock())
+        backend.apply_report(report, entry.node.clock())
         late = STREAM | {"X_Merlinthread_Deadline_Ms": "2000"}
         assert (await entry.ask("/model/", "id-late", **late)).status == 200
 
@@ -289,7 +289,7 @@
         entry.node.settings.agent_port = 1
 
         async def answer_at_once(agents, wait_s):
-            nothing = load_ledger.EngineNow(load_ledger.Outstanding())
+            nothing = load_ledger.EngineLoad(load_ledger.Outstanding())
             return {agent: nothing for agent in agents}
 
         entry.node.prober.ask = answer_at_once
@@ -299,7 +299,7 @@
         now = pool.clock()
         for backend in pool.backends.values():
             held = 1 if backend.instance == old.instance else 2
-            backend.take_report(fleet.EngineReport(weights=[fleet.Weights("m", held, 16)]), now)
+            backend.apply_report(fleet.EngineReport(weights=[fleet.Weights("m", held, 16)]), now)
         pool.backends[new.instance].is_draining = True
         watcher.named, watcher.named_at = {"m": 2}, {"m": {2: now}}
         connection = await entry.send("/model/", "id-1", **STREAM)
@@ -321,7 +321,7 @@
         watcher, pool = entry.node.watcher, entry.node.pool
         now = pool.clock()
         report = fleet.EngineReport(weights=[fleet.Weights("m", 3, 16)])
-        pool.backends[engine.instance].take_report(report, now)
+        pool.backends[engine.instance].apply_report(report, now)
         watcher.named, watcher.named_at = {"m": 3}, {"m": {2: now - 60.0, 3: now}}
         assert pool.required_version("m", now) == 2
         answer = await entry.ask("/model/", "id-1", **STREAM)
@@ -361,7 +361,7 @@
             orders.add(runs([lost]))
             lost.runs.clear()
             for backend in entry.node.pool.backends.values():
-                backend.aside_until = backend.full_until = 0.0
+                backend.ejected_until = backend.full_until = 0.0
                 backend.failures = 0
         assert 1 in orders
 
@@ -372,7 +372,7 @@
     async def scenario():
         entry, (worker,), _ = await make("safe", 1)
         backend = next(iter(entry.node.pool.backends.values()))
-        dispatch.note_failure(backend, entry.node.clock())
+        dispatch.record_failure(backend, entry.node.clock())
         assert (await entry.ask("/safe/", "id-1")).status == 200
         assert runs([worker]) == 1
 
@@ -405,11 +405,11 @@
         report = fleet.EngineReport(weights=[fleet.Weights("m", 1, 16)])
         # As after connections that timed out: the time for admission is over.
         monkeypatch.setattr(request_task, "ADMIT_SHARE", -1.0)
-        backend.take_report(report, entry.node.clock())
+        backend.apply_report(report, entry.node.clock())
         assert (await entry.ask("/model/", "id-1", **STREAM)).status == 200
         # Where others wait, it would only make them late too.
         report.running = backend.slots
-        backend.take_report(report, entry.node.clock())
+        backend.apply_report(report, entry.node.clock())
         answer = await entry.ask("/model/", "id-2", **STREAM)
         assert (answer.status, runs([worker])) == (503, 1)
 
@@ -425,11 +425,11 @@
         pool.agent_of = lambda backend: backend.instance
         pool.heard = {"model": [heard]}
         report = fleet.EngineReport(running=8, queued=4, weights=[fleet.Weights("m", 1, 16)])
-        heard.take_report(report, pool.clock())
+        heard.apply_report(report, pool.clock())
 
         async def answers_of_the_heard_one(agents, wait_s):
             others = load_ledger.Outstanding(12, 4, 100_000.0)
-            known = load_ledger.EngineNow(others)
+            known = load_ledger.EngineLoad(others)
             return {agent: known if agent == heard.instance else None for agent in agents}
 
         entry.node.prober.ask = answers_of_the_heard_one
@@ -450,9 +450,9 @@
         heard = [pool.backends[worker.instance] for worker in workers[:2]]
         pool.heard = {"model": heard}
         for engine in heard:
-            engine.take_report(fleet.EngineReport(ready_in_s=3.0), pool.clock())
+            engine.apply_report(fleet.EngineReport(ready_in_s=3.0), pool.clock())
         assert pool.ready_in_s("model") == pytest.approx(3.0, abs=0.2)
-        heard[0].stop_hearing()
+        heard[0].stop_reports()
         assert heard[0].ready_at is None
         assert pool.ready_in_s("no such service") is None
 
--- a/tests/test_fleet_deciders.py
+++ b/tests/test_fleet_deciders.py
@@ -58,7 +58,7 @@
 )
 def test_a_configuration_that_contradicts_itself_is_refused_with_its_field(configuration):
     with pytest.raises(errors.ConfigurationError) as raised:
-        route_table.check(configuration)
+        route_table.validate(configuration)
     assert raised.value.field
 
 
@@ -133,7 +133,7 @@
     for step in range(2000):
         now = step * 0.01
         entry = entries[step % 7]
-        entry.note_first(now)
+        entry.record_first_attempt(now)
         requests += now > 10.0
         for _ in range(3):
             spent += entry.spend(now) and now > 10.0
@@ -167,7 +167,7 @@
     }
     backends = [backend(name, weights=weights) for name, weights in held.items()]
     demand = dispatch.Demand("s", "m", 2)
-    able = [b.instance for b in backends if dispatch.is_able(b, demand, ENGINE, 0.0)]
+    able = [b.instance for b in backends if dispatch.is_eligible(b, demand, ENGINE, 0.0)]
     assert able == ["new"]
 
 
@@ -175,13 +175,13 @@
     one = backend()
     waits = []
     for _ in range(3):
-        dispatch.note_failure(one, 100.0)
-        waits.append(one.aside_until - 100.0)
+        dispatch.record_failure(one, 100.0)
+        waits.append(one.ejected_until - 100.0)
     assert waits == sorted(set(waits))
     demand = dispatch.Demand("s")
-    assert not dispatch.is_able(one, demand, None, 100.0)
-    assert dispatch.is_able(one, demand, None, 110.0)
-    dispatch.note_success(one, 0.1)
+    assert not dispatch.is_eligible(one, demand, None, 100.0)
+    assert dispatch.is_eligible(one, demand, None, 110.0)
+    dispatch.record_success(one, 0.1)
     assert one.failures == 0
 
 
@@ -190,7 +190,7 @@
     demand = dispatch.Demand("s")
     only, taken_away = backend("only"), backend("taken away")
     taken_away.is_draining = True
-    dispatch.note_failure(only, 10.0)
+    dispatch.record_failure(only, 10.0)
     choice = dispatch.choose([only, taken_away], demand, None, 10.05, random.Random(1))
     assert choice.backend is only
     assert choice.wait_s == math.inf, "others are preferred, a request waits a moment for them"
@@ -206,7 +206,7 @@
 
 def test_an_old_report_is_not_believed():
     one = backend(in_flight=2)
-    one.take_report(fleet.EngineReport(running=9), 0.0)
+    one.apply_report(fleet.EngineReport(running=9), 0.0)
     assert one.load(0.5) == 9
     assert one.load(5.0) == 2
 
@@ -214,7 +214,7 @@
 def test_a_back_end_whose_reports_have_stopped_is_chosen_last():
     silent, heard = backend("silent"), backend("heard", in_flight=8)
     for one, at in ((silent, 0.0), (heard, 9.5)):
-        one.take_report(fleet.EngineReport(weights=[fleet.Weights("m", 1, 16)]), at)
+        one.apply_report(fleet.EngineReport(weights=[fleet.Weights("m", 1, 16)]), at)
     demand = dispatch.Demand("s", "m", prompt_tokens=900.0)
     choice = dispatch.choose([silent, heard], demand, ENGINE, 10.0, random.Random(1))
     assert choice.backend is heard
@@ -275,39 +275,39 @@
 
 def test_a_ledger_tells_each_entry_what_the_others_have_to_be_read():
     ledger = load_ledger.LoadLedger()
-    ledger.began("entry-1", 1, 900.0, 10.0)
-    ledger.began("entry-2", 1, 500.0, 10.0)
-    ledger.began("entry-2", 2, 700.0, 10.1)
+    ledger.record_start("entry-1", 1, 900.0, 10.0)
+    ledger.record_start("entry-2", 1, 500.0, 10.0)
+    ledger.record_start("entry-2", 2, 700.0, 10.1)
     assert ledger.outstanding("entry-1", 10.2) == load_ledger.Outstanding(2, 2, 1200.0)
-    ledger.read("entry-2", 1)
-    ledger.ended("entry-2", 2)
+    ledger.record_first_byte("entry-2", 1)
+    ledger.record_end("entry-2", 2)
     assert ledger.outstanding("entry-1", 10.2) == load_ledger.Outstanding(1, 0, 0.0)
     assert ledger.outstanding("entry-3", 10.2) == load_ledger.Outstanding(2, 1, 900.0)
 
 
 def test_lost_notes_are_forgotten_and_unknown_load_counts():
     ledger = load_ledger.LoadLedger()
-    ledger.began("entry-1", 1, 900.0, 10.0)
-    late = 10.0 + load_ledger.UNREAD_S_MAX + 0.1
+    ledger.record_start("entry-1", 1, 900.0, 10.0)
+    late = 10.0 + load_ledger.UNREAD_EXPIRY_S + 0.1
     assert ledger.outstanding("entry-2", late) == load_ledger.Outstanding(1, 0, 0.0)
-    ledger.take_report(4, late)
+    ledger.apply_report(4, late)
     assert ledger.outstanding("entry-2", late).attempts == 4
-    ledger.take_report(0, late)
+    ledger.apply_report(0, late)
     assert ledger.outstanding("entry-2", late).attempts == 0
-    ledger.take_report(0, 10.0 + load_ledger.OPEN_S_MAX + 0.1)
+    ledger.apply_report(0, 10.0 + load_ledger.ATTEMPT_EXPIRY_S + 0.1)
     assert not ledger.open
 
 
 def test_prompts_that_others_have_sent_put_the_first_byte_off():
     busy, idle = backend("busy"), backend("idle")
     for one, tokens in ((busy, 5000.0), (idle, 0.0)):
-        one.take_report(fleet.EngineReport(weights=[fleet.Weights("m", 1, 16)]), 9.95)
-        one.take_answer(load_ledger.EngineNow(load_ledger.Outstanding(3, 2, tokens)), 10.0)
+        one.apply_report(fleet.EngineReport(weights=[fleet.Weights("m", 1, 16)]), 9.95)
+        one.apply_probe_answer(load_ledger.EngineLoad(load_ledger.Outstanding(3, 2, tokens)), 10.0)
     demand = dispatch.Demand("s", "m", prompt_tokens=1000.0)
-    choices = [dispatch.rate(one, demand, ENGINE, 10.0) for one in (busy, idle)]
+    choices = [dispatch.evaluate(one, demand, ENGINE, 10.0) for one in (busy, idle)]
     expected = 5000.0 / ENGINE.read_tokens_per_s
-    assert choices[0].first_s - choices[1].first_s == pytest.approx(expected)
-    best = dispatch.best_of([busy, idle], demand, ENGINE, 10.0)
+    assert choices[0].first_byte_s - choices[1].first_byte_s == pytest.approx(expected)
+    best = dispatch.choose_best([busy, idle], demand, ENGINE, 10.0)
     assert best is not None and best.backend is idle
 
 
@@ -316,7 +316,7 @@
     found = []
     for load in range(one.slots - 2, one.slots + 2):
         one.in_flight = load
-        found.append(dispatch.expected_first_s(one, ENGINE, 0.0, 10.0))
+        found.append(dispatch.expected_first_byte_s(one, ENGINE, 0.0, 10.0))
     steps = [after - before for before, after in zip(found, found[1:], strict=False)]
     bare_s = ENGINE.usual_answer * ENGINE.step_s / one.slots
     assert steps[0] < bare_s < 2 * bare_s < steps[1] == pytest.approx(steps[2])
@@ -326,8 +326,8 @@
     prompt, silent, slow = backend("prompt"), backend("silent"), backend("slow")
     for one, pace in ((prompt, 1.0), (silent, 1.0), (slow, 4.0)):
         report = fleet.EngineReport(weights=[fleet.Weights("m", 1, 16)], pace=pace)
-        one.take_report(report, 9.95)
-    silent.take_answer(None, 10.0)
+        one.apply_report(report, 9.95)
+    silent.apply_probe_answer(None, 10.0)
     demand = dispatch.Demand("s", "m", prompt_tokens=1000.0)
     asked = dispatch.shortlist([slow, silent, prompt], demand, ENGINE, 10.0, random.Random(1), 3)
     assert asked[0] is prompt
@@ -373,8 +373,10 @@
 
 
 def test_a_back_end_that_answers_nothing_does_not_go_on_drawing_requests():
-    silent = backend("silent", in_flight=3, work=backend_record.WorkTime(0.005, answers=1000))
-    idle = backend("idle", work=backend_record.WorkTime(0.1, answers=1000))
+    silent = backend(
+        "silent", in_flight=3, response_time=backend_record.ResponseTime(0.005, answers=1000)
+    )
+    idle = backend("idle", response_time=backend_record.ResponseTime(0.1, answers=1000))
     choice = dispatch.choose([silent, idle], dispatch.Demand("s"), None, 0.0, random.Random(1))
     assert choice.backend is idle
 
@@ -385,20 +387,20 @@
     prompt, slow, silent, asked_before = (
         backend(name) for name in ("prompt", "slow", "silent", "asked-before")
     )
-    nothing = load_ledger.EngineNow(load_ledger.Outstanding())
+    nothing = load_ledger.EngineLoad(load_ledger.Outstanding())
     for one in (prompt, slow, silent, asked_before):
-        one.take_report(report, 9.99)
-    prompt.take_answer(nothing, 9.99)
-    slow.take_answer(nothing, 9.99)
-    slow.note_first(0.8, 9.0)
-    silent.take_answer(None, 9.99)
-    asked_before.take_answer(nothing, 9.9)
+        one.apply_report(report, 9.99)
+    prompt.apply_probe_answer(nothing, 9.99)
+    slow.apply_probe_answer(nothing, 9.99)
+    slow.record_first_byte_delay(0.8, 9.0)
+    silent.apply_probe_answer(None, 9.99)
+    asked_before.apply_probe_answer(nothing, 9.9)
     all_of_them = [prompt, slow, silent, asked_before]
     demand = dispatch.Demand("s", "m", version_soon=2)
     found = dispatch.shortlist(all_of_them, demand, ENGINE, 10.0, random.Random(1), 4)
     assert len(found) == 4, "each may be asked"
     for one in all_of_them:
-        choice = dispatch.best_of([one], demand, ENGINE, 10.0)
+        choice = dispatch.choose_best([one], demand, ENGINE, 10.0)
         assert (choice is not None) == (one is prompt)
 
 
--- a/tests/test_load_feed.py
+++ b/tests/test_load_feed.py
@@ -1,8 +1,6 @@
-"""What it costs to hear of engines' load, at sizes from 6 engines to 1,500: no network is needed.
+"""Tests for the cost of load reports at fleet sizes from 6 to 1,500 engines; no network is needed.
 
-The pattern: every entry hears every engine unasked. With 98 entries before 60 engines (the layout
-of the large deployment: 5 availability zones, links of 3.65 Mbit/s) that was a quarter of each
-engine VM's link, which requests and weights need.
+Guards against load reports that use up an engine VM's link as the fleet grows.
 """
 
 import random
@@ -12,13 +10,13 @@
 from merlinthread.coordination import backend_record, dispatch, fleet, load_feed, load_ledger
 from merlinthread.protocol import codec, node_messages
 
-# Links of engines' VMs in the deployments known, bytes a second.
+# Link of an engine's VM in bytes per second.
 LINK = 3.65e6 / 8
 UDP_AND_IP_BYTES = 28
 
 
 def engines(count: int, zones: int, zone: int) -> list[backend_record.Backend]:
-    """Return engines that stand in the zones by turns, as seen from `zone`."""
+    """Return engines spread evenly over the zones, as seen from `zone`."""
     return [
         backend_record.Backend(
             f"i-{n}", "s", f"10.0.0.{n}:1", f"z{n % zones}", 2 * (n % zones != zone), 8
@@ -27,12 +25,12 @@
     ]
 
 
-def listeners(entries: int, count: int, zones: int) -> dict[str, int]:
-    """Return for each engine by how many entries it is heard."""
+def subscriber_counts(entries: int, count: int, zones: int) -> dict[str, int]:
+    """Return the number of subscribed entries per engine."""
     found: dict[str, int] = {}
     for entry in range(entries):
         seen = engines(count, zones, entry % zones)
-        for engine in load_feed.heard_engines(f"entry-{entry}", seen):
+        for engine in load_feed.engines_to_subscribe(f"entry-{entry}", seen):
             found[engine.instance] = found.get(engine.instance, 0) + 1
     return found
 
@@ -41,33 +39,33 @@
 def test_an_agents_words_about_its_load_take_a_small_share_of_its_link_at_any_size(
     entries, count, zones
 ):
-    told = max(listeners(entries, count, zones).values())
-    bytes_per_s = told * load_feed.LOAD_BYTES / load_feed.tell_every_s(told, LINK)
+    told = max(subscriber_counts(entries, count, zones).values())
+    bytes_per_s = told * load_feed.LOAD_DATAGRAM_BYTES / load_feed.report_interval_s(told, LINK)
     assert bytes_per_s <= 0.05 * LINK, f"{told} entries, {bytes_per_s / LINK:.3f} of the link"
 
 
 def test_an_entry_hears_a_bounded_number_of_engines_and_its_own_zone_first():
-    heard = load_feed.heard_engines("entry", engines(60, 5, 2))
-    assert len(heard) == load_feed.HEARD_MAX
+    heard = load_feed.engines_to_subscribe("entry", engines(60, 5, 2))
+    assert len(heard) == load_feed.SUBSCRIPTIONS_MAX
     assert sum(engine.distance == 0 for engine in heard) == 12
 
 
 def test_a_small_fleet_is_heard_whole():
-    assert len(load_feed.heard_engines("entry", engines(6, 3, 0))) == 6
+    assert len(load_feed.engines_to_subscribe("entry", engines(6, 3, 0))) == 6
 
 
 def test_one_engine_less_changes_one_place():
     everything = engines(1500, 8, 0)
-    before = {engine.instance for engine in load_feed.heard_engines("entry", everything)}
+    before = {engine.instance for engine in load_feed.engines_to_subscribe("entry", everything)}
     lost = sorted(before)[0]
     rest = [engine for engine in everything if engine.instance != lost]
-    after = {engine.instance for engine in load_feed.heard_engines("entry", rest)}
+    after = {engine.instance for engine in load_feed.engines_to_subscribe("entry", rest)}
     assert len(before - after) == 1
 
 
 def test_entries_spread_over_the_engines_of_a_zone():
-    heard = listeners(330, 1500, 8)
-    mean = 330 * load_feed.HEARD_MAX / 1500
+    heard = subscriber_counts(330, 1500, 8)
+    mean = 330 * load_feed.SUBSCRIPTIONS_MAX / 1500
     assert max(heard.values()) <= 4 * mean
 
 
@@ -79,7 +77,7 @@
         "10.128.0.90:8080", 100000, report, load_ledger.Outstanding(11, 4, 4123.0)
     )
     frame = codec.Codec([node_messages.MESSAGES], []).encode(message)
-    assert len(frame) + UDP_AND_IP_BYTES <= load_feed.LOAD_BYTES
+    assert len(frame) + UDP_AND_IP_BYTES <= load_feed.LOAD_DATAGRAM_BYTES
 
 
 def test_weights_and_their_changes_are_told_at_once():
@@ -94,18 +92,18 @@
 
 def test_an_engine_that_is_not_heard_is_asked_again_after_it_said_that_it_changes_its_weights():
     engine = engines(1, 1, 0)[0]
-    engine.take_answer(load_ledger.EngineNow(load_ledger.Outstanding(), is_busy=True), 10.0)
+    engine.apply_probe_answer(load_ledger.EngineLoad(load_ledger.Outstanding(), is_busy=True), 10.0)
     demand = dispatch.Demand("s")
-    assert not dispatch.is_able(engine, demand, None, 10.5)
+    assert not dispatch.is_eligible(engine, demand, None, 10.5)
     later = 10.1 + backend_record.REPORT_FRESH_S
-    assert dispatch.is_able(engine, demand, None, later)
+    assert dispatch.is_eligible(engine, demand, None, later)
 
 
 def test_silence_of_an_engine_that_is_no_longer_heard_costs_nothing():
     engine = engines(1, 1, 0)[0]
-    engine.take_report(fleet.EngineReport(), 10.0)
-    assert engine.is_unheard(20.0)
-    engine.stop_hearing()
-    assert not engine.is_unheard(20.0)
+    engine.apply_report(fleet.EngineReport(), 10.0)
+    assert engine.has_stale_reports(20.0)
+    engine.stop_reports()
+    assert not engine.has_stale_reports(20.0)
     choices = dispatch.shortlist([engine], dispatch.Demand("s"), None, 20.0, random.Random(1), 2)
     assert choices == [engine]
--- a/tests/test_new_back_ends.py
+++ b/tests/test_new_back_ends.py
@@ -48,26 +48,28 @@
 
 
 def test_one_slow_answer_after_the_start_does_not_keep_a_back_end_from_work():
-    usual = backend_record.WorkTime()
+    usual = backend_record.ResponseTime()
     for _ in range(50):
         usual.note(WORK_S)
-    backend = backend_record.Backend("i", "safe", "a:1", "zone", 0, 8, usual=usual)
-    assert backend.work_s() == pytest.approx(WORK_S)
-    dispatch.note_success(backend, 10 * WORK_S)
-    assert backend.work_s() < 4 * WORK_S
+    backend = backend_record.Backend("i", "safe", "a:1", "zone", 0, 8, service_response_time=usual)
+    assert backend.expected_response_s() == pytest.approx(WORK_S)
+    dispatch.record_success(backend, 10 * WORK_S)
+    assert backend.expected_response_s() < 4 * WORK_S
     for _ in range(30):
-        dispatch.note_success(backend, 2 * WORK_S)
-    assert backend.work_s() == pytest.approx(2 * WORK_S, rel=0.2)
+        dispatch.record_success(backend, 2 * WORK_S)
+    assert backend.expected_response_s() == pytest.approx(2 * WORK_S, rel=0.2)
 
 
 def test_a_guess_without_grounds_gives_way_to_the_first_answers_of_the_service():
-    usual = backend_record.WorkTime()
+    usual = backend_record.ResponseTime()
     backends = [
-        backend_record.Backend(f"i-{number}", "safe", "a:1", "zone", 0, 8, usual=usual)
+        backend_record.Backend(
+            f"i-{number}", "safe", "a:1", "zone", 0, 8, service_response_time=usual
+        )
         for number in range(2)
     ]
-    dispatch.note_success(backends[0], WORK_S)
-    assert backends[1].work_s() == pytest.approx(WORK_S)
+    dispatch.record_success(backends[0], WORK_S)
+    assert backends[1].expected_response_s() == pytest.approx(WORK_S)
 
 
 def test_two_back_ends_that_need_nearly_the_same_share_the_requests():
@@ -75,7 +77,7 @@
     quicker = backend_record.Backend("quicker", "safe", "a:1", "zone", 0, 8)
     slower = backend_record.Backend("slower", "safe", "a:2", "zone", 0, 8)
     for backend, work_s in ((quicker, 0.0213), (slower, 0.0214)):
-        backend.work = backend_record.WorkTime(work_s, answers=1000)
+        backend.response_time = backend_record.ResponseTime(work_s, answers=1000)
     chosen = [
         dispatch.choose([quicker, slower], dispatch.Demand("safe"), None, 0.0, rng).backend
         for _ in range(100)
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -1,4 +1,4 @@
-"""The account of permits: what is given in any window, who gets it, and when to come back."""
+"""Tests for permits: the limit in any window, fairness between accounts, and retry times."""
 
 import itertools
 import random
@@ -17,12 +17,14 @@
 WINDOW_S = 4.0
 
 
-def permit_request(*limits: rate_limits.NamedLimit, account="a", patience_s=0.0):
+def permit_request(*limits: rate_limits.AdvertisedLimit, account="a", patience_s=0.0):
     return rate_limits.PermitRequest("s", account, patience_s, list(limits))
 
 
-def named(per_s: float, instance: str = "i", heard_age_s: float = 0.0) -> rate_limits.NamedLimit:
-    return rate_limits.NamedLimit(instance, per_s, heard_age_s)
+def named(
+    per_s: float, instance: str = "i", heard_age_s: float = 0.0
+) -> rate_limits.AdvertisedLimit:
+    return rate_limits.AdvertisedLimit(instance, per_s, heard_age_s)
 
 
 def starts_of(counter, per_s: float, gaps: list[float], patience_s: float) -> list[float]:
@@ -45,7 +47,7 @@
     st.floats(0.0, 0.2),
 )
 def test_no_window_has_more_than_the_limit_allows(per_s, gaps, patience_s):
-    starts = starts_of(rate_limits.PermitCounter(), per_s, gaps, patience_s)
+    starts = starts_of(rate_limits.PermitAllocator(), per_s, gaps, patience_s)
     assert most_in_a_window(starts) <= per_s * WINDOW_S + SPARE
 
 
@@ -53,8 +55,8 @@
 def test_what_is_named_is_used_where_twice_as_much_is_asked_for(per_s, seed):
     rng = random.Random(seed)
     gaps = [rng.expovariate(2 * per_s) for _ in range(400)]
-    starts = starts_of(rate_limits.PermitCounter(), per_s, gaps, 0.05)
-    assert len(starts) >= 0.9 * rate_limits.GIVEN_SHARE * per_s * sum(gaps) - SPARE
+    starts = starts_of(rate_limits.PermitAllocator(), per_s, gaps, 0.05)
+    assert len(starts) >= 0.9 * rate_limits.GRANTED_SHARE * per_s * sum(gaps) - SPARE
 
 
 @hypothesis.given(st.floats(0.2, 20.0), st.integers(2, 12), st.integers(0, 1000))
@@ -62,32 +64,32 @@
     rng = random.Random(seed)
     starts = []
     for rank in range(entries):
-        turns = permit_turns.PermitTurns(0)
-        # Their clocks differ, and their view of the leader's by what is on its way.
+        turns = permit_turns.PermitSlots(0)
+        # Clocks differ between entries; the offset to the leader's clock includes network delay.
         offset = rng.uniform(-100.0, 100.0)
-        turns.take_told(entries, rank, -offset + rng.uniform(0.0, 0.01))
+        turns.update(entries, rank, -offset + rng.uniform(0.0, 0.01))
         gaps = [offset, *(rng.expovariate(4 * per_s) for _ in range(300))]
         starts += [at - offset for at in starts_of(turns, per_s, gaps, 0.05)]
     assert most_in_a_window(sorted(starts)) <= (per_s * 1.01) * WINDOW_S + SPARE
 
 
 def test_a_turn_is_not_lost_when_the_limit_falls():
-    turns = permit_turns.PermitTurns(0)
-    turns.take_told(1, 0, 1000.0)
+    turns = permit_turns.PermitSlots(0)
+    turns.update(1, 0, 1000.0)
     assert turns.decide(permit_request(named(8.0)), 1.0).instance
     decision = turns.decide(permit_request(named(0.5)), 1.0)
     assert max(decision.free_in_s) <= 2 / 0.5
 
 
 def test_whoever_counts_anew_begins_with_nothing():
-    counter = rate_limits.PermitCounter()
+    counter = rate_limits.PermitAllocator()
     decision = counter.decide(permit_request(named(1.0)), 100.0)
     assert not decision.instance
     assert 1.0 <= decision.free_in_s[0] <= 1.1
 
 
 def test_the_newest_limit_holds_whoever_tells_it():
-    counter = rate_limits.PermitCounter()
+    counter = rate_limits.PermitAllocator()
     counter.decide(permit_request(named(8.0)), 0.0)
     counter.decide(permit_request(named(0.5)), 1.0)
     counter.decide(permit_request(named(8.0, heard_age_s=3.0)), 2.0)
@@ -99,12 +101,12 @@
 
 def test_a_back_end_that_names_next_to_nothing_is_asked_now_and_then():
     gaps = [0.1] * 600
-    starts = starts_of(rate_limits.PermitCounter(), 0.0001, gaps, 0.0)
+    starts = starts_of(rate_limits.PermitAllocator(), 0.0001, gaps, 0.0)
     assert 5 <= len(starts) <= 6
 
 
 def test_who_can_wait_gets_a_permit_ahead_of_time_and_who_can_not_is_told_when():
-    counter = rate_limits.PermitCounter()
+    counter = rate_limits.PermitAllocator()
     counter.decide(permit_request(named(10.0)), 0.0)
     first = counter.decide(permit_request(named(10.0)), 1.0)
     assert first.instance and first.start_in_s == 0.0
@@ -116,14 +118,14 @@
 
 
 def test_those_who_are_refused_together_are_told_different_times():
-    counter = rate_limits.PermitCounter()
+    counter = rate_limits.PermitAllocator()
     told = [counter.decide(permit_request(named(10.0)), 0.0).back_in_s for _ in range(10)]
     assert len({round(at, 3) for at in told}) == len(told)
-    assert max(told) <= rate_limits.RETURN_OVER_S + 0.1
+    assert max(told) <= rate_limits.RETRY_SPREAD_S + 0.1
 
 
 def test_of_several_back_ends_the_first_free_one_is_taken():
-    counter = rate_limits.PermitCounter()
+    counter = rate_limits.PermitAllocator()
     limits = [named(0.1, "slow"), named(10.0, "quick")]
     counter.decide(permit_request(*limits), 0.0)
     assert counter.decide(permit_request(*limits), 1.0).instance == "quick"
@@ -131,7 +133,7 @@
 
 
 def test_an_account_that_asks_seldom_is_served_though_another_asks_always():
-    counter = rate_limits.PermitCounter()
+    counter = rate_limits.PermitAllocator()
     rng = random.Random(3)
     asked = {"often": 0, "seldom": 0}
     served = {"often": 0, "seldom": 0}
@@ -147,7 +149,7 @@
 
 
 def test_nothing_is_kept_of_back_ends_that_nobody_asks_for():
-    counter = rate_limits.PermitCounter()
+    counter = rate_limits.PermitAllocator()
     for number in range(50):
         counter.decide(permit_request(named(1.0, f"i-{number}")), 0.0)
     counter.decide(permit_request(named(1.0, "present")), 200.0)
@@ -156,45 +158,45 @@
 
 def test_of_limits_that_nodes_tell_each_other_the_one_heard_last_holds():
     told = [
-        limit_ledger.ToldLimit("i", 8.0, 3.0),
-        limit_ledger.ToldLimit("i", 0.5, 2.0),
-        limit_ledger.ToldLimit("i", None, 1.0),
+        limit_ledger.LimitReport("i", 8.0, 3.0),
+        limit_ledger.LimitReport("i", 0.5, 2.0),
+        limit_ledger.LimitReport("i", None, 1.0),
     ]
     for order in itertools.permutations(told):
-        ledger = limit_ledger.LimitLedger()
+        ledger = limit_ledger.LimitTable()
         for each in [*order, *order]:
             ledger.merge(each, 10.0)
         assert ledger.records["i"].per_s is None, order
 
 
 def test_what_is_remembered_of_limits_is_bounded():
-    ledger = limit_ledger.LimitLedger()
-    for number in range(limit_ledger.KEPT_MAX + 50):
-        ledger.merge(limit_ledger.ToldLimit(f"i-{number}", 1.0, 0.0), number)
-    assert len(ledger.records) == limit_ledger.KEPT_MAX
+    ledger = limit_ledger.LimitTable()
+    for number in range(limit_ledger.RECORDS_MAX + 50):
+        ledger.merge(limit_ledger.LimitReport(f"i-{number}", 1.0, 0.0), number)
+    assert len(ledger.records) == limit_ledger.RECORDS_MAX
     assert len(ledger.since(ledger.revision - 3, 0.0)) == 3
-    ledger.merge(limit_ledger.ToldLimit("over", None, 0.0), 10_000.0)
-    ledger.merge(limit_ledger.ToldLimit("i-4000", None, 0.0), 10_000.0)
-    ledger.merge(limit_ledger.ToldLimit("i-4001", 2.0, 0.0), 10_100.0)
+    ledger.merge(limit_ledger.LimitReport("over", None, 0.0), 10_000.0)
+    ledger.merge(limit_ledger.LimitReport("i-4000", None, 0.0), 10_000.0)
+    ledger.merge(limit_ledger.LimitReport("i-4001", 2.0, 0.0), 10_100.0)
     assert "i-4000" not in ledger.records
 
 
 def test_a_limit_that_another_vm_heard_before_does_not_undo_what_was_heard_since():
-    standing = backend_signals.Standing()
-    standing.note_limit(2.0, sent_at=0.0, now=5.0)
-    standing.note_told_limit(None, heard_at=4.0)
-    assert standing.limit_per_s == 2.0
-    standing.note_told_limit(None, heard_at=6.0)
-    assert not standing.is_limited()
+    availability = backend_signals.Availability()
+    availability.record_limit(2.0, sent_at=0.0, now=5.0)
+    availability.merge_limit(None, heard_at=4.0)
+    assert availability.limit_per_s == 2.0
+    availability.merge_limit(None, heard_at=6.0)
+    assert not availability.is_limited()
 
 
 def test_an_answer_that_was_overtaken_does_not_lift_a_limit():
-    standing = backend_signals.Standing()
-    standing.note_limit(8.0, sent_at=0.0, now=1.0)
-    assert standing.note_limit(0.5, sent_at=0.5, now=2.0)
-    assert not standing.note_limit(8.0, sent_at=1.9, now=2.1)
-    assert not standing.note_limit(None, sent_at=1.9, now=2.2)
-    assert standing.limit_per_s == 0.5
-    assert standing.note_limit(6.0, sent_at=2.3, now=2.5)
-    assert standing.note_limit(None, sent_at=2.6, now=2.7)
-    assert not standing.is_limited()
+    availability = backend_signals.Availability()
+    availability.record_limit(8.0, sent_at=0.0, now=1.0)
+    assert availability.record_limit(0.5, sent_at=0.5, now=2.0)
+    assert not availability.record_limit(8.0, sent_at=1.9, now=2.1)
+    assert not availability.record_limit(None, sent_at=1.9, now=2.2)
+    assert availability.limit_per_s == 0.5
+    assert availability.record_limit(6.0, sent_at=2.3, now=2.5)
+    assert availability.record_limit(None, sent_at=2.6, now=2.7)
+    assert not availability.is_limited()
