--- a/src/merlinthread/__init__.py
+++ b/src/merlinthread/__init__.py
@@ -1,3 +1,3 @@
-"""Move model weights to many VMs in bursts and share the engines fairly among accounts."""
+"""Distribute model weights to many VMs and share inference engines fairly among accounts."""
 
 __version__ = "0.1.0"
--- a/src/merlinthread/cli/__init__.py
+++ b/src/merlinthread/cli/__init__.py
@@ -1,1 +1,1 @@
-"""`merlinthread`: the operators' command line. It drives the system only through the bundle."""
+"""`merlinthread`, the command line tool for operators; all changes are made through bundles."""
--- a/src/merlinthread/cli/bundle_commands.py
+++ b/src/merlinthread/cli/bundle_commands.py
@@ -1,4 +1,4 @@
-"""The `bundle` commands: check, propose, sign, roll, rollback, show, history."""
+"""The `bundle` commands, which validate, sign, roll out and show bundles."""
 
 import datetime
 import json
@@ -14,16 +14,16 @@
 from merlinthread.coordination import bundles
 from merlinthread.protocol import bundle_file, operator_calls, signatures
 
-PROGRESS_EVERY_S = 0.25
-VERSION_ARGUMENT = argument("version", "The bundle's version number.")
+POLL_INTERVAL_S = 0.25
+VERSION_ARGUMENT = argument("version", "Version number of the bundle.")
 WAIT_OPTIONS = [
-    option("wait", "w", "Wait until every VM serves what it should."),
-    option("wait-s", None, "How long to wait, in seconds.", flag=False, default="600"),
+    option("wait", "w", "Wait until the bundle is rolled out to all VMs."),
+    option("wait-s", None, "Time limit for --wait, in seconds.", flag=False, default="600"),
 ]
 
 
-def read_bundle(name: str) -> bundles.Bundle:
-    """Return the bundle in a file; raise BundleError."""
+def read_bundle_file(name: str) -> bundles.Bundle:
+    """Read and validate a bundle file; raise BundleError if it is unreadable or invalid."""
     path = pathlib.Path(name)
     try:
         text = path.read_text(encoding="utf-8")
@@ -32,24 +32,24 @@
     return bundle_file.parse(text, name)
 
 
-def as_time(seconds: float) -> str:
-    """Return seconds since 1970 as UTC."""
+def format_time(seconds: float) -> str:
+    """Format seconds since the epoch as an ISO 8601 time in UTC."""
     return datetime.datetime.fromtimestamp(seconds, datetime.UTC).isoformat(timespec="seconds")
 
 
 class Check(base.OperatorCommand):
-    """Validate a bundle file without sending it."""
+    """Validate a bundle file locally."""
 
     name = "bundle check"
     description = "Validate a bundle file and print its digest."
-    arguments = [argument("file", "The bundle file.")]
+    arguments = [argument("file", "Path of the bundle file.")]
     options = [base.JSON_OPTION]
 
-    def act(self) -> int:
-        """Check the file."""
-        bundle = read_bundle(self.argument("file"))
+    def run_command(self) -> int:
+        """Validate the file and print the bundle's digest."""
+        bundle = read_bundle_file(self.argument("file"))
         digest = bundles.digest(bundle)
-        self.show(
+        self.print_result(
             {"version": bundle.version, "digest": digest},
             [("version", bundle.version), ("digest", digest), ("models", len(bundle.models))],
         )
@@ -57,31 +57,31 @@
 
 
 class Propose(base.OperatorCommand):
-    """Put a bundle forward for signing."""
+    """Propose a bundle to the control VMs."""
 
     name = "bundle propose"
     description = "Send a bundle to the control VMs for signing."
-    arguments = [argument("file", "The bundle file.")]
+    arguments = [argument("file", "Path of the bundle file.")]
     options = base.WRITE_OPTIONS
 
-    def act(self) -> int:
+    def run_command(self) -> int:
         """Propose the bundle."""
-        bundle = read_bundle(self.argument("file"))
+        bundle = read_bundle_file(self.argument("file"))
         call = operator_calls.ProposeRequest(
-            self.request_id(), self.operator(), msgspec.to_builtins(bundle)
+            self.request_id(), self.operator_name(), msgspec.to_builtins(bundle)
         )
-        return self.send("/v1/bundles", call)
+        return self.send_command("/v1/bundles", call)
 
-    def send(self, path: str, call: Any) -> int:
-        """Send a command and show its result."""
+    def send_command(self, path: str, call: Any) -> int:
+        """Send a command to the leader and print its result."""
         result = msgspec.json.decode(
-            self.controls().call("POST", path, call), type=operator_calls.CommandResult
+            self.control_client().call("POST", path, call), type=operator_calls.CommandResult
         )
         rows = [("status", result.status), ("version", result.version), ("digest", result.digest)]
         if result.generation:
             rows.append(("generation", result.generation))
         rows.append(("request id", call.request_id))
-        self.show(dict(msgspec.to_builtins(result), request_id=call.request_id), rows)
+        self.print_result(dict(msgspec.to_builtins(result), request_id=call.request_id), rows)
         return 0
 
 
@@ -93,63 +93,66 @@
     arguments = [VERSION_ARGUMENT]
     options = [
         *base.WRITE_OPTIONS,
-        option("key", "k", "The file with your private key.", flag=False),
-        option("digest", None, "Sign only if the bundle has this digest.", flag=False),
+        option("key", "k", "Path of the file with your private key.", flag=False),
+        option(
+            "digest", None, "Expected digest; a bundle with another one is not signed.", flag=False
+        ),
     ]
 
-    def act(self) -> int:
-        """Read what is proposed, sign it, send the signature."""
-        version = self.version_argument()
+    def run_command(self) -> int:
+        """Fetch the proposed bundle, sign its digest and send the signature."""
+        version = self.bundle_version()
         if not self.option("key"):
-            raise errors.RequestError("--key: give the file with your private key")
-        private = pathlib.Path(self.option("key")).read_text(encoding="utf-8")
-        shown = msgspec.json.decode(
-            self.controls().call("GET", f"/v1/bundles/{version}"), type=operator_calls.BundleDetails
+            raise errors.RequestError("--key: missing; pass the file with your private key")
+        private_key = pathlib.Path(self.option("key")).read_text(encoding="utf-8")
+        details = msgspec.json.decode(
+            self.control_client().call("GET", f"/v1/bundles/{version}"),
+            type=operator_calls.BundleDetails,
         )
-        bundle = bundle_file.from_data(shown.bundle, "the proposed bundle")
+        bundle = bundle_file.from_data(details.bundle, "the proposed bundle")
         digest = bundles.digest(bundle)
-        wanted = self.option("digest")
-        if wanted and wanted != digest:
+        expected_digest = self.option("digest")
+        if expected_digest and expected_digest != digest:
             raise errors.BundleError(
-                f"--digest: version {version} has digest {digest}, not {wanted}",
+                f"--digest: version {version} has digest {digest}, not {expected_digest}",
                 kind=errors.ErrorKind.VERSION_CONFLICT,
             )
-        return self.send(
+        return self.send_command(
             "/v1/signatures",
             operator_calls.SignRequest(
                 self.request_id(),
-                self.operator(),
+                self.operator_name(),
                 version,
                 digest,
-                signatures.sign(private, version, digest),
+                signatures.sign(private_key, version, digest),
             ),
         )
 
 
 class Roll(Propose):
-    """Put a signed bundle in force."""
+    """Roll out a signed bundle."""
 
     name = "bundle roll"
-    description = "Put a signed bundle in force on the whole fleet."
+    description = "Roll out a signed bundle to the whole fleet."
     arguments = [VERSION_ARGUMENT]
     options = [*base.WRITE_OPTIONS, *WAIT_OPTIONS]
-    is_back = False
+    is_rollback = False
 
-    def act(self) -> int:
-        """Roll, and with --wait follow it."""
+    def run_command(self) -> int:
+        """Start the roll and, with --wait, wait until it is complete."""
         call = operator_calls.RollRequest(
-            self.request_id(), self.operator(), self.version_argument(), self.is_back
+            self.request_id(), self.operator_name(), self.bundle_version(), self.is_rollback
         )
-        code = self.send("/v1/rolls", call)
-        return self.follow() if self.option("wait") else code
+        exit_code = self.send_command("/v1/rolls", call)
+        return self.wait_for_rollout() if self.option("wait") else exit_code
 
-    def follow(self) -> int:
-        """Show progress until every live VM serves what it should.
+    def wait_for_rollout(self) -> int:
+        """Show the progress of the roll until it is complete on all live VMs.
 
-        Raises ControlError if the roll pauses or the time is over.
+        Raises ControlError if the roll is paused or takes longer than `--wait-s`.
         """
-        stop_at = time.monotonic() + float(self.option("wait-s"))
-        controls = self.controls()
+        deadline = time.monotonic() + float(self.option("wait-s"))
+        client = self.control_client()
         bar = None if self.option("json") else self.progress_bar(100)
         if bar is not None:
             bar.set_format(" rolling [%bar%] %percent%% %message%")
@@ -157,9 +160,9 @@
             bar.start()
         while True:
             status = msgspec.json.decode(
-                controls.call("GET", "/v1/status"), type=operator_calls.Status
+                client.call("GET", "/v1/status"), type=operator_calls.Status
             )
-            done, total = count_done(status)
+            done, total = count_updated_vms(status)
             if bar is not None:
                 bar.set_message(f"{done} of {total} VMs")
                 bar.set_progress(100 * done // max(1, total))
@@ -173,85 +176,92 @@
                     bar.finish()
                     print()
                 return 0
-            if time.monotonic() >= stop_at:
+            if time.monotonic() >= deadline:
                 raise errors.ControlError(
-                    f"{done} of {total} VMs after {self.option('wait-s')} s",
+                    f"{done} of {total} VMs are up to date after {self.option('wait-s')} s",
                     kind=errors.ErrorKind.DEADLINE_EXCEEDED,
                 )
-            time.sleep(PROGRESS_EVERY_S)
+            time.sleep(POLL_INTERVAL_S)
 
 
-def count_done(status: operator_calls.Status) -> tuple[int, int]:
-    """Return how many of the assigned live VMs enforce the generation and serve their models."""
-    assigned = [agent for agent in status.agents if agent.kind == bundles.GENERATE]
-    done = [agent for agent in assigned if agent.is_done and agent.generation == status.generation]
-    return len(done), len(assigned)
+def count_updated_vms(status: operator_calls.Status) -> tuple[int, int]:
+    """Return the number of live engine VMs that are up to date, and of all of them.
+
+    A VM is up to date if it enforces the current generation and serves the models assigned to it.
+    """
+    assigned_agents = [agent for agent in status.agents if agent.kind == bundles.GENERATE]
+    updated_agents = [
+        agent
+        for agent in assigned_agents
+        if agent.is_done and agent.generation == status.generation
+    ]
+    return len(updated_agents), len(assigned_agents)
 
 
 class Rollback(Roll):
-    """Put an earlier signed version back in force."""
+    """Roll back to a version that was in force before."""
 
     name = "bundle rollback"
-    description = "Put a version that was in force before back in force."
-    is_back = True
+    description = "Roll back to a bundle version that was in force before."
+    is_rollback = True
 
 
 class Show(base.OperatorCommand):
-    """Show one bundle."""
+    """Show a bundle."""
 
     name = "bundle show"
-    description = "Show a bundle and its state."
+    description = "Show a bundle with its status and signatures."
     arguments = [VERSION_ARGUMENT]
     options = base.READ_OPTIONS
 
-    def act(self) -> int:
-        """Show the bundle."""
-        data = self.controls().call("GET", f"/v1/bundles/{self.version_argument()}")
-        shown = msgspec.json.decode(data, type=operator_calls.BundleDetails)
-        line = shown.line
+    def run_command(self) -> int:
+        """Fetch the bundle and print it."""
+        data = self.control_client().call("GET", f"/v1/bundles/{self.bundle_version()}")
+        details = msgspec.json.decode(data, type=operator_calls.BundleDetails)
+        summary = details.line
         rows = [
-            ("version", line.version),
-            ("digest", line.digest),
-            ("status", line.status),
-            ("proposed", f"{as_time(line.proposed_at)} by {line.proposed_by}"),
-            ("signed by", ", ".join(line.signed_by) or "nobody yet"),
-            ("bundle", json.dumps(shown.bundle, indent=2, ensure_ascii=False)),
+            ("version", summary.version),
+            ("digest", summary.digest),
+            ("status", summary.status),
+            ("proposed", f"{format_time(summary.proposed_at)} by {summary.proposed_by}"),
+            ("signed by", ", ".join(summary.signed_by) or "nobody yet"),
+            ("bundle", json.dumps(details.bundle, indent=2, ensure_ascii=False)),
         ]
-        self.show(shown, rows)
+        self.print_result(details, rows)
         return 0
 
 
 class History(base.OperatorCommand):
-    """Show all bundles and rolls."""
+    """Show all bundles and the most recent rolls."""
 
     name = "bundle history"
-    description = "Show all bundles and the last rolls, newest first."
+    description = "Show all bundles and the most recent rolls, newest first."
     options = base.READ_OPTIONS
 
-    def act(self) -> int:
-        """Show the history."""
-        data = self.controls().call("GET", "/v1/history")
+    def run_command(self) -> int:
+        """Fetch the history and print it."""
+        data = self.control_client().call("GET", "/v1/history")
         history = msgspec.json.decode(data, type=operator_calls.History)
         if self.option("json"):
-            self.show(history, [])
+            self.print_result(history, [])
             return 0
-        self.show_table(
+        self.print_table(
             ["version", "status", "digest", "proposed by", "signed by"],
             [
                 [b.version, b.status, b.digest[:12], b.proposed_by, ", ".join(b.signed_by)]
                 for b in history.bundles
             ],
         )
-        self.show_table(
+        self.print_table(
             ["generation", "version", "kind", "operator", "at"],
             [
-                [r.generation, r.version, kind_of(r), r.operator, as_time(r.at)]
+                [r.generation, r.version, roll_kind(r), r.operator, format_time(r.at)]
                 for r in history.rolls
             ],
         )
         return 0
 
 
-def kind_of(roll: operator_calls.RollSummary) -> str:
-    """Return the name of a roll's kind."""
+def roll_kind(roll: operator_calls.RollSummary) -> str:
+    """Return "rollback" or "roll"."""
     return "rollback" if roll.is_back else "roll"
--- a/src/merlinthread/cli/main.py
+++ b/src/merlinthread/cli/main.py
@@ -1,4 +1,4 @@
-"""The entry point of `merlinthread`; commands are imported only when one runs."""
+"""The entry point of `merlinthread`; the module of a command is imported when it is used."""
 
 import sys
 
@@ -23,21 +23,21 @@
 }
 
 
-def load(module: str, name: str) -> object:
-    """Import a command's module and make the command."""
+def load_command(module: str, name: str) -> object:
+    """Import the module of a command and return an instance of it."""
     import importlib
 
     return getattr(importlib.import_module(f"merlinthread.cli.{module}"), name)()
 
 
 def make_application() -> Application:
-    """Return the application with all commands."""
+    """Return the Cleo application with all commands."""
     application = Application("merlinthread", __version__)
     application.set_command_loader(
         FactoryCommandLoader(
             {
-                name: lambda module=module, kind=kind: load(module, kind)
-                for name, (module, kind) in COMMANDS.items()
+                name: lambda module=module, class_name=class_name: load_command(module, class_name)
+                for name, (module, class_name) in COMMANDS.items()
             }
         )
     )
@@ -45,7 +45,7 @@
 
 
 def main() -> int:
-    """Run the command line; return its exit code."""
+    """Run the command line tool and return its exit code."""
     application = make_application()
     application.auto_exits(False)
     return application.run()
--- a/src/merlinthread/cli/other_commands.py
+++ b/src/merlinthread/cli/other_commands.py
@@ -1,4 +1,4 @@
-"""`status`, `keys new` and `weights manifest`."""
+"""The commands `status`, `keys new` and `weights manifest`."""
 
 import pathlib
 import secrets
@@ -13,20 +13,20 @@
 
 
 class Status(base.OperatorCommand):
-    """Show what is in force and who lags."""
+    """Show the state of the deployment."""
 
     name = "status"
-    description = "Show what is in force, the control VMs, and which VMs lag."
+    description = "Show the bundle in force, the control VMs, and the state of each VM."
     options = base.READ_OPTIONS
 
-    def act(self) -> int:
-        """Show the status."""
-        data = self.controls().call("GET", "/v1/status")
-        status = msgspec.json.decode(data, type=operator_calls.Status)
+    def run_command(self) -> int:
+        """Fetch the status from the leader and print it."""
+        status_json = self.control_client().call("GET", "/v1/status")
+        status = msgspec.json.decode(status_json, type=operator_calls.Status)
         if self.option("json"):
-            self.show(status, [])
+            self.print_result(status, [])
             return 0
-        self.show(
+        self.print_result(
             status,
             [
                 ("in force", f"version {status.version}, generation {status.generation}"),
@@ -36,11 +36,14 @@
                 ("data folder", f"{status.data_folder_bytes} bytes"),
             ],
         )
-        self.show_table(
+        self.print_table(
             ["control VM", "role", "leads", "entries behind"],
-            [[m.name, m.role, m.leads, m.entries_behind] for m in status.members],
+            [
+                [member.name, member.role, member.leads, member.entries_behind]
+                for member in status.members
+            ],
         )
-        self.show_table(
+        self.print_table(
             ["VM", "zone", "generation", "assigned", "serving", "remark"],
             [
                 [
@@ -49,7 +52,7 @@
                     agent.generation,
                     ", ".join(agent.assigned),
                     ", ".join(sorted(agent.serving)),
-                    remark_on(agent, status.generation),
+                    agent_remark(agent, status.generation),
                 ]
                 for agent in status.agents
             ],
@@ -57,8 +60,8 @@
         return 0
 
 
-def remark_on(agent: operator_calls.AgentStatus, generation: int) -> str:
-    """Return what is noteworthy about a VM."""
+def agent_remark(agent: operator_calls.AgentStatus, generation: int) -> str:
+    """Return a remark on a VM's state, or an empty string if it is up to date."""
     if agent.trouble:
         return agent.trouble
     if agent.is_leaving:
@@ -69,60 +72,72 @@
 
 
 class KeysNew(base.OperatorCommand):
-    """Make a key."""
+    """Generate a key."""
 
     name = "keys new"
-    description = "Make an operator's key pair, or with --mesh a key for the processes."
+    description = (
+        "Generate a key pair for an operator, or with --mesh a key shared by all processes."
+    )
     options = [
         base.JSON_OPTION,
-        option("out", None, "Write the private key to this new file.", flag=False),
-        option("mesh", None, "Make a key for settings.mesh_keys instead."),
+        option(
+            "out", None, "Path of the private key file to create; it must not exist.", flag=False
+        ),
+        option("mesh", None, "Generate a key for the setting mesh_keys instead."),
     ]
 
-    def act(self) -> int:
-        """Make the key and show the public half."""
+    def run_command(self) -> int:
+        """Generate the key pair, save the private key and print the public key."""
         if self.option("mesh"):
             key = secrets.token_hex(32)
-            self.show({"mesh_key": key}, [("mesh key", key)])
+            self.print_result({"mesh_key": key}, [("mesh key", key)])
             return 0
         if not self.option("out"):
-            raise errors.RequestError("--out: name a new file for the private key")
+            raise errors.RequestError(
+                "--out: missing; pass the path of a new file for the private key"
+            )
         path = pathlib.Path(self.option("out"))
-        private = signatures.generate_private_key()
+        private_key = signatures.generate_private_key()
         path.touch(mode=0o600, exist_ok=False)
-        path.write_text(private + "\n", encoding="utf-8")
-        public = signatures.derive_public_key(private)
-        self.show({"public_key": public}, [("public key", public), ("private key in", path)])
+        path.write_text(private_key + "\n", encoding="utf-8")
+        public_key = signatures.derive_public_key(private_key)
+        self.print_result(
+            {"public_key": public_key}, [("public key", public_key), ("private key in", path)]
+        )
         return 0
 
 
 class WeightsManifest(base.OperatorCommand):
-    """Make a manifest from a file of weights."""
+    """Create the manifest of a weights file."""
 
     name = "weights manifest"
-    description = "Write the manifest of a weights file, for the weight store and the bundle."
+    description = "Create the manifest of a weights file, for the weight store and the bundle."
     arguments = [
-        argument("file", "The weights file."),
-        argument("folder", "Where to write the manifest; its file name is its digest."),
+        argument("file", "Path of the weights file."),
+        argument("folder", "Folder for the manifest; the file is named after its digest."),
     ]
     options = [
         base.JSON_OPTION,
-        option("object", None, "The object's name at the origin.", flag=False),
-        option("chunk-bytes", None, "Size of a chunk.", flag=False, default="8388608"),
+        option(
+            "object", None, "Name of the object at the origin (default: the file name).", flag=False
+        ),
+        option("chunk-bytes", None, "Size of a chunk, in bytes.", flag=False, default="8388608"),
     ]
 
-    def act(self) -> int:
-        """Make the manifest."""
+    def run_command(self) -> int:
+        """Create the manifest and write it to the folder."""
         path = pathlib.Path(self.argument("file"))
-        text = self.option("chunk-bytes")
-        if not text.isdigit() or int(text) < 1:
-            raise errors.RequestError(f"--chunk-bytes: {text!r} is no positive number of bytes")
-        manifest = manifests.make(path, self.option("object") or path.name, int(text))
+        chunk_bytes = self.option("chunk-bytes")
+        if not chunk_bytes.isdigit() or int(chunk_bytes) < 1:
+            raise errors.RequestError(
+                f"--chunk-bytes: {chunk_bytes!r} is not a positive number of bytes"
+            )
+        manifest = manifests.make(path, self.option("object") or path.name, int(chunk_bytes))
         digest = manifests.digest_of(manifest)
         folder = pathlib.Path(self.argument("folder"))
         folder.mkdir(parents=True, exist_ok=True)
         (folder / digest).write_bytes(manifests.encode(manifest))
-        self.show(
+        self.print_result(
             {"manifest": digest, "chunks": len(manifest.chunks)},
             [("manifest", digest), ("chunks", len(manifest.chunks))],
         )
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -9,8 +9,8 @@
 LOGS = pathlib.Path(__file__).parent / "data" / "explain"
 
 
-def read_log_lines() -> list[explain.Line]:
-    return [line for path in sorted(LOGS.iterdir()) for line in explain.read(path)]
+def read_log_lines() -> list[explain.LogLine]:
+    return [line for path in sorted(LOGS.iterdir()) for line in explain.read_log_file(path)]
 
 
 @pytest.mark.parametrize(
@@ -23,17 +23,17 @@
     ],
 )
 def test_the_cause_stands_in_what_is_shown(request_id, cause):
-    explained = explain.explain(read_log_lines(), request_id)
-    text = "\n".join(explain.sentence(line) for line in explained)
+    explained = explain.find_related_lines(read_log_lines(), request_id)
+    text = "\n".join(explain.format_line(line) for line in explained)
     assert explained[-1].fields["request"] == request_id
     assert cause in text
 
 
 def test_what_the_entry_came_to_believe_before_is_shown_first():
-    explained = explain.explain(read_log_lines(), "59595bc069a2e844")
+    explained = explain.find_related_lines(read_log_lines(), "59595bc069a2e844")
     assert {line.fields["process"] for line in explained} == {"front-nbo-c-1"}
     assert [line.at for line in explained] == sorted(line.at for line in explained)
 
 
 def test_an_unknown_request_explains_nothing():
-    assert explain.explain(read_log_lines(), "0000") == []
+    assert explain.find_related_lines(read_log_lines(), "0000") == []
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -6,8 +6,8 @@
 from tests import test_explain
 
 
-def request(at: float = 0.0, **fields) -> explain.Line:
-    return explain.Line(at, {"event": "request", "status": 200, "ms": 0, **fields})
+def request(at: float = 0.0, **fields) -> explain.LogLine:
+    return explain.LogLine(at, {"event": "request", "status": 200, "ms": 0, **fields})
 
 
 ATTEMPT = "i-1 after {waited} ms, load 3, first byte expected in {expected} ms: answered"
@@ -52,12 +52,12 @@
             {"outcome": "no_target", "attempts": ["every back end is busy: i-1 after 4 ms"]},
             "refused: no place in time",
         ),
-        ({"outcome": "left"}, losses.LEFT),
+        ({"outcome": "left"}, losses.CLIENT_LEFT),
         ({"outcome": "deadline_exceeded"}, "failed: deadline_exceeded"),
     ],
 )
 def test_each_request_has_one_cause(fields, cause):
-    assert losses.cause_of(request(**fields), 400) == cause
+    assert losses.classify_request(request(**fields), 400) == cause
 
 
 def test_requests_are_counted_in_the_window_in_which_they_arrived():
@@ -65,9 +65,9 @@
         request(10.0, outcome="answered", first_ms=90),
         request(13.9, outcome="answered", first_ms=90, ms=2000),
         request(14.1, outcome="no_target", attempts=["no back end is free"]),
-        explain.Line(14.0, {"event": "instance"}),
+        explain.LogLine(14.0, {"event": "instance"}),
     ]
-    rows = losses.count(losses.find_losses(lines, 400), 2.0)
+    rows = losses.count_by_window(losses.classify_requests(lines, 400), 2.0)
     assert [(at, dict(causes)) for at, causes in rows] == [
         (0.0, {losses.IN_TIME: 2}),
         (4.0, {"refused: none may serve": 1}),
@@ -77,5 +77,5 @@
 def test_no_request_of_a_kept_day_is_left_out():
     lines = test_explain.read_log_lines()
     requests = [line for line in lines if line.fields["event"] == "request"]
-    rows = losses.count(losses.find_losses(lines, 400), 2.0)
+    rows = losses.count_by_window(losses.classify_requests(lines, 400), 2.0)
     assert sum(causes.total() for _, causes in rows) == len(requests) > 3
