--- a/src/merlinthread/daemon.py
+++ b/src/merlinthread/daemon.py
@@ -1,4 +1,4 @@
-"""`merlinthreadd`: the composition root that wires roles, and the daemon's life."""
+"""The entry point of `merlinthreadd`, the daemon that runs the roles of a VM."""
 
 import argparse
 import pathlib
@@ -11,16 +11,18 @@
 from merlinthread.roles import agent, base, control, entry
 from merlinthread.transport import http_server
 
-WATCH_EVERY_S = 0.5
-LEAVING_GRACE_S = 1.5
+POLL_INTERVAL_S = 0.5
+# Time for others to learn of a shutdown before new requests are rejected.
+SHUTDOWN_NOTICE_S = 1.5
+# Importing these modules registers their roles.
 BUILT_IN_ROLES = (agent, control, entry)
 
 
 class Daemon:
-    """The roles of one process, wired from its settings."""
+    """Creates the roles that the settings list and runs them in this process."""
 
-    def __init__(self, path: pathlib.Path, config: settings.Settings) -> None:
-        self.path = path
+    def __init__(self, settings_path: pathlib.Path, config: settings.Settings) -> None:
+        self.settings_path = settings_path
         self.config = config
         keys = [codec.parse_key(text) for text in config.mesh_keys]
         server = http_server.Server(
@@ -29,61 +31,64 @@
         self.parts = base.Parts(
             config, messages.make_codec(keys), server, http_server.InFlightRequests()
         )
-        http_server.add_health_routes(server.routes, self.not_ready_because)
+        http_server.add_health_routes(server.routes, self.not_ready_reason)
         self.roles = [base.ROLES.get(name)(self.parts) for name in config.roles]
-        self.stop_asked = threading.Event()
-        self.reload_asked = threading.Event()
+        self.stop_requested = threading.Event()
+        self.reload_requested = threading.Event()
 
-    def not_ready_because(self) -> str:
-        """Return the first reason of any role, or nothing."""
-        return next((why for role in self.roles if (why := role.not_ready_because())), "")
+    def not_ready_reason(self) -> str:
+        """Return why one of the roles is not ready, or an empty string if all are."""
+        return next((reason for role in self.roles if (reason := role.not_ready_because())), "")
 
     def run(self) -> int:
-        """Serve until a planned stop; return the exit code."""
-        signal.signal(signal.SIGTERM, lambda *_: self.stop_asked.set())
-        signal.signal(signal.SIGINT, lambda *_: self.stop_asked.set())
-        signal.signal(signal.SIGHUP, lambda *_: self.reload_asked.set())
+        """Run until a signal stops the process or a role fails; return the exit code."""
+        signal.signal(signal.SIGTERM, lambda *_: self.stop_requested.set())
+        signal.signal(signal.SIGINT, lambda *_: self.stop_requested.set())
+        signal.signal(signal.SIGHUP, lambda *_: self.reload_requested.set())
         self.parts.http.start()
         for role in self.roles:
             role.start()
         logs.event("started", version=__version__, roles=self.config.roles)
-        broken = self.watch()
-        self.leave()
-        logs.event("stopped", reason=broken or "asked to")
-        return 1 if broken else 0
-
-    def watch(self) -> str:
-        """Wait for the stop; return why a role broke, or nothing."""
-        while not self.stop_asked.wait(WATCH_EVERY_S):
-            if self.reload_asked.is_set():
-                self.reload_asked.clear()
+        failure = self.wait_for_stop()
+        self.shut_down()
+        logs.event("stopped", reason=failure or "stop requested")
+        return 1 if failure else 0
+
+    def wait_for_stop(self) -> str:
+        """Wait for a stop signal, and reload the settings on SIGHUP.
+
+        Return the reason if a role fails, or an empty string after a stop signal.
+        """
+        while not self.stop_requested.wait(POLL_INTERVAL_S):
+            if self.reload_requested.is_set():
+                self.reload_requested.clear()
                 self.reload()
             for role in self.roles:
-                if why := role.broken_because():
-                    return why
+                if reason := role.broken_because():
+                    return reason
         return ""
 
     def reload(self) -> None:
-        """Take over what may change: keys, log level, operators, members."""
+        """Apply the settings that may change without a restart; on an error, keep the old ones."""
         try:
-            changed = settings.load(self.path)
+            new_config = settings.load(self.settings_path)
         except errors.SettingsError as error:
             logs.warning("reload_refused", reason=error.message)
             return
-        self.parts.codec.set_keys([codec.parse_key(text) for text in changed.mesh_keys])
-        logs.configure(changed.name, changed.log.level)
+        self.parts.codec.set_keys([codec.parse_key(text) for text in new_config.mesh_keys])
+        logs.configure(new_config.name, new_config.log.level)
         for role in self.roles:
-            role.reload(changed)
+            role.reload(new_config)
         logs.event("reloaded")
 
-    def leave(self) -> None:
-        """Take no new work, let others learn of it, wait for what is in progress, then stop."""
+    def shut_down(self) -> None:
+        """Announce the shutdown, wait for the requests in progress, then stop all roles."""
         logs.event("leaving", in_flight=self.parts.in_flight.count)
         self.parts.in_flight.is_draining = True
         for role in self.roles:
             role.begin_leaving()
         if set(self.config.roles) != {"control"}:
-            threading.Event().wait(LEAVING_GRACE_S)
+            threading.Event().wait(SHUTDOWN_NOTICE_S)
         timeouts = [
             section.drain_timeout_s for section in (self.config.entry, self.config.agent) if section
         ]
@@ -95,26 +100,28 @@
             role.stop()
 
 
-def read_arguments(arguments: list[str] | None) -> argparse.Namespace:
-    """Return the parsed command line."""
+def parse_arguments(arguments: list[str] | None) -> argparse.Namespace:
+    """Parse the command line arguments."""
     parser = argparse.ArgumentParser(
-        prog="merlinthreadd", description="The daemon of merlinthread; its roles are settings."
+        prog="merlinthreadd", description="Run the roles that a settings file lists."
     )
-    parser.add_argument("--config", type=pathlib.Path, required=True, help="the settings file")
     parser.add_argument(
-        "--check", action="store_true", help="validate the settings, explain them, and exit"
+        "--config", type=pathlib.Path, required=True, help="path of the settings file"
+    )
+    parser.add_argument(
+        "--check", action="store_true", help="validate and print the settings, then exit"
     )
     parser.add_argument("--version", action="version", version=__version__)
     return parser.parse_args(arguments)
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Run the daemon; return its exit code."""
-    options = read_arguments(arguments)
+    """Run the daemon and return its exit code."""
+    options = parse_arguments(arguments)
     try:
         config = settings.load(options.config)
         if options.check:
-            print("\n".join(settings.explain(config)))
+            print("\n".join(settings.describe(config)))
             print("settings: ok")
             return 0
         logs.configure(config.name, config.log.level)
--- a/src/merlinthread/settings.py
+++ b/src/merlinthread/settings.py
@@ -1,4 +1,4 @@
-"""The settings file: JSON with comments, validated, with a clear word on what is wrong."""
+"""Read and validate the settings file, which is JSON with comments."""
 
 import ipaddress
 import pathlib
@@ -11,14 +11,14 @@
 from merlinthread.protocol import bundle_file
 
 
-def check_address(value: str) -> str:
-    """Return an IP number; raise ValueError for a host name."""
+def validate_address(value: str) -> str:
+    """Return `value` if it is an IP address; raise ValueError otherwise."""
     ipaddress.ip_address(value)
     return value
 
 
-def check_endpoint(value: str) -> str:
-    """Return "IP:port"; raise ValueError for anything else."""
+def validate_endpoint(value: str) -> str:
+    """Return `value` if it is "IP:port"; raise ValueError otherwise."""
     host, _, port = value.rpartition(":")
     ipaddress.ip_address(host.strip("[]"))
     if not port.isdigit() or not 0 < int(port) < 65536:
@@ -26,26 +26,28 @@
     return value
 
 
-def check_url(value: str) -> str:
-    """Return "http://IP:port"; raise ValueError for anything else."""
+def validate_url(value: str) -> str:
+    """Return `value` without a trailing slash; raise ValueError unless it is "http://IP:port"."""
     if not value.startswith("http://"):
         raise ValueError("write it as http://IP:port")
-    check_endpoint(value.removeprefix("http://").rstrip("/"))
+    validate_endpoint(value.removeprefix("http://").rstrip("/"))
     return value.rstrip("/")
 
 
-def check_mesh_key(value: str) -> str:
-    """Return 64 hex digits; raise ValueError for anything else."""
+def validate_mesh_key(value: str) -> str:
+    """Return `value` if it has 64 hex digits; raise ValueError otherwise."""
     if len(bytes.fromhex(value)) != 32:
-        raise ValueError("a key has 64 hex digits; make one with `merlinthread keys new --mesh`")
+        raise ValueError(
+            "a key has 64 hex digits; generate one with `merlinthread keys new --mesh`"
+        )
     return value
 
 
 Name = bundle_file.Name
-Address = Annotated[str, pydantic.AfterValidator(check_address)]
-Endpoint = Annotated[str, pydantic.AfterValidator(check_endpoint)]
-Url = Annotated[str, pydantic.AfterValidator(check_url)]
-MeshKey = Annotated[str, pydantic.AfterValidator(check_mesh_key)]
+Address = Annotated[str, pydantic.AfterValidator(validate_address)]
+Endpoint = Annotated[str, pydantic.AfterValidator(validate_endpoint)]
+Url = Annotated[str, pydantic.AfterValidator(validate_url)]
+MeshKey = Annotated[str, pydantic.AfterValidator(validate_mesh_key)]
 Port = Annotated[int, pydantic.Field(ge=1, le=65535)]
 Seconds = Annotated[float, pydantic.Field(gt=0, le=86400 * 365)]
 Count = Annotated[int, pydantic.Field(ge=1, le=100_000)]
@@ -53,195 +55,198 @@
 
 
 class Section(pydantic.BaseModel):
-    """Base of the settings' parts: unknown keys are refused, types are not guessed."""
+    """Base class of the sections; rejects unknown keys and does not convert types."""
 
     model_config = pydantic.ConfigDict(extra="forbid", strict=True, use_attribute_docstrings=True)
 
 
 class Http(Section):
-    """The HTTP listener of this process."""
+    """The HTTP server of this process."""
 
     address: Address
-    """IP number to listen on."""
+    """IP address to listen on."""
     port: Port
     """TCP port."""
     threads: Annotated[int, pydantic.Field(ge=2, le=512)] = 32
-    """Requests served at once; a streamed answer holds one."""
+    """Number of requests served concurrently; a streamed response counts until it ends."""
     body_bytes_max: Bytes = 8 * 1024 * 1024
-    """Longest request body."""
+    """Maximum size of a request body."""
 
 
 class Log(Section):
-    """Logs go to standard error as JSON lines."""
+    """Logging, as JSON lines on standard error."""
 
     level: Literal["debug", "info", "warning", "error"] = "info"
-    """Lowest level that is logged."""
+    """Minimum level of events that are logged."""
 
 
 class ControlPeer(Section):
-    """Where a control VM is reached: by its peers' log (`log_bus`) and by entries (`bus`)."""
+    """The name and addresses of a control VM."""
 
     name: Name
     """Name of the control VM."""
     log_bus: Endpoint
-    """Where members of the log reach it."""
+    """Address for the other members of the replicated log."""
     bus: Endpoint
-    """Where entries reach it."""
+    """Address for entries."""
 
 
 class Operator(Section):
-    """Who may sign bundles, with an Ed25519 public key of 64 hex digits."""
+    """An operator, who may sign bundles."""
 
     name: Name
-    """Name that signs."""
+    """Name of the operator."""
     public_key: bundle_file.Digest
     """Ed25519 public key from `merlinthread keys new`, 64 hex digits."""
 
 
 class Control(Section):
-    """A member of the replicated log."""
+    """Settings of a control VM, which is a member of the replicated log."""
 
     data_folder: str
-    """Folder for the log and its snapshots; held by one process."""
+    """Folder for the log and its snapshots; locked by the process that uses it."""
     members: Annotated[list[ControlPeer], pydantic.Field(min_length=1, max_length=32)]
-    """The first members, and this VM itself."""
+    """Initial members of the log, and this VM."""
     replaces: str = ""
-    """Name of the lost member whose place this new VM takes; empty for a first member."""
+    """Name of the lost member that this new VM replaces; empty for an initial member."""
     operators: list[Operator]
-    """Who may sign bundles."""
+    """Operators who may sign bundles."""
     signatures_required: Annotated[int, pydantic.Field(ge=1, le=16)] = 1
-    """How many operators must sign before a roll."""
+    """Number of operators who must sign a bundle before it can be rolled out."""
     heartbeat_s: Seconds = 0.1
-    """Time between a leader's heartbeats."""
+    """Interval between heartbeats of the leader."""
     election_min_s: Seconds = 0.6
-    """Shortest silence before an election."""
+    """Minimum election timeout."""
     election_max_s: Seconds = 1.2
-    """Longest silence before an election."""
+    """Maximum election timeout."""
     commit_timeout_s: Seconds = 5.0
-    """How long a command waits for a majority before its outcome is called unknown."""
+    """Time limit for committing a command; after it, the outcome is reported as unknown."""
     compact_after_entries: Count = 500
-    """Entries after which the log is replaced by a snapshot."""
+    """Number of log entries after which the log is compacted into a snapshot."""
     place_every_s: Seconds = 0.5
-    """Time between looks at the placement."""
+    """Interval between updates of the placement of models on VMs."""
     agent_lost_after_s: Seconds = 5.0
-    """Silence of an entry after which the agents it alone vouches for are lost."""
+    """Time without reports from an entry after which agents that only it reports count as lost."""
     claims_kept_s: Seconds = 86400.0
-    """How long answers of calls that must not be repeated are kept."""
+    """Time for which responses to calls with an idempotency key are kept."""
 
 
 class Entry(Section):
-    """Serves callers and looks after the agents of its availability zone."""
+    """Settings of an entry, which serves clients and monitors agents of its availability zone."""
 
     controls: Annotated[list[Endpoint], pydantic.Field(min_length=1)]
-    """The control VMs' `bus`, nearest first."""
+    """Addresses (`bus`) of the control VMs, nearest first."""
     entries: list[Endpoint] = []
-    """The `bus` of other entries, in all zones."""
+    """Addresses (`bus`) of other entries, in all zones."""
     platform_url: Url | None = None
-    """The platform's list of VMs."""
+    """URL of the platform, which lists the VMs."""
     policy: str = "least_loaded"
     """Routing policy: least_loaded, two_choices or random."""
     poll_every_s: Seconds = 0.25
-    """Time between questions to a control VM."""
+    """Interval between polls of a control VM."""
     tell_every_s: Seconds = 0.5
-    """Time between reports of changes to the leader."""
+    """Interval between reports of agent changes to the leader."""
     exchange_every_s: Seconds = 2.0
-    """Time between exchanges with another entry."""
+    """Interval between exchanges of state with another entry."""
     summary_lost_after_s: Seconds = 10.0
-    """Age after which another entry's word does not count."""
+    """Age after which the summary of another entry is ignored."""
     agent_lost_after_s: Seconds = 2.0
-    """Silence after which an agent gets no more work."""
+    """Time without heartbeats after which an agent gets no more requests."""
     default_deadline_s: Seconds = 30.0
-    """Deadline of requests that name none."""
+    """Deadline of requests that do not specify one."""
     attempts_max: Annotated[int, pydantic.Field(ge=1, le=10)] = 3
-    """Targets tried for one request."""
+    """Maximum number of targets tried for a request."""
     answer_bytes_max: Bytes = 8 * 1024 * 1024
-    """Longest answer that is held in memory."""
+    """Maximum size of a response that is buffered in memory."""
     drain_timeout_s: Seconds = 60.0
-    """How long a planned stop waits for requests in progress."""
+    """Maximum time that a shutdown waits for requests in progress."""
 
 
 class Agent(Section):
-    """The small process beside a target."""
+    """Settings of an agent, which runs beside a target."""
 
     entries: Annotated[list[Endpoint], pydantic.Field(min_length=1)]
-    """The `bus` of the zone's entries."""
+    """Addresses (`bus`) of the entries in the availability zone."""
     target_url: Url
-    """The engine or service."""
+    """URL of the engine or service."""
     target_kind: Literal["generate", "service"]
-    """generate for an engine, service for a plain service."""
+    """Kind of the target: generate for an inference engine, service for any other service."""
     service: str = ""
-    """Name of the service in the bundle."""
+    """Name of the service in the bundle, if the target is a service."""
     origin_url: Url | None = None
-    """The origin of weights."""
+    """URL of the origin from which weights are downloaded."""
     weight_store_url: Url | None = None
-    """Where manifests are."""
+    """URL of the weight store, which holds the manifests."""
     store_folder: str | None = None
-    """Folder for chunks; in memory if it is left out."""
+    """Folder for chunks; if it is left out, they are kept in memory."""
     store_bytes: Bytes = 4 * 1024**3
-    """Most bytes of chunks kept."""
+    """Maximum total size of the stored chunks."""
     slots: Annotated[int, pydantic.Field(ge=1, le=4096)] = 16
-    """Requests on the target at once."""
+    """Maximum number of concurrent requests on the target."""
     queue_max: Count = 1024
-    """Requests that may wait."""
+    """Maximum number of queued requests."""
     heartbeat_every_s: Seconds = 0.5
-    """Time between reports to an entry."""
+    """Interval between heartbeats to an entry."""
     heartbeat_entries: Annotated[int, pydantic.Field(ge=1, le=8)] = 2
-    """How many of the zone's entries get reports."""
+    """Number of entries in the availability zone to which heartbeats are sent."""
     link_bytes_per_s: Bytes = 1024**3
-    """Share of this VM's link for weights, each way."""
+    """Rate limit for weight transfers of this VM, in each direction."""
     origin_bytes_per_s: Bytes = 1024**3
-    """Share of the origin's link for this VM."""
+    """Rate limit for downloads of this VM from the origin."""
     upload_slots: Annotated[int, pydantic.Field(ge=1, le=64)] = 4
-    """Chunks given at once."""
+    """Maximum number of concurrent chunk uploads."""
     download_slots: Annotated[int, pydantic.Field(ge=1, le=64)] = 4
-    """Chunks asked for at once."""
+    """Maximum number of concurrent chunk downloads."""
     fetch_policy: str = "spread"
     """Fetch policy: spread, tree or origin_only."""
     checks_fences: bool = True
-    """Whether the target refuses orders that are lower than one it obeyed."""
+    """Whether the target rejects orders with a lower fencing token than one it has accepted."""
     drain_timeout_s: Seconds = 60.0
-    """How long a planned stop waits for requests in progress."""
+    """Maximum time that a shutdown waits for requests in progress."""
 
 
 class Settings(Section):
-    """A whole settings file."""
+    """The top level of the settings file."""
 
     name: Name
-    """Name of this VM, unique."""
+    """Unique name of this VM."""
     availability_zone: Name
-    """Its availability zone."""
+    """Availability zone of this VM."""
     region: Name
-    """Its zone's region."""
+    """Region of the availability zone."""
     roles: Annotated[list[Literal["entry", "control", "agent"]], pydantic.Field(min_length=1)]
-    """What this process is."""
+    """Roles that this process runs."""
     http: Http
-    """The HTTP listener."""
+    """Settings of the HTTP server."""
     bus: Endpoint
-    """Where our other processes reach this one."""
+    """Address at which other processes of the deployment reach this one."""
     mesh_keys: list[MeshKey] = []
-    """Shared keys of all processes: the first signs, all verify; changed by SIGHUP."""
+    """Keys shared by all processes: the first signs messages, all verify; reloaded on SIGHUP."""
     log: Log = Log()
-    """Logs."""
+    """Settings of logging."""
     control: Control | None = None
-    """Settings of the role control."""
+    """Settings of the control role."""
     entry: Entry | None = None
-    """Settings of the role entry."""
+    """Settings of the entry role."""
     agent: Agent | None = None
-    """Settings of the role agent."""
+    """Settings of the agent role."""
 
     @pydantic.model_validator(mode="after")
     def sections_match_roles(self) -> "Settings":
-        """Require a section for each role."""
+        """Require a section for each role, and no duplicate roles."""
         for role in self.roles:
             if getattr(self, role) is None:
                 raise ValueError(f"role {role!r} needs a section {role!r}; add it")
         if len(set(self.roles)) < len(self.roles):
-            raise ValueError("a role stands twice in roles; take one out")
+            raise ValueError("a role is listed twice in roles; remove one")
         return self
 
 
 def load(path: pathlib.Path) -> Settings:
-    """Return the settings in `path`; raise SettingsError with file, key path, value and remedy."""
+    """Read and validate a settings file.
+
+    Raises SettingsError, whose message names the file, the field, its value and the remedy.
+    """
     try:
         text = path.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
@@ -250,11 +255,11 @@
 
 
 def parse(text: str, source: str) -> Settings:
-    """Return the settings in `text`; raise SettingsError naming `source`."""
+    """Parse and validate settings; raise SettingsError, whose message names `source`."""
     try:
         data: Any = json5.loads(text, allow_duplicate_keys=False)
     except (ValueError, RecursionError) as error:
-        raise errors.SettingsError(f"{source}: is not JSON with comments: {error}")
+        raise errors.SettingsError(f"{source}: invalid JSON with comments: {error}")
     try:
         return Settings.model_validate(data)
     except pydantic.ValidationError as error:
@@ -263,19 +268,19 @@
         )
 
 
-def explain(settings: Settings) -> list[str]:
-    """Return one line for each setting in force, with its key path."""
+def describe(settings: Settings) -> list[str]:
+    """Return a line with the dotted key and value of each setting, including defaults."""
     lines: list[str] = []
-    collect(lines, "", settings.model_dump())
+    append_settings(lines, "", settings.model_dump())
     return lines
 
 
-def collect(lines: list[str], prefix: str, value: Any) -> None:
-    """Add the lines of `value`; secrets are not shown."""
+def append_settings(lines: list[str], prefix: str, value: Any) -> None:
+    """Append the lines for `value`, which is at key `prefix`; mesh keys are not included."""
     if isinstance(value, dict):
-        for key, part in value.items():
-            if part is not None:
-                collect(lines, f"{prefix}.{key}" if prefix else key, part)
+        for key, nested in value.items():
+            if nested is not None:
+                append_settings(lines, f"{prefix}.{key}" if prefix else key, nested)
         return
-    shown = f"{len(value)} key(s), not shown" if prefix == "mesh_keys" else value
-    lines.append(f"{prefix} = {shown}")
+    text = f"{len(value)} key(s), not shown" if prefix == "mesh_keys" else value
+    lines.append(f"{prefix} = {text}")
--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -44,7 +44,7 @@
 def test_example_settings_load(name):
     loaded = settings.load(ROOT / "examples" / f"{name}.json")
     assert loaded.roles == [name]
-    assert len(settings.explain(loaded)) > 10
+    assert len(settings.describe(loaded)) > 10
 
 
 @pytest.mark.parametrize("name", ["bundle-ingoma", "bundle-luz"])
