--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures: one fleet of real processes for tests that only read, a new one for the others."""
+"""Fixtures for fleets of real processes, and the order and marks of all tests."""
 
 import pathlib
 from collections.abc import Iterator
@@ -8,13 +8,13 @@
 
 from bench import fleet as fleets
 
-# The same examples every time, however busy the machine is.
+# Deterministic examples, and no deadline, so that a busy machine does not fail a test.
 hypothesis.settings.register_profile("ci", deadline=None, derandomize=True, database=None)
 hypothesis.settings.load_profile("ci")
 
 KNOWN_RED = pathlib.Path(__file__).parent.parent / "KNOWN-RED.txt"
-# Modules of pure deciders, without processes, sockets or waiting.
-QUICK = {
+# Modules whose tests use no processes, sockets or sleeps.
+QUICK_MODULES = {
     "test_backend_signals.py",
     "test_change_over.py",
     "test_chunk_announcements.py",
@@ -29,36 +29,46 @@
     "test_return_times.py",
     "test_state.py",
 }
-# Modules with tests of ten seconds and more. They begin first, so that none is left over when all
-# others have ended.
-LONG = ("test_upgrade.py", "test_soak.py", "test_weights_failures.py", "test_control_failures.py")
+# Modules with tests that run for ten seconds or more; started first to shorten a parallel run.
+SLOW_MODULES = (
+    "test_upgrade.py",
+    "test_soak.py",
+    "test_weights_failures.py",
+    "test_control_failures.py",
+)
 OBJECT_BYTES = 512 * 1024
 CHUNK_BYTES = 64 * 1024
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Pass over the tests of KNOWN-RED.txt; each is run and told with its cause, red or not."""
+    """Mark and sort the collected tests.
+
+    Tests listed in KNOWN-RED.txt are marked as xfail: they run and are reported with their entry,
+    but do not fail the run.
+    """
     lines = KNOWN_RED.read_text().splitlines() if KNOWN_RED.exists() else []
-    red = {line.split(" | ")[0].strip(): line for line in lines if line.strip()}
+    known_failures = {line.split(" | ")[0].strip(): line for line in lines if line.strip()}
     for item in items:
-        if item.nodeid in red:
-            item.add_marker(pytest.mark.xfail(reason=red[item.nodeid], strict=False))
-        if item.path.name in QUICK:
+        if item.nodeid in known_failures:
+            item.add_marker(pytest.mark.xfail(reason=known_failures[item.nodeid], strict=False))
+        if item.path.name in QUICK_MODULES:
             item.add_marker(pytest.mark.quick)
         if "rolled_fleet" in getattr(item, "fixturenames", ()):
-            # Its processes are shared by a module's tests: one worker runs them all.
+            # The fixture is shared by a module, whose tests must run on the same worker.
             item.add_marker(pytest.mark.xdist_group(item.path.name))
-    items.sort(key=begins_at)
+    items.sort(key=sort_key)
 
 
-def begins_at(item: pytest.Item) -> int:
-    """Return an item's place by its module: that in `LONG`, or after all of these."""
-    return LONG.index(item.path.name) if item.path.name in LONG else len(LONG)
+def sort_key(item: pytest.Item) -> int:
+    """Return the sort key of a test: the index of its module in SLOW_MODULES, or the last."""
+    return (
+        SLOW_MODULES.index(item.path.name) if item.path.name in SLOW_MODULES else len(SLOW_MODULES)
+    )
 
 
 @pytest.fixture
 def make_fleet(tmp_path: pathlib.Path) -> Iterator:
-    """Return a function that starts a fleet; all are ended after the test."""
+    """Return a function that starts a fleet; the fleets are killed after the test."""
     started: list[fleets.Fleet] = []
 
     def make(shape: fleets.Shape | None = None) -> fleets.Fleet:
@@ -68,14 +78,14 @@
         return fleet
 
     yield make
-    # No test looks at what comes after its end: planned stops are tests of their own.
+    # Killed rather than stopped: graceful shutdown has tests of its own.
     for fleet in started:
         fleet.kill()
 
 
 @pytest.fixture(scope="module")
 def rolled_fleet(tmp_path_factory: pytest.TempPathFactory) -> Iterator[fleets.Fleet]:
-    """Return a small fleet with one bundle in force; shared by a module's tests."""
+    """Return a small fleet with a bundle rolled out, shared by the tests of a module."""
     shape = fleets.Shape(zones=("zone-a", "zone-b"), regions=("region-1",), engines_per_zone=2)
     fleet = fleets.Fleet(tmp_path_factory.mktemp("fleet"), shape)
     fleet.start()
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -1,4 +1,4 @@
-"""`explain` finds the cause of a failed request by its id, in recorded log lines."""
+"""`explain` finds the cause of a failed request in recorded logs."""
 
 import pathlib
 
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,3 +1,5 @@
+"""Imports follow the layers of the package, and the package starts no processes."""
+
 import pathlib
 
 from bench import layers
@@ -18,5 +20,5 @@
 def test_no_part_of_the_product_starts_a_process():
     for path in ROOT.rglob("*.py"):
         text = path.read_text()
-        for word in ("subprocess", "multiprocessing", "os.fork", "posix_spawn", "shared_memory"):
-            assert word not in text, f"{path} names {word}"
+        for name in ("subprocess", "multiprocessing", "os.fork", "posix_spawn", "shared_memory"):
+            assert name not in text, f"{path} contains {name}"
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -1,4 +1,4 @@
-"""Lost and late requests by moment and cause, from entries' log lines."""
+"""`losses` assigns one cause to each request and counts requests by arrival time."""
 
 import pytest
 
--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -1,4 +1,4 @@
-"""Pages agree with the code, the raw figures and the tests; examples load and run."""
+"""The documentation matches the code, the measurements and the tests, and the examples work."""
 
 import pathlib
 import re
@@ -31,13 +31,13 @@
     text = (ROOT / "docs" / "PROMISES.md").read_text()
     named = set(re.findall(r"`((?:test_|Test)\w+)`", text))
     assert len(named) > 20
-    assert named <= known, f"not there: {named - known}"
+    assert named <= known, f"missing tests: {named - known}"
 
 
 def test_files_that_pages_name_exist():
     for page in [ROOT / "README.md", *(ROOT / "docs").rglob("*.md")]:
         for name in re.findall(r"`((?:docs|examples|bench|tests)/[\w./-]+)`", page.read_text()):
-            assert (ROOT / name).exists(), f"{page.name} names {name}"
+            assert (ROOT / name).exists(), f"{page.name} refers to {name}, which is missing"
 
 
 @pytest.mark.parametrize("name", ["entry", "control", "agent"])
@@ -55,10 +55,10 @@
 
 @pytest.mark.parametrize("name", ["embed_log", "embed_fair_queue"])
 def test_examples_of_embedding_run(name):
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, str(ROOT / "examples" / f"{name}.py")],
         capture_output=True,
         text=True,
         timeout=60,
     )
-    assert done.returncode == 0, done.stderr
+    assert completed.returncode == 0, completed.stderr
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,4 +1,4 @@
-"""Another build beside this one: a short seeded run from the newest landed build that is here."""
+"""This build works together with earlier ones, in stored data and during a rolling upgrade."""
 
 import os
 import pathlib
@@ -21,7 +21,7 @@
     release_bytes.write(tmp_path / "today.json")
     try:
         with upgrade_builds.build_of(upgrade_builds.LANDED[0]) as old:
-            found = subprocess.run(
+            reader = subprocess.run(
                 [sys.executable, "-m", "bench.release_bytes", "read", tmp_path / "today.json"],
                 cwd=soak_nodes.ROOT,
                 env=os.environ | {"PYTHONPATH": str(old)},
@@ -31,24 +31,24 @@
     except upgrade_builds.MissingCommitError as error:
         print(f"not run: {error}")
         pytest.skip(str(error))
-    assert (found.stdout, found.returncode) == ("", 0), found.stderr
+    assert (reader.stdout, reader.returncode) == ("", 0), reader.stderr
 
 
-# Nearly all requests must be served: beside others, processes stand still for a second.
+# Requires nearly all requests to succeed, which other tests on the machine could prevent.
 @pytest.mark.timed
 def test_vms_replaced_one_after_the_other_by_this_build_and_back_cost_no_request(tmp_path):
     plan = upgrade.Plan("forward-back", "controls", 1, troubles=("revoke",))
     try:
         with upgrade_builds.build_of(upgrade_builds.LANDED[0]) as old:
-            verdict = upgrade.run(plan, old, tmp_path)
+            result = upgrade.run(plan, old, tmp_path)
     except upgrade_builds.MissingCommitError as error:
         print(f"not run: {error}")
         pytest.skip(str(error))
-    assert upgrade.problems(verdict, calm_share=1.0) == [], f"logs are in {tmp_path}"
-    assert verdict.asked > 500 and verdict.acknowledged > 20
-    # A key that is taken away on the way was served until then, and by neither build afterwards.
-    held, revoked = verdict.key_answers
-    assert held[200] > 10 and sum(revoked.values()) > 10 and 200 not in revoked
+    assert upgrade.problems(result, calm_share=1.0) == [], f"logs are in {tmp_path}"
+    assert result.asked > 500 and result.acknowledged > 20
+    # A key revoked during the upgrade is accepted until then, and by neither build afterwards.
+    accepted, revoked = result.key_answers
+    assert accepted[200] > 10 and sum(revoked.values()) > 10 and 200 not in revoked
 
 
 def test_a_commit_that_is_not_here_is_said_in_one_line(capsys):
