--- a/tests/test_control_failures.py
+++ b/tests/test_control_failures.py
@@ -172,7 +172,7 @@
             15,
         )
     outside = [vm.http for vm in fleet.controls() if vm.name not in inside]
-    ana.controls.controls = outside
+    ana.controls.addresses = outside
     result = ana.bring_in(bundle(2))
     assert result.generation == 2
     generations = dict(
