--- a/bench/swarm.py
+++ b/bench/swarm.py
@@ -16,7 +16,7 @@
 from merlinthread import logs, settings
 from merlinthread.coordination import fetch
 from merlinthread.protocol import messages
-from merlinthread.roles import base, chunk_giver, weights
+from merlinthread.roles import base, chunk_server, weights
 from merlinthread.state import chunks
 from merlinthread.transport import bus, http_server
 
@@ -24,7 +24,7 @@
 NOWHERE = "127.0.0.1:1"
 
 
-class CorruptingGiver(chunk_giver.ChunkGiver):
+class CorruptingGiver(chunk_server.ChunkGiver):
     """A giver whose chunks are damaged now and then."""
 
     corrupt_share = 0.0
