--- a/src/merlinthread/roles/completion.py
+++ b/src/merlinthread/roles/completion.py
@@ -12,7 +12,7 @@
 from merlinthread.transport import http_client, http_server
 
 if typing.TYPE_CHECKING:
-    from merlinthread.roles import request_path
+    from merlinthread.roles import request_handler
 
 
 @dataclasses.dataclass(slots=True)
--- a/src/merlinthread/roles/entry.py
+++ b/src/merlinthread/roles/entry.py
@@ -11,7 +11,7 @@
 from merlinthread import settings as settings_
 from merlinthread.coordination import agents, commands, control_state, sessions, summaries
 from merlinthread.protocol import messages
-from merlinthread.roles import base, forwarding, request_path
+from merlinthread.roles import base, forwarding, request_handler
 from merlinthread.transport import bus, http_client
 
 LEASE_S = 3.0
@@ -314,7 +314,9 @@
         ]
         if config.platform_url:
             self.tasks.append(base.Task("platform", PLATFORM_EVERY_S, self.read_platform))
-        self.path = request_path.RequestPath(parts, config, self.zone, Submitter(parts, self.link))
+        self.path = request_handler.RequestPath(
+            parts, config, self.zone, Submitter(parts, self.link)
+        )
         self.path.add_routes(parts.http.routes)
         self.forwarder = forwarding.Forwarder(self.path)
         for method in ("GET", "POST"):
--- a/src/merlinthread/roles/service_call.py
+++ b/src/merlinthread/roles/service_call.py
@@ -15,7 +15,7 @@
 from merlinthread.transport import http_client, http_server
 
 if typing.TYPE_CHECKING:
-    from merlinthread.roles import entry, request_path
+    from merlinthread.roles import entry, request_handler
 
 CLAIM_WAIT_S = 2.0
 RUNNING_POLL_S = 0.05
