--- a/src/merlinthread/roles/completion.py
+++ b/src/merlinthread/roles/completion.py
@@ -29,7 +29,9 @@
 class Completion:
     """One completion request: attempts until one streams, resumed elsewhere if it breaks off."""
 
-    def __init__(self, path: "request_path.RequestPath", request: http_server.Request) -> None:
+    def __init__(
+        self, path: "request_handler.RequestHandler", request: http_server.Request
+    ) -> None:
         self.path = path
         self.request = request
         self.call = path.admit(request)
--- a/src/merlinthread/roles/entry.py
+++ b/src/merlinthread/roles/entry.py
@@ -314,7 +314,7 @@
         ]
         if config.platform_url:
             self.tasks.append(base.Task("platform", PLATFORM_EVERY_S, self.read_platform))
-        self.path = request_handler.RequestPath(
+        self.path = request_handler.RequestHandler(
             parts, config, self.zone, Submitter(parts, self.link)
         )
         self.path.add_routes(parts.http.routes)
--- a/src/merlinthread/roles/forwarding.py
+++ b/src/merlinthread/roles/forwarding.py
@@ -20,7 +20,7 @@
 class Forwarder:
     """Answers attempts of other entries like an agent would, by passing them to an agent."""
 
-    def __init__(self, path: "request_path.RequestPath") -> None:
+    def __init__(self, path: "request_handler.RequestHandler") -> None:
         self.path = path
 
     def on_request(self, request: http_server.Request) -> http_server.Response:
--- a/src/merlinthread/roles/request_handler.py
+++ b/src/merlinthread/roles/request_handler.py
@@ -46,7 +46,7 @@
         return self.counts.get(agent, 0)
 
 
-class RequestPath:
+class RequestHandler:
     """Handles callers' requests; every request has a thread of its own."""
 
     def __init__(
--- a/src/merlinthread/roles/service_call.py
+++ b/src/merlinthread/roles/service_call.py
@@ -64,7 +64,9 @@
 class ServiceCall:
     """One call of a plain service; one that may not be repeated is claimed first."""
 
-    def __init__(self, path: "request_path.RequestPath", request: http_server.Request) -> None:
+    def __init__(
+        self, path: "request_handler.RequestHandler", request: http_server.Request
+    ) -> None:
         self.path = path
         self.request = request
         self.call = path.admit(request)
