--- a/bench/swarm.py
+++ b/bench/swarm.py
@@ -24,7 +24,7 @@
 NOWHERE = "127.0.0.1:1"
 
 
-class CorruptingGiver(chunk_server.ChunkGiver):
+class CorruptingGiver(chunk_server.ChunkServer):
     """A giver whose chunks are damaged now and then."""
 
     corrupt_share = 0.0
--- a/src/merlinthread/roles/agent.py
+++ b/src/merlinthread/roles/agent.py
@@ -45,7 +45,7 @@
         self.tried_at = float("-inf")
         folder = pathlib.Path(config.store_folder) if config.store_folder else None
         self.weights = weights.Weights(parts, config, chunks.ChunkStore(folder, config.store_bytes))
-        self.giver = chunk_server.ChunkGiver(self.weights)
+        self.giver = chunk_server.ChunkServer(self.weights)
         self.target = target.Target(parts, config, self.incarnation)
         self.responder = bus.RpcServer(
             parts.settings.bus,
--- a/src/merlinthread/roles/chunk_server.py
+++ b/src/merlinthread/roles/chunk_server.py
@@ -12,7 +12,7 @@
     from merlinthread.roles import weights
 
 
-class ChunkGiver:
+class ChunkServer:
     """Answers other agents within the upload slots and the link's share."""
 
     def __init__(self, held: "weights.Weights") -> None:
