--- a/bench/swarm.py
+++ b/bench/swarm.py
@@ -43,7 +43,7 @@
 
     def __init__(self, config: dict) -> None:
         checked = settings.parse(json.dumps(config["settings"]), "bench")
-        parts = base.Parts(
+        context = base.RoleContext(
             checked,
             messages.make_codec([]),
             http_server.Server("127.0.0.1", 1, 2),
@@ -52,11 +52,11 @@
         assert checked.agent is not None
         folder = pathlib.Path(config["folder"]) if config.get("folder") else None
         store = chunks.ChunkStore(folder, 1 << 34)
-        self.weights = weights.Weights(parts, checked.agent, store)
+        self.weights = weights.Weights(context, checked.agent, store)
         self.giver = CorruptingGiver(self.weights)
         self.giver.corrupt_share = config.get("corrupt_share", 0.0)
         self.responder = bus.RpcServer(
-            checked.bus, parts.codec, self.giver.handle, workers=RESPONDERS
+            checked.bus, context.codec, self.giver.handle, workers=RESPONDERS
         )
         self.responder.start()
         self.weights.start()
@@ -89,7 +89,7 @@
         for agent in self.agents.values():
             if agent.is_dead:
                 continue
-            zone = agent.weights.parts.settings.availability_zone
+            zone = agent.weights.context.settings.availability_zone
             peers = []
             for name, other, _, address in order["peers"]:
                 if name == agent.weights.name:
--- a/src/merlinthread/daemon.py
+++ b/src/merlinthread/daemon.py
@@ -26,11 +26,11 @@
         server = http_server.Server(
             config.http.address, config.http.port, config.http.threads, config.http.body_bytes_max
         )
-        self.parts = base.Parts(
+        self.context = base.RoleContext(
             config, messages.make_codec(keys), server, http_server.InFlightRequests()
         )
         http_server.add_health_routes(server.routes, self.not_ready_because)
-        self.roles = [base.ROLES.get(name)(self.parts) for name in config.roles]
+        self.roles = [base.ROLES.get(name)(self.context) for name in config.roles]
         self.stop_asked = threading.Event()
         self.reload_asked = threading.Event()
 
@@ -43,7 +43,7 @@
         signal.signal(signal.SIGTERM, lambda *_: self.stop_asked.set())
         signal.signal(signal.SIGINT, lambda *_: self.stop_asked.set())
         signal.signal(signal.SIGHUP, lambda *_: self.reload_asked.set())
-        self.parts.http.start()
+        self.context.http.start()
         for role in self.roles:
             role.start()
         logs.event("started", version=__version__, roles=self.config.roles)
@@ -70,7 +70,7 @@
         except errors.SettingsError as error:
             logs.warning("reload_refused", reason=error.message)
             return
-        self.parts.codec.set_keys([codec.parse_key(text) for text in changed.mesh_keys])
+        self.context.codec.set_keys([codec.parse_key(text) for text in changed.mesh_keys])
         logs.configure(changed.name, changed.log.level)
         for role in self.roles:
             role.reload(changed)
@@ -78,8 +78,8 @@
 
     def leave(self) -> None:
         """Take no new work, let others learn of it, wait for what is in progress, then stop."""
-        logs.event("leaving", in_flight=self.parts.in_flight.count)
-        self.parts.in_flight.is_draining = True
+        logs.event("leaving", in_flight=self.context.in_flight.count)
+        self.context.in_flight.is_draining = True
         for role in self.roles:
             role.begin_leaving()
         if set(self.config.roles) != {"control"}:
@@ -87,10 +87,10 @@
         timeouts = [
             section.drain_timeout_s for section in (self.config.entry, self.config.agent) if section
         ]
-        is_drained = self.parts.in_flight.drain(max(timeouts, default=0.0))
+        is_drained = self.context.in_flight.drain(max(timeouts, default=0.0))
         if not is_drained:
-            logs.warning("drain_timeout", in_flight=self.parts.in_flight.count)
-        self.parts.http.stop()
+            logs.warning("drain_timeout", in_flight=self.context.in_flight.count)
+        self.context.http.stop()
         for role in self.roles:
             role.stop()
 
--- a/src/merlinthread/roles/agent.py
+++ b/src/merlinthread/roles/agent.py
@@ -28,12 +28,12 @@
 class AgentRole(base.Role):
     """An agent: heartbeats, weights, orders and requests of one target."""
 
-    def __init__(self, parts: base.Parts) -> None:
-        super().__init__(parts)
-        config = parts.settings.agent
+    def __init__(self, context: base.RoleContext) -> None:
+        super().__init__(context)
+        config = context.settings.agent
         assert config is not None
         self.config = config
-        self.incarnation = int(parts.wall_clock() * 1000)
+        self.incarnation = int(context.wall_clock() * 1000)
         self.lock = threading.Lock()
         self.counter = 0
         self.directive = control_state.Directive()
@@ -44,17 +44,19 @@
         self.trouble = ""
         self.tried_at = float("-inf")
         folder = pathlib.Path(config.store_folder) if config.store_folder else None
-        self.weights = weights.Weights(parts, config, chunks.ChunkStore(folder, config.store_bytes))
+        self.weights = weights.Weights(
+            context, config, chunks.ChunkStore(folder, config.store_bytes)
+        )
         self.giver = chunk_server.ChunkServer(self.weights)
-        self.target = target.Target(parts, config, self.incarnation)
+        self.target = target.Target(context, config, self.incarnation)
         self.responder = bus.RpcServer(
-            parts.settings.bus,
-            parts.codec,
+            context.settings.bus,
+            context.codec,
             self.giver.handle,
             workers=config.upload_slots + 2,
         )
         self.entries = self.choose_entries()
-        self.callers = {address: bus.RpcClients(parts.codec) for address in self.entries}
+        self.callers = {address: bus.RpcClients(context.codec) for address in self.entries}
         self.home = self.entries[0]
         self.told: dict[str, tuple[object, ...]] = {}
         self.beats = [self.make_beat(address) for address in self.entries]
@@ -62,15 +64,15 @@
             base.Task("status", STATUS_EVERY_S, self.target.refresh),
             base.Task("switch", SWITCH_EVERY_S, self.change),
         ]
-        parts.http.routes.add("GET", "/weights/", self.give_weights)
+        context.http.routes.add("GET", "/weights/", self.give_weights)
         for method in ("GET", "POST"):
-            parts.http.routes.add(method, "/target/", self.target.on_request)
+            context.http.routes.add(method, "/target/", self.target.on_request)
 
     def choose_entries(self) -> list[str]:
         """Return the entries to report to: a few of the zone's, others for other agents."""
         ordered = sorted(
             self.config.entries,
-            key=lambda address: fetch.rendezvous_weight(address, self.parts.settings.name, 0),
+            key=lambda address: fetch.rendezvous_weight(address, self.context.settings.name, 0),
         )
         return ordered[: self.config.heartbeat_entries]
 
@@ -100,7 +102,7 @@
         with self.lock:
             self.counter += 1
             counter = self.counter
-        own = self.parts.settings
+        own = self.context.settings
         return agents.AgentReport(
             own.name,
             self.incarnation,
@@ -125,11 +127,11 @@
 
     def is_leaving(self) -> bool:
         """Return whether the target takes no new work."""
-        return self.parts.in_flight.is_draining or self.target.is_leaving or self.is_replaced
+        return self.context.in_flight.is_draining or self.target.is_leaving or self.is_replaced
 
     def beat(self, address: str) -> None:
         """Report to one entry and take over what it says."""
-        sent_at = self.parts.clock()
+        sent_at = self.context.clock()
         report = self.report()
         try:
             reply = self.tell(address, report)
@@ -143,7 +145,7 @@
         if self.orders_from == float("-inf"):
             # A target that checks no fences: wait until the agent before has lost its lease.
             wait = 0.0 if self.config.checks_fences else reply.lease_s
-            self.orders_from = self.parts.clock() + wait
+            self.orders_from = self.context.clock() + wait
         self.lease_until = max(self.lease_until, sent_at + reply.lease_s)
         self.adopt(reply.directive, reply.entry)
         if self.home == "":
@@ -215,13 +217,13 @@
         """Return what the engine should serve."""
         if self.config.target_kind == bundles.SERVICE:
             return []
-        return switch.wanted_models(directive, self.parts.settings.name)
+        return switch.wanted_models(directive, self.context.settings.name)
 
     def participants(self, directive: control_state.Directive) -> dict[str, list[fetch.Peer]]:
         """Return the manifests wanted here, each with the other VMs that should hold it."""
         found: dict[str, list[fetch.Peer]] = {item.manifest: [] for item in self.wanted(directive)}
         for name, placed in directive.placement.items():
-            if name == self.parts.settings.name:
+            if name == self.context.settings.name:
                 continue
             peer = fetch.Peer(name, placed.bus, self.distance(placed))
             for item in switch.wanted_models(directive, name):
@@ -231,9 +233,9 @@
 
     def distance(self, placed: commands.VmPlacement) -> int:
         """Return how far another VM is."""
-        if placed.availability_zone == self.parts.settings.availability_zone:
+        if placed.availability_zone == self.context.settings.availability_zone:
             return fetch.SAME_ZONE
-        if placed.region == self.parts.settings.region:
+        if placed.region == self.context.settings.region:
             return fetch.SAME_REGION
         return fetch.OTHER_REGION
 
@@ -243,13 +245,13 @@
         """Give the engine the next order that is due, under the lease."""
         if self.config.target_kind == bundles.SERVICE or not self.target.is_reached:
             return
-        now = self.parts.clock()
+        now = self.context.clock()
         if now < self.orders_from or now >= self.lease_until or self.is_replaced:
             return
         if self.trouble and now < self.tried_at + REFUSED_WAIT_S:
             return
         directive = self.directive
-        wanted = switch.wanted_models(directive, self.parts.settings.name)
+        wanted = switch.wanted_models(directive, self.context.settings.name)
         step = switch.next_step(
             wanted, self.target.serving, self.weights.complete(), bool(directive.paused)
         )
--- a/src/merlinthread/roles/base.py
+++ b/src/merlinthread/roles/base.py
@@ -13,7 +13,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Parts:
+class RoleContext:
     """What the composition root gives each role."""
 
     settings: settings.Settings
@@ -27,8 +27,8 @@
 class Role:
     """One role of the daemon."""
 
-    def __init__(self, parts: Parts) -> None:
-        self.parts = parts
+    def __init__(self, context: RoleContext) -> None:
+        self.context = context
 
     def start(self) -> None:
         """Start the role's tasks; raise MerlinthreadError if it can't run."""
--- a/src/merlinthread/roles/chunk_server.py
+++ b/src/merlinthread/roles/chunk_server.py
@@ -34,7 +34,7 @@
         if manifest is None:
             return messages.ChunkReply(messages.NO_CHUNK, b"", b"")
         count = len(manifest.chunks)
-        now = self.weights.parts.clock()
+        now = self.weights.context.clock()
         with self.weights.lock:
             download = self.weights.downloads.get(wanted.manifest)
             plan = download.plan if download else None
--- a/src/merlinthread/roles/completion.py
+++ b/src/merlinthread/roles/completion.py
@@ -94,7 +94,7 @@
                     reason=error.message,
                 )
                 failure = error
-                if self.path.parts.clock() >= self.call.deadline:
+                if self.path.context.clock() >= self.call.deadline:
                     break
         assert failure is not None
         raise failure
@@ -135,7 +135,7 @@
         finally:
             self.close_upstream()
             metrics.requests_total.labels("generate", outcome).inc()
-            self.path.parts.in_flight.leave()
+            self.path.context.in_flight.leave()
 
     def relay_once(self) -> Iterator[bytes]:
         """Give one target's events on until the answer is whole; raise if it breaks off."""
@@ -147,7 +147,7 @@
                     metrics.late_answers_total.inc()
                     continue
                 if self.relayed == 0:
-                    waited = self.path.parts.clock() - self.call.arrived_at
+                    waited = self.path.context.clock() - self.call.arrived_at
                     metrics.first_token_seconds.observe(waited)
                 self.relayed += 1
                 yield events.encode(event.kind, event.data)
@@ -168,7 +168,7 @@
             reason=error.message,
         )
         try:
-            if self.path.parts.clock() >= self.call.deadline:
+            if self.path.context.clock() >= self.call.deadline:
                 raise error
             self.open()
             return b""
--- a/src/merlinthread/roles/control.py
+++ b/src/merlinthread/roles/control.py
@@ -17,23 +17,23 @@
 class ControlRole(base.Role):
     """A control VM: the log task, its mailbox, the bus for entries, the operators' HTTP calls."""
 
-    def __init__(self, parts: base.Parts) -> None:
-        super().__init__(parts)
-        config = parts.settings.control
+    def __init__(self, context: base.RoleContext) -> None:
+        super().__init__(context)
+        config = context.settings.control
         assert config is not None
         self.config = config
-        self.task = log_task.LogTask(parts, config)
-        me = next((peer for peer in config.members if peer.name == parts.settings.name), None)
+        self.task = log_task.LogTask(context, config)
+        me = next((peer for peer in config.members if peer.name == context.settings.name), None)
         if me is None:
             raise errors.SettingsError(
-                f"control.members: {parts.settings.name!r} (name) is not among them; add it",
+                f"control.members: {context.settings.name!r} (name) is not among them; add it",
                 field="control.members",
             )
-        self.mailbox = bus.Receiver(me.log_bus, parts.codec, self.task.inbox.put)
-        self.responder = bus.RpcServer(me.bus, parts.codec, self.handle, workers=8)
+        self.mailbox = bus.Receiver(me.log_bus, context.codec, self.task.inbox.put)
+        self.responder = bus.RpcServer(me.bus, context.codec, self.handle, workers=8)
         self.joining = base.Task("join", JOIN_EVERY_S, self.ask_to_join)
         self.me = me
-        operators_api.add(parts.http.routes, self)
+        operators_api.add(context.http.routes, self)
 
     def start(self) -> None:
         """Start the tasks."""
@@ -65,8 +65,8 @@
         if isinstance(message, messages.AgentChanges):
             return self.wait(log_task.Telling(message, futures.Future()))
         if isinstance(message, messages.CommandRequest):
-            name, raw = self.parts.codec.envelope_decoder.decode(message.command)
-            command = self.parts.codec.decoders[name].decode(raw)
+            name, raw = self.context.codec.envelope_decoder.decode(message.command)
+            command = self.context.codec.decoders[name].decode(raw)
             return messages.CommandReply(self.submit(command))
         raise errors.ProtocolError(f"a control VM does not answer {type(message).__name__}")
 
@@ -75,9 +75,9 @@
         standing = self.task.standing
         directive = standing.directive
         return messages.PollReply(
-            self.parts.settings.name,
+            self.context.settings.name,
             standing.leader,
-            min(1e9, max(0.0, self.parts.clock() - standing.leader_seen_at)),
+            min(1e9, max(0.0, self.context.clock() - standing.leader_seen_at)),
             directive.revision,
             standing.controls,
             directive if directive.revision > poll.revision else None,
@@ -113,7 +113,7 @@
 
     def not_ready_because(self) -> str:
         """Return why the log does not go on, or nothing."""
-        age = self.parts.clock() - self.task.standing.leader_seen_at
+        age = self.context.clock() - self.task.standing.leader_seen_at
         if not self.task.standing.leader or age > 5:
             return "no leader: a majority of control VMs is not reached"
         return ""
@@ -126,8 +126,8 @@
         self.config.signatures_required = changed.control.signatures_required
         self.config.members = changed.control.members
         for peer in changed.control.members:
-            if peer.name not in self.task.senders and peer.name != self.parts.settings.name:
-                self.task.senders[peer.name] = bus.Sender(peer.log_bus, self.parts.codec)
+            if peer.name not in self.task.senders and peer.name != self.context.settings.name:
+                self.task.senders[peer.name] = bus.Sender(peer.log_bus, self.context.codec)
 
     def stop(self) -> None:
         """Stop the tasks."""
--- a/src/merlinthread/roles/entry.py
+++ b/src/merlinthread/roles/entry.py
@@ -39,15 +39,15 @@
     whole, so they take no lock.
     """
 
-    def __init__(self, parts: base.Parts, config: settings_.Entry) -> None:
-        self.parts = parts
-        self.name = parts.settings.name
-        self.zone = parts.settings.availability_zone
+    def __init__(self, context: base.RoleContext, config: settings_.Entry) -> None:
+        self.context = context
+        self.name = context.settings.name
+        self.zone = context.settings.availability_zone
         self.lock = threading.Lock()
         self.view = agents.AgentView(config.agent_lost_after_s)
         self.others = summaries.SummaryTable(self.name, config.summary_lost_after_s)
         self.homes: dict[str, bool] = {}
-        self.incarnation = int(parts.wall_clock() * 1000)
+        self.incarnation = int(context.wall_clock() * 1000)
         self.counter = 0
         self.directive = control_state.Directive()
         self.leaving: frozenset[str] = frozenset()
@@ -73,7 +73,7 @@
 
     def take(self, heard: list[summaries.Summary]) -> None:
         """Take in what other entries reach."""
-        now = self.parts.clock()
+        now = self.context.clock()
         with self.lock:
             for summary in heard:
                 if summary.entry != self.name:
@@ -93,7 +93,7 @@
 
     def publish(self) -> None:
         """Replace what request threads read; the caller holds the lock."""
-        now = self.parts.clock()
+        now = self.context.clock()
         self.known = Known(self.directive, self.view.live(now), self.others.live(now), self.leaving)
 
     def homed(self) -> list[agents.AgentReport]:
@@ -105,7 +105,7 @@
         with self.lock:
             self.counter += 1
             counter = self.counter
-        own = self.parts.settings
+        own = self.context.settings
         known = self.known
         summary = summaries.Summary(
             own.name,
@@ -115,7 +115,7 @@
             own.region,
             f"http://{own.http.address}:{own.http.port}",
         )
-        if not self.parts.in_flight.is_draining:
+        if not self.context.in_flight.is_draining:
             live = [report for report in known.live if report.name not in known.leaving]
             summaries.add_reports(summary, live)
         return [summary, *known.others]
@@ -135,7 +135,7 @@
         report = heartbeat.report
         with self.lock:
             self.view.check_incarnation(report.name, report.incarnation)
-            self.view.update(report, self.parts.clock())
+            self.view.update(report, self.context.clock())
             self.homes[report.name] = heartbeat.is_home
             self.publish()
         return self.reply_to(report)
@@ -146,7 +146,7 @@
         load = (beat.running, beat.queued, beat.queued_tokens)
         with self.lock:
             self.view.check_incarnation(beat.name, beat.incarnation)
-            report = self.view.update_load(beat.name, order, load, self.parts.clock())
+            report = self.view.update_load(beat.name, order, load, self.context.clock())
             if report is None:
                 return messages.HeartbeatReply(self.name, 0.0, None, wants_full=True)
             self.homes[beat.name] = beat.is_home
@@ -176,11 +176,11 @@
 class ControlLink:
     """Polls the control VMs for news, and brings commands to the leader."""
 
-    def __init__(self, parts: base.Parts, config: settings_.Entry, zone: ZoneTask) -> None:
-        self.parts = parts
+    def __init__(self, context: base.RoleContext, config: settings_.Entry, zone: ZoneTask) -> None:
+        self.context = context
         self.config = config
         self.zone = zone
-        self.callers = bus.RpcClients(parts.codec)
+        self.callers = bus.RpcClients(context.codec)
         self.position = 0
         self.names: dict[str, str] = {}
         self.leader = ""
@@ -189,7 +189,7 @@
         self.listener = ""
         self.leader_address = ""
         self.told_at = float("-inf")
-        self.tell_callers = bus.RpcClients(parts.codec)
+        self.tell_callers = bus.RpcClients(context.codec)
 
     def poll(self) -> None:
         """Ask one control VM; turn to the next if it does not answer or has lost its leader."""
@@ -213,7 +213,7 @@
     def tell(self) -> None:
         """Tell the leader what changed among the agents whose home this entry is."""
         changed, gone, is_full = self.outgoing.changes(self.zone.homed(), self.listener)
-        now = self.parts.clock()
+        now = self.context.clock()
         if not (changed or gone or is_full) and now < self.told_at + KEEP_ALIVE_S:
             return
         told = self.find_leader(messages.AgentChanges(self.zone.name, changed, gone, is_full))
@@ -259,8 +259,8 @@
 class Submitter:
     """Brings commands to the leading control VM; one per request thread."""
 
-    def __init__(self, parts: base.Parts, link: ControlLink) -> None:
-        self.parts = parts
+    def __init__(self, context: base.RoleContext, link: ControlLink) -> None:
+        self.context = context
         self.link = link
         self.local = threading.local()
 
@@ -270,13 +270,13 @@
         Raises ControlError (no_majority) if no leader took it before `deadline`, and
         outcome_unknown if one may have.
         """
-        name = self.parts.codec.names[type(command)]
+        name = self.context.codec.names[type(command)]
         message = messages.CommandRequest(msgspec.msgpack.encode((name, command)))
         if not hasattr(self.local, "callers"):
-            self.local.callers = bus.RpcClients(self.parts.codec)
+            self.local.callers = bus.RpcClients(self.context.codec)
         may_have_committed = False
         for address in self.link.addresses():
-            left = deadline - self.parts.clock()
+            left = deadline - self.context.clock()
             if left <= 0:
                 break
             try:
@@ -295,15 +295,17 @@
 class EntryRole(base.Role):
     """An entry VM: callers' HTTP, the bus for agents and entries, links to the control VMs."""
 
-    def __init__(self, parts: base.Parts) -> None:
-        super().__init__(parts)
-        config = parts.settings.entry
+    def __init__(self, context: base.RoleContext) -> None:
+        super().__init__(context)
+        config = context.settings.entry
         assert config is not None
         self.config = config
-        self.zone = ZoneTask(parts, config)
-        self.link = ControlLink(parts, config, self.zone)
-        self.responder = bus.RpcServer(parts.settings.bus, parts.codec, self.zone.handle, workers=4)
-        self.exchange_callers = bus.RpcClients(parts.codec)
+        self.zone = ZoneTask(context, config)
+        self.link = ControlLink(context, config, self.zone)
+        self.responder = bus.RpcServer(
+            context.settings.bus, context.codec, self.zone.handle, workers=4
+        )
+        self.exchange_callers = bus.RpcClients(context.codec)
         self.rng = random.Random()
         self.client = http_client.Client()
         self.tasks = [
@@ -315,12 +317,12 @@
         if config.platform_url:
             self.tasks.append(base.Task("platform", PLATFORM_EVERY_S, self.read_platform))
         self.path = request_handler.RequestHandler(
-            parts, config, self.zone, Submitter(parts, self.link)
+            context, config, self.zone, Submitter(context, self.link)
         )
-        self.path.add_routes(parts.http.routes)
+        self.path.add_routes(context.http.routes)
         self.forwarder = forwarding.Forwarder(self.path)
         for method in ("GET", "POST"):
-            parts.http.routes.add(method, forwarding.PREFIX, self.forwarder.on_request)
+            context.http.routes.add(method, forwarding.PREFIX, self.forwarder.on_request)
         self.tasks.append(base.Task("settle", SETTLE_EVERY_S, self.path.settler.work))
 
     def start(self) -> None:
@@ -361,7 +363,7 @@
 
     def not_ready_because(self) -> str:
         """Return why callers can't be served, or nothing."""
-        if self.parts.in_flight.is_draining:
+        if self.context.in_flight.is_draining:
             return "leaving"
         if self.zone.known.directive.bundle is None:
             return "no bundle in force is known yet"
--- a/src/merlinthread/roles/forwarding.py
+++ b/src/merlinthread/roles/forwarding.py
@@ -27,14 +27,14 @@
         """Pass one attempt on."""
         attempt = attempts.parse_attempt(request.headers)
         attempts.verify_tag(
-            self.path.parts.codec, attempt, request.path, request.body, request.headers
+            self.path.context.codec, attempt, request.path, request.body, request.headers
         )
-        self.path.parts.in_flight.enter()
+        self.path.context.in_flight.enter()
         try:
             report = self.choose(request, attempt)
             stream = self.open_at(report, request, attempt)
         except BaseException:
-            self.path.parts.in_flight.leave()
+            self.path.context.in_flight.leave()
             raise
         headers = {name: stream.headers[name] for name in KEPT if name in stream.headers}
         kind = stream.headers.get("content-type", "application/json")
@@ -83,7 +83,7 @@
         finally:
             stream.close()
             self.path.outstanding.add(report.name, -1)
-            self.path.parts.in_flight.leave()
+            self.path.context.in_flight.leave()
 
 
 KEPT = (attempts.ATTEMPT, attempts.DIGEST, "content-length")
--- a/src/merlinthread/roles/log_task.py
+++ b/src/merlinthread/roles/log_task.py
@@ -65,10 +65,10 @@
 class LogTask:
     """The thread that owns the replicated log, its files and the state machine."""
 
-    def __init__(self, parts: base.Parts, config: settings_.Control) -> None:
-        self.parts = parts
+    def __init__(self, context: base.RoleContext, config: settings_.Control) -> None:
+        self.context = context
         self.config = config
-        self.name = parts.settings.name
+        self.name = context.settings.name
         self.inbox: queue.SimpleQueue = queue.SimpleQueue()
         self.folder = folder.DataFolder(pathlib.Path(config.data_folder))
         self.journal = journal.Journal(self.folder.path)
@@ -79,7 +79,7 @@
             self.name,
             [] if config.replaces else [peer.name for peer in config.members],
             self.journal,
-            parts.clock(),
+            context.clock(),
             timing,
             identity=self.journal.identity,
         )
@@ -89,11 +89,11 @@
         self.waiting: dict[int, tuple[int, futures.Future]] = {}
         self.incoming = sessions.ReportReceiver(config.agent_lost_after_s)
         self.senders = {
-            peer.name: bus.Sender(peer.log_bus, parts.codec)
+            peer.name: bus.Sender(peer.log_bus, context.codec)
             for peer in config.members
             if peer.name != self.name
         }
-        now = parts.clock()
+        now = context.clock()
         self.place_at = now
         self.duties = leader_duties.LeaderDuties(self)
         self.expire_at = now + EXPIRE_EVERY_S
@@ -126,10 +126,10 @@
 
     def turn(self) -> None:
         """Do one round."""
-        now = self.parts.clock()
+        now = self.context.clock()
         wait = max(0.0, min(self.raft.next_tick_at(), self.place_at) - now)
         items = self.receive(wait)
-        now = self.parts.clock()
+        now = self.context.clock()
         for item in items:
             self.take(item, now)
         self.raft.tick(now)
@@ -175,7 +175,7 @@
         """Put a command into the log; its answer comes when it is applied."""
         if now < self.full_until:
             raise errors.DiskFullError(f"{self.folder.path}: no room on the disk; free some space")
-        name = self.parts.codec.names[type(command)]
+        name = self.context.codec.names[type(command)]
         index = self.raft.propose(msgspec.msgpack.encode((name, command)), now)
         self.waiting[index] = (self.raft.hard_state.term, answer)
 
@@ -264,8 +264,8 @@
         """Apply one committed entry and answer whoever waits for it."""
         result = commands.Answer(status="changed")
         if entry.kind == "command":
-            name, raw = self.parts.codec.envelope_decoder.decode(entry.data)
-            command = self.parts.codec.decoders[name].decode(raw)
+            name, raw = self.context.codec.envelope_decoder.decode(entry.data)
+            command = self.context.codec.decoders[name].decode(raw)
             result = self.state.apply(command, entry.index)
             metrics.commands_total.labels(name).inc()
             log_applied(name, command, result, entry.index)
@@ -289,7 +289,7 @@
         metrics.is_leader.set(1 if leads else 0)
         logs.event("leading" if leads else "following", term=self.raft.hard_state.term)
         self.incoming.clear()
-        self.duties.begin(self.parts.clock())
+        self.duties.begin(self.context.clock())
         if leads:
             return
         for index, (_, answer) in list(self.waiting.items()):
@@ -309,14 +309,14 @@
         self.duties.place(now)
         if now >= self.expire_at:
             self.expire_at = now + EXPIRE_EVERY_S
-            before = self.parts.wall_clock() - self.config.claims_kept_s
+            before = self.context.wall_clock() - self.config.claims_kept_s
             self.propose(commands.Expire(before), futures.Future(), now)
 
     def connect_members(self) -> None:
         """Open a sender to each member whose address came by the log."""
         for name, address in self.raft.log.voters.addresses.items():
             if name != self.name and name not in self.senders:
-                self.senders[name] = bus.Sender(address.log_bus, self.parts.codec)
+                self.senders[name] = bus.Sender(address.log_bus, self.context.codec)
 
     def log_state(self, now: float) -> None:
         """Log where this member stands, once a second, for whoever looks for why nobody leads."""
--- a/src/merlinthread/roles/operators_api.py
+++ b/src/merlinthread/roles/operators_api.py
@@ -92,7 +92,7 @@
 
     def status_of(self, task: Any) -> operator_calls.Status:
         """Return the status; runs in the log task."""
-        now = self.role.parts.clock()
+        now = self.role.context.clock()
         state = task.state
         raft = task.raft
         members = []
@@ -131,7 +131,7 @@
 
     def now(self) -> float:
         """Return the wall clock, for records that operators read."""
-        return self.role.parts.wall_clock()
+        return self.role.context.wall_clock()
 
 
 def agent_status(
--- a/src/merlinthread/roles/request_handler.py
+++ b/src/merlinthread/roles/request_handler.py
@@ -51,20 +51,20 @@
 
     def __init__(
         self,
-        parts: base.Parts,
+        context: base.RoleContext,
         config: settings_.Entry,
         zone: "entry.ZoneTask",
         submitter: "entry.Submitter",
     ) -> None:
-        self.parts = parts
+        self.context = context
         self.config = config
         self.zone = zone
         self.submitter = submitter
-        self.settler = service_call.Settler(parts, submitter)
+        self.settler = service_call.Settler(context, submitter)
         self.client = http_client.Client()
         self.outstanding = Outstanding()
         self.policy = routing.POLICIES.get(config.policy)
-        self.place = routing.Location(parts.settings.availability_zone, parts.settings.region)
+        self.place = routing.Location(context.settings.availability_zone, context.settings.region)
         self.rng = random.Random()
 
     def add_routes(self, routes: http_server.Routes) -> None:
@@ -86,7 +86,7 @@
                 kind=errors.ErrorKind.UNKNOWN_ACCOUNT,
                 field="X-Account",
             )
-        now = self.parts.clock()
+        now = self.context.clock()
         return Call(
             request.headers.get(attempts.REQUEST_ID) or uuid.uuid4().hex,
             account,
@@ -167,7 +167,7 @@
 
     def left_s(self, call: Call) -> float:
         """Return how long the caller still waits; raise RequestError (not_run) if it is over."""
-        left = call.deadline - self.parts.clock()
+        left = call.deadline - self.context.clock()
         if left <= 0:
             raise errors.RequestError(
                 "the deadline passed before a target ran it", kind=errors.ErrorKind.NOT_RUN
@@ -209,7 +209,7 @@
     ) -> http_client.StreamingResponse:
         """Send an attempt and return its answer's beginning; see `send`."""
         headers = attempt.headers()
-        headers.update(attempts.authentication_headers(self.parts.codec, attempt, path, body))
+        headers.update(attempts.authentication_headers(self.context.codec, attempt, path, body))
         left = max(0.001, attempt.deadline_ms / 1000)
         stream = self.client.open(method, report.http + path, body, headers, left)
         if stream.status >= 400 and attempts.ATTEMPT not in stream.headers:
@@ -222,11 +222,11 @@
 
     def on_completion(self, request: http_server.Request) -> http_server.Response:
         """Answer a completion request, streamed or whole."""
-        self.parts.in_flight.enter()
+        self.context.in_flight.enter()
         try:
             answer = completion.Completion(self, request).run()
         except BaseException as error:
-            self.parts.in_flight.leave()
+            self.context.in_flight.leave()
             kind = error.kind if isinstance(error, errors.MerlinthreadError) else "internal"
             metrics.requests_total.labels("generate", str(kind)).inc()
             raise
@@ -236,7 +236,7 @@
 
     def on_service(self, request: http_server.Request) -> http_server.Response:
         """Answer a call of a plain service."""
-        self.parts.in_flight.enter()
+        self.context.in_flight.enter()
         outcome = "internal"
         try:
             response = service_call.ServiceCall(self, request).run()
@@ -246,5 +246,5 @@
             outcome = str(error.kind)
             raise
         finally:
-            self.parts.in_flight.leave()
+            self.context.in_flight.leave()
             metrics.requests_total.labels("service", outcome).inc()
--- a/src/merlinthread/roles/service_call.py
+++ b/src/merlinthread/roles/service_call.py
@@ -33,8 +33,8 @@
 class Settler:
     """Brings the outcomes of claimed calls to the leader that could not be brought at once."""
 
-    def __init__(self, parts: base.Parts, submitter: "entry.Submitter") -> None:
-        self.parts = parts
+    def __init__(self, context: base.RoleContext, submitter: "entry.Submitter") -> None:
+        self.context = context
         self.submitter = submitter
         self.lock = threading.Lock()
         self.waiting: collections.deque[commands.Complete] = collections.deque(maxlen=UNSETTLED_MAX)
@@ -52,7 +52,7 @@
                     return
                 complete = self.waiting[0]
             try:
-                self.submitter.submit(complete, self.parts.clock() + CLAIM_WAIT_S)
+                self.submitter.submit(complete, self.context.clock() + CLAIM_WAIT_S)
             except errors.MerlinthreadError as error:
                 logs.debug("claim_not_settled", key=complete.key, reason=error.message)
                 return
@@ -193,7 +193,7 @@
                 field="Idempotency-Key",
             )
         issued_at = (key.int >> 80) / 1000
-        if issued_at > self.path.parts.wall_clock() + KEY_AHEAD_MAX_S:
+        if issued_at > self.path.context.wall_clock() + KEY_AHEAD_MAX_S:
             raise errors.RequestError(
                 f"header Idempotency-Key: {text!r} is from the future; correct the caller's clock",
                 kind=errors.ErrorKind.KEY_REQUIRED,
@@ -219,7 +219,7 @@
                     status=answer.status,
                 )
                 return answer
-            if self.path.parts.clock() + RUNNING_POLL_S >= self.call.deadline:
+            if self.path.context.clock() + RUNNING_POLL_S >= self.call.deadline:
                 raise errors.RequestError(
                     "another call with this key runs or was cut off; its outcome is not known",
                     kind=errors.ErrorKind.OUTCOME_UNKNOWN,
@@ -231,7 +231,7 @@
 
         If that may have failed the call was surely not run, and the key is freed in the background.
         """
-        deadline = min(self.call.deadline, self.path.parts.clock() + CLAIM_WAIT_S)
+        deadline = min(self.call.deadline, self.path.context.clock() + CLAIM_WAIT_S)
         try:
             return self.path.submitter.submit(claim, deadline)
         except errors.MerlinthreadError as error:
@@ -264,7 +264,7 @@
     def settle(self, complete: commands.Complete) -> None:
         """Bring what became of the call to the leader, now or as soon as one is reached."""
         try:
-            self.path.submitter.submit(complete, self.path.parts.clock() + CLAIM_WAIT_S)
+            self.path.submitter.submit(complete, self.path.context.clock() + CLAIM_WAIT_S)
         except errors.MerlinthreadError as error:
             logs.warning("claim_not_settled", key=complete.key, reason=error.message)
             self.path.settler.add(complete)
--- a/src/merlinthread/roles/target.py
+++ b/src/merlinthread/roles/target.py
@@ -110,12 +110,14 @@
 class Target:
     """One engine or service: what it serves, requests to it, orders to it."""
 
-    def __init__(self, parts: base.Parts, config: settings_.Agent, incarnation: int) -> None:
-        self.parts = parts
+    def __init__(
+        self, context: base.RoleContext, config: settings_.Agent, incarnation: int
+    ) -> None:
+        self.context = context
         self.config = config
         self.incarnation = incarnation
         self.client = http_client.Client(connections=config.slots + 4)
-        self.line = Line(config.slots, config.queue_max, parts.clock)
+        self.line = Line(config.slots, config.queue_max, context.clock)
         self.serving: dict[str, str] = {}
         self.fence = engine_calls.FencingToken()
         self.is_reached = False
@@ -203,7 +205,7 @@
         """Return the order for a step."""
         if isinstance(step, switch.Unload):
             return engine_calls.Order(engine_calls.UNLOAD, step.name, generation, self.incarnation)
-        own = self.parts.settings.http
+        own = self.context.settings.http
         return engine_calls.Order(
             engine_calls.LOAD,
             step.item.name,
@@ -226,7 +228,7 @@
     def admit(self, request: http_server.Request, path: str) -> attempts.Attempt:
         """Return the attempt; raise RequestError if it is not for this incarnation or not ours."""
         attempt = attempts.parse_attempt(request.headers)
-        attempts.verify_tag(self.parts.codec, attempt, path, request.body, request.headers)
+        attempts.verify_tag(self.context.codec, attempt, path, request.body, request.headers)
         if attempt.incarnation != self.incarnation:
             raise errors.RequestError(
                 f"the attempt is for incarnation {attempt.incarnation}, this is {self.incarnation}",
@@ -236,13 +238,13 @@
 
     def on_request(self, request: http_server.Request) -> http_server.Response:
         """Answer one attempt of an entry."""
-        self.parts.in_flight.enter()
+        self.context.in_flight.enter()
         try:
             if request.subpath == "v1/completions" and self.config.target_kind == bundles.GENERATE:
                 return self.generate(request)
             return self.call_service(request)
         except BaseException:
-            self.parts.in_flight.leave()
+            self.context.in_flight.leave()
             raise
 
     def generate(self, request: http_server.Request) -> http_server.Response:
@@ -250,14 +252,14 @@
         attempt = self.admit(request, request.path)
         call = msgspec.json.decode(request.body, type=GenerateCall)
         self.check_digest(call, attempt)
-        deadline = self.parts.clock() + attempt.deadline_ms / 1000
+        deadline = self.context.clock() + attempt.deadline_ms / 1000
         ticket = fair_queue.QueuedRequest(
             attempt.id,
             attempt.account,
             attempt.priority,
             len(call.prompt.split()),
             call.max_tokens,
-            self.parts.clock(),
+            self.context.clock(),
         )
         self.line.enter(ticket, deadline)
         try:
@@ -292,7 +294,7 @@
         self, body: bytes, attempt: attempts.Attempt, deadline: float
     ) -> http_client.StreamingResponse:
         """Send a completion to the engine; raise its refusal, or not_run if it was not reached."""
-        left = max(0.05, deadline - self.parts.clock())
+        left = max(0.05, deadline - self.context.clock())
         headers = {
             "Content-Type": "application/json",
             attempts.ATTEMPT: attempt.id,
@@ -340,7 +342,7 @@
                 stream.close()
                 self.cancel(ticket.id)
             self.line.leave(ticket.id)
-            self.parts.in_flight.leave()
+            self.context.in_flight.leave()
 
     def cancel(self, attempt: str) -> None:
         """Free the engine's place of a request that nobody waits for any more."""
@@ -358,16 +360,16 @@
     def call_service(self, request: http_server.Request) -> http_server.Response:
         """Run one call on a plain service and return its whole answer."""
         attempt = self.admit(request, request.path)
-        deadline = self.parts.clock() + attempt.deadline_ms / 1000
+        deadline = self.context.clock() + attempt.deadline_ms / 1000
         ticket = fair_queue.QueuedRequest(
-            attempt.id, attempt.account, attempt.priority, 1, 0, self.parts.clock()
+            attempt.id, attempt.account, attempt.priority, 1, 0, self.context.clock()
         )
         self.line.enter(ticket, deadline)
         try:
             reply = self.call_target(request, attempt, deadline)
         finally:
             self.line.leave(ticket.id)
-            self.parts.in_flight.leave()
+            self.context.in_flight.leave()
         kind = reply.headers.get("content-type", "application/json")
         return http_server.Response(reply.status, reply.body, {attempts.ATTEMPT: attempt.id}, kind)
 
@@ -375,7 +377,7 @@
         self, request: http_server.Request, attempt: attempts.Attempt, deadline: float
     ) -> http_client.Response:
         """Send a call to the service; not_run only if it was not reached."""
-        left = max(0.05, deadline - self.parts.clock())
+        left = max(0.05, deadline - self.context.clock())
         headers = {
             "Content-Type": request.headers.get("content-type", "application/json"),
             attempts.ATTEMPT: attempt.id,
--- a/src/merlinthread/roles/weights.py
+++ b/src/merlinthread/roles/weights.py
@@ -50,11 +50,11 @@
     """
 
     def __init__(
-        self, parts: base.Parts, config: settings_.Agent, store: chunks.ChunkStore
+        self, context: base.RoleContext, config: settings_.Agent, store: chunks.ChunkStore
     ) -> None:
-        self.parts = parts
+        self.context = context
         self.config = config
-        self.name = parts.settings.name
+        self.name = context.settings.name
         self.store = store
         self.lock = threading.Condition()
         self.downloads: dict[str, Download] = {}
@@ -88,7 +88,7 @@
 
     def want(self, wanted: dict[str, list[fetch.Peer]]) -> None:
         """Fetch these manifests; each comes with the other VMs that should hold it."""
-        now = self.parts.clock()
+        now = self.context.clock()
         with self.lock:
             self.peers = {
                 digest: {peer.name: peer for peer in peers} for digest, peers in wanted.items()
@@ -146,7 +146,7 @@
 
     def work(self) -> None:
         """Carry out one action after another."""
-        callers = bus.RpcClients(self.parts.codec)
+        callers = bus.RpcClients(self.context.codec)
         while True:
             with self.lock:
                 if self.stopping:
@@ -168,7 +168,7 @@
 
     def next_job(self) -> tuple[Download, fetch.Action | None] | None:
         """Return what to do next; the caller holds the lock."""
-        now = self.parts.clock()
+        now = self.context.clock()
         if now < self.idle_until:
             return None
         for download in self.downloads.values():
@@ -214,7 +214,7 @@
                 held |= 1 << index
         with self.lock:
             self.manifests[download.digest] = manifest
-            now = self.parts.clock()
+            now = self.context.clock()
             download.plan = fetch.POLICIES.get(self.config.fetch_policy)(
                 self.name, download.digest, len(manifest.chunks), held, 2, now, self.rng
             )
@@ -288,10 +288,10 @@
             logs.warning("origin_failed", manifest=download.digest, reason=error.message)
             wait = error.retry_after_s or ORIGIN_RETRY_S
             with self.lock:
-                plan.on_origin_failed(self.parts.clock(), wait)
+                plan.on_origin_failed(self.context.clock(), wait)
             return
         metrics.chunk_bytes_total.labels("origin").inc(len(data))
-        now = self.parts.clock()
+        now = self.context.clock()
         self.sleep_until(
             max(self.origin_pace.record_arrival(size, now), self.down.record_arrival(size, now))
         )
@@ -338,7 +338,7 @@
             metrics.chunk_failures_total.labels("peer").inc()
             logs.debug("peer_failed", peer=peer.name, reason=error.message)
             with self.lock:
-                plan.on_peer_failed(peer.name, self.parts.clock())
+                plan.on_peer_failed(peer.name, self.context.clock())
             return
         self.take_answer(download, plan, peer, found, count)
 
@@ -356,7 +356,7 @@
         count: int,
     ) -> None:
         """Take what a peer answered."""
-        now = self.parts.clock()
+        now = self.context.clock()
         with self.lock:
             plan.on_peer_report(peer.name, fetch.bitset_from_bytes(found.held, count), now)
             if found.index == messages.NO_UPLOAD_SLOT:
@@ -370,7 +370,7 @@
         if not self.keep(download, found.index, found.data, from_origin=False):
             logs.warning("chunk_corrupt", peer=peer.name, manifest=download.digest)
             with self.lock:
-                plan.on_corrupt_chunk(peer.name, self.parts.clock())
+                plan.on_corrupt_chunk(peer.name, self.context.clock())
 
     def keep(self, download: Download, index: int, data: bytes, from_origin: bool) -> bool:
         """Store a chunk; return whether its digest was right."""
@@ -385,7 +385,7 @@
                 download.trouble = f"disk_full: {error.message}"
             logs.warning("disk_full", message=error.message)
             return True
-        now = self.parts.clock()
+        now = self.context.clock()
         with self.lock:
             plan.on_chunk_received(index, from_origin, now)
             is_complete = plan.is_complete()
@@ -400,6 +400,6 @@
 
     def sleep_until(self, when: float) -> None:
         """Wait until the link's share allows more."""
-        wait = when - self.parts.clock()
+        wait = when - self.context.clock()
         if wait > 0:
             time.sleep(wait)
