--- a/src/merlinthread/daemon.py
+++ b/src/merlinthread/daemon.py
@@ -29,14 +29,14 @@
         self.context = base.RoleContext(
             config, messages.make_codec(keys), server, http_server.InFlightRequests()
         )
-        http_server.add_health_routes(server.routes, self.not_ready_because)
+        http_server.add_health_routes(server.routes, self.not_ready_reason)
         self.roles = [base.ROLES.get(name)(self.context) for name in config.roles]
         self.stop_asked = threading.Event()
         self.reload_asked = threading.Event()
 
-    def not_ready_because(self) -> str:
+    def not_ready_reason(self) -> str:
         """Return the first reason of any role, or nothing."""
-        return next((why for role in self.roles if (why := role.not_ready_because())), "")
+        return next((why for role in self.roles if (why := role.not_ready_reason())), "")
 
     def run(self) -> int:
         """Serve until a planned stop; return the exit code."""
--- a/src/merlinthread/roles/agent.py
+++ b/src/merlinthread/roles/agent.py
@@ -284,7 +284,7 @@
 
     # Life
 
-    def not_ready_because(self) -> str:
+    def not_ready_reason(self) -> str:
         """Return why no requests come here, or nothing."""
         if self.is_leaving():
             return "leaving"
--- a/src/merlinthread/roles/base.py
+++ b/src/merlinthread/roles/base.py
@@ -33,7 +33,7 @@
     def start(self) -> None:
         """Start the role's tasks; raise MerlinthreadError if it can't run."""
 
-    def not_ready_because(self) -> str:
+    def not_ready_reason(self) -> str:
         """Return why the role can't serve yet, or an empty string."""
         return ""
 
--- a/src/merlinthread/roles/control.py
+++ b/src/merlinthread/roles/control.py
@@ -111,7 +111,7 @@
         """Return why the log task ended, or nothing."""
         return self.task.broken
 
-    def not_ready_because(self) -> str:
+    def not_ready_reason(self) -> str:
         """Return why the log does not go on, or nothing."""
         age = self.context.clock() - self.task.standing.leader_seen_at
         if not self.task.standing.leader or age > 5:
--- a/src/merlinthread/roles/entry.py
+++ b/src/merlinthread/roles/entry.py
@@ -361,7 +361,7 @@
             logs.event("platform_leaving", names=sorted(leaving))
             self.zone.set_leaving(leaving)
 
-    def not_ready_because(self) -> str:
+    def not_ready_reason(self) -> str:
         """Return why callers can't be served, or nothing."""
         if self.context.in_flight.is_draining:
             return "leaving"
