--- a/src/merlinthread/daemon.py
+++ b/src/merlinthread/daemon.py
@@ -59,7 +59,7 @@
                 self.reload_asked.clear()
                 self.reload()
             for role in self.roles:
-                if why := role.broken_because():
+                if why := role.failure_reason():
                     return why
         return ""
 
--- a/src/merlinthread/roles/base.py
+++ b/src/merlinthread/roles/base.py
@@ -37,7 +37,7 @@
         """Return why the role can't serve yet, or an empty string."""
         return ""
 
-    def broken_because(self) -> str:
+    def failure_reason(self) -> str:
         """Return why the process must end, or an empty string."""
         return ""
 
--- a/src/merlinthread/roles/control.py
+++ b/src/merlinthread/roles/control.py
@@ -107,7 +107,7 @@
                 kind=errors.ErrorKind.OUTCOME_UNKNOWN,
             )
 
-    def broken_because(self) -> str:
+    def failure_reason(self) -> str:
         """Return why the log task ended, or nothing."""
         return self.task.broken
 
