--- a/src/merlinthread/daemon.py
+++ b/src/merlinthread/daemon.py
@@ -81,7 +81,7 @@
         logs.event("leaving", in_flight=self.context.in_flight.count)
         self.context.in_flight.is_draining = True
         for role in self.roles:
-            role.begin_leaving()
+            role.start_draining()
         if set(self.config.roles) != {"control"}:
             threading.Event().wait(LEAVING_GRACE_S)
         timeouts = [
--- a/src/merlinthread/roles/agent.py
+++ b/src/merlinthread/roles/agent.py
@@ -292,7 +292,7 @@
             return f"the target at {self.config.target_url} does not answer"
         return "" if self.target.serving else "the target serves nothing yet"
 
-    def begin_leaving(self) -> None:
+    def start_draining(self) -> None:
         """Tell the entries at once."""
         self.beat_now()
 
--- a/src/merlinthread/roles/base.py
+++ b/src/merlinthread/roles/base.py
@@ -41,7 +41,7 @@
         """Return why the process must end, or an empty string."""
         return ""
 
-    def begin_leaving(self) -> None:
+    def start_draining(self) -> None:
         """Tell others that this VM leaves; requests in progress go on."""
 
     def stop(self) -> None:
