--- a/bench/swarm.py
+++ b/bench/swarm.py
@@ -52,7 +52,7 @@
         assert checked.agent is not None
         folder = pathlib.Path(config["folder"]) if config.get("folder") else None
         store = chunks.ChunkStore(folder, 1 << 34)
-        self.weights = weights.Weights(context, checked.agent, store)
+        self.weights = weights.WeightManager(context, checked.agent, store)
         self.giver = CorruptingGiver(self.weights)
         self.giver.corrupt_share = config.get("corrupt_share", 0.0)
         self.responder = bus.RpcServer(
--- a/src/merlinthread/roles/agent.py
+++ b/src/merlinthread/roles/agent.py
@@ -44,7 +44,7 @@
         self.trouble = ""
         self.tried_at = float("-inf")
         folder = pathlib.Path(config.store_folder) if config.store_folder else None
-        self.weights = weights.Weights(
+        self.weights = weights.WeightManager(
             context, config, chunks.ChunkStore(folder, config.store_bytes)
         )
         self.giver = chunk_server.ChunkServer(self.weights)
--- a/src/merlinthread/roles/chunk_server.py
+++ b/src/merlinthread/roles/chunk_server.py
@@ -15,7 +15,7 @@
 class ChunkServer:
     """Answers other agents within the upload slots and the link's share."""
 
-    def __init__(self, held: "weights.Weights") -> None:
+    def __init__(self, held: "weights.WeightManager") -> None:
         self.weights = held
         self.slots = uploads.UploadSlots(held.config.upload_slots)
         self.up = pacing.Pacer(held.config.link_bytes_per_s)
--- a/src/merlinthread/roles/weights.py
+++ b/src/merlinthread/roles/weights.py
@@ -43,7 +43,7 @@
         return known[self.digest], self.plan
 
 
-class Weights:
+class WeightManager:
     """Owns the chunk store, the downloads and the uploads of one agent.
 
     Download threads share the state under one lock and hold it only to decide.
