--- a/bench/swarm.py
+++ b/bench/swarm.py
@@ -97,7 +97,7 @@
                 is_reached = (other == cut) == (zone == cut)
                 distance = fetch.SAME_ZONE if other == zone else fetch.SAME_REGION
                 peers.append(fetch.Peer(name, address if is_reached else NOWHERE, distance))
-            agent.weights.want({order["manifest"]: peers})
+            agent.weights.set_wanted({order["manifest"]: peers})
         return {}
 
     def on_kill(self, order: dict) -> dict:
--- a/src/merlinthread/roles/agent.py
+++ b/src/merlinthread/roles/agent.py
@@ -198,7 +198,7 @@
         self.target.apply_shares(directive)
         metrics.revision.set(directive.revision)
         metrics.generation.set(directive.generation)
-        self.weights.want(self.participants(directive))
+        self.weights.set_wanted(self.participants(directive))
         logs.event(
             "directive_adopted",
             revision=directive.revision,
--- a/src/merlinthread/roles/weights.py
+++ b/src/merlinthread/roles/weights.py
@@ -86,7 +86,7 @@
 
     # What should be here
 
-    def want(self, wanted: dict[str, list[fetch.Peer]]) -> None:
+    def set_wanted(self, wanted: dict[str, list[fetch.Peer]]) -> None:
         """Fetch these manifests; each comes with the other VMs that should hold it."""
         now = self.context.clock()
         with self.lock:
