--- a/bench/swarm.py
+++ b/bench/swarm.py
@@ -110,7 +110,7 @@
     def on_poll(self, order: dict) -> dict:
         """Return when each agent was complete, on the machine's monotonic clock."""
         for agent in self.agents.values():
-            for digest in agent.weights.complete():
+            for digest in agent.weights.complete_manifests():
                 agent.done_at.setdefault(digest, time.monotonic())
         return {
             "done": {name: agent.done_at for name, agent in self.agents.items()},
--- a/src/merlinthread/roles/agent.py
+++ b/src/merlinthread/roles/agent.py
@@ -253,7 +253,7 @@
         directive = self.directive
         wanted = switch.wanted_models(directive, self.context.settings.name)
         step = switch.next_step(
-            wanted, self.target.serving, self.weights.complete(), bool(directive.paused)
+            wanted, self.target.serving, self.weights.complete_manifests(), bool(directive.paused)
         )
         if step is None or directive.bundle is None:
             return
--- a/src/merlinthread/roles/weights.py
+++ b/src/merlinthread/roles/weights.py
@@ -113,7 +113,7 @@
                 kept.extend(self.manifests[digest].chunks)
         self.store.pin(kept)
 
-    def complete(self) -> set[str]:
+    def complete_manifests(self) -> set[str]:
         """Return the wanted manifests whose chunks are all here and verified."""
         with self.lock:
             return {
