--- a/src/merlinthread/roles/leader_duties.py
+++ b/src/merlinthread/roles/leader_duties.py
@@ -23,14 +23,14 @@
 
     def __init__(self, task: "log_task.LogTask") -> None:
         self.task = task
-        self.joiners: dict[str, tuple[messages.JoinRequest, float]] = {}
+        self.join_requests: dict[str, tuple[messages.JoinRequest, float]] = {}
         self.placed_from = float("-inf")
 
     def begin(self, now: float) -> None:
         """Note that leadership changed: entries must tell of their agents first."""
         self.placed_from = now + PLACE_AFTER_S
 
-    def look_after_members(self, now: float) -> None:
+    def update_membership(self, now: float) -> None:
         """Note members' identities, and take the next step of a repair."""
         voters = self.task.raft.log.voters
         unknown = {
@@ -43,9 +43,9 @@
             return
         matches = {name: progress.match for name, progress in self.task.raft.progress.items()}
         facts = raft_members.ReplicationStatus(self.task.name, self.task.raft.commit, matches)
-        for name, (join, heard_at) in list(self.joiners.items()):
+        for name, (join, heard_at) in list(self.join_requests.items()):
             if now - heard_at > JOIN_HEARD_S:
-                del self.joiners[name]
+                del self.join_requests[name]
                 continue
             address = raft_messages.Address(join.log_bus, join.bus)
             joiner = raft_members.JoiningMember(name, join.identity, address, join.replaces)
--- a/src/merlinthread/roles/log_task.py
+++ b/src/merlinthread/roles/log_task.py
@@ -156,7 +156,7 @@
         if isinstance(item, Proposal):
             self.guarded(item.answer, lambda: self.propose(item.command, item.answer, now))
         elif isinstance(item, messages.JoinRequest):
-            self.duties.joiners[item.name] = (item, now)
+            self.duties.join_requests[item.name] = (item, now)
         elif isinstance(item, Reading):
             self.guarded(item.answer, lambda: self.read(item, now))
         elif isinstance(item, Telling):
@@ -305,7 +305,7 @@
             return
         if not self.raft.holds_lease(now):
             return
-        self.duties.look_after_members(now)
+        self.duties.update_membership(now)
         self.duties.place(now)
         if now >= self.expire_at:
             self.expire_at = now + EXPIRE_EVERY_S
--- a/tests/test_leader_duties.py
+++ b/tests/test_leader_duties.py
@@ -20,8 +20,8 @@
     for _ in range(30):
         cluster.run(0.1)
         join = messages.JoinRequest("n0", "disk-n0", "", "", lost)
-        duties.joiners["n0"] = (join, cluster.now)
-        duties.look_after_members(cluster.now)
+        duties.join_requests["n0"] = (join, cluster.now)
+        duties.update_membership(cluster.now)
         cluster.process_ready(leader)
     assert lost not in leader.raft.log.voters.voters, "still a voter after 3 s"
     cluster.crash(second)
