--- a/src/merlinthread/roles/base.py
+++ b/src/merlinthread/roles/base.py
@@ -54,15 +54,15 @@
 ROLES: registry.Registry[type[Role]] = registry.Registry("role")
 
 
-class Task:
+class PeriodicTask:
     """A thread that calls `work` every `every_s` seconds until stopped."""
 
-    def __init__(self, name: str, every_s: float, work: Callable[[], None]) -> None:
+    def __init__(self, name: str, interval_s: float, function: Callable[[], None]) -> None:
         self.name = name
-        self.every_s = every_s
-        self.work = work
-        self.stopping = threading.Event()
-        self.wake = threading.Event()
+        self.interval_s = interval_s
+        self.function = function
+        self.stop_event = threading.Event()
+        self.wake_event = threading.Event()
         self.thread = threading.Thread(target=self.run, name=name, daemon=True)
 
     def start(self) -> None:
@@ -71,17 +71,17 @@
 
     def run(self) -> None:
         """Work at once, then once a period or as soon as `wake` is set."""
-        while not self.stopping.is_set():
+        while not self.stop_event.is_set():
             try:
-                self.work()
+                self.function()
             except Exception:
                 logs.exception("task_failed", task=self.name)
-            self.wake.wait(self.every_s)
-            self.wake.clear()
+            self.wake_event.wait(self.interval_s)
+            self.wake_event.clear()
 
     def stop(self) -> None:
         """Ask the thread to end and wait for it."""
-        self.stopping.set()
-        self.wake.set()
+        self.stop_event.set()
+        self.wake_event.set()
         if self.thread.ident is not None and self.thread is not threading.current_thread():
             self.thread.join(timeout=10)
--- a/src/merlinthread/roles/completion.py
+++ b/src/merlinthread/roles/completion.py
@@ -16,7 +16,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class CompletionCall:
+class CompletionBody:
     """The JSON body of a completion request, as far as entries look at it."""
 
     model: str
@@ -30,91 +30,95 @@
     """One completion request: attempts until one streams, resumed elsewhere if it breaks off."""
 
     def __init__(
-        self, path: "request_handler.RequestHandler", request: http_server.Request
+        self, handler: "request_handler.RequestHandler", request: http_server.Request
     ) -> None:
-        self.path = path
+        self.handler = handler
         self.request = request
-        self.call = path.admit(request)
+        self.admitted = handler.admit(request)
         try:
-            self.body = msgspec.json.decode(request.body, type=CompletionCall)
+            self.body = msgspec.json.decode(request.body, type=CompletionBody)
         except (msgspec.DecodeError, RecursionError) as error:
             raise errors.RequestError(f"the body is refused: {error}")
-        model = path.bundle().model(self.body.model)
+        model = handler.bundle().model(self.body.model)
         if model is None:
             raise errors.RequestError(
                 f"model: {self.body.model!r} is not in the bundle in force",
                 kind=errors.ErrorKind.UNKNOWN_MODEL,
                 field="model",
             )
-        self.wanted = routing.Requirements(bundles.GENERATE, self.body.model, self.body.adapter)
+        self.requirements = routing.Requirements(
+            bundles.GENERATE, self.body.model, self.body.adapter
+        )
         self.target: agents.AgentReport | None = None
         self.upstream: http_client.StreamingResponse | None = None
-        self.digest = ""
-        self.relayed = 0
-        self.tries = 0
+        self.weights_digest = ""
+        self.relayed_tokens = 0
+        self.attempt_count = 0
 
     def run(self) -> http_server.Response:
         """Open the answer and return it; its end counts the request out."""
-        self.open()
+        self.open_stream()
         relay = self.relay()
         if self.body.stream:
             return http_server.Response(
                 200,
                 relay,
-                {"X-Request-Id": self.call.request_id, "Cache-Control": "no-store"},
+                {"X-Request-Id": self.admitted.request_id, "Cache-Control": "no-store"},
                 "text/event-stream",
             )
         return self.collect(relay)
 
-    def open(self) -> None:
+    def open_stream(self) -> None:
         """Find a target that starts the answer, or go on where it broke off.
 
         Raises the last attempt's error once attempts, targets or time are used up.
         """
         failure: errors.MerlinthreadError | None = None
-        while self.tries < self.path.config.attempts_max:
-            self.tries += 1
+        while self.attempt_count < self.handler.config.attempts_max:
+            self.attempt_count += 1
             try:
-                report = self.path.choose(
-                    self.call.request_id, self.wanted, frozenset(self.call.tried)
+                report = self.handler.choose(
+                    self.admitted.request_id, self.requirements, frozenset(self.admitted.tried)
                 )
             except errors.MerlinthreadError as error:
                 raise failure or error
             try:
-                self.open_at(report)
+                self.open_at_target(report)
                 return
             except errors.MerlinthreadError as error:
-                self.call.tried.add(report.name)
+                self.admitted.tried.add(report.name)
                 metrics.attempts_total.labels(str(error.kind)).inc()
                 logs.event(
                     "attempt_failed",
-                    request_id=self.call.request_id,
+                    request_id=self.admitted.request_id,
                     target=report.name,
                     kind=str(error.kind),
                     reason=error.message,
                 )
                 failure = error
-                if self.path.context.clock() >= self.call.deadline:
+                if self.handler.context.clock() >= self.admitted.deadline:
                     break
         assert failure is not None
         raise failure
 
-    def open_at(self, report: agents.AgentReport) -> None:
+    def open_at_target(self, report: agents.AgentReport) -> None:
         """Start the answer at one target."""
-        call = msgspec.json.decode(self.request.body)
-        call.update(stream=True, request_id=self.call.request_id, resume_from=self.relayed)
-        body = msgspec.json.encode(call)
-        self.path.outstanding.add(report.name, 1)
+        fields = msgspec.json.decode(self.request.body)
+        fields.update(
+            stream=True, request_id=self.admitted.request_id, resume_from=self.relayed_tokens
+        )
+        body = msgspec.json.encode(fields)
+        self.handler.in_flight_by_target.add(report.name, 1)
         try:
-            stream = self.path.send(
-                self.call, report, "POST", "/target/v1/completions", body, self.digest
+            stream = self.handler.send(
+                self.admitted, report, "POST", "/target/v1/completions", body, self.weights_digest
             )
         except BaseException:
-            self.path.outstanding.add(report.name, -1)
+            self.handler.in_flight_by_target.add(report.name, -1)
             raise
         self.target = report
         self.upstream = stream
-        self.digest = stream.headers.get(attempts.DIGEST, "")
+        self.weights_digest = stream.headers.get(attempts.DIGEST, "")
 
     def relay(self) -> Iterator[bytes]:
         """Give the answer's events on; resume elsewhere on the same weights if it breaks off."""
@@ -122,34 +126,34 @@
         try:
             while True:
                 try:
-                    yield from self.relay_once()
+                    yield from self.relay_from_target()
                     outcome = "answered"
                     return
                 except errors.MerlinthreadError as error:
                     self.close_upstream()
                     outcome = str(error.kind)
-                    ending = self.resume(error)
-                    if ending:
-                        yield ending
+                    error_event = self.resume(error)
+                    if error_event:
+                        yield error_event
                         return
         finally:
             self.close_upstream()
             metrics.requests_total.labels("generate", outcome).inc()
-            self.path.context.in_flight.leave()
+            self.handler.context.in_flight.leave()
 
-    def relay_once(self) -> Iterator[bytes]:
+    def relay_from_target(self) -> Iterator[bytes]:
         """Give one target's events on until the answer is whole; raise if it breaks off."""
         assert self.upstream is not None
         for event in events.decode(self.upstream.iter_lines()):
             if event.kind == events.TOKEN:
                 token = msgspec.json.decode(event.data, type=events.Token)
-                if token.index != self.relayed:
+                if token.index != self.relayed_tokens:
                     metrics.late_answers_total.inc()
                     continue
-                if self.relayed == 0:
-                    waited = self.path.context.clock() - self.call.arrived_at
+                if self.relayed_tokens == 0:
+                    waited = self.handler.context.clock() - self.admitted.arrived_at
                     metrics.first_token_seconds.observe(waited)
-                self.relayed += 1
+                self.relayed_tokens += 1
                 yield events.encode(event.kind, event.data)
             elif event.kind == events.DONE:
                 yield events.encode(event.kind, event.data)
@@ -162,19 +166,19 @@
         """Go on at another target; return the ending to send if that can't be."""
         logs.event(
             "stream_broken",
-            request_id=self.call.request_id,
-            relayed=self.relayed,
+            request_id=self.admitted.request_id,
+            relayed=self.relayed_tokens,
             kind=str(error.kind),
             reason=error.message,
         )
         try:
-            if self.path.context.clock() >= self.call.deadline:
+            if self.handler.context.clock() >= self.admitted.deadline:
                 raise error
-            self.open()
+            self.open_stream()
             return b""
         except errors.MerlinthreadError as last:
             broken = errors.RequestError(
-                f"the answer broke off after {self.relayed} tokens and can't be resumed: "
+                f"the answer broke off after {self.relayed_tokens} tokens and can't be resumed: "
                 f"{last.message}",
                 kind=errors.ErrorKind.STREAM_BROKEN,
                 retry_after_s=last.retry_after_s,
@@ -184,8 +188,8 @@
     def close_upstream(self) -> None:
         """Let the target go; closing an unfinished answer frees the engine's slot."""
         if self.target is not None:
-            self.path.outstanding.add(self.target.name, -1)
-            self.call.tried.add(self.target.name)
+            self.handler.in_flight_by_target.add(self.target.name, -1)
+            self.admitted.tried.add(self.target.name)
         if self.upstream is not None:
             self.upstream.close()
         self.target = None
@@ -198,10 +202,12 @@
             if event.kind == events.TOKEN:
                 texts.append(msgspec.json.decode(event.data, type=events.Token).text)
             elif event.kind == events.ERROR:
-                return refusal(event.data)
+                return error_response_from(event.data)
             else:
                 done = msgspec.json.decode(event.data, type=events.Done)
-                body = WholeAnswer(self.call.request_id, "".join(texts), done.tokens, done.digest)
+                body = CompletionResponse(
+                    self.admitted.request_id, "".join(texts), done.tokens, done.digest
+                )
                 return http_server.json_response(body)
         return http_server.error_response(
             errors.RequestError("the answer broke off", kind=errors.ErrorKind.STREAM_BROKEN)
@@ -209,7 +215,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class WholeAnswer:
+class CompletionResponse:
     """The JSON body of an answer that is not streamed."""
 
     request_id: str
@@ -218,6 +224,6 @@
     digest: str
 
 
-def refusal(data: bytes) -> http_server.Response:
+def error_response_from(data: bytes) -> http_server.Response:
     """Return the refusal whose JSON body is `data`."""
     return http_server.error_response(error_responses.parse_error(data, 502))
--- a/src/merlinthread/roles/control.py
+++ b/src/merlinthread/roles/control.py
@@ -10,7 +10,7 @@
 from merlinthread.roles import base, log_task, operators_api
 from merlinthread.transport import bus
 
-JOIN_EVERY_S = 0.5
+JOIN_INTERVAL_S = 0.5
 
 
 @base.ROLES.add("control")
@@ -23,36 +23,38 @@
         assert config is not None
         self.config = config
         self.task = log_task.LogTask(context, config)
-        me = next((peer for peer in config.members if peer.name == context.settings.name), None)
-        if me is None:
+        own_peer = next(
+            (peer for peer in config.members if peer.name == context.settings.name), None
+        )
+        if own_peer is None:
             raise errors.SettingsError(
                 f"control.members: {context.settings.name!r} (name) is not among them; add it",
                 field="control.members",
             )
-        self.mailbox = bus.Receiver(me.log_bus, context.codec, self.task.inbox.put)
-        self.responder = bus.RpcServer(me.bus, context.codec, self.handle, workers=8)
-        self.joining = base.Task("join", JOIN_EVERY_S, self.ask_to_join)
-        self.me = me
-        operators_api.add(context.http.routes, self)
+        self.receiver = bus.Receiver(own_peer.log_bus, context.codec, self.task.inbox.put)
+        self.rpc_server = bus.RpcServer(own_peer.bus, context.codec, self.handle, workers=8)
+        self.join_task = base.PeriodicTask("join", JOIN_INTERVAL_S, self.send_join_request)
+        self.own_peer = own_peer
+        operators_api.add_routes(context.http.routes, self)
 
     def start(self) -> None:
         """Start the tasks."""
         self.task.thread.start()
-        self.mailbox.start()
-        self.responder.start()
+        self.receiver.start()
+        self.rpc_server.start()
         if self.config.replaces:
-            self.joining.start()
+            self.join_task.start()
 
-    def ask_to_join(self) -> None:
+    def send_join_request(self) -> None:
         """Ask all members to be taken in, until the lost one is out."""
         voters = self.task.raft.log.voters
-        if self.me.name in voters.voters and self.config.replaces in voters.retired:
+        if self.own_peer.name in voters.voters and self.config.replaces in voters.retired:
             return
         join = messages.JoinRequest(
-            self.me.name,
+            self.own_peer.name,
             self.task.journal.identity,
-            self.me.log_bus,
-            self.me.bus,
+            self.own_peer.log_bus,
+            self.own_peer.bus,
             self.config.replaces,
         )
         for sender in list(self.task.senders.values()):
@@ -63,7 +65,7 @@
         if isinstance(message, messages.PollRequest):
             return self.on_poll(message)
         if isinstance(message, messages.AgentChanges):
-            return self.wait(log_task.Telling(message, futures.Future()))
+            return self.call_log_task(log_task.ReportUpdate(message, futures.Future()))
         if isinstance(message, messages.CommandRequest):
             name, raw = self.context.codec.envelope_decoder.decode(message.command)
             command = self.context.codec.decoders[name].decode(raw)
@@ -72,14 +74,14 @@
 
     def on_poll(self, poll: messages.PollRequest) -> messages.PollReply:
         """Answer an entry that asks for news."""
-        standing = self.task.standing
-        directive = standing.directive
+        published = self.task.published
+        directive = published.directive
         return messages.PollReply(
             self.context.settings.name,
-            standing.leader,
-            min(1e9, max(0.0, self.context.clock() - standing.leader_seen_at)),
+            published.leader,
+            min(1e9, max(0.0, self.context.clock() - published.leader_seen_at)),
             directive.revision,
-            standing.controls,
+            published.controls,
             directive if directive.revision > poll.revision else None,
         )
 
@@ -89,13 +91,15 @@
         Raises NotLeaderError elsewhere than on the leader, and ControlError (outcome_unknown) if no
         majority confirmed it in time.
         """
-        return self.wait(log_task.Proposal(command, futures.Future()))
+        return self.call_log_task(log_task.Proposal(command, futures.Future()))
 
-    def ask(self, read: Any) -> Any:
+    def read(self, query: Any) -> Any:
         """Return `read(log task)`, run in its thread, if this member surely leads."""
-        return self.wait(log_task.Reading(read, futures.Future()))
+        return self.call_log_task(log_task.ReadRequest(query, futures.Future()))
 
-    def wait(self, item: log_task.Proposal | log_task.Reading | log_task.Telling) -> Any:
+    def call_log_task(
+        self, item: log_task.Proposal | log_task.ReadRequest | log_task.ReportUpdate
+    ) -> Any:
         """Hand `item` to the log task and wait for its answer."""
         self.task.inbox.put(item)
         try:
@@ -109,12 +113,12 @@
 
     def failure_reason(self) -> str:
         """Return why the log task ended, or nothing."""
-        return self.task.broken
+        return self.task.failure
 
     def not_ready_reason(self) -> str:
         """Return why the log does not go on, or nothing."""
-        age = self.context.clock() - self.task.standing.leader_seen_at
-        if not self.task.standing.leader or age > 5:
+        age = self.context.clock() - self.task.published.leader_seen_at
+        if not self.task.published.leader or age > 5:
             return "no leader: a majority of control VMs is not reached"
         return ""
 
@@ -131,7 +135,7 @@
 
     def stop(self) -> None:
         """Stop the tasks."""
-        self.joining.stop()
-        self.responder.stop()
-        self.mailbox.stop()
+        self.join_task.stop()
+        self.rpc_server.stop()
+        self.receiver.stop()
         self.task.stop()
--- a/src/merlinthread/roles/entry.py
+++ b/src/merlinthread/roles/entry.py
@@ -15,15 +15,15 @@
 from merlinthread.transport import bus, http_client
 
 LEASE_S = 3.0
-CALL_TIMEOUT_S = 0.5
-STALE_CONTROL_S = 1.5
-PLATFORM_EVERY_S = 0.5
-SETTLE_EVERY_S = 0.5
-KEEP_ALIVE_S = 1.5
+RPC_TIMEOUT_S = 0.5
+LEADER_STALE_S = 1.5
+PLATFORM_POLL_INTERVAL_S = 0.5
+OUTCOME_RETRY_INTERVAL_S = 0.5
+KEEPALIVE_INTERVAL_S = 1.5
 
 
 @dataclasses.dataclass(slots=True)
-class Known:
+class ZoneSnapshot:
     """What request threads may read: replaced whole, never changed."""
 
     directive: control_state.Directive
@@ -32,7 +32,7 @@
     leaving: frozenset[str] = frozenset()
 
 
-class ZoneTask:
+class ZoneState:
     """Owns what this entry knows of agents and of the bundle in force.
 
     Its handlers run in the bus's threads under one lock; what request threads read is replaced
@@ -51,9 +51,9 @@
         self.counter = 0
         self.directive = control_state.Directive()
         self.leaving: frozenset[str] = frozenset()
-        self.known = Known(self.directive, [])
+        self.snapshot = ZoneSnapshot(self.directive, [])
 
-    def adopt(self, directive: control_state.Directive | None, source: str) -> None:
+    def adopt_directive(self, directive: control_state.Directive | None, source: str) -> None:
         """Take over a newer directive; an older one is never taken."""
         if directive is None:
             return
@@ -71,11 +71,11 @@
             source=source,
         )
 
-    def take(self, heard: list[summaries.Summary]) -> None:
+    def merge_summaries(self, received: list[summaries.Summary]) -> None:
         """Take in what other entries reach."""
         now = self.context.clock()
         with self.lock:
-            for summary in heard:
+            for summary in received:
                 if summary.entry != self.name:
                     self.others.add(summary, now)
             self.publish()
@@ -94,11 +94,13 @@
     def publish(self) -> None:
         """Replace what request threads read; the caller holds the lock."""
         now = self.context.clock()
-        self.known = Known(self.directive, self.view.live(now), self.others.live(now), self.leaving)
+        self.snapshot = ZoneSnapshot(
+            self.directive, self.view.live(now), self.others.live(now), self.leaving
+        )
 
-    def homed(self) -> list[agents.AgentReport]:
+    def home_reports(self) -> list[agents.AgentReport]:
         """Return the reports of agents that this entry tells the leader of."""
-        return [report for report in self.known.live if self.homes.get(report.name)]
+        return [report for report in self.snapshot.live if self.homes.get(report.name)]
 
     def summaries(self) -> list[summaries.Summary]:
         """Return what this entry reaches, and what it heard of others."""
@@ -106,7 +108,7 @@
             self.counter += 1
             counter = self.counter
         own = self.context.settings
-        known = self.known
+        snapshot = self.snapshot
         summary = summaries.Summary(
             own.name,
             self.incarnation,
@@ -116,16 +118,16 @@
             f"http://{own.http.address}:{own.http.port}",
         )
         if not self.context.in_flight.is_draining:
-            live = [report for report in known.live if report.name not in known.leaving]
+            live = [report for report in snapshot.live if report.name not in snapshot.leaving]
             summaries.add_reports(summary, live)
-        return [summary, *known.others]
+        return [summary, *snapshot.others]
 
     def handle(self, message: Any) -> Any:
         """Answer one call of an agent or of another entry."""
         if isinstance(message, messages.Heartbeat):
             return self.on_heartbeat(message)
         if isinstance(message, messages.LoadHeartbeat):
-            return self.on_beat(message)
+            return self.on_load_heartbeat(message)
         if isinstance(message, messages.ExchangeRequest):
             return self.on_exchange(message)
         raise errors.ProtocolError(f"an entry does not answer {type(message).__name__}")
@@ -140,16 +142,16 @@
             self.publish()
         return self.reply_to(report)
 
-    def on_beat(self, beat: messages.LoadHeartbeat) -> messages.HeartbeatReply:
+    def on_load_heartbeat(self, heartbeat: messages.LoadHeartbeat) -> messages.HeartbeatReply:
         """Take an agent's load, if its last full report is known here."""
-        order = (beat.incarnation, beat.counter)
-        load = (beat.running, beat.queued, beat.queued_tokens)
+        order = (heartbeat.incarnation, heartbeat.counter)
+        load = (heartbeat.running, heartbeat.queued, heartbeat.queued_tokens)
         with self.lock:
-            self.view.check_incarnation(beat.name, beat.incarnation)
-            report = self.view.update_load(beat.name, order, load, self.context.clock())
+            self.view.check_incarnation(heartbeat.name, heartbeat.incarnation)
+            report = self.view.update_load(heartbeat.name, order, load, self.context.clock())
             if report is None:
                 return messages.HeartbeatReply(self.name, 0.0, None, wants_full=True)
-            self.homes[beat.name] = beat.is_home
+            self.homes[heartbeat.name] = heartbeat.is_home
             self.publish()
         return self.reply_to(report)
 
@@ -164,7 +166,7 @@
 
     def on_exchange(self, exchange: messages.ExchangeRequest) -> messages.ExchangeReply:
         """Swap views with another entry."""
-        self.take(exchange.summaries)
+        self.merge_summaries(exchange.summaries)
         directive = self.directive
         return messages.ExchangeReply(
             directive.revision,
@@ -173,95 +175,99 @@
         )
 
 
-class ControlLink:
+class ControlClient:
     """Polls the control VMs for news, and brings commands to the leader."""
 
-    def __init__(self, context: base.RoleContext, config: settings_.Entry, zone: ZoneTask) -> None:
+    def __init__(self, context: base.RoleContext, config: settings_.Entry, zone: ZoneState) -> None:
         self.context = context
         self.config = config
         self.zone = zone
-        self.callers = bus.RpcClients(context.codec)
-        self.position = 0
-        self.names: dict[str, str] = {}
+        self.rpc_clients = bus.RpcClients(context.codec)
+        self.control_index = 0
+        self.control_addresses: dict[str, str] = {}
         self.leader = ""
-        self.joined: dict[str, str] = {}
-        self.outgoing = sessions.ReportSender()
+        self.joined_controls: dict[str, str] = {}
+        self.report_sender = sessions.ReportSender()
         self.listener = ""
         self.leader_address = ""
-        self.told_at = float("-inf")
-        self.tell_callers = bus.RpcClients(context.codec)
+        self.sent_at = float("-inf")
+        self.report_clients = bus.RpcClients(context.codec)
 
     def poll(self) -> None:
         """Ask one control VM; turn to the next if it does not answer or has lost its leader."""
         known = self.known_addresses()
-        address = known[self.position % len(known)]
-        directive = self.zone.known.directive
+        address = known[self.control_index % len(known)]
+        directive = self.zone.snapshot.directive
         poll = messages.PollRequest(self.zone.name, directive.revision)
         try:
-            reply = self.callers.call(address, poll, CALL_TIMEOUT_S)
+            reply = self.rpc_clients.call(address, poll, RPC_TIMEOUT_S)
         except errors.MerlinthreadError as error:
-            self.position += 1
+            self.control_index += 1
             logs.debug("control_unreached", address=address, reason=error.message)
             return
-        self.names[reply.control] = address
+        self.control_addresses[reply.control] = address
         self.leader = reply.leader
-        self.joined = reply.controls
-        self.zone.adopt(reply.directive, reply.control)
-        if reply.leader_age_s > STALE_CONTROL_S:
-            self.position += 1
+        self.joined_controls = reply.controls
+        self.zone.adopt_directive(reply.directive, reply.control)
+        if reply.leader_age_s > LEADER_STALE_S:
+            self.control_index += 1
 
-    def tell(self) -> None:
+    def send_changes(self) -> None:
         """Tell the leader what changed among the agents whose home this entry is."""
-        changed, gone, is_full = self.outgoing.changes(self.zone.homed(), self.listener)
+        changed, gone, is_full = self.report_sender.changes(self.zone.home_reports(), self.listener)
         now = self.context.clock()
-        if not (changed or gone or is_full) and now < self.told_at + KEEP_ALIVE_S:
+        if not (changed or gone or is_full) and now < self.sent_at + KEEPALIVE_INTERVAL_S:
             return
-        told = self.find_leader(messages.AgentChanges(self.zone.name, changed, gone, is_full))
-        if told is None:
-            self.outgoing.forget()
+        reply = self.send_to_leader(messages.AgentChanges(self.zone.name, changed, gone, is_full))
+        if reply is None:
+            self.report_sender.forget()
             return
-        if told.wants_full or told.listener != self.listener:
-            self.outgoing.forget()
-            self.listener = told.listener
+        if reply.wants_full or reply.listener != self.listener:
+            self.report_sender.forget()
+            self.listener = reply.listener
             if not is_full:
                 return
-        self.told_at = now
-        self.outgoing.confirm(changed, gone, self.listener)
+        self.sent_at = now
+        self.report_sender.confirm(changed, gone, self.listener)
 
-    def find_leader(self, tell: messages.AgentChanges) -> messages.AgentChangesReply | None:
+    def send_to_leader(self, changes: messages.AgentChanges) -> messages.AgentChangesReply | None:
         """Return the leader's answer, whichever control VM it is, or None."""
         for address in self.addresses():
             try:
-                told = self.tell_callers.call(address, tell, CALL_TIMEOUT_S)
+                reply = self.report_clients.call(address, changes, RPC_TIMEOUT_S)
             except errors.MerlinthreadError as error:
                 logs.debug("not_told", address=address, reason=error.message)
                 continue
             self.leader_address = address
-            return told
+            return reply
         return None
 
     def known_addresses(self) -> list[str]:
         """Return the addresses in the settings and of control VMs that joined later."""
-        return list(dict.fromkeys([*self.config.controls, *self.joined.values()]))
+        return list(dict.fromkeys([*self.config.controls, *self.joined_controls.values()]))
 
     def addresses(self) -> list[str]:
         """Return the control VMs' addresses, the leader's first."""
-        first = self.names.get(self.leader) or self.joined.get(self.leader) or self.leader_address
+        first = (
+            self.control_addresses.get(self.leader)
+            or self.joined_controls.get(self.leader)
+            or self.leader_address
+        )
         rest = [address for address in self.known_addresses() if address != first]
         return ([first] if first else []) + rest
 
     def close(self) -> None:
         """Close the sockets."""
-        self.callers.close()
-        self.tell_callers.close()
+        self.rpc_clients.close()
+        self.report_clients.close()
 
 
 class Submitter:
     """Brings commands to the leading control VM; one per request thread."""
 
-    def __init__(self, context: base.RoleContext, link: ControlLink) -> None:
+    def __init__(self, context: base.RoleContext, control_client: ControlClient) -> None:
         self.context = context
-        self.link = link
+        self.control_client = control_client
         self.local = threading.local()
 
     def submit(self, command: commands.Command, deadline: float) -> commands.Answer:
@@ -272,15 +278,15 @@
         """
         name = self.context.codec.names[type(command)]
         message = messages.CommandRequest(msgspec.msgpack.encode((name, command)))
-        if not hasattr(self.local, "callers"):
-            self.local.callers = bus.RpcClients(self.context.codec)
+        if not hasattr(self.local, "rpc_clients"):
+            self.local.rpc_clients = bus.RpcClients(self.context.codec)
         may_have_committed = False
-        for address in self.link.addresses():
-            left = deadline - self.context.clock()
-            if left <= 0:
+        for address in self.control_client.addresses():
+            remaining = deadline - self.context.clock()
+            if remaining <= 0:
                 break
             try:
-                return self.local.callers.call(address, message, min(left, 2.0)).answer
+                return self.local.rpc_clients.call(address, message, min(remaining, 2.0)).answer
             except errors.MerlinthreadError as error:
                 if error.kind not in (errors.ErrorKind.NOT_LEADER, errors.ErrorKind.OVERLOADED):
                     may_have_committed = True
@@ -300,59 +306,65 @@
         config = context.settings.entry
         assert config is not None
         self.config = config
-        self.zone = ZoneTask(context, config)
-        self.link = ControlLink(context, config, self.zone)
-        self.responder = bus.RpcServer(
+        self.zone = ZoneState(context, config)
+        self.control_client = ControlClient(context, config, self.zone)
+        self.rpc_server = bus.RpcServer(
             context.settings.bus, context.codec, self.zone.handle, workers=4
         )
-        self.exchange_callers = bus.RpcClients(context.codec)
+        self.exchange_clients = bus.RpcClients(context.codec)
         self.rng = random.Random()
         self.client = http_client.Client()
         self.tasks = [
-            base.Task("poll", config.poll_every_s, self.link.poll),
-            base.Task("tell", config.tell_every_s, self.link.tell),
-            base.Task("exchange", config.exchange_every_s, self.exchange),
-            base.Task("refresh", 0.25, self.zone.refresh),
+            base.PeriodicTask("poll", config.poll_every_s, self.control_client.poll),
+            base.PeriodicTask("tell", config.tell_every_s, self.control_client.send_changes),
+            base.PeriodicTask("exchange", config.exchange_every_s, self.exchange_summaries),
+            base.PeriodicTask("refresh", 0.25, self.zone.refresh),
         ]
         if config.platform_url:
-            self.tasks.append(base.Task("platform", PLATFORM_EVERY_S, self.read_platform))
-        self.path = request_handler.RequestHandler(
-            context, config, self.zone, Submitter(context, self.link)
+            self.tasks.append(
+                base.PeriodicTask("platform", PLATFORM_POLL_INTERVAL_S, self.poll_platform)
+            )
+        self.handler = request_handler.RequestHandler(
+            context, config, self.zone, Submitter(context, self.control_client)
         )
-        self.path.add_routes(context.http.routes)
-        self.forwarder = forwarding.Forwarder(self.path)
+        self.handler.add_routes(context.http.routes)
+        self.forwarder = forwarding.Forwarder(self.handler)
         for method in ("GET", "POST"):
             context.http.routes.add(method, forwarding.PREFIX, self.forwarder.on_request)
-        self.tasks.append(base.Task("settle", SETTLE_EVERY_S, self.path.settler.work))
+        self.tasks.append(
+            base.PeriodicTask(
+                "settle", OUTCOME_RETRY_INTERVAL_S, self.handler.outcome_retrier.retry_pending
+            )
+        )
 
     def start(self) -> None:
         """Start the tasks."""
-        self.responder.start()
+        self.rpc_server.start()
         for task in self.tasks:
             task.start()
 
-    def exchange(self) -> None:
+    def exchange_summaries(self) -> None:
         """Swap views with one other entry, chosen at random, so that the cost does not grow."""
         if not self.config.entries:
             return
         address = self.rng.choice(self.config.entries)
         message = messages.ExchangeRequest(
-            self.zone.name, self.zone.known.directive.revision, self.zone.summaries()
+            self.zone.name, self.zone.snapshot.directive.revision, self.zone.summaries()
         )
         try:
-            reply = self.exchange_callers.call(address, message, CALL_TIMEOUT_S)
+            reply = self.exchange_clients.call(address, message, RPC_TIMEOUT_S)
         except errors.MerlinthreadError as error:
             logs.debug("entry_unreached", address=address, reason=error.message)
             return
-        self.zone.adopt(reply.directive, address)
-        self.zone.take(reply.summaries)
+        self.zone.adopt_directive(reply.directive, address)
+        self.zone.merge_summaries(reply.summaries)
 
-    def read_platform(self) -> None:
+    def poll_platform(self) -> None:
         """Read the platform's list of VMs for those that leave."""
         assert self.config.platform_url is not None
         try:
             reply = self.client.request("GET", f"{self.config.platform_url}/v1/vms", timeout_s=2.0)
-            listed = msgspec.json.decode(reply.body, type=PlatformList)
+            listed = msgspec.json.decode(reply.body, type=PlatformVmList)
         except (errors.MerlinthreadError, msgspec.DecodeError) as error:
             logs.debug("platform_unreached", reason=str(error))
             return
@@ -365,7 +377,7 @@
         """Return why callers can't be served, or nothing."""
         if self.context.in_flight.is_draining:
             return "leaving"
-        if self.zone.known.directive.bundle is None:
+        if self.zone.snapshot.directive.bundle is None:
             return "no bundle in force is known yet"
         return ""
 
@@ -373,9 +385,9 @@
         """Stop the tasks."""
         for task in self.tasks:
             task.stop()
-        self.responder.stop()
-        self.link.close()
-        self.exchange_callers.close()
+        self.rpc_server.stop()
+        self.control_client.close()
+        self.exchange_clients.close()
 
 
 @dataclasses.dataclass(slots=True)
@@ -387,7 +399,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class PlatformList:
+class PlatformVmList:
     """The platform's list, which lags."""
 
     vms: list[PlatformVm]
--- a/src/merlinthread/roles/forwarding.py
+++ b/src/merlinthread/roles/forwarding.py
@@ -20,54 +20,56 @@
 class Forwarder:
     """Answers attempts of other entries like an agent would, by passing them to an agent."""
 
-    def __init__(self, path: "request_handler.RequestHandler") -> None:
-        self.path = path
+    def __init__(self, handler: "request_handler.RequestHandler") -> None:
+        self.handler = handler
 
     def on_request(self, request: http_server.Request) -> http_server.Response:
         """Pass one attempt on."""
         attempt = attempts.parse_attempt(request.headers)
         attempts.verify_tag(
-            self.path.context.codec, attempt, request.path, request.body, request.headers
+            self.handler.context.codec, attempt, request.path, request.body, request.headers
         )
-        self.path.context.in_flight.enter()
+        self.handler.context.in_flight.enter()
         try:
             report = self.choose(request, attempt)
-            stream = self.open_at(report, request, attempt)
+            stream = self.open_at_target(report, request, attempt)
         except BaseException:
-            self.path.context.in_flight.leave()
+            self.handler.context.in_flight.leave()
             raise
-        headers = {name: stream.headers[name] for name in KEPT if name in stream.headers}
+        headers = {
+            name: stream.headers[name] for name in FORWARDED_HEADERS if name in stream.headers
+        }
         kind = stream.headers.get("content-type", "application/json")
         return http_server.Response(stream.status, self.relay(stream, report), headers, kind)
 
     def choose(self, request: http_server.Request, attempt: attempts.Attempt) -> agents.AgentReport:
         """Choose one of this entry's own targets."""
         if request.subpath == "v1/completions":
-            body = msgspec.json.decode(request.body, type=completion.CompletionCall)
-            wanted = routing.Requirements(bundles.GENERATE, body.model, body.adapter)
+            body = msgspec.json.decode(request.body, type=completion.CompletionBody)
+            requirements = routing.Requirements(bundles.GENERATE, body.model, body.adapter)
         else:
             service = request.headers.get(attempts.SERVICE, "")
-            wanted = routing.Requirements(bundles.SERVICE, service)
-        return self.path.choose(attempt.id, wanted, frozenset(), is_local=True)
+            requirements = routing.Requirements(bundles.SERVICE, service)
+        return self.handler.choose(attempt.id, requirements, frozenset(), is_local=True)
 
-    def open_at(
+    def open_at_target(
         self, report: agents.AgentReport, request: http_server.Request, attempt: attempts.Attempt
     ) -> http_client.StreamingResponse:
         """Send the attempt to the chosen agent."""
         attempt.incarnation = report.incarnation
-        self.path.outstanding.add(report.name, 1)
+        self.handler.in_flight_by_target.add(report.name, 1)
         try:
-            return self.path.send_attempt(
+            return self.handler.send_attempt(
                 report, request.method, request.path, request.body, attempt
             )
         except http_client.NotSentError as error:
-            self.path.outstanding.add(report.name, -1)
+            self.handler.in_flight_by_target.add(report.name, -1)
             raise errors.RequestError(error.message, kind=errors.ErrorKind.NOT_RUN)
         except errors.UnreachableError as error:
-            self.path.outstanding.add(report.name, -1)
+            self.handler.in_flight_by_target.add(report.name, -1)
             raise errors.RequestError(error.message, kind=errors.ErrorKind.OUTCOME_UNKNOWN)
         except BaseException:
-            self.path.outstanding.add(report.name, -1)
+            self.handler.in_flight_by_target.add(report.name, -1)
             raise
 
     def relay(
@@ -82,8 +84,8 @@
             raise
         finally:
             stream.close()
-            self.path.outstanding.add(report.name, -1)
-            self.path.context.in_flight.leave()
+            self.handler.in_flight_by_target.add(report.name, -1)
+            self.handler.context.in_flight.leave()
 
 
-KEPT = (attempts.ATTEMPT, attempts.DIGEST, "content-length")
+FORWARDED_HEADERS = (attempts.ATTEMPT, attempts.DIGEST, "content-length")
--- a/src/merlinthread/roles/leader_duties.py
+++ b/src/merlinthread/roles/leader_duties.py
@@ -10,12 +10,12 @@
 if typing.TYPE_CHECKING:
     from merlinthread.roles import log_task
 
-JOIN_HEARD_S = 3.0
+JOIN_REQUEST_EXPIRY_S = 3.0
 # A new leader places nothing for this long: entries tell it of their agents first.
-PLACE_AFTER_S = 5.0
+PLACEMENT_DELAY_S = 5.0
 # Operators name the member that is lost for good, so a little more than the silence that ends a
 # leadership is enough to take it out: until then the group of four bears no further loss.
-LOST_SILENT_S = 2.0
+LOST_MEMBER_SILENCE_S = 2.0
 
 
 class LeaderDuties:
@@ -24,11 +24,11 @@
     def __init__(self, task: "log_task.LogTask") -> None:
         self.task = task
         self.join_requests: dict[str, tuple[messages.JoinRequest, float]] = {}
-        self.placed_from = float("-inf")
+        self.placement_allowed_at = float("-inf")
 
-    def begin(self, now: float) -> None:
+    def on_leadership_change(self, now: float) -> None:
         """Note that leadership changed: entries must tell of their agents first."""
-        self.placed_from = now + PLACE_AFTER_S
+        self.placement_allowed_at = now + PLACEMENT_DELAY_S
 
     def update_membership(self, now: float) -> None:
         """Note members' identities, and take the next step of a repair."""
@@ -39,24 +39,24 @@
             if name in voters.members() and name not in voters.identities
         }
         if unknown:
-            self.change_members(raft_members.MembershipChange(identities=unknown), now)
+            self.change_membership(raft_members.MembershipChange(identities=unknown), now)
             return
         matches = {name: progress.match for name, progress in self.task.raft.progress.items()}
-        facts = raft_members.ReplicationStatus(self.task.name, self.task.raft.commit, matches)
+        status = raft_members.ReplicationStatus(self.task.name, self.task.raft.commit, matches)
         for name, (join, heard_at) in list(self.join_requests.items()):
-            if now - heard_at > JOIN_HEARD_S:
+            if now - heard_at > JOIN_REQUEST_EXPIRY_S:
                 del self.join_requests[name]
                 continue
             address = raft_messages.Address(join.log_bus, join.bus)
             joiner = raft_members.JoiningMember(name, join.identity, address, join.replaces)
             lost = self.task.raft.progress.get(join.replaces)
-            is_silent = lost is None or now - lost.heard_at > LOST_SILENT_S
-            change = raft_members.next_change(voters, joiner, facts, is_silent)
+            is_silent = lost is None or now - lost.heard_at > LOST_MEMBER_SILENCE_S
+            change = raft_members.next_change(voters, joiner, status, is_silent)
             if change is not None:
-                self.change_members(change, now)
+                self.change_membership(change, now)
                 return
 
-    def change_members(self, change: raft_members.MembershipChange, now: float) -> None:
+    def change_membership(self, change: raft_members.MembershipChange, now: float) -> None:
         """Put a change of members into the log, if it is safe now."""
         try:
             index = self.task.raft.change_membership(change, now)
@@ -72,15 +72,15 @@
             identities=sorted(change.identities),
         )
 
-    def place(self, now: float) -> None:
+    def update_placement(self, now: float) -> None:
         """Decide which VMs hold which models, and pause a roll that a target refuses."""
         bundle = self.task.state.active_bundle()
-        if bundle is None or self.task.raft.log.last_index() > self.task.applied:
+        if bundle is None or self.task.raft.log.last_index() > self.task.applied_index:
             return
-        if now < self.placed_from and self.task.state.placement:
+        if now < self.placement_allowed_at and self.task.state.placement:
             # A new leader first lets the entries tell it of their agents.
             return
-        live = self.task.incoming.live(now)
+        live = self.task.report_receiver.live(now)
         plan = placement.plan(bundle, live, self.task.state.placement)
         if plan.changes:
             logs.event(
@@ -93,9 +93,9 @@
             command = commands.Place(self.task.state.generation, plan.changes, plan.reason)
             self.task.propose(command, futures.Future(), now)
             return
-        self.pause_if_troubled(live, now)
+        self.pause_on_trouble(live, now)
 
-    def pause_if_troubled(self, live: list[agents.AgentReport], now: float) -> None:
+    def pause_on_trouble(self, live: list[agents.AgentReport], now: float) -> None:
         """Pause the roll if an agent of its generation says that it can't go on."""
         for report in live:
             is_current = report.generation == self.task.state.generation
--- a/src/merlinthread/roles/log_task.py
+++ b/src/merlinthread/roles/log_task.py
@@ -23,9 +23,9 @@
 from merlinthread.state import folder, journal
 from merlinthread.transport import bus
 
-INBOX_BATCH = 512
-COMPACT_BYTES = 32 * 1024 * 1024
-EXPIRE_EVERY_S = 600.0
+INBOX_BATCH_SIZE = 512
+COMPACT_LOG_BYTES = 32 * 1024 * 1024
+EXPIRY_INTERVAL_S = 600.0
 
 
 @dataclasses.dataclass(slots=True)
@@ -37,23 +37,23 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Telling:
+class ReportUpdate:
     """What an entry tells of its agents, with the place for the answer."""
 
-    tell: messages.AgentChanges
+    changes: messages.AgentChanges
     answer: futures.Future
 
 
 @dataclasses.dataclass(slots=True)
-class Reading:
+class ReadRequest:
     """A question about the state that only a leader with a lease may answer."""
 
-    read: Any
+    query: Any
     answer: futures.Future
 
 
 @dataclasses.dataclass(slots=True)
-class Standing:
+class PublishedState:
     """What others in this process may know of the log task; replaced whole, never changed."""
 
     directive: control_state.Directive
@@ -84,27 +84,27 @@
             identity=self.journal.identity,
         )
         self.state = control_state.ControlState()
-        self.applied = 0
-        self.restore(self.journal.snapshot)
-        self.waiting: dict[int, tuple[int, futures.Future]] = {}
-        self.incoming = sessions.ReportReceiver(config.agent_lost_after_s)
+        self.applied_index = 0
+        self.restore_snapshot(self.journal.snapshot)
+        self.pending_answers: dict[int, tuple[int, futures.Future]] = {}
+        self.report_receiver = sessions.ReportReceiver(config.agent_lost_after_s)
         self.senders = {
             peer.name: bus.Sender(peer.log_bus, context.codec)
             for peer in config.members
             if peer.name != self.name
         }
         now = context.clock()
-        self.place_at = now
+        self.next_placement_at = now
         self.duties = leader_duties.LeaderDuties(self)
-        self.expire_at = now + EXPIRE_EVERY_S
-        self.full_until = float("-inf")
+        self.next_expiry_at = now + EXPIRY_INTERVAL_S
+        self.disk_full_until = float("-inf")
         self.was_leader = False
         self.state_logged_at = float("-inf")
-        self.standing = Standing(control_state.Directive(), "", float("-inf"), {})
+        self.published = PublishedState(control_state.Directive(), "", float("-inf"), {})
         self.publish()
         self.thread = threading.Thread(target=self.run, name="log", daemon=True)
         self.stopping = False
-        self.broken = ""
+        self.failure = ""
 
     # The loop
 
@@ -112,31 +112,31 @@
         """Take in messages, decide, make durable, send, apply; end on a broken disk."""
         try:
             while not self.stopping:
-                self.turn()
+                self.run_once()
                 if self.raft.replaced_by:
-                    self.broken = (
+                    self.failure = (
                         f"the data folder of {self.name!r} was lost: it has another identity than "
                         "the members know. Start this VM under a new name with control.replaces"
                     )
-                    logs.warning("identity_lost", reason=self.broken)
+                    logs.warning("identity_lost", reason=self.failure)
                     return
         except Exception as error:
             logs.exception("log_task_failed")
-            self.broken = repr(error)
+            self.failure = repr(error)
 
-    def turn(self) -> None:
+    def run_once(self) -> None:
         """Do one round."""
         now = self.context.clock()
-        wait = max(0.0, min(self.raft.next_tick_at(), self.place_at) - now)
+        wait = max(0.0, min(self.raft.next_tick_at(), self.next_placement_at) - now)
         items = self.receive(wait)
         now = self.context.clock()
         for item in items:
-            self.take(item, now)
+            self.handle_item(item, now)
         self.raft.tick(now)
         self.raft.flush(now)
-        self.settle(now)
-        self.note_leadership()
-        self.lead(now)
+        self.process_ready(now)
+        self.update_leadership()
+        self.run_leader_tasks(now)
         self.log_state(now)
         self.publish()
 
@@ -145,26 +145,26 @@
         items: list[Any] = []
         try:
             items.append(self.inbox.get(timeout=max(0.0005, wait_s)))
-            while len(items) < INBOX_BATCH:
+            while len(items) < INBOX_BATCH_SIZE:
                 items.append(self.inbox.get_nowait())
         except queue.Empty:
             pass
         return items
 
-    def take(self, item: Any, now: float) -> None:
+    def handle_item(self, item: Any, now: float) -> None:
         """Handle one item of the inbox."""
         if isinstance(item, Proposal):
-            self.guarded(item.answer, lambda: self.propose(item.command, item.answer, now))
+            self.run_or_reject(item.answer, lambda: self.propose(item.command, item.answer, now))
         elif isinstance(item, messages.JoinRequest):
             self.duties.join_requests[item.name] = (item, now)
-        elif isinstance(item, Reading):
-            self.guarded(item.answer, lambda: self.read(item, now))
-        elif isinstance(item, Telling):
-            self.guarded(item.answer, lambda: self.listen(item, now))
+        elif isinstance(item, ReadRequest):
+            self.run_or_reject(item.answer, lambda: self.read(item, now))
+        elif isinstance(item, ReportUpdate):
+            self.run_or_reject(item.answer, lambda: self.apply_agent_changes(item, now))
         elif isinstance(item, raft_messages.Message):
             self.raft.step(item, now)
 
-    def guarded(self, answer: futures.Future, work: Any) -> None:
+    def run_or_reject(self, answer: futures.Future, work: Any) -> None:
         """Do `work`, or give its refusal as the answer."""
         try:
             work()
@@ -173,29 +173,31 @@
 
     def propose(self, command: commands.Command, answer: futures.Future, now: float) -> None:
         """Put a command into the log; its answer comes when it is applied."""
-        if now < self.full_until:
+        if now < self.disk_full_until:
             raise errors.DiskFullError(f"{self.folder.path}: no room on the disk; free some space")
         name = self.context.codec.names[type(command)]
         index = self.raft.propose(msgspec.msgpack.encode((name, command)), now)
-        self.waiting[index] = (self.raft.hard_state.term, answer)
+        self.pending_answers[index] = (self.raft.hard_state.term, answer)
 
-    def listen(self, telling: Telling, now: float) -> None:
+    def apply_agent_changes(self, update: ReportUpdate, now: float) -> None:
         """Take in what an entry tells of its agents, if this member leads."""
         self.raft.require_leader()
-        tell = telling.tell
-        is_taken = self.incoming.take(tell.entry, tell.changed, tell.gone, tell.is_full, now)
+        changes = update.changes
+        is_accepted = self.report_receiver.take(
+            changes.entry, changes.changed, changes.gone, changes.is_full, now
+        )
         listener = f"{self.name} {self.raft.hard_state.term}"
-        telling.answer.set_result(messages.AgentChangesReply(listener, not is_taken))
+        update.answer.set_result(messages.AgentChangesReply(listener, not is_accepted))
 
-    def read(self, reading: Reading, now: float) -> None:
+    def read(self, request: ReadRequest, now: float) -> None:
         """Answer a question if this member surely leads."""
         if not self.raft.holds_lease(now):
             raise errors.NotLeaderError(f"{self.name} does not lead", self.raft.leader)
-        reading.answer.set_result(reading.read(self))
+        request.answer.set_result(request.query(self))
 
     # Durability
 
-    def settle(self, now: float) -> None:
+    def process_ready(self, now: float) -> None:
         """Save, send and apply until nothing is left to do."""
         while not (ready := self.raft.ready()).is_empty():
             try:
@@ -211,7 +213,7 @@
             self.raft.mark_saved(ready)
             self.raft.flush(now)
             self.connect_members()
-        if self.is_due_for_compaction() and now >= self.full_until:
+        if self.is_due_for_compaction() and now >= self.disk_full_until:
             self.compact(now)
 
     def save(self, ready: raft_messages.Ready) -> None:
@@ -219,46 +221,46 @@
         if ready.snapshot is not None:
             kept = self.raft.log.saved_entries()
             self.journal.compact(ready.snapshot, kept)
-            self.restore(ready.snapshot)
+            self.restore_snapshot(ready.snapshot)
         if ready.hard_state is not None or ready.entries:
             self.journal.save(ready.hard_state, ready.entries, self.raft.commit)
 
     def on_full_disk(self, error: errors.DiskFullError, now: float) -> None:
         """Give up leading, refuse what was not accepted, and try again a little later."""
         logs.warning("disk_full", message=error.message)
-        self.full_until = now + 1.0
+        self.disk_full_until = now + 1.0
         self.raft.discard_unsaved(now)
-        for index, (_, answer) in list(self.waiting.items()):
+        for index, (_, answer) in list(self.pending_answers.items()):
             if index > self.raft.log.saved_index:
-                self.waiting.pop(index)
+                self.pending_answers.pop(index)
                 answer.set_exception(error)
 
     def is_due_for_compaction(self) -> bool:
         """Return whether the log has grown enough for a snapshot."""
-        grown = self.applied - self.journal.snapshot.index
+        grown = self.applied_index - self.journal.snapshot.index
         if grown >= self.config.compact_after_entries:
             return True
-        return grown > 0 and self.journal.file.length > COMPACT_BYTES
+        return grown > 0 and self.journal.file.length > COMPACT_LOG_BYTES
 
     def compact(self, now: float) -> None:
         """Replace the applied part of the log by a snapshot."""
         encoded = msgspec.msgpack.encode(self.state)
-        snapshot = self.raft.compact(self.applied, encoded)
+        snapshot = self.raft.compact(self.applied_index, encoded)
         kept = self.raft.log.saved_entries()
         try:
             self.journal.compact(snapshot, kept)
         except errors.DiskFullError as error:
-            self.full_until = now + 1.0
+            self.disk_full_until = now + 1.0
             logs.warning("disk_full", message=error.message)
             return
         metrics.data_folder_bytes.set(self.journal.size_bytes())
         logs.event("compacted", index=snapshot.index, state_bytes=len(encoded))
 
-    def restore(self, snapshot: journal.Snapshot) -> None:
+    def restore_snapshot(self, snapshot: journal.Snapshot) -> None:
         """Take the state over from a snapshot."""
         if snapshot.state:
             self.state = msgspec.msgpack.decode(snapshot.state, type=control_state.ControlState)
-        self.applied = snapshot.index
+        self.applied_index = snapshot.index
 
     def apply(self, entry: journal.Entry) -> None:
         """Apply one committed entry and answer whoever waits for it."""
@@ -269,18 +271,18 @@
             result = self.state.apply(command, entry.index)
             metrics.commands_total.labels(name).inc()
             log_applied(name, command, result, entry.index)
-        self.applied = entry.index
-        term, answer = self.waiting.pop(entry.index, (0, None))
+        self.applied_index = entry.index
+        term, answer = self.pending_answers.pop(entry.index, (0, None))
         if answer is None:
             return
         if term == entry.term:
             answer.set_result(result)
         else:
-            answer.set_exception(lost_leadership())
+            answer.set_exception(leadership_lost_error())
 
     # Leading
 
-    def note_leadership(self) -> None:
+    def update_leadership(self) -> None:
         """Log a change of leader and fail what waits on a lost leadership."""
         leads = self.raft.is_leader()
         if leads == self.was_leader:
@@ -288,27 +290,27 @@
         self.was_leader = leads
         metrics.is_leader.set(1 if leads else 0)
         logs.event("leading" if leads else "following", term=self.raft.hard_state.term)
-        self.incoming.clear()
-        self.duties.begin(self.context.clock())
+        self.report_receiver.clear()
+        self.duties.on_leadership_change(self.context.clock())
         if leads:
             return
-        for index, (_, answer) in list(self.waiting.items()):
-            self.waiting.pop(index)
-            answer.set_exception(lost_leadership())
+        for index, (_, answer) in list(self.pending_answers.items()):
+            self.pending_answers.pop(index)
+            answer.set_exception(leadership_lost_error())
 
-    def lead(self, now: float) -> None:
+    def run_leader_tasks(self, now: float) -> None:
         """Do a leader's regular work."""
-        if now < self.place_at:
+        if now < self.next_placement_at:
             return
-        self.place_at = now + self.config.place_every_s
+        self.next_placement_at = now + self.config.place_every_s
         if not self.raft.is_leader():
             return
         if not self.raft.holds_lease(now):
             return
         self.duties.update_membership(now)
-        self.duties.place(now)
-        if now >= self.expire_at:
-            self.expire_at = now + EXPIRE_EVERY_S
+        self.duties.update_placement(now)
+        if now >= self.next_expiry_at:
+            self.next_expiry_at = now + EXPIRY_INTERVAL_S
             before = self.context.wall_clock() - self.config.claims_kept_s
             self.propose(commands.Expire(before), futures.Future(), now)
 
@@ -342,7 +344,7 @@
 
     def publish(self) -> None:
         """Replace what other threads may read."""
-        old = self.standing
+        old = self.published
         directive = old.directive
         if self.state.revision != directive.revision:
             directive = self.state.directive()
@@ -352,7 +354,7 @@
         if self.raft.is_leader():
             seen_at = self.raft.lease_until() - self.raft.timing.election_min_s
         controls = {name: a.bus for name, a in self.raft.log.voters.addresses.items()}
-        self.standing = Standing(directive, self.raft.leader, seen_at, controls)
+        self.published = PublishedState(directive, self.raft.leader, seen_at, controls)
 
     def stop(self) -> None:
         """End the thread and let the folder go."""
@@ -366,7 +368,7 @@
         self.folder.release()
 
 
-def lost_leadership() -> errors.ControlError:
+def leadership_lost_error() -> errors.ControlError:
     """Return the error for a command whose leader lost its place meanwhile."""
     return errors.ControlError(
         "the leader changed before the command was committed; send it again with the same "
--- a/src/merlinthread/roles/operators_api.py
+++ b/src/merlinthread/roles/operators_api.py
@@ -22,13 +22,13 @@
 
     def propose(self, request: http_server.Request) -> http_server.Response:
         """Put a bundle forward."""
-        call = read_body(request, operator_calls.ProposeRequest)
+        call = decode_body(request, operator_calls.ProposeRequest)
         bundle = bundle_file.from_data(call.bundle, "bundle")
         return self.commit(commands.Propose(call.request_id, call.operator, self.now(), bundle))
 
     def sign(self, request: http_server.Request) -> http_server.Response:
         """Add a signature, if it is an operator's and valid."""
-        call = read_body(request, operator_calls.SignRequest)
+        call = decode_body(request, operator_calls.SignRequest)
         known = {operator.name: operator.public_key for operator in self.role.config.operators}
         if call.operator not in known:
             raise errors.BundleError(
@@ -56,7 +56,7 @@
 
     def roll(self, request: http_server.Request) -> http_server.Response:
         """Put a version in force."""
-        call = read_body(request, operator_calls.RollRequest)
+        call = decode_body(request, operator_calls.RollRequest)
         return self.commit(
             commands.Roll(
                 call.request_id,
@@ -70,27 +70,27 @@
 
     def resume(self, request: http_server.Request) -> http_server.Response:
         """Let a paused roll go on."""
-        call = read_body(request, operator_calls.ResumeRequest)
+        call = decode_body(request, operator_calls.ResumeRequest)
         return self.commit(commands.Pause(call.generation, ""))
 
     def show(self, request: http_server.Request) -> http_server.Response:
         """Return one bundle whole."""
         version = int(request.subpath) if request.subpath.isdigit() else -1
         return http_server.json_response(
-            self.role.ask(lambda task: show_bundle(task.state, version, self.role))
+            self.role.read(lambda task: show_bundle(task.state, version, self.role))
         )
 
     def history(self, request: http_server.Request) -> http_server.Response:
         """Return all bundles and rolls."""
         return http_server.json_response(
-            self.role.ask(lambda task: history_of(task.state, self.role))
+            self.role.read(lambda task: make_history(task.state, self.role))
         )
 
     def status(self, request: http_server.Request) -> http_server.Response:
         """Return what is in force and who enforces it."""
-        return http_server.json_response(self.role.ask(self.status_of))
+        return http_server.json_response(self.role.read(self.make_status))
 
-    def status_of(self, task: Any) -> operator_calls.Status:
+    def make_status(self, task: Any) -> operator_calls.Status:
         """Return the status; runs in the log task."""
         now = self.role.context.clock()
         state = task.state
@@ -117,7 +117,10 @@
             record.digest if record else "",
             state.paused,
             members,
-            [agent_status(state, directive, report) for report in task.incoming.live(now)],
+            [
+                make_agent_status(state, directive, report)
+                for report in task.report_receiver.live(now)
+            ],
             task.journal.size_bytes(),
         )
 
@@ -127,14 +130,14 @@
         if answer.error:
             error = errors.ControlError(answer.message, kind=errors.ErrorKind(answer.error))
             return http_server.error_response(error, answer.digest)
-        return http_server.json_response(to_result(answer))
+        return http_server.json_response(make_result(answer))
 
     def now(self) -> float:
         """Return the wall clock, for records that operators read."""
         return self.role.context.wall_clock()
 
 
-def agent_status(
+def make_agent_status(
     state: control_state.ControlState,
     directive: control_state.Directive,
     report: agents.AgentReport,
@@ -159,14 +162,14 @@
     )
 
 
-def to_result(answer: commands.Answer) -> operator_calls.CommandResult:
+def make_result(answer: commands.Answer) -> operator_calls.CommandResult:
     """Return what operators see of an answer."""
     return operator_calls.CommandResult(
         answer.status, answer.version, answer.digest, answer.generation, answer.message
     )
 
 
-def read_body(request: http_server.Request, kind: Any) -> Any:
+def decode_body(request: http_server.Request, kind: Any) -> Any:
     """Return the JSON body as `kind`; raise RequestError naming what is wrong."""
     try:
         return msgspec.json.decode(request.body, type=kind)
@@ -184,11 +187,11 @@
             f"no bundle has version {version}", kind=errors.ErrorKind.UNKNOWN_VERSION
         )
     return operator_calls.BundleDetails(
-        line_of(state, record, role), msgspec.to_builtins(record.bundle)
+        summarize_bundle(state, record, role), msgspec.to_builtins(record.bundle)
     )
 
 
-def line_of(
+def summarize_bundle(
     state: control_state.ControlState,
     record: control_state.BundleRecord,
     role: "control.ControlRole",
@@ -206,11 +209,11 @@
     )
 
 
-def history_of(
+def make_history(
     state: control_state.ControlState, role: "control.ControlRole"
 ) -> operator_calls.History:
     """Return all bundles, newest first, and the last rolls."""
-    lines = [line_of(state, record, role) for record in state.records.values()]
+    lines = [summarize_bundle(state, record, role) for record in state.records.values()]
     lines.sort(key=lambda line: -line.version)
     rolls = [
         operator_calls.RollSummary(r.generation, r.version, r.operator, r.at, r.is_back)
@@ -219,7 +222,7 @@
     return operator_calls.History(lines, rolls)
 
 
-def add(routes: http_server.Routes, role: "control.ControlRole") -> None:
+def add_routes(routes: http_server.Routes, role: "control.ControlRole") -> None:
     """Add the operators' calls to the listener."""
     api = OperatorsApi(role)
     routes.add("POST", "/v1/bundles", api.propose)
--- a/src/merlinthread/roles/request_handler.py
+++ b/src/merlinthread/roles/request_handler.py
@@ -18,7 +18,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Call:
+class AdmittedRequest:
     """One caller's request on its way; `deadline` is on this entry's clock."""
 
     request_id: str
@@ -29,7 +29,7 @@
     tried: set[str] = dataclasses.field(default_factory=set)
 
 
-class Outstanding:
+class InFlightByTarget:
     """How many requests this entry has at each target right now."""
 
     def __init__(self) -> None:
@@ -53,18 +53,20 @@
         self,
         context: base.RoleContext,
         config: settings_.Entry,
-        zone: "entry.ZoneTask",
+        zone: "entry.ZoneState",
         submitter: "entry.Submitter",
     ) -> None:
         self.context = context
         self.config = config
         self.zone = zone
         self.submitter = submitter
-        self.settler = service_call.Settler(context, submitter)
+        self.outcome_retrier = service_call.OutcomeRetrier(context, submitter)
         self.client = http_client.Client()
-        self.outstanding = Outstanding()
+        self.in_flight_by_target = InFlightByTarget()
         self.policy = routing.POLICIES.get(config.policy)
-        self.place = routing.Location(context.settings.availability_zone, context.settings.region)
+        self.location = routing.Location(
+            context.settings.availability_zone, context.settings.region
+        )
         self.rng = random.Random()
 
     def add_routes(self, routes: http_server.Routes) -> None:
@@ -75,7 +77,7 @@
 
     # What every request goes through
 
-    def admit(self, request: http_server.Request) -> Call:
+    def admit(self, request: http_server.Request) -> AdmittedRequest:
         """Return the request's frame; raise RequestError if account or headers are refused."""
         account = request.headers.get(attempts.ACCOUNT, "")
         bundle = self.bundle()
@@ -87,15 +89,15 @@
                 field="X-Account",
             )
         now = self.context.clock()
-        return Call(
+        return AdmittedRequest(
             request.headers.get(attempts.REQUEST_ID) or uuid.uuid4().hex,
             account,
             group,
-            now + self.deadline_s(request),
+            now + self.timeout_s(request),
             now,
         )
 
-    def deadline_s(self, request: http_server.Request) -> float:
+    def timeout_s(self, request: http_server.Request) -> float:
         """Return how long the caller waits, in seconds."""
         text = request.headers.get(attempts.DEADLINE_MS)
         if text is None:
@@ -109,7 +111,7 @@
 
     def bundle(self) -> bundles.Bundle:
         """Return the bundle in force; raise RequestError if none is known yet."""
-        bundle = self.zone.known.directive.bundle
+        bundle = self.zone.snapshot.directive.bundle
         if bundle is None:
             raise errors.RequestError(
                 "this entry knows no bundle in force yet", kind=errors.ErrorKind.NOT_RUN
@@ -119,7 +121,7 @@
     def choose(
         self,
         request_id: str,
-        wanted: routing.Requirements,
+        requirements: routing.Requirements,
         tried: frozenset[str],
         is_local: bool = False,
     ) -> agents.AgentReport:
@@ -127,24 +129,24 @@
 
         Entries of other places count as targets for what they reach, unless `is_local`.
         """
-        known = self.zone.known
-        wanted = dataclasses.replace(wanted, excluded=known.leaving | tried)
-        reports = list(known.live)
+        snapshot = self.zone.snapshot
+        requirements = dataclasses.replace(requirements, excluded=snapshot.leaving | tried)
+        reports = list(snapshot.live)
         if not is_local:
-            reports += self.others_as_targets(known.others, wanted)
+            reports += self.entries_as_targets(snapshot.others, requirements)
         candidates = [
-            routing.Candidate(report, self.outstanding.get(report.name))
+            routing.Candidate(report, self.in_flight_by_target.get(report.name))
             for report in reports
-            if routing.can_serve(report, wanted)
+            if routing.can_serve(report, requirements)
         ]
         if not candidates:
             raise errors.RequestError(
-                f"no live target serves {wanted.name!r}"
-                + (f" with adapter {wanted.adapter!r}" if wanted.adapter else "")
+                f"no live target serves {requirements.name!r}"
+                + (f" with adapter {requirements.adapter!r}" if requirements.adapter else "")
                 + (f" besides the {len(tried)} tried" if tried else ""),
                 kind=errors.ErrorKind.NO_TARGET,
             )
-        choice = self.policy(candidates, wanted, self.place, self.rng)
+        choice = self.policy(candidates, requirements, self.location, self.rng)
         logs.event(
             "routed",
             request_id=request_id,
@@ -156,27 +158,28 @@
         )
         return choice.report
 
-    def others_as_targets(
-        self, others: list[summaries.Summary], wanted: routing.Requirements
+    def entries_as_targets(
+        self, others: list[summaries.Summary], requirements: routing.Requirements
     ) -> list[agents.AgentReport]:
         """Return the other entries that reach a target for the request."""
         found = [
-            summaries.as_target(other, wanted.kind, wanted.name, wanted.adapter) for other in others
+            summaries.as_target(other, requirements.kind, requirements.name, requirements.adapter)
+            for other in others
         ]
         return [report for report in found if report is not None]
 
-    def left_s(self, call: Call) -> float:
+    def remaining_s(self, admitted: AdmittedRequest) -> float:
         """Return how long the caller still waits; raise RequestError (not_run) if it is over."""
-        left = call.deadline - self.context.clock()
-        if left <= 0:
+        remaining = admitted.deadline - self.context.clock()
+        if remaining <= 0:
             raise errors.RequestError(
                 "the deadline passed before a target ran it", kind=errors.ErrorKind.NOT_RUN
             )
-        return left
+        return remaining
 
     def send(
         self,
-        call: Call,
+        admitted: AdmittedRequest,
         report: agents.AgentReport,
         method: str,
         path: str,
@@ -191,9 +194,9 @@
         attempt = attempts.Attempt(
             uuid.uuid4().hex,
             report.incarnation,
-            call.account,
-            call.group.priority,
-            int(self.left_s(call) * 1000),
+            admitted.account,
+            admitted.group.priority,
+            int(self.remaining_s(admitted) * 1000),
             digest,
             service,
         )
@@ -210,8 +213,8 @@
         """Send an attempt and return its answer's beginning; see `send`."""
         headers = attempt.headers()
         headers.update(attempts.authentication_headers(self.context.codec, attempt, path, body))
-        left = max(0.001, attempt.deadline_ms / 1000)
-        stream = self.client.open(method, report.http + path, body, headers, left)
+        remaining = max(0.001, attempt.deadline_ms / 1000)
+        stream = self.client.open(method, report.http + path, body, headers, remaining)
         if stream.status >= 400 and attempts.ATTEMPT not in stream.headers:
             data = stream.read(self.config.answer_bytes_max)
             stream.release()
--- a/src/merlinthread/roles/service_call.py
+++ b/src/merlinthread/roles/service_call.py
@@ -17,12 +17,12 @@
 if typing.TYPE_CHECKING:
     from merlinthread.roles import entry, request_handler
 
-CLAIM_WAIT_S = 2.0
-RUNNING_POLL_S = 0.05
-ANSWER_KEPT_BYTES = 65536
-KEY_AHEAD_MAX_S = 300.0
-UNSETTLED_MAX = 10_000
-SURELY_NOT_RUN = (
+SUBMIT_TIMEOUT_S = 2.0
+CLAIM_POLL_S = 0.05
+STORED_RESPONSE_BYTES_MAX = 65536
+KEY_CLOCK_SKEW_MAX_S = 300.0
+PENDING_OUTCOMES_MAX = 10_000
+NOT_RUN_KINDS = (
     errors.ErrorKind.NOT_RUN,
     errors.ErrorKind.LEAVING,
     errors.ErrorKind.OVERLOADED,
@@ -30,84 +30,86 @@
 )
 
 
-class Settler:
+class OutcomeRetrier:
     """Brings the outcomes of claimed calls to the leader that could not be brought at once."""
 
     def __init__(self, context: base.RoleContext, submitter: "entry.Submitter") -> None:
         self.context = context
         self.submitter = submitter
         self.lock = threading.Lock()
-        self.waiting: collections.deque[commands.Complete] = collections.deque(maxlen=UNSETTLED_MAX)
+        self.pending: collections.deque[commands.Complete] = collections.deque(
+            maxlen=PENDING_OUTCOMES_MAX
+        )
 
     def add(self, complete: commands.Complete) -> None:
         """Put an outcome in line."""
         with self.lock:
-            self.waiting.append(complete)
+            self.pending.append(complete)
 
-    def work(self) -> None:
+    def retry_pending(self) -> None:
         """Bring what waits, oldest first, until the leader can't be reached."""
         while True:
             with self.lock:
-                if not self.waiting:
+                if not self.pending:
                     return
-                complete = self.waiting[0]
+                complete = self.pending[0]
             try:
-                self.submitter.submit(complete, self.context.clock() + CLAIM_WAIT_S)
+                self.submitter.submit(complete, self.context.clock() + SUBMIT_TIMEOUT_S)
             except errors.MerlinthreadError as error:
                 logs.debug("claim_not_settled", key=complete.key, reason=error.message)
                 return
             with self.lock:
-                if self.waiting and self.waiting[0] is complete:
-                    self.waiting.popleft()
+                if self.pending and self.pending[0] is complete:
+                    self.pending.popleft()
 
 
 class ServiceCall:
     """One call of a plain service; one that may not be repeated is claimed first."""
 
     def __init__(
-        self, path: "request_handler.RequestHandler", request: http_server.Request
+        self, handler: "request_handler.RequestHandler", request: http_server.Request
     ) -> None:
-        self.path = path
+        self.handler = handler
         self.request = request
-        self.call = path.admit(request)
+        self.admitted = handler.admit(request)
         name, _, rest = request.subpath.partition("/")
         self.service_path = "/" + rest
-        service = path.bundle().service(name)
+        service = handler.bundle().service(name)
         if service is None:
             raise errors.RequestError(
                 f"service {name!r} is not in the bundle in force",
                 kind=errors.ErrorKind.UNKNOWN_MODEL,
             )
-        self.wanted = routing.Requirements(bundles.SERVICE, name)
+        self.requirements = routing.Requirements(bundles.SERVICE, name)
         self.may_repeat = request.method == "GET" or self.service_path in service.repeatable
 
     def run(self) -> http_server.Response:
         """Run the call and return the service's answer."""
         if self.may_repeat:
             return self.to_response(self.try_targets())
-        return self.run_once()
+        return self.run_claimed()
 
     def try_targets(self) -> http_client.Response:
         """Try targets until one answers; one that may not be repeated goes on only if not run."""
         failure: errors.MerlinthreadError | None = None
-        for _ in range(self.path.config.attempts_max):
+        for _ in range(self.handler.config.attempts_max):
             try:
-                report = self.path.choose(
-                    self.call.request_id, self.wanted, frozenset(self.call.tried)
+                report = self.handler.choose(
+                    self.admitted.request_id, self.requirements, frozenset(self.admitted.tried)
                 )
             except errors.MerlinthreadError as error:
                 raise failure or error
             try:
-                return self.try_at(report)
+                return self.send_to_target(report)
             except errors.MerlinthreadError as error:
-                self.call.tried.add(report.name)
+                self.admitted.tried.add(report.name)
                 metrics.attempts_total.labels(str(error.kind)).inc()
                 is_not_run = (
-                    isinstance(error, http_client.NotSentError) or error.kind in SURELY_NOT_RUN
+                    isinstance(error, http_client.NotSentError) or error.kind in NOT_RUN_KINDS
                 )
                 logs.event(
                     "attempt_failed",
-                    request_id=self.call.request_id,
+                    request_id=self.admitted.request_id,
                     target=report.name,
                     kind=str(error.kind),
                     reason=error.message,
@@ -129,56 +131,56 @@
         assert failure is not None
         raise failure
 
-    def try_at(self, report: agents.AgentReport) -> http_client.Response:
+    def send_to_target(self, report: agents.AgentReport) -> http_client.Response:
         """Send the call to one target and return its whole answer."""
-        self.path.outstanding.add(report.name, 1)
+        self.handler.in_flight_by_target.add(report.name, 1)
         try:
-            stream = self.path.send(
-                self.call,
+            stream = self.handler.send(
+                self.admitted,
                 report,
                 self.request.method,
                 "/target" + self.service_path,
                 self.request.body,
-                service=self.wanted.name,
+                service=self.requirements.name,
             )
-            data = stream.read(self.path.config.answer_bytes_max)
+            data = stream.read(self.handler.config.answer_bytes_max)
             stream.release()
             return http_client.Response(stream.status, stream.headers, data)
         finally:
-            self.path.outstanding.add(report.name, -1)
+            self.handler.in_flight_by_target.add(report.name, -1)
 
     def to_response(self, reply: http_client.Response) -> http_server.Response:
         """Return the service's answer as ours."""
         kind = reply.headers.get("content-type", "application/json")
         return http_server.Response(
-            reply.status, reply.body, {"X-Request-Id": self.call.request_id}, kind
+            reply.status, reply.body, {"X-Request-Id": self.admitted.request_id}, kind
         )
 
     # At most once
 
-    def run_once(self) -> http_server.Response:
+    def run_claimed(self) -> http_server.Response:
         """Claim the key, run the call once, keep the answer for whoever asks again."""
-        key, issued_at = self.read_key()
+        key, issued_at = self.parse_idempotency_key()
         attempt = uuid.uuid4().hex
         digest = blake3.blake3(self.service_path.encode() + b"\n" + self.request.body).hexdigest()
         claim = commands.Claim(key, digest, attempt, issued_at)
-        granted = self.claim(claim)
+        granted = self.acquire_claim(claim)
         if granted.status == "done":
-            return self.replay(granted)
+            return self.replay_response(granted)
         complete = commands.Complete(key, attempt, 0, b"")
         try:
             reply = self.try_targets()
         except errors.MerlinthreadError as error:
-            self.settle_failure(complete, error)
+            self.record_failure(complete, error)
             raise
         complete.status = reply.status
-        complete.body = reply.body if len(reply.body) <= ANSWER_KEPT_BYTES else b""
+        complete.body = reply.body if len(reply.body) <= STORED_RESPONSE_BYTES_MAX else b""
         if complete.body != reply.body:
             complete.status = error_responses.RESPONSES[errors.ErrorKind.OUTCOME_UNKNOWN].status
-        self.settle(complete)
+        self.record_outcome(complete)
         return self.to_response(reply)
 
-    def read_key(self) -> tuple[str, float]:
+    def parse_idempotency_key(self) -> tuple[str, float]:
         """Return the idempotency key and its time; raise RequestError without a good one."""
         text = self.request.headers.get(attempts.IDEMPOTENCY_KEY, "")
         try:
@@ -193,15 +195,15 @@
                 field="Idempotency-Key",
             )
         issued_at = (key.int >> 80) / 1000
-        if issued_at > self.path.context.wall_clock() + KEY_AHEAD_MAX_S:
+        if issued_at > self.handler.context.wall_clock() + KEY_CLOCK_SKEW_MAX_S:
             raise errors.RequestError(
                 f"header Idempotency-Key: {text!r} is from the future; correct the caller's clock",
                 kind=errors.ErrorKind.KEY_REQUIRED,
                 field="Idempotency-Key",
             )
-        return f"{self.call.account} {key}", issued_at
+        return f"{self.admitted.account} {key}", issued_at
 
-    def claim(self, claim: commands.Claim) -> commands.Answer:
+    def acquire_claim(self, claim: commands.Claim) -> commands.Answer:
         """Return "granted" or "done"; wait while another attempt runs.
 
         Raises RequestError: not_run if no majority took the claim, outcome_unknown if another
@@ -214,57 +216,57 @@
             if answer.status in ("granted", "done"):
                 logs.event(
                     "claim_decided",
-                    request_id=self.call.request_id,
+                    request_id=self.admitted.request_id,
                     key=claim.key,
                     status=answer.status,
                 )
                 return answer
-            if self.path.context.clock() + RUNNING_POLL_S >= self.call.deadline:
+            if self.handler.context.clock() + CLAIM_POLL_S >= self.admitted.deadline:
                 raise errors.RequestError(
                     "another call with this key runs or was cut off; its outcome is not known",
                     kind=errors.ErrorKind.OUTCOME_UNKNOWN,
                 )
-            time.sleep(RUNNING_POLL_S)
+            time.sleep(CLAIM_POLL_S)
 
     def submit_claim(self, claim: commands.Claim) -> commands.Answer:
         """Bring the claim to the leader.
 
         If that may have failed the call was surely not run, and the key is freed in the background.
         """
-        deadline = min(self.call.deadline, self.path.context.clock() + CLAIM_WAIT_S)
+        deadline = min(self.admitted.deadline, self.handler.context.clock() + SUBMIT_TIMEOUT_S)
         try:
-            return self.path.submitter.submit(claim, deadline)
+            return self.handler.submitter.submit(claim, deadline)
         except errors.MerlinthreadError as error:
-            freed = commands.Complete(claim.key, claim.attempt, 0, b"", not_run=True)
-            self.path.settler.add(freed)
+            release = commands.Complete(claim.key, claim.attempt, 0, b"", not_run=True)
+            self.handler.outcome_retrier.add(release)
             raise errors.RequestError(
                 f"the call was not run, since its key could not be claimed: {error.message}",
                 kind=errors.ErrorKind.NOT_RUN,
                 retry_after_s=2.0,
             )
 
-    def replay(self, kept: commands.Answer) -> http_server.Response:
+    def replay_response(self, stored: commands.Answer) -> http_server.Response:
         """Return the first call's answer."""
-        if kept.http_status >= 500 and not kept.body:
+        if stored.http_status >= 500 and not stored.body:
             raise errors.RequestError(
                 "an earlier call with this key may have run; its answer is not known",
                 kind=errors.ErrorKind.OUTCOME_UNKNOWN,
             )
-        headers = {"X-Request-Id": self.call.request_id, "X-Replayed": "true"}
-        return http_server.Response(kept.http_status, kept.body, headers)
+        headers = {"X-Request-Id": self.admitted.request_id, "X-Replayed": "true"}
+        return http_server.Response(stored.http_status, stored.body, headers)
 
-    def settle_failure(self, complete: commands.Complete, error: errors.MerlinthreadError) -> None:
+    def record_failure(self, complete: commands.Complete, error: errors.MerlinthreadError) -> None:
         """Free the key if nothing ran; otherwise keep that the outcome is unknown."""
-        if error.kind in SURELY_NOT_RUN:
+        if error.kind in NOT_RUN_KINDS:
             complete.not_run = True
         else:
             complete.status = error_responses.RESPONSES[errors.ErrorKind.OUTCOME_UNKNOWN].status
-        self.settle(complete)
+        self.record_outcome(complete)
 
-    def settle(self, complete: commands.Complete) -> None:
+    def record_outcome(self, complete: commands.Complete) -> None:
         """Bring what became of the call to the leader, now or as soon as one is reached."""
         try:
-            self.path.submitter.submit(complete, self.path.context.clock() + CLAIM_WAIT_S)
+            self.handler.submitter.submit(complete, self.handler.context.clock() + SUBMIT_TIMEOUT_S)
         except errors.MerlinthreadError as error:
             logs.warning("claim_not_settled", key=complete.key, reason=error.message)
-            self.path.settler.add(complete)
+            self.handler.outcome_retrier.add(complete)
--- a/src/merlinthread/roles/target.py
+++ b/src/merlinthread/roles/target.py
@@ -15,11 +15,11 @@
 
 STATUS_TIMEOUT_S = 2.0
 ORDER_TIMEOUT_S = 600.0
-SPEED_EVERY_S = 1.0
+THROUGHPUT_INTERVAL_S = 1.0
 
 
 @dataclasses.dataclass(slots=True)
-class GenerateCall:
+class CompletionBody:
     """What an agent reads of a completion's body."""
 
     model: str
@@ -29,32 +29,32 @@
     resume_from: int = 0
 
 
-class Line:
+class RequestQueue:
     """The fair queue with a place to wait in for each request thread."""
 
     def __init__(self, slots: int, waiting_max: int, clock: base.Clock) -> None:
         self.queue = fair_queue.FairQueue(slots, waiting_max)
         self.clock = clock
         self.lock = threading.Lock()
-        self.turns: dict[str, threading.Event] = {}
-        self.made_tokens = 0.0
-        self.measured_from = clock()
+        self.start_events: dict[str, threading.Event] = {}
+        self.generated_tokens = 0.0
+        self.measured_since = clock()
 
-    def enter(self, ticket: fair_queue.QueuedRequest, deadline: float) -> None:
+    def wait_for_slot(self, queued: fair_queue.QueuedRequest, deadline: float) -> None:
         """Wait for the engine.
 
         Raises RequestError: overloaded if the line is full, not_run if the deadline passes first.
         """
-        turn = threading.Event()
+        started = threading.Event()
         with self.lock:
-            self.queue.add(ticket)
-            self.turns[ticket.id] = turn
-            self.call_next()
-        if turn.wait(max(0.0, deadline - self.clock())):
+            self.queue.add(queued)
+            self.start_events[queued.id] = started
+            self.start_due()
+        if started.wait(max(0.0, deadline - self.clock())):
             return
         with self.lock:
-            was_waiting = self.queue.cancel(ticket.id)
-            self.turns.pop(ticket.id, None)
+            was_waiting = self.queue.cancel(queued.id)
+            self.start_events.pop(queued.id, None)
             estimate = self.queue.wait_estimate_s()
         if was_waiting:
             raise errors.RequestError(
@@ -63,34 +63,34 @@
                 retry_after_s=estimate,
             )
 
-    def call_next(self) -> None:
+    def start_due(self) -> None:
         """Let those go who are due; the caller holds the lock."""
-        while (ticket := self.queue.start_next()) is not None:
-            self.turns.pop(ticket.id).set()
+        while (queued := self.queue.start_next()) is not None:
+            self.start_events.pop(queued.id).set()
         metrics.queue_length.set(self.queue.count_waiting())
 
-    def charge(self, ticket_id: str, tokens: float) -> None:
+    def charge(self, attempt_id: str, tokens: float) -> None:
         """Charge tokens that a running request used."""
         with self.lock:
-            self.queue.charge(ticket_id, tokens)
-            self.note_speed(tokens)
+            self.queue.charge(attempt_id, tokens)
+            self.measure_throughput(tokens)
 
-    def note_speed(self, tokens: float) -> None:
+    def measure_throughput(self, tokens: float) -> None:
         """Measure the engine's speed while work waits; the caller holds the lock."""
         now = self.clock()
-        self.made_tokens += tokens
-        if now - self.measured_from < SPEED_EVERY_S:
+        self.generated_tokens += tokens
+        if now - self.measured_since < THROUGHPUT_INTERVAL_S:
             return
         if self.queue.waiting:
-            self.queue.record_throughput(self.made_tokens, now - self.measured_from)
-        self.made_tokens = 0.0
-        self.measured_from = now
+            self.queue.record_throughput(self.generated_tokens, now - self.measured_since)
+        self.generated_tokens = 0.0
+        self.measured_since = now
 
-    def leave(self, ticket_id: str) -> None:
+    def finish(self, attempt_id: str) -> None:
         """Give the engine to the next."""
         with self.lock:
-            self.queue.finish(ticket_id)
-            self.call_next()
+            self.queue.finish(attempt_id)
+            self.start_due()
 
     def set_weights(self, weights: dict[str, float]) -> None:
         """Set the accounts' weights."""
@@ -98,7 +98,7 @@
             self.queue.set_weights(weights)
 
 
-def weights_of(bundle: bundles.Bundle) -> dict[str, float]:
+def account_weights(bundle: bundles.Bundle) -> dict[str, float]:
     """Return each account's weight: its group's share, divided among the group's accounts."""
     found = {}
     for group in bundle.groups:
@@ -117,18 +117,18 @@
         self.config = config
         self.incarnation = incarnation
         self.client = http_client.Client(connections=config.slots + 4)
-        self.line = Line(config.slots, config.queue_max, context.clock)
+        self.request_queue = RequestQueue(config.slots, config.queue_max, context.clock)
         self.serving: dict[str, str] = {}
         self.fence = engine_calls.FencingToken()
-        self.is_reached = False
+        self.is_reachable = False
         self.is_leaving = False
 
     # Status
 
-    def refresh(self) -> None:
+    def refresh_status(self) -> None:
         """Ask the target what it serves; what can't be asked counts as serving nothing."""
         if self.config.target_kind == bundles.SERVICE:
-            self.refresh_service()
+            self.refresh_service_status()
             return
         try:
             reply = self.client.request_ok(
@@ -136,41 +136,41 @@
             )
             status = msgspec.json.decode(reply.body, type=engine_calls.EngineStatus)
         except (errors.MerlinthreadError, msgspec.DecodeError) as error:
-            self.note_unreached(str(error))
+            self.mark_unreachable(str(error))
             return
-        self.is_reached = True
+        self.is_reachable = True
         self.serving = status.models
         self.fence = status.fence
         self.is_leaving = status.is_leaving
 
-    def refresh_service(self) -> None:
+    def refresh_service_status(self) -> None:
         """Ask a plain service whether it is well."""
         try:
             self.client.request_ok(
                 "GET", f"{self.config.target_url}/healthz", timeout_s=STATUS_TIMEOUT_S
             )
         except errors.MerlinthreadError as error:
-            self.note_unreached(error.message)
+            self.mark_unreachable(error.message)
             return
-        self.is_reached = True
+        self.is_reachable = True
         self.serving = {self.config.service: ""}
 
-    def note_unreached(self, reason: str) -> None:
+    def mark_unreachable(self, reason: str) -> None:
         """Note that the target does not answer."""
-        if self.is_reached:
+        if self.is_reachable:
             logs.warning("target_unreached", reason=reason)
-        self.is_reached = False
+        self.is_reachable = False
         self.serving = {}
 
     # Orders
 
-    def order(self, step: switch.Step, generation: int, layout: object) -> None:
+    def send_order(self, step: switch.Step, generation: int, layout: object) -> None:
         """Carry out one step at the engine.
 
         Raises MerlinthreadError (fenced) if a later agent ordered already, and WeightsError if the
         engine refuses or reports another digest than was ordered.
         """
-        order = self.order_of(step, generation, layout)
+        order = self.make_order(step, generation, layout)
         outcome = "refused"
         try:
             reply = self.client.request_ok(
@@ -201,7 +201,7 @@
                 outcome=outcome,
             )
 
-    def order_of(self, step: switch.Step, generation: int, layout: object) -> engine_calls.Order:
+    def make_order(self, step: switch.Step, generation: int, layout: object) -> engine_calls.Order:
         """Return the order for a step."""
         if isinstance(step, switch.Unload):
             return engine_calls.Order(engine_calls.UNLOAD, step.name, generation, self.incarnation)
@@ -220,12 +220,12 @@
 
     # Requests
 
-    def apply_shares(self, directive: control_state.Directive) -> None:
+    def apply_group_shares(self, directive: control_state.Directive) -> None:
         """Take over the accounts' weights."""
         if directive.bundle is not None:
-            self.line.set_weights(weights_of(directive.bundle))
+            self.request_queue.set_weights(account_weights(directive.bundle))
 
-    def admit(self, request: http_server.Request, path: str) -> attempts.Attempt:
+    def verify_attempt(self, request: http_server.Request, path: str) -> attempts.Attempt:
         """Return the attempt; raise RequestError if it is not for this incarnation or not ours."""
         attempt = attempts.parse_attempt(request.headers)
         attempts.verify_tag(self.context.codec, attempt, path, request.body, request.headers)
@@ -249,11 +249,11 @@
 
     def generate(self, request: http_server.Request) -> http_server.Response:
         """Run a completion on the engine and stream its answer."""
-        attempt = self.admit(request, request.path)
-        call = msgspec.json.decode(request.body, type=GenerateCall)
+        attempt = self.verify_attempt(request, request.path)
+        call = msgspec.json.decode(request.body, type=CompletionBody)
         self.check_digest(call, attempt)
         deadline = self.context.clock() + attempt.deadline_ms / 1000
-        ticket = fair_queue.QueuedRequest(
+        queued = fair_queue.QueuedRequest(
             attempt.id,
             attempt.account,
             attempt.priority,
@@ -261,15 +261,15 @@
             call.max_tokens,
             self.context.clock(),
         )
-        self.line.enter(ticket, deadline)
+        self.request_queue.wait_for_slot(queued, deadline)
         try:
-            stream = self.open_engine(request.body, attempt, deadline)
+            stream = self.open_engine_stream(request.body, attempt, deadline)
         except BaseException:
-            self.line.leave(ticket.id)
+            self.request_queue.finish(queued.id)
             raise
         return http_server.Response(
             200,
-            self.relay(stream, ticket),
+            self.relay(stream, queued),
             {
                 attempts.ATTEMPT: attempt.id,
                 attempts.DIGEST: stream.headers.get(attempts.DIGEST, ""),
@@ -277,7 +277,7 @@
             "text/event-stream",
         )
 
-    def check_digest(self, call: GenerateCall, attempt: attempts.Attempt) -> None:
+    def check_digest(self, call: CompletionBody, attempt: attempts.Attempt) -> None:
         """Raise RequestError (not_run) if the weights to go on with are not served here."""
         served = self.serving.get(call.model)
         if served is None:
@@ -290,11 +290,11 @@
                 kind=errors.ErrorKind.NOT_RUN,
             )
 
-    def open_engine(
+    def open_engine_stream(
         self, body: bytes, attempt: attempts.Attempt, deadline: float
     ) -> http_client.StreamingResponse:
         """Send a completion to the engine; raise its refusal, or not_run if it was not reached."""
-        left = max(0.05, deadline - self.context.clock())
+        remaining = max(0.05, deadline - self.context.clock())
         headers = {
             "Content-Type": "application/json",
             attempts.ATTEMPT: attempt.id,
@@ -303,7 +303,7 @@
         }
         try:
             stream = self.client.open(
-                "POST", f"{self.config.target_url}/v1/completions", body, headers, left
+                "POST", f"{self.config.target_url}/v1/completions", body, headers, remaining
             )
         except http_client.NotSentError as error:
             raise errors.RequestError(
@@ -321,30 +321,30 @@
         return stream
 
     def relay(
-        self, stream: http_client.StreamingResponse, ticket: fair_queue.QueuedRequest
+        self, stream: http_client.StreamingResponse, queued: fair_queue.QueuedRequest
     ) -> Iterator[bytes]:
         """Give the engine's events on and charge its tokens."""
-        is_whole = False
+        is_complete = False
         try:
             for event in events.decode(stream.iter_lines()):
                 if event.kind == events.TOKEN:
-                    self.line.charge(ticket.id, 1)
-                is_whole = event.kind in (events.DONE, events.ERROR)
+                    self.request_queue.charge(queued.id, 1)
+                is_complete = event.kind in (events.DONE, events.ERROR)
                 yield events.encode(event.kind, event.data)
-                if is_whole:
+                if is_complete:
                     return
         except errors.MerlinthreadError as error:
-            logs.event("engine_broke_off", attempt=ticket.id, reason=error.message)
+            logs.event("engine_broke_off", attempt=queued.id, reason=error.message)
         finally:
-            if is_whole:
+            if is_complete:
                 stream.release()
             else:
                 stream.close()
-                self.cancel(ticket.id)
-            self.line.leave(ticket.id)
+                self.cancel_on_engine(queued.id)
+            self.request_queue.finish(queued.id)
             self.context.in_flight.leave()
 
-    def cancel(self, attempt: str) -> None:
+    def cancel_on_engine(self, attempt: str) -> None:
         """Free the engine's place of a request that nobody waits for any more."""
         try:
             self.client.request(
@@ -359,25 +359,25 @@
 
     def call_service(self, request: http_server.Request) -> http_server.Response:
         """Run one call on a plain service and return its whole answer."""
-        attempt = self.admit(request, request.path)
+        attempt = self.verify_attempt(request, request.path)
         deadline = self.context.clock() + attempt.deadline_ms / 1000
-        ticket = fair_queue.QueuedRequest(
+        queued = fair_queue.QueuedRequest(
             attempt.id, attempt.account, attempt.priority, 1, 0, self.context.clock()
         )
-        self.line.enter(ticket, deadline)
+        self.request_queue.wait_for_slot(queued, deadline)
         try:
-            reply = self.call_target(request, attempt, deadline)
+            reply = self.send_to_service(request, attempt, deadline)
         finally:
-            self.line.leave(ticket.id)
+            self.request_queue.finish(queued.id)
             self.context.in_flight.leave()
         kind = reply.headers.get("content-type", "application/json")
         return http_server.Response(reply.status, reply.body, {attempts.ATTEMPT: attempt.id}, kind)
 
-    def call_target(
+    def send_to_service(
         self, request: http_server.Request, attempt: attempts.Attempt, deadline: float
     ) -> http_client.Response:
         """Send a call to the service; not_run only if it was not reached."""
-        left = max(0.05, deadline - self.context.clock())
+        remaining = max(0.05, deadline - self.context.clock())
         headers = {
             "Content-Type": request.headers.get("content-type", "application/json"),
             attempts.ATTEMPT: attempt.id,
@@ -385,7 +385,7 @@
         }
         url = f"{self.config.target_url}/{request.subpath}"
         try:
-            return self.client.request(request.method, url, request.body, headers, left)
+            return self.client.request(request.method, url, request.body, headers, remaining)
         except http_client.NotSentError as error:
             raise errors.RequestError(
                 f"the service was not reached: {error.message}", kind=errors.ErrorKind.NOT_RUN
--- a/src/merlinthread/roles/weights.py
+++ b/src/merlinthread/roles/weights.py
@@ -16,12 +16,12 @@
 
 # Importing a module of policies files them in the registry.
 BUILT_IN_POLICIES = (fetch_baselines, fetch_policies)
-IDLE_WAIT_S = 0.1
+IDLE_POLL_S = 0.1
 MANIFEST_RETRY_S = 0.5
 PEER_TIMEOUT_S = 1.0
 ORIGIN_TIMEOUT_S = 20.0
 ORIGIN_RETRY_S = 0.5
-SAME_WRONG_MAX = 2
+ORIGIN_MISMATCH_LIMIT = 2
 
 
 @dataclasses.dataclass(slots=True)
@@ -30,9 +30,9 @@
 
     digest: str
     plan: fetch.FetchPlan | None
-    not_before: float
+    retry_at: float
     started_at: float
-    wrong: dict[int, list[str]] = dataclasses.field(default_factory=dict)
+    wrong_digests: dict[int, list[str]] = dataclasses.field(default_factory=dict)
     trouble: str = ""
 
     def manifest_and_plan(
@@ -60,14 +60,14 @@
         self.downloads: dict[str, Download] = {}
         self.manifests: dict[str, manifests.Manifest] = {}
         self.peers: dict[str, dict[str, fetch.Peer]] = {}
-        self.down = pacing.Pacer(config.link_bytes_per_s)
-        self.origin_pace = pacing.Pacer(config.origin_bytes_per_s)
+        self.download_pacer = pacing.Pacer(config.link_bytes_per_s)
+        self.origin_pacer = pacing.Pacer(config.origin_bytes_per_s)
         self.client = http_client.Client()
         self.rng = random.Random()
         self.stopping = False
         self.idle_until = 0.0
         self.threads = [
-            threading.Thread(target=self.work, name=f"download-{number}", daemon=True)
+            threading.Thread(target=self.run_downloads, name=f"download-{number}", daemon=True)
             for number in range(config.download_slots)
         ]
 
@@ -101,11 +101,11 @@
             for download in self.downloads.values():
                 if download.plan is not None:
                     download.plan.set_peers(wanted[download.digest])
-            self.repin()
+            self.update_pinned()
             self.idle_until = 0.0
             self.lock.notify_all()
 
-    def repin(self) -> None:
+    def update_pinned(self) -> None:
         """Keep the chunks of what is wanted; others go when room is needed."""
         kept: list[str] = []
         for digest in self.downloads:
@@ -140,29 +140,29 @@
         with self.lock:
             for download in self.downloads.values():
                 download.trouble = ""
-                download.wrong.clear()
+                download.wrong_digests.clear()
 
     # Downloading
 
-    def work(self) -> None:
+    def run_downloads(self) -> None:
         """Carry out one action after another."""
-        callers = bus.RpcClients(self.context.codec)
+        rpc_clients = bus.RpcClients(self.context.codec)
         while True:
             with self.lock:
                 if self.stopping:
                     break
                 job = self.next_job()
                 if job is None:
-                    self.lock.wait(IDLE_WAIT_S if self.has_unfinished() else 1.0)
+                    self.lock.wait(IDLE_POLL_S if self.has_incomplete() else 1.0)
                     continue
             try:
-                self.carry_out(job, callers)
+                self.run_job(job, rpc_clients)
             except Exception:
                 logs.exception("download_failed")
-                time.sleep(IDLE_WAIT_S)
-        callers.close()
+                time.sleep(IDLE_POLL_S)
+        rpc_clients.close()
 
-    def has_unfinished(self) -> bool:
+    def has_incomplete(self) -> bool:
         """Return whether anything is left to fetch; the caller holds the lock."""
         return any(d.plan is None or not d.plan.is_complete() for d in self.downloads.values())
 
@@ -172,30 +172,32 @@
         if now < self.idle_until:
             return None
         for download in self.downloads.values():
-            if download.trouble or now < download.not_before:
+            if download.trouble or now < download.retry_at:
                 continue
             if download.plan is None:
-                download.not_before = now + MANIFEST_RETRY_S
+                download.retry_at = now + MANIFEST_RETRY_S
                 return download, None
             action = download.plan.next_action(now)
             if action is not None:
                 download.plan.on_action_started(action)
                 return download, action
         # Nothing changes by asking again at once; whoever changes something resets this.
-        self.idle_until = now + IDLE_WAIT_S
+        self.idle_until = now + IDLE_POLL_S
         return None
 
-    def carry_out(self, job: tuple[Download, fetch.Action | None], callers: bus.RpcClients) -> None:
+    def run_job(
+        self, job: tuple[Download, fetch.Action | None], rpc_clients: bus.RpcClients
+    ) -> None:
         """Do one job."""
         download, action = job
         if action is None:
-            self.fetch_manifest(download, callers)
+            self.start_fetch(download, rpc_clients)
             return
         try:
             if isinstance(action, fetch.OriginRead):
-                self.read_origin(download, action)
+                self.download_from_origin(download, action)
             else:
-                self.ask_peer(download, action, callers)
+                self.request_chunk(download, action, rpc_clients)
         finally:
             with self.lock:
                 assert download.plan is not None
@@ -203,9 +205,9 @@
                 self.idle_until = 0.0
                 self.lock.notify()
 
-    def fetch_manifest(self, download: Download, callers: bus.RpcClients) -> None:
+    def start_fetch(self, download: Download, rpc_clients: bus.RpcClients) -> None:
         """Get the manifest from here, a peer or the weight store, and make the plan."""
-        manifest = self.manifests.get(download.digest) or self.find_manifest(download, callers)
+        manifest = self.manifests.get(download.digest) or self.load_manifest(download, rpc_clients)
         if manifest is None:
             return
         held = 0
@@ -221,7 +223,7 @@
             chunk_s = manifest.chunk_bytes / self.config.link_bytes_per_s
             download.plan.busy_retry_delay_s = max(fetch.BUSY_RETRY_DELAY_S, 0.5 * chunk_s)
             download.plan.set_peers(list(self.peers.get(download.digest, {}).values()))
-            self.repin()
+            self.update_pinned()
             self.idle_until = 0.0
             self.lock.notify_all()
         logs.event(
@@ -232,15 +234,15 @@
             policy=self.config.fetch_policy,
         )
 
-    def find_manifest(
-        self, download: Download, callers: bus.RpcClients
+    def load_manifest(
+        self, download: Download, rpc_clients: bus.RpcClients
     ) -> manifests.Manifest | None:
         """Ask the weight store, then a few peers."""
         stored = self.store.read(download.digest)
         if stored is not None:
             return manifests.decode(stored, download.digest)
         try:
-            data = self.read_manifest(download.digest, callers)
+            data = self.download_manifest(download.digest, rpc_clients)
             manifest = manifests.decode(data, download.digest)
         except errors.MerlinthreadError as error:
             logs.warning("manifest_failed", manifest=download.digest, reason=error.message)
@@ -248,7 +250,7 @@
         self.store.add(download.digest, data)
         return manifest
 
-    def read_manifest(self, digest: str, callers: bus.RpcClients) -> bytes:
+    def download_manifest(self, digest: str, rpc_clients: bus.RpcClients) -> bytes:
         """Return the manifest's bytes from a peer, else from the weight store."""
         with self.lock:
             peers = list(self.peers.get(digest, {}).values())
@@ -256,18 +258,18 @@
         peers.sort(key=lambda peer: peer.distance)
         for peer in peers[:2]:
             try:
-                found = callers.call(peer.bus, messages.ManifestRequest(digest), 1.0)
+                reply = rpc_clients.call(peer.bus, messages.ManifestRequest(digest), 1.0)
             except errors.MerlinthreadError as error:
                 logs.debug("peer_failed", peer=peer.name, reason=error.message)
                 continue
-            if found.data:
-                return found.data
+            if reply.data:
+                return reply.data
         if self.config.weight_store_url is None:
             raise errors.WeightsError(f"no peer has manifest {digest} and there is no weight store")
         url = f"{self.config.weight_store_url}/manifests/{digest}"
         return self.client.request_ok("GET", url, timeout_s=ORIGIN_TIMEOUT_S).body
 
-    def read_origin(self, download: Download, action: fetch.OriginRead) -> None:
+    def download_from_origin(self, download: Download, action: fetch.OriginRead) -> None:
         """Read one chunk from the origin."""
         manifest, plan = download.manifest_and_plan(self.manifests)
         size = manifest.chunk_size(action.index)
@@ -293,21 +295,24 @@
         metrics.chunk_bytes_total.labels("origin").inc(len(data))
         now = self.context.clock()
         self.sleep_until(
-            max(self.origin_pace.record_arrival(size, now), self.down.record_arrival(size, now))
+            max(
+                self.origin_pacer.record_arrival(size, now),
+                self.download_pacer.record_arrival(size, now),
+            )
         )
-        if not self.keep(download, action.index, data, from_origin=True):
-            self.note_wrong_origin(download, action.index, data)
+        if not self.store_chunk(download, action.index, data, from_origin=True):
+            self.on_origin_mismatch(download, action.index, data)
 
-    def note_wrong_origin(self, download: Download, index: int, data: bytes) -> None:
+    def on_origin_mismatch(self, download: Download, index: int, data: bytes) -> None:
         """Tell a chunk damaged on its way from an object that was changed at the origin.
 
         Damage differs from try to try; the same wrong bytes twice are what the origin has now.
         """
         found = chunks.digest_of(data)
         with self.lock:
-            seen = download.wrong.setdefault(index, [])
+            seen = download.wrong_digests.setdefault(index, [])
             seen.append(found)
-            if seen.count(found) >= SAME_WRONG_MAX:
+            if seen.count(found) >= ORIGIN_MISMATCH_LIMIT:
                 download.trouble = (
                     f"origin_changed: chunk {index} of manifest {download.digest} is no longer "
                     "what was signed; restore the object or roll back"
@@ -315,8 +320,8 @@
         if download.trouble:
             logs.warning("origin_changed", manifest=download.digest, index=index)
 
-    def ask_peer(
-        self, download: Download, action: fetch.PeerRequest, callers: bus.RpcClients
+    def request_chunk(
+        self, download: Download, action: fetch.PeerRequest, rpc_clients: bus.RpcClients
     ) -> None:
         """Ask another agent for a chunk."""
         manifest, plan = download.manifest_and_plan(self.manifests)
@@ -326,53 +331,53 @@
             held = plan.held
         if peer is None:
             return
-        wanted = messages.ChunkRequest(
+        request = messages.ChunkRequest(
             self.name,
             download.digest,
             fetch.bitset_to_bytes(action.wanted, count),
             fetch.bitset_to_bytes(held, count),
         )
         try:
-            found = callers.call(peer.bus, wanted, self.peer_timeout_s(manifest))
+            reply = rpc_clients.call(peer.bus, request, self.peer_timeout_s(manifest))
         except errors.MerlinthreadError as error:
             metrics.chunk_failures_total.labels("peer").inc()
             logs.debug("peer_failed", peer=peer.name, reason=error.message)
             with self.lock:
                 plan.on_peer_failed(peer.name, self.context.clock())
             return
-        self.take_answer(download, plan, peer, found, count)
+        self.on_chunk_reply(download, plan, peer, reply, count)
 
     def peer_timeout_s(self, manifest: manifests.Manifest) -> float:
         """Return how long a busy peer may take over one chunk, its other uploads included."""
         chunk_s = manifest.chunk_bytes / self.config.link_bytes_per_s
         return PEER_TIMEOUT_S + 2 * self.config.upload_slots * chunk_s
 
-    def take_answer(
+    def on_chunk_reply(
         self,
         download: Download,
         plan: fetch.FetchPlan,
         peer: fetch.Peer,
-        found: messages.ChunkReply,
+        reply: messages.ChunkReply,
         count: int,
     ) -> None:
         """Take what a peer answered."""
         now = self.context.clock()
         with self.lock:
-            plan.on_peer_report(peer.name, fetch.bitset_from_bytes(found.held, count), now)
-            if found.index == messages.NO_UPLOAD_SLOT:
+            plan.on_peer_report(peer.name, fetch.bitset_from_bytes(reply.held, count), now)
+            if reply.index == messages.NO_UPLOAD_SLOT:
                 plan.on_peer_busy(peer.name, now)
-            elif found.index == messages.NO_CHUNK:
+            elif reply.index == messages.NO_CHUNK:
                 plan.on_peer_empty(peer.name, now)
-        if found.index < 0 or found.index >= count:
+        if reply.index < 0 or reply.index >= count:
             return
-        self.sleep_until(self.down.record_arrival(len(found.data), now))
-        metrics.chunk_bytes_total.labels("peer").inc(len(found.data))
-        if not self.keep(download, found.index, found.data, from_origin=False):
+        self.sleep_until(self.download_pacer.record_arrival(len(reply.data), now))
+        metrics.chunk_bytes_total.labels("peer").inc(len(reply.data))
+        if not self.store_chunk(download, reply.index, reply.data, from_origin=False):
             logs.warning("chunk_corrupt", peer=peer.name, manifest=download.digest)
             with self.lock:
                 plan.on_corrupt_chunk(peer.name, self.context.clock())
 
-    def keep(self, download: Download, index: int, data: bytes, from_origin: bool) -> bool:
+    def store_chunk(self, download: Download, index: int, data: bytes, from_origin: bool) -> bool:
         """Store a chunk; return whether its digest was right."""
         manifest, plan = download.manifest_and_plan(self.manifests)
         try:
