--- a/src/merlinthread/roles/__init__.py
+++ b/src/merlinthread/roles/__init__.py
@@ -1,1 +1,1 @@
-"""The daemon's roles: tasks that own their sockets and state and put the layers together."""
+"""Roles of the daemon, each with its own threads, sockets and state."""
--- a/src/merlinthread/roles/agent.py
+++ b/src/merlinthread/roles/agent.py
@@ -1,4 +1,4 @@
-"""The `agent` role: the small process beside a target."""
+"""The `agent` role: connects one target, an engine or a plain service, to the entries."""
 
 import pathlib
 import threading
@@ -26,7 +26,11 @@
 
 @base.ROLES.add("agent")
 class AgentRole(base.Role):
-    """An agent: heartbeats, weights, orders and requests of one target."""
+    """The agent of one target.
+
+    Sends heartbeats to the entries, fetches weights, sends orders to the engine and forwards
+    requests to the target.
+    """
 
     def __init__(self, context: base.RoleContext) -> None:
         super().__init__(context)
@@ -69,7 +73,10 @@
             context.http.routes.add(method, "/target/", self.target.on_request)
 
     def select_entries(self) -> list[str]:
-        """Return the entries to report to: a few of the zone's, others for other agents."""
+        """Return the `heartbeat_entries` entries to report to, selected by rendezvous hash.
+
+        This spreads the agents over the entries of the zone.
+        """
         ordered = sorted(
             self.config.entries,
             key=lambda address: fetch.rendezvous_weight(address, self.context.settings.name, 0),
@@ -77,7 +84,7 @@
         return ordered[: self.config.heartbeat_entries]
 
     def make_heartbeat_task(self, address: str) -> base.PeriodicTask:
-        """Return the task that reports to one entry."""
+        """Return the task that sends heartbeats to one entry."""
         return base.PeriodicTask(
             f"heartbeat {address}",
             self.config.heartbeat_every_s,
@@ -85,7 +92,7 @@
         )
 
     def start(self) -> None:
-        """Learn what the target has obeyed so far, then start the tasks."""
+        """Start the tasks, with an incarnation above the epoch of the target's last order."""
         self.target.refresh_status()
         self.min_generation = self.target.fence.generation
         if self.target.fence.epoch >= self.incarnation:
@@ -99,7 +106,7 @@
     # Heartbeats
 
     def report(self) -> agents.AgentReport:
-        """Return this agent's report."""
+        """Return a new report with the next counter value."""
         queue = self.target.request_queue.queue
         with self.lock:
             self.counter += 1
@@ -128,11 +135,11 @@
         )
 
     def is_leaving(self) -> bool:
-        """Return whether the target takes no new work."""
+        """Return whether the target accepts no new requests."""
         return self.context.in_flight.is_draining or self.target.is_leaving or self.is_replaced
 
     def send_heartbeat(self, address: str) -> None:
-        """Report to one entry and take over what it says."""
+        """Send a heartbeat to one entry and apply its reply."""
         sent_at = self.context.clock()
         report = self.report()
         try:
@@ -145,7 +152,7 @@
             self.clear_home_entry(address)
             return
         if self.orders_allowed_at == float("-inf"):
-            # A target that checks no fences: wait until the agent before has lost its lease.
+            # A target without fencing relies on the lease of the previous agent having expired.
             wait = 0.0 if self.config.checks_fences else reply.lease_s
             self.orders_allowed_at = self.context.clock() + wait
         self.lease_expires_at = max(self.lease_expires_at, sent_at + reply.lease_s)
@@ -154,7 +161,10 @@
             self.home_entry = address
 
     def send_report(self, address: str, report: agents.AgentReport) -> messages.HeartbeatReply:
-        """Send an entry the whole report, or only the load if nothing else has changed for it."""
+        """Send a report to an entry and return its reply.
+
+        Only the load is sent if nothing else has changed since the last report to this entry.
+        """
         is_home = self.home_entry == address
         state = sessions.reported_state(report)
         rpc_clients = self.rpc_clients[address]
@@ -176,18 +186,25 @@
         return reply
 
     def clear_home_entry(self, address: str) -> None:
-        """Let the next entry that answers tell the leader of this agent."""
+        """Unset the home entry if it is `address`, so that the next entry to reply replaces it.
+
+        The home entry is the one that reports this agent to the leader.
+        """
         if self.home_entry == address and len(self.entries) > 1:
             self.home_entry = ""
 
     def mark_replaced(self, reason: str) -> None:
-        """Take no more work and give no more orders: a later agent has this target."""
+        """Stop accepting requests and sending orders: a newer agent controls the target."""
         if not self.is_replaced:
             logs.warning("replaced", reason=reason)
         self.is_replaced = True
 
     def adopt_directive(self, directive: control_state.Directive | None, source: str) -> None:
-        """Take over a newer directive; never one below what the target has obeyed."""
+        """Apply a directive if its revision is newer.
+
+        A generation lower than that of the current directive or of the target's last order before
+        the start is rejected.
+        """
         with self.lock:
             if directive is None or directive.revision <= self.directive.revision:
                 return
@@ -213,18 +230,18 @@
         self.send_heartbeats_now()
 
     def send_heartbeats_now(self) -> None:
-        """Report without waiting for the next period."""
+        """Send the next heartbeats without waiting for the interval."""
         for task in self.heartbeat_tasks:
             task.wake_event.set()
 
     def wanted_models(self, directive: control_state.Directive) -> list[switch.WantedModel]:
-        """Return what the engine should serve."""
+        """Return the models and adapters that the engine should serve."""
         if self.config.target_kind == bundles.SERVICE:
             return []
         return switch.wanted_models(directive, self.context.settings.name)
 
     def peers_by_manifest(self, directive: control_state.Directive) -> dict[str, list[fetch.Peer]]:
-        """Return the manifests wanted here, each with the other VMs that should hold it."""
+        """Return the wanted manifests, each with the other VMs that should hold its chunks."""
         found: dict[str, list[fetch.Peer]] = {
             item.manifest: [] for item in self.wanted_models(directive)
         }
@@ -238,7 +255,7 @@
         return found
 
     def distance(self, placement: commands.VmPlacement) -> int:
-        """Return how far another VM is."""
+        """Return the distance class of another VM."""
         if placement.availability_zone == self.context.settings.availability_zone:
             return fetch.SAME_ZONE
         if placement.region == self.context.settings.region:
@@ -248,7 +265,10 @@
     # Orders
 
     def run_next_step(self) -> None:
-        """Give the engine the next order that is due, under the lease."""
+        """Send the engine the next order, if there is one and the lease is valid.
+
+        After a failure, no order is sent for `FAILED_STEP_RETRY_S`.
+        """
         if self.config.target_kind == bundles.SERVICE or not self.target.is_reachable:
             return
         now = self.context.clock()
@@ -267,7 +287,7 @@
         self.execute_step(step, directive)
 
     def execute_step(self, step: switch.Step, directive: control_state.Directive) -> None:
-        """Give one order and note what came of it."""
+        """Send the order for a step, and record a failure in `trouble`."""
         layout = None
         if isinstance(step, switch.Load):
             layout = manifests.to_dict(self.weights.manifests[step.item.manifest])
@@ -284,26 +304,26 @@
         self.send_heartbeats_now()
 
     def serve_weights(self, request: http_server.Request) -> http_server.Response:
-        """Give a whole manifest's bytes to the engine."""
+        """Handle an engine's request for all bytes of a manifest."""
         data = self.chunk_server.stream_manifest(request.subpath)
         return http_server.Response(200, data, content_type="application/octet-stream")
 
-    # Life
+    # Lifecycle
 
     def not_ready_reason(self) -> str:
-        """Return why no requests come here, or nothing."""
+        """Return why the target gets no requests, or an empty string."""
         if self.is_leaving():
             return "leaving"
         if not self.target.is_reachable:
-            return f"the target at {self.config.target_url} does not answer"
-        return "" if self.target.serving else "the target serves nothing yet"
+            return f"the target at {self.config.target_url} is unreachable"
+        return "" if self.target.serving else "the target serves no models yet"
 
     def start_draining(self) -> None:
-        """Tell the entries at once."""
+        """Announce the shutdown to the entries at once."""
         self.send_heartbeats_now()
 
     def stop(self) -> None:
-        """Stop the tasks."""
+        """Stop the tasks and close the connections."""
         for task in self.heartbeat_tasks + self.tasks:
             task.stop()
         self.weights.stop()
--- a/src/merlinthread/roles/base.py
+++ b/src/merlinthread/roles/base.py
@@ -1,4 +1,4 @@
-"""What every role offers the composition root, and the registry of roles."""
+"""Base class and registry of the daemon's roles, and a periodic background task."""
 
 import dataclasses
 import threading
@@ -14,7 +14,10 @@
 
 @dataclasses.dataclass(slots=True)
 class RoleContext:
-    """What the composition root gives each role."""
+    """Objects that the daemon passes to each of its roles.
+
+    `clock` is monotonic, `wall_clock` returns seconds since the epoch.
+    """
 
     settings: settings.Settings
     codec: codec.Codec
@@ -25,37 +28,40 @@
 
 
 class Role:
-    """One role of the daemon."""
+    """Base class of roles; its methods do nothing by default."""
 
     def __init__(self, context: RoleContext) -> None:
         self.context = context
 
     def start(self) -> None:
-        """Start the role's tasks; raise MerlinthreadError if it can't run."""
+        """Start the role; raise MerlinthreadError if it can't run."""
 
     def not_ready_reason(self) -> str:
-        """Return why the role can't serve yet, or an empty string."""
+        """Return why the role can't serve requests, or an empty string if it can."""
         return ""
 
     def failure_reason(self) -> str:
-        """Return why the process must end, or an empty string."""
+        """Return why the role has failed and the process must exit, or an empty string."""
         return ""
 
     def start_draining(self) -> None:
-        """Tell others that this VM leaves; requests in progress go on."""
+        """Announce that this VM is shutting down; requests in progress continue."""
 
     def stop(self) -> None:
-        """Stop the role's tasks; nothing is in progress any more."""
+        """Stop the role; called after requests in progress have finished or timed out."""
 
     def reload(self, changed: settings.Settings) -> None:
-        """Take over what may change without a restart."""
+        """Apply those of the changed settings that don't need a restart."""
 
 
 ROLES: registry.Registry[type[Role]] = registry.Registry("role")
 
 
 class PeriodicTask:
-    """A thread that calls `work` every `every_s` seconds until stopped."""
+    """A thread that calls `function` every `interval_s` seconds until stopped.
+
+    Exceptions of the function are logged. Setting `wake_event` triggers the next call at once.
+    """
 
     def __init__(self, name: str, interval_s: float, function: Callable[[], None]) -> None:
         self.name = name
@@ -70,7 +76,7 @@
         self.thread.start()
 
     def run(self) -> None:
-        """Work at once, then once a period or as soon as `wake` is set."""
+        """Call the function until the task is stopped, the first time at once."""
         while not self.stop_event.is_set():
             try:
                 self.function()
@@ -80,7 +86,7 @@
             self.wake_event.clear()
 
     def stop(self) -> None:
-        """Ask the thread to end and wait for it."""
+        """Stop the thread and wait up to 10 s for it to end."""
         self.stop_event.set()
         self.wake_event.set()
         if self.thread.ident is not None and self.thread is not threading.current_thread():
--- a/src/merlinthread/roles/chunk_server.py
+++ b/src/merlinthread/roles/chunk_server.py
@@ -1,4 +1,4 @@
-"""The giving half of an agent's weights: chunks for other agents, whole versions for the engine."""
+"""Uploads of weights: single chunks to other agents, whole manifests to the engine."""
 
 import typing
 from collections.abc import Iterator
@@ -13,7 +13,7 @@
 
 
 class ChunkServer:
-    """Answers other agents within the upload slots and the link's share."""
+    """Replies to requests of other agents, limited by upload slots and link rate."""
 
     def __init__(self, weights: "weights.WeightManager") -> None:
         self.weights = weights
@@ -21,15 +21,18 @@
         self.upload_pacer = pacing.Pacer(weights.config.link_bytes_per_s)
 
     def handle(self, message: object) -> object:
-        """Answer another agent."""
+        """Return the reply to a request of another agent."""
         if isinstance(message, messages.ManifestRequest):
             return messages.ManifestReply(self.weights.store.read(message.digest) or b"")
         if isinstance(message, messages.ChunkRequest):
             return self.on_chunk_request(message)
-        raise errors.ProtocolError(f"an agent does not answer {type(message).__name__}")
+        raise errors.ProtocolError(f"agents don't handle {type(message).__name__} messages")
 
     def on_chunk_request(self, request: messages.ChunkRequest) -> messages.ChunkReply:
-        """Give one of the wanted chunks, if an upload slot is free."""
+        """Return one of the requested chunks, if any is stored here and an upload slot is free.
+
+        Blocks until the transfer conforms to the link rate.
+        """
         manifest = self.weights.manifests.get(request.manifest)
         if manifest is None:
             return messages.ChunkReply(messages.NO_CHUNK, b"", b"")
@@ -63,7 +66,7 @@
                 self.slots.release()
 
     def stored_chunks(self, manifest: manifests.Manifest) -> int:
-        """Return which chunks of an older manifest are still here."""
+        """Return the bit set of a manifest's chunks that are in the store."""
         return sum(
             1 << i
             for i, digest in enumerate(manifest.chunks)
@@ -71,21 +74,23 @@
         )
 
     def stream_manifest(self, digest: str) -> Iterator[bytes]:
-        """Give the bytes of a whole manifest, for the engine.
+        """Return an iterator over the data of all chunks of a manifest.
 
-        Raises WeightsError before the first byte unless every chunk is here.
+        Raises WeightsError before the first chunk unless all are stored here.
         """
         manifest = self.weights.manifests.get(digest)
         if manifest is None or not all(self.weights.store.has(chunk) for chunk in manifest.chunks):
             raise errors.WeightsError(
-                f"manifest {digest} is not whole here", kind=errors.ErrorKind.UNKNOWN_MODEL
+                f"manifest {digest} is not complete on this VM", kind=errors.ErrorKind.UNKNOWN_MODEL
             )
         return self.iter_chunks(manifest)
 
     def iter_chunks(self, manifest: manifests.Manifest) -> Iterator[bytes]:
-        """Give one chunk after another."""
+        """Yield the data of each chunk; raise WeightsError if one is no longer stored."""
         for chunk in manifest.chunks:
             data = self.weights.store.read(chunk)
             if data is None:
-                raise errors.WeightsError(f"chunk {chunk} went while the engine read it")
+                raise errors.WeightsError(
+                    f"chunk {chunk} is no longer stored; it was there when the engine began to read"
+                )
             yield data
