--- a/src/merlinthread/roles/completion.py
+++ b/src/merlinthread/roles/completion.py
@@ -1,4 +1,4 @@
-"""One completion request at an entry: attempts until one streams, resumed if it breaks off."""
+"""Completion requests at an entry, with retries and resumption on other targets."""
 
 import dataclasses
 import typing
@@ -17,7 +17,7 @@
 
 @dataclasses.dataclass(slots=True)
 class CompletionBody:
-    """The JSON body of a completion request, as far as entries look at it."""
+    """The fields of a completion request's JSON body that entries use."""
 
     model: str
     prompt: str
@@ -27,7 +27,11 @@
 
 
 class Completion:
-    """One completion request: attempts until one streams, resumed elsewhere if it breaks off."""
+    """One completion request.
+
+    Targets are tried until one starts to stream. A stream that breaks is resumed on another target
+    that serves the same weights.
+    """
 
     def __init__(
         self, handler: "request_handler.RequestHandler", request: http_server.Request
@@ -38,7 +42,7 @@
         try:
             self.body = msgspec.json.decode(request.body, type=CompletionBody)
         except (msgspec.DecodeError, RecursionError) as error:
-            raise errors.RequestError(f"the body is refused: {error}")
+            raise errors.RequestError(f"invalid request body: {error}")
         model = handler.bundle().model(self.body.model)
         if model is None:
             raise errors.RequestError(
@@ -56,7 +60,10 @@
         self.attempt_count = 0
 
     def run(self) -> http_server.Response:
-        """Open the answer and return it; its end counts the request out."""
+        """Run the request and return the response, streamed or complete.
+
+        `in_flight` is decremented when the stream ends.
+        """
         self.open_stream()
         relay = self.relay()
         if self.body.stream:
@@ -69,9 +76,9 @@
         return self.collect(relay)
 
     def open_stream(self) -> None:
-        """Find a target that starts the answer, or go on where it broke off.
+        """Open a stream on a target, from the first token that has not been relayed yet.
 
-        Raises the last attempt's error once attempts, targets or time are used up.
+        Raises the last attempt's error when attempts, targets or time are exhausted.
         """
         failure: errors.MerlinthreadError | None = None
         while self.attempt_count < self.handler.config.attempts_max:
@@ -102,7 +109,7 @@
         raise failure
 
     def open_at_target(self, report: agents.AgentReport) -> None:
-        """Start the answer at one target."""
+        """Open a stream on one target."""
         fields = msgspec.json.decode(self.request.body)
         fields.update(
             stream=True, request_id=self.admitted.request_id, resume_from=self.relayed_tokens
@@ -121,7 +128,7 @@
         self.weights_digest = stream.headers.get(attempts.DIGEST, "")
 
     def relay(self) -> Iterator[bytes]:
-        """Give the answer's events on; resume elsewhere on the same weights if it breaks off."""
+        """Yield encoded events to the client, and resume the stream if it breaks."""
         outcome = "left_by_caller"
         try:
             while True:
@@ -142,7 +149,10 @@
             self.handler.context.in_flight.leave()
 
     def relay_from_target(self) -> Iterator[bytes]:
-        """Give one target's events on until the answer is whole; raise if it breaks off."""
+        """Yield the events of one target until it is done.
+
+        Raises RequestError (stream_broken) if the stream ends early, and the target's errors.
+        """
         assert self.upstream is not None
         for event in events.decode(self.upstream.iter_lines()):
             if event.kind == events.TOKEN:
@@ -160,10 +170,13 @@
                 return
             elif event.kind == events.ERROR:
                 raise error_responses.parse_error(event.data, 200)
-        raise errors.RequestError("the answer broke off", kind=errors.ErrorKind.STREAM_BROKEN)
+        raise errors.RequestError("the stream ended early", kind=errors.ErrorKind.STREAM_BROKEN)
 
     def resume(self, error: errors.MerlinthreadError) -> bytes:
-        """Go on at another target; return the ending to send if that can't be."""
+        """Resume the stream on another target.
+
+        Returns the encoded error event for the client if that fails, otherwise empty bytes.
+        """
         logs.event(
             "stream_broken",
             request_id=self.admitted.request_id,
@@ -178,7 +191,7 @@
             return b""
         except errors.MerlinthreadError as last:
             broken = errors.RequestError(
-                f"the answer broke off after {self.relayed_tokens} tokens and can't be resumed: "
+                f"the stream broke after {self.relayed_tokens} tokens and can't be resumed: "
                 f"{last.message}",
                 kind=errors.ErrorKind.STREAM_BROKEN,
                 retry_after_s=last.retry_after_s,
@@ -186,7 +199,7 @@
             return events.encode_error(broken)
 
     def close_upstream(self) -> None:
-        """Let the target go; closing an unfinished answer frees the engine's slot."""
+        """Close the connection to the target; a stream in progress is thereby cancelled."""
         if self.target is not None:
             self.handler.in_flight_by_target.add(self.target.name, -1)
             self.admitted.tried.add(self.target.name)
@@ -196,7 +209,7 @@
         self.upstream = None
 
     def collect(self, relay: Iterator[bytes]) -> http_server.Response:
-        """Return the whole answer at once."""
+        """Return the response to a request without streaming, from all events."""
         texts: list[str] = []
         for event in events.decode(line for piece in relay for line in piece.split(b"\n")[:-1]):
             if event.kind == events.TOKEN:
@@ -210,13 +223,13 @@
                 )
                 return http_server.json_response(body)
         return http_server.error_response(
-            errors.RequestError("the answer broke off", kind=errors.ErrorKind.STREAM_BROKEN)
+            errors.RequestError("the stream ended early", kind=errors.ErrorKind.STREAM_BROKEN)
         )
 
 
 @dataclasses.dataclass(slots=True)
 class CompletionResponse:
-    """The JSON body of an answer that is not streamed."""
+    """The JSON body of a response that is not streamed."""
 
     request_id: str
     text: str
@@ -225,5 +238,5 @@
 
 
 def error_response_from(data: bytes) -> http_server.Response:
-    """Return the refusal whose JSON body is `data`."""
+    """Return the response for the error whose JSON body is `data`."""
     return http_server.error_response(error_responses.parse_error(data, 502))
--- a/src/merlinthread/roles/forwarding.py
+++ b/src/merlinthread/roles/forwarding.py
@@ -1,4 +1,4 @@
-"""Requests that entries of other zones send on: this entry chooses one of its own targets."""
+"""Requests forwarded by entries of other zones to the targets of this entry."""
 
 import typing
 from collections.abc import Iterator
@@ -18,13 +18,13 @@
 
 
 class Forwarder:
-    """Answers attempts of other entries like an agent would, by passing them to an agent."""
+    """Handles attempts of other entries with the API of an agent, and forwards them to an agent."""
 
     def __init__(self, handler: "request_handler.RequestHandler") -> None:
         self.handler = handler
 
     def on_request(self, request: http_server.Request) -> http_server.Response:
-        """Pass one attempt on."""
+        """Verify an attempt, forward it and return the streamed response."""
         attempt = attempts.parse_attempt(request.headers)
         attempts.verify_tag(
             self.handler.context.codec, attempt, request.path, request.body, request.headers
@@ -43,7 +43,7 @@
         return http_server.Response(stream.status, self.relay(stream, report), headers, kind)
 
     def choose(self, request: http_server.Request, attempt: attempts.Attempt) -> agents.AgentReport:
-        """Choose one of this entry's own targets."""
+        """Choose a target among those that report to this entry."""
         if request.subpath == "v1/completions":
             body = msgspec.json.decode(request.body, type=completion.CompletionBody)
             requirements = routing.Requirements(bundles.GENERATE, body.model, body.adapter)
@@ -55,7 +55,11 @@
     def open_at_target(
         self, report: agents.AgentReport, request: http_server.Request, attempt: attempts.Attempt
     ) -> http_client.StreamingResponse:
-        """Send the attempt to the chosen agent."""
+        """Forward the attempt to an agent and return the response stream.
+
+        Raises RequestError: not_run if the attempt was not sent, outcome_unknown if the connection
+        broke afterwards.
+        """
         attempt.incarnation = report.incarnation
         self.handler.in_flight_by_target.add(report.name, 1)
         try:
@@ -75,7 +79,7 @@
     def relay(
         self, stream: http_client.StreamingResponse, report: agents.AgentReport
     ) -> Iterator[bytes]:
-        """Give the answer on as it comes; a broken one ends without its closing event."""
+        """Yield the response in chunks; a connection error is logged and raised again."""
         try:
             yield from stream.iter_chunks()
             stream.release()
--- a/src/merlinthread/roles/request_handler.py
+++ b/src/merlinthread/roles/request_handler.py
@@ -1,4 +1,4 @@
-"""A caller's request at an entry: checks, routing, attempts, and the answer."""
+"""Client requests at an entry: admission, routing and attempts."""
 
 import dataclasses
 import random
@@ -19,7 +19,11 @@
 
 @dataclasses.dataclass(slots=True)
 class AdmittedRequest:
-    """One caller's request on its way; `deadline` is on this entry's clock."""
+    """An admitted request.
+
+    `deadline` and `arrived_at` are on this entry's monotonic clock; `tried` holds the names of the
+    targets that failed.
+    """
 
     request_id: str
     account: str
@@ -30,24 +34,24 @@
 
 
 class InFlightByTarget:
-    """How many requests this entry has at each target right now."""
+    """The number of this entry's requests in flight at each target."""
 
     def __init__(self) -> None:
         self.lock = threading.Lock()
         self.counts: dict[str, int] = {}
 
     def add(self, agent: str, change: int) -> None:
-        """Count one more or one less."""
+        """Add `change` to the count of `agent`."""
         with self.lock:
             self.counts[agent] = self.counts.get(agent, 0) + change
 
     def get(self, agent: str) -> int:
-        """Return the count for `agent`."""
+        """Return the count of `agent`."""
         return self.counts.get(agent, 0)
 
 
 class RequestHandler:
-    """Handles callers' requests; every request has a thread of its own."""
+    """Handles client requests; called in the threads of the HTTP server."""
 
     def __init__(
         self,
@@ -70,21 +74,21 @@
         self.rng = random.Random()
 
     def add_routes(self, routes: http_server.Routes) -> None:
-        """Add the callers' paths to the listener."""
+        """Add the routes of the clients' API."""
         routes.add("POST", "/v1/completions", self.on_completion)
         for method in ("GET", "POST"):
             routes.add(method, "/v1/services/", self.on_service)
 
-    # What every request goes through
+    # Common to all requests
 
     def admit(self, request: http_server.Request) -> AdmittedRequest:
-        """Return the request's frame; raise RequestError if account or headers are refused."""
+        """Admit a request; raise RequestError if its account or headers are invalid."""
         account = request.headers.get(attempts.ACCOUNT, "")
         bundle = self.bundle()
         group = bundle.group_of(account)
         if group is None:
             raise errors.RequestError(
-                f"header X-Account: {account!r} is in no group of the bundle in force",
+                f"header X-Account: {account!r} is not in any group of the bundle in force",
                 kind=errors.ErrorKind.UNKNOWN_ACCOUNT,
                 field="X-Account",
             )
@@ -98,13 +102,13 @@
         )
 
     def timeout_s(self, request: http_server.Request) -> float:
-        """Return how long the caller waits, in seconds."""
+        """Return the request's timeout from its X-Deadline-Ms header, or the default."""
         text = request.headers.get(attempts.DEADLINE_MS)
         if text is None:
             return self.config.default_deadline_s
         if not text.isdigit() or not 0 < int(text) <= 86_400_000:
             raise errors.RequestError(
-                f"header X-Deadline-Ms: {text!r} is no number of milliseconds from 1 to 86400000",
+                f"header X-Deadline-Ms: {text!r} is not an integer from 1 to 86400000 (ms)",
                 field="X-Deadline-Ms",
             )
         return int(text) / 1000
@@ -114,7 +118,7 @@
         bundle = self.zone.snapshot.directive.bundle
         if bundle is None:
             raise errors.RequestError(
-                "this entry knows no bundle in force yet", kind=errors.ErrorKind.NOT_RUN
+                "this entry has not received a bundle yet", kind=errors.ErrorKind.NOT_RUN
             )
         return bundle
 
@@ -125,9 +129,9 @@
         tried: frozenset[str],
         is_local: bool = False,
     ) -> agents.AgentReport:
-        """Choose a target and log why; raise RequestError (no_target) if there is none.
+        """Choose a target and log the reason; raise RequestError (no_target) if there is none.
 
-        Entries of other places count as targets for what they reach, unless `is_local`.
+        Other entries are candidates too, for the targets that they can reach, unless `is_local`.
         """
         snapshot = self.zone.snapshot
         requirements = dataclasses.replace(requirements, excluded=snapshot.leaving | tried)
@@ -143,7 +147,7 @@
             raise errors.RequestError(
                 f"no live target serves {requirements.name!r}"
                 + (f" with adapter {requirements.adapter!r}" if requirements.adapter else "")
-                + (f" besides the {len(tried)} tried" if tried else ""),
+                + (f" besides the {len(tried)} already tried" if tried else ""),
                 kind=errors.ErrorKind.NO_TARGET,
             )
         choice = self.policy(candidates, requirements, self.location, self.rng)
@@ -161,7 +165,7 @@
     def entries_as_targets(
         self, others: list[summaries.Summary], requirements: routing.Requirements
     ) -> list[agents.AgentReport]:
-        """Return the other entries that reach a target for the request."""
+        """Return reports for the entries that reach a suitable target."""
         found = [
             summaries.as_target(other, requirements.kind, requirements.name, requirements.adapter)
             for other in others
@@ -169,11 +173,11 @@
         return [report for report in found if report is not None]
 
     def remaining_s(self, admitted: AdmittedRequest) -> float:
-        """Return how long the caller still waits; raise RequestError (not_run) if it is over."""
+        """Return the time until the deadline; raise RequestError (not_run) if it has passed."""
         remaining = admitted.deadline - self.context.clock()
         if remaining <= 0:
             raise errors.RequestError(
-                "the deadline passed before a target ran it", kind=errors.ErrorKind.NOT_RUN
+                "the deadline passed before a target ran the request", kind=errors.ErrorKind.NOT_RUN
             )
         return remaining
 
@@ -187,9 +191,9 @@
         digest: str = "",
         service: str = "",
     ) -> http_client.StreamingResponse:
-        """Send one attempt to a target's agent and return its answer's beginning.
+        """Send an attempt to a target's agent and return the response stream.
 
-        Raises NotSentError and the agent's own refusals.
+        Raises NotSentError, and errors that the agent returned.
         """
         attempt = attempts.Attempt(
             uuid.uuid4().hex,
@@ -210,7 +214,7 @@
         body: bytes,
         attempt: attempts.Attempt,
     ) -> http_client.StreamingResponse:
-        """Send an attempt and return its answer's beginning; see `send`."""
+        """Send an existing attempt; see `send`."""
         headers = attempt.headers()
         headers.update(attempts.authentication_headers(self.context.codec, attempt, path, body))
         remaining = max(0.001, attempt.deadline_ms / 1000)
@@ -221,10 +225,10 @@
             raise error_responses.parse_error(data, stream.status)
         return stream
 
-    # Generation
+    # Completions
 
     def on_completion(self, request: http_server.Request) -> http_server.Response:
-        """Answer a completion request, streamed or whole."""
+        """Handle a completion request."""
         self.context.in_flight.enter()
         try:
             answer = completion.Completion(self, request).run()
@@ -238,7 +242,7 @@
     # Services
 
     def on_service(self, request: http_server.Request) -> http_server.Response:
-        """Answer a call of a plain service."""
+        """Handle a call of a plain service."""
         self.context.in_flight.enter()
         outcome = "internal"
         try:
