--- a/src/merlinthread/roles/control.py
+++ b/src/merlinthread/roles/control.py
@@ -1,4 +1,4 @@
-"""The `control` role: a member of the replicated log that holds bundles, rolls and claims."""
+"""The `control` role: a member of the replicated log of bundles, rolls and claims."""
 
 from concurrent import futures
 from typing import Any
@@ -15,7 +15,7 @@
 
 @base.ROLES.add("control")
 class ControlRole(base.Role):
-    """A control VM: the log task, its mailbox, the bus for entries, the operators' HTTP calls."""
+    """A control VM: the log task, the servers for members and entries, and the operators' API."""
 
     def __init__(self, context: base.RoleContext) -> None:
         super().__init__(context)
@@ -38,7 +38,7 @@
         operators_api.add_routes(context.http.routes, self)
 
     def start(self) -> None:
-        """Start the tasks."""
+        """Start the log task and the servers."""
         self.task.thread.start()
         self.receiver.start()
         self.rpc_server.start()
@@ -46,7 +46,7 @@
             self.join_task.start()
 
     def send_join_request(self) -> None:
-        """Ask all members to be taken in, until the lost one is out."""
+        """Ask all members to add this one, until the member that it replaces is removed."""
         voters = self.task.raft.log.voters
         if self.own_peer.name in voters.voters and self.config.replaces in voters.retired:
             return
@@ -61,7 +61,7 @@
             sender.send(join)
 
     def handle(self, message: Any) -> Any:
-        """Answer one call of an entry."""
+        """Return the reply to a request of an entry."""
         if isinstance(message, messages.PollRequest):
             return self.on_poll(message)
         if isinstance(message, messages.AgentChanges):
@@ -70,10 +70,10 @@
             name, raw = self.context.codec.envelope_decoder.decode(message.command)
             command = self.context.codec.decoders[name].decode(raw)
             return messages.CommandReply(self.submit(command))
-        raise errors.ProtocolError(f"a control VM does not answer {type(message).__name__}")
+        raise errors.ProtocolError(f"control VMs don't handle {type(message).__name__} messages")
 
     def on_poll(self, poll: messages.PollRequest) -> messages.PollReply:
-        """Answer an entry that asks for news."""
+        """Return the leader, and the directive if it is newer than the entry's."""
         published = self.task.published
         directive = published.directive
         return messages.PollReply(
@@ -86,44 +86,50 @@
         )
 
     def submit(self, command: commands.Command) -> commands.Answer:
-        """Commit a command and return its answer.
+        """Commit a command and return its result.
 
-        Raises NotLeaderError elsewhere than on the leader, and ControlError (outcome_unknown) if no
-        majority confirmed it in time.
+        Raises NotLeaderError if this member is not the leader, and ControlError (outcome_unknown)
+        if the command was not committed within `commit_timeout_s`.
         """
         return self.call_log_task(log_task.Proposal(command, futures.Future()))
 
     def read(self, query: Any) -> Any:
-        """Return `read(log task)`, run in its thread, if this member surely leads."""
+        """Return `query(log_task)`, called in the thread of the log task.
+
+        Raises NotLeaderError unless this member holds the leader's lease.
+        """
         return self.call_log_task(log_task.ReadRequest(query, futures.Future()))
 
     def call_log_task(
         self, item: log_task.Proposal | log_task.ReadRequest | log_task.ReportUpdate
     ) -> Any:
-        """Hand `item` to the log task and wait for its answer."""
+        """Pass `item` to the log task and return its result.
+
+        Raises ControlError (outcome_unknown) after `commit_timeout_s`.
+        """
         self.task.inbox.put(item)
         try:
             return item.answer.result(self.config.commit_timeout_s)
         except futures.TimeoutError:
             raise errors.ControlError(
                 f"no majority confirmed it within {self.config.commit_timeout_s} s; send it again "
-                "with the same request id to learn what became of it",
+                "with the same request id to learn the outcome",
                 kind=errors.ErrorKind.OUTCOME_UNKNOWN,
             )
 
     def failure_reason(self) -> str:
-        """Return why the log task ended, or nothing."""
+        """Return why the log task failed, or an empty string."""
         return self.task.failure
 
     def not_ready_reason(self) -> str:
-        """Return why the log does not go on, or nothing."""
+        """Return why no commands can be committed, or an empty string."""
         age = self.context.clock() - self.task.published.leader_seen_at
         if not self.task.published.leader or age > 5:
-            return "no leader: a majority of control VMs is not reached"
+            return "no leader: a majority of control VMs is unreachable"
         return ""
 
     def reload(self, changed: settings_.Settings) -> None:
-        """Take over new members and operators."""
+        """Apply changed operators, signature requirements and members."""
         if changed.control is None:
             return
         self.config.operators = changed.control.operators
@@ -134,7 +140,7 @@
                 self.task.senders[peer.name] = bus.Sender(peer.log_bus, self.context.codec)
 
     def stop(self) -> None:
-        """Stop the tasks."""
+        """Stop the servers, then the log task."""
         self.join_task.stop()
         self.rpc_server.stop()
         self.receiver.stop()
--- a/src/merlinthread/roles/leader_duties.py
+++ b/src/merlinthread/roles/leader_duties.py
@@ -1,4 +1,4 @@
-"""What only the leading control VM does: repairs of the log's members, and placement."""
+"""Tasks of the leading control VM: membership changes and placement."""
 
 import typing
 from concurrent import futures
@@ -11,15 +11,15 @@
     from merlinthread.roles import log_task
 
 JOIN_REQUEST_EXPIRY_S = 3.0
-# A new leader places nothing for this long: entries tell it of their agents first.
+# Time for entries to report their agents to a new leader.
 PLACEMENT_DELAY_S = 5.0
-# Operators name the member that is lost for good, so a little more than the silence that ends a
-# leadership is enough to take it out: until then the group of four bears no further loss.
+# Silence after which a member that is to be replaced is removed. Longer than an election timeout;
+# until then a group of three that has added the new member tolerates no further failure.
 LOST_MEMBER_SILENCE_S = 2.0
 
 
 class LeaderDuties:
-    """Runs in the log task's thread, while it leads under a lease."""
+    """The leader's tasks; called by the log task while it holds the lease."""
 
     def __init__(self, task: "log_task.LogTask") -> None:
         self.task = task
@@ -27,11 +27,11 @@
         self.placement_allowed_at = float("-inf")
 
     def on_leadership_change(self, now: float) -> None:
-        """Note that leadership changed: entries must tell of their agents first."""
+        """Delay placement until entries have reported their agents."""
         self.placement_allowed_at = now + PLACEMENT_DELAY_S
 
     def update_membership(self, now: float) -> None:
-        """Note members' identities, and take the next step of a repair."""
+        """Propose at most one membership change: new identities, or the next step of a repair."""
         voters = self.task.raft.log.voters
         unknown = {
             name: identity
@@ -57,7 +57,7 @@
                 return
 
     def change_membership(self, change: raft_members.MembershipChange, now: float) -> None:
-        """Put a change of members into the log, if it is safe now."""
+        """Propose a membership change; log the reason if it is not allowed at present."""
         try:
             index = self.task.raft.change_membership(change, now)
         except errors.ControlError as error:
@@ -73,12 +73,11 @@
         )
 
     def update_placement(self, now: float) -> None:
-        """Decide which VMs hold which models, and pause a roll that a target refuses."""
+        """Propose placement changes; if there are none, pause the roll on an agent's trouble."""
         bundle = self.task.state.active_bundle()
         if bundle is None or self.task.raft.log.last_index() > self.task.applied_index:
             return
         if now < self.placement_allowed_at and self.task.state.placement:
-            # A new leader first lets the entries tell it of their agents.
             return
         live = self.task.report_receiver.live(now)
         plan = placement.plan(bundle, live, self.task.state.placement)
@@ -96,7 +95,7 @@
         self.pause_on_trouble(live, now)
 
     def pause_on_trouble(self, live: list[agents.AgentReport], now: float) -> None:
-        """Pause the roll if an agent of its generation says that it can't go on."""
+        """Pause the roll if an agent of the current generation reports trouble."""
         for report in live:
             is_current = report.generation == self.task.state.generation
             if report.trouble and is_current and not self.task.state.paused:
--- a/src/merlinthread/roles/log_task.py
+++ b/src/merlinthread/roles/log_task.py
@@ -1,4 +1,4 @@
-"""The thread that owns a control VM's replicated log, its files and the state machine."""
+"""The thread that runs a control VM's replicated log and state machine."""
 
 import dataclasses
 import pathlib
@@ -30,7 +30,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Proposal:
-    """A command on its way into the log, with the place for its answer."""
+    """A command to be committed, and the future of its result."""
 
     command: commands.Command
     answer: futures.Future
@@ -38,7 +38,7 @@
 
 @dataclasses.dataclass(slots=True)
 class ReportUpdate:
-    """What an entry tells of its agents, with the place for the answer."""
+    """An entry's changes among its agents, and the future of the reply."""
 
     changes: messages.AgentChanges
     answer: futures.Future
@@ -46,7 +46,10 @@
 
 @dataclasses.dataclass(slots=True)
 class ReadRequest:
-    """A question about the state that only a leader with a lease may answer."""
+    """A function that reads the leader's state, and the future of its result.
+
+    `query` is called with the log task; the leader must hold its lease.
+    """
 
     query: Any
     answer: futures.Future
@@ -54,7 +57,10 @@
 
 @dataclasses.dataclass(slots=True)
 class PublishedState:
-    """What others in this process may know of the log task; replaced whole, never changed."""
+    """State of the log task for other threads; replaced as a whole, never modified.
+
+    `controls` maps the names of members to their `bus` addresses.
+    """
 
     directive: control_state.Directive
     leader: str
@@ -63,7 +69,11 @@
 
 
 class LogTask:
-    """The thread that owns the replicated log, its files and the state machine."""
+    """Runs the replicated log and its state machine in one thread.
+
+    Other threads put items into `inbox` and read `published`. `failure` is the reason why the
+    thread ended, or empty.
+    """
 
     def __init__(self, context: base.RoleContext, config: settings_.Control) -> None:
         self.context = context
@@ -106,17 +116,17 @@
         self.stopping = False
         self.failure = ""
 
-    # The loop
+    # Main loop
 
     def run(self) -> None:
-        """Take in messages, decide, make durable, send, apply; end on a broken disk."""
+        """Run until stopped, or until an unexpected error or the loss of this member's identity."""
         try:
             while not self.stopping:
                 self.run_once()
                 if self.raft.replaced_by:
                     self.failure = (
-                        f"the data folder of {self.name!r} was lost: it has another identity than "
-                        "the members know. Start this VM under a new name with control.replaces"
+                        f"the data folder of {self.name!r} was lost: its identity is not the one that "
+                        "the members know; start this VM under a new name with control.replaces"
                     )
                     logs.warning("identity_lost", reason=self.failure)
                     return
@@ -125,7 +135,7 @@
             self.failure = repr(error)
 
     def run_once(self) -> None:
-        """Do one round."""
+        """Wait for items or the next timer, handle them, and process their effects."""
         now = self.context.clock()
         wait = max(0.0, min(self.raft.next_tick_at(), self.next_placement_at) - now)
         items = self.receive(wait)
@@ -141,7 +151,7 @@
         self.publish()
 
     def receive(self, wait_s: float) -> list[Any]:
-        """Return what is in the inbox, waiting for the first item."""
+        """Return up to `INBOX_BATCH_SIZE` items; wait up to `wait_s` for the first one."""
         items: list[Any] = []
         try:
             items.append(self.inbox.get(timeout=max(0.0005, wait_s)))
@@ -165,22 +175,28 @@
             self.raft.step(item, now)
 
     def run_or_reject(self, answer: futures.Future, work: Any) -> None:
-        """Do `work`, or give its refusal as the answer."""
+        """Call `work`; set a MerlinthreadError that it raises on the future."""
         try:
             work()
         except errors.MerlinthreadError as error:
             answer.set_exception(error)
 
     def propose(self, command: commands.Command, answer: futures.Future, now: float) -> None:
-        """Put a command into the log; its answer comes when it is applied."""
+        """Append a command to the log; its future is set when it is applied.
+
+        Raises DiskFullError for 1 s after a failed write, NotLeaderError, and ControlError if too
+        many commands are pending.
+        """
         if now < self.disk_full_until:
-            raise errors.DiskFullError(f"{self.folder.path}: no room on the disk; free some space")
+            raise errors.DiskFullError(
+                f"{self.folder.path}: no space left on the disk; free some space"
+            )
         name = self.context.codec.names[type(command)]
         index = self.raft.propose(msgspec.msgpack.encode((name, command)), now)
         self.pending_answers[index] = (self.raft.hard_state.term, answer)
 
     def apply_agent_changes(self, update: ReportUpdate, now: float) -> None:
-        """Take in what an entry tells of its agents, if this member leads."""
+        """Apply an entry's changes; raise NotLeaderError if this member does not lead."""
         self.raft.require_leader()
         changes = update.changes
         is_accepted = self.report_receiver.take(
@@ -190,15 +206,18 @@
         update.answer.set_result(messages.AgentChangesReply(listener, not is_accepted))
 
     def read(self, request: ReadRequest, now: float) -> None:
-        """Answer a question if this member surely leads."""
+        """Answer a read; raise NotLeaderError unless this member holds the leader's lease."""
         if not self.raft.holds_lease(now):
-            raise errors.NotLeaderError(f"{self.name} does not lead", self.raft.leader)
+            raise errors.NotLeaderError(f"{self.name} is not the leader", self.raft.leader)
         request.answer.set_result(request.query(self))
 
     # Durability
 
     def process_ready(self, now: float) -> None:
-        """Save, send and apply until nothing is left to do."""
+        """Save entries, send messages and apply committed entries until none are left.
+
+        Then compact the log if it is due.
+        """
         while not (ready := self.raft.ready()).is_empty():
             try:
                 self.save(ready)
@@ -217,7 +236,7 @@
             self.compact(now)
 
     def save(self, ready: raft_messages.Ready) -> None:
-        """Make `ready` durable."""
+        """Write the snapshot, entries and hard state of `ready` to disk."""
         if ready.snapshot is not None:
             kept = self.raft.log.saved_entries()
             self.journal.compact(ready.snapshot, kept)
@@ -226,7 +245,7 @@
             self.journal.save(ready.hard_state, ready.entries, self.raft.commit)
 
     def on_full_disk(self, error: errors.DiskFullError, now: float) -> None:
-        """Give up leading, refuse what was not accepted, and try again a little later."""
+        """Step down, discard unsaved entries, fail their commands, and reject new ones for 1 s."""
         logs.warning("disk_full", message=error.message)
         self.disk_full_until = now + 1.0
         self.raft.discard_unsaved(now)
@@ -236,14 +255,14 @@
                 answer.set_exception(error)
 
     def is_due_for_compaction(self) -> bool:
-        """Return whether the log has grown enough for a snapshot."""
+        """Return whether the log is long enough, in entries or bytes, to be compacted."""
         grown = self.applied_index - self.journal.snapshot.index
         if grown >= self.config.compact_after_entries:
             return True
         return grown > 0 and self.journal.file.length > COMPACT_LOG_BYTES
 
     def compact(self, now: float) -> None:
-        """Replace the applied part of the log by a snapshot."""
+        """Replace the applied entries in the log by a snapshot."""
         encoded = msgspec.msgpack.encode(self.state)
         snapshot = self.raft.compact(self.applied_index, encoded)
         kept = self.raft.log.saved_entries()
@@ -257,13 +276,16 @@
         logs.event("compacted", index=snapshot.index, state_bytes=len(encoded))
 
     def restore_snapshot(self, snapshot: journal.Snapshot) -> None:
-        """Take the state over from a snapshot."""
+        """Replace the state machine's state by that of a snapshot."""
         if snapshot.state:
             self.state = msgspec.msgpack.decode(snapshot.state, type=control_state.ControlState)
         self.applied_index = snapshot.index
 
     def apply(self, entry: journal.Entry) -> None:
-        """Apply one committed entry and answer whoever waits for it."""
+        """Apply a committed entry, and set the result of the command that is waiting for it.
+
+        A command whose index was taken by an entry of another term fails.
+        """
         result = commands.Answer(status="changed")
         if entry.kind == "command":
             name, raw = self.context.codec.envelope_decoder.decode(entry.data)
@@ -280,10 +302,10 @@
         else:
             answer.set_exception(leadership_lost_error())
 
-    # Leading
+    # Leadership
 
     def update_leadership(self) -> None:
-        """Log a change of leader and fail what waits on a lost leadership."""
+        """Record that this member became or ceased to be the leader; then fail pending commands."""
         leads = self.raft.is_leader()
         if leads == self.was_leader:
             return
@@ -299,7 +321,7 @@
             answer.set_exception(leadership_lost_error())
 
     def run_leader_tasks(self, now: float) -> None:
-        """Do a leader's regular work."""
+        """Run the leader's periodic tasks, if they are due and this member holds the lease."""
         if now < self.next_placement_at:
             return
         self.next_placement_at = now + self.config.place_every_s
@@ -315,13 +337,13 @@
             self.propose(commands.Expire(before), futures.Future(), now)
 
     def connect_members(self) -> None:
-        """Open a sender to each member whose address came by the log."""
+        """Create a sender for each new member of the log."""
         for name, address in self.raft.log.voters.addresses.items():
             if name != self.name and name not in self.senders:
                 self.senders[name] = bus.Sender(address.log_bus, self.context.codec)
 
     def log_state(self, now: float) -> None:
-        """Log where this member stands, once a second, for whoever looks for why nobody leads."""
+        """Log the state of this member once a second, to diagnose failed elections."""
         if now < self.state_logged_at + 1.0:
             return
         self.state_logged_at = now
@@ -340,10 +362,10 @@
             reopened={name: sender.reopened for name, sender in self.senders.items()},
         )
 
-    # What other threads see
+    # State for other threads
 
     def publish(self) -> None:
-        """Replace what other threads may read."""
+        """Replace `published`."""
         old = self.published
         directive = old.directive
         if self.state.revision != directive.revision:
@@ -357,7 +379,7 @@
         self.published = PublishedState(directive, self.raft.leader, seen_at, controls)
 
     def stop(self) -> None:
-        """End the thread and let the folder go."""
+        """Stop the thread, close senders and files, and release the data folder."""
         self.stopping = True
         self.inbox.put(None)
         if self.thread.ident is not None:
@@ -369,16 +391,16 @@
 
 
 def leadership_lost_error() -> errors.ControlError:
-    """Return the error for a command whose leader lost its place meanwhile."""
+    """Return the error for a command that was pending when leadership was lost."""
     return errors.ControlError(
         "the leader changed before the command was committed; send it again with the same "
-        "request id to learn what became of it",
+        "request id to learn the outcome",
         kind=errors.ErrorKind.OUTCOME_UNKNOWN,
     )
 
 
 def log_applied(name: str, command: commands.Command, answer: commands.Answer, index: int) -> None:
-    """Log commands that operators care for; claims are too many."""
+    """Log an applied command; the frequent commands about claims are omitted."""
     if name in ("claim", "complete", "expire"):
         return
     logs.event(
