--- a/src/merlinthread/roles/entry.py
+++ b/src/merlinthread/roles/entry.py
@@ -1,4 +1,4 @@
-"""The `entry` role: serves callers and looks after the agents of its availability zone."""
+"""The `entry` role: serves clients, and monitors the agents of its availability zone."""
 
 import dataclasses
 import random
@@ -24,7 +24,7 @@
 
 @dataclasses.dataclass(slots=True)
 class ZoneSnapshot:
-    """What request threads may read: replaced whole, never changed."""
+    """A view of the zone's state for request threads; replaced as a whole, never modified."""
 
     directive: control_state.Directive
     live: list[agents.AgentReport]
@@ -33,10 +33,10 @@
 
 
 class ZoneState:
-    """Owns what this entry knows of agents and of the bundle in force.
+    """The directive, the agents of the zone and the summaries of other entries.
 
-    Its handlers run in the bus's threads under one lock; what request threads read is replaced
-    whole, so they take no lock.
+    Shared between threads: changes are made under `lock` and then published as a new `snapshot`,
+    which request threads read without locking.
     """
 
     def __init__(self, context: base.RoleContext, config: settings_.Entry) -> None:
@@ -54,7 +54,7 @@
         self.snapshot = ZoneSnapshot(self.directive, [])
 
     def adopt_directive(self, directive: control_state.Directive | None, source: str) -> None:
-        """Take over a newer directive; an older one is never taken."""
+        """Apply a directive if its revision is newer."""
         if directive is None:
             return
         with self.lock:
@@ -72,7 +72,7 @@
         )
 
     def merge_summaries(self, received: list[summaries.Summary]) -> None:
-        """Take in what other entries reach."""
+        """Store the summaries received from another entry."""
         now = self.context.clock()
         with self.lock:
             for summary in received:
@@ -81,29 +81,32 @@
             self.publish()
 
     def set_leaving(self, names: frozenset[str]) -> None:
-        """Take over the platform's list of VMs that leave."""
+        """Set the names of VMs that the platform reports as leaving."""
         with self.lock:
             self.leaving = names
             self.publish()
 
     def refresh(self) -> None:
-        """Drop agents that were not heard of in time."""
+        """Publish a snapshot without agents and entries that have timed out."""
         with self.lock:
             self.publish()
 
     def publish(self) -> None:
-        """Replace what request threads read; the caller holds the lock."""
+        """Replace the snapshot; the caller holds the lock."""
         now = self.context.clock()
         self.snapshot = ZoneSnapshot(
             self.directive, self.view.live(now), self.others.live(now), self.leaving
         )
 
     def home_reports(self) -> list[agents.AgentReport]:
-        """Return the reports of agents that this entry tells the leader of."""
+        """Return the reports of agents for which this entry is the home entry."""
         return [report for report in self.snapshot.live if self.homes.get(report.name)]
 
     def summaries(self) -> list[summaries.Summary]:
-        """Return what this entry reaches, and what it heard of others."""
+        """Return a new summary of this entry and those received from others.
+
+        While the process drains, its own summary has no targets.
+        """
         with self.lock:
             self.counter += 1
             counter = self.counter
@@ -123,17 +126,17 @@
         return [summary, *snapshot.others]
 
     def handle(self, message: Any) -> Any:
-        """Answer one call of an agent or of another entry."""
+        """Return the reply to a request of an agent or another entry."""
         if isinstance(message, messages.Heartbeat):
             return self.on_heartbeat(message)
         if isinstance(message, messages.LoadHeartbeat):
             return self.on_load_heartbeat(message)
         if isinstance(message, messages.ExchangeRequest):
             return self.on_exchange(message)
-        raise errors.ProtocolError(f"an entry does not answer {type(message).__name__}")
+        raise errors.ProtocolError(f"entries don't handle {type(message).__name__} messages")
 
     def on_heartbeat(self, heartbeat: messages.Heartbeat) -> messages.HeartbeatReply:
-        """Take an agent's report and tell it what is new."""
+        """Store an agent's report; raise MerlinthreadError (fenced) if the agent was replaced."""
         report = heartbeat.report
         with self.lock:
             self.view.check_incarnation(report.name, report.incarnation)
@@ -143,7 +146,7 @@
         return self.reply_to(report)
 
     def on_load_heartbeat(self, heartbeat: messages.LoadHeartbeat) -> messages.HeartbeatReply:
-        """Take an agent's load, if its last full report is known here."""
+        """Update an agent's load; ask for a full report if none of this incarnation is known."""
         order = (heartbeat.incarnation, heartbeat.counter)
         load = (heartbeat.running, heartbeat.queued, heartbeat.queued_tokens)
         with self.lock:
@@ -156,7 +159,7 @@
         return self.reply_to(report)
 
     def reply_to(self, report: agents.AgentReport) -> messages.HeartbeatReply:
-        """Return the lease and what is new."""
+        """Return the reply to a heartbeat, with the directive if it is newer than the agent's."""
         directive = self.directive
         return messages.HeartbeatReply(
             self.name,
@@ -165,7 +168,7 @@
         )
 
     def on_exchange(self, exchange: messages.ExchangeRequest) -> messages.ExchangeReply:
-        """Swap views with another entry."""
+        """Store the summaries of another entry and return this entry's."""
         self.merge_summaries(exchange.summaries)
         directive = self.directive
         return messages.ExchangeReply(
@@ -176,7 +179,7 @@
 
 
 class ControlClient:
-    """Polls the control VMs for news, and brings commands to the leader."""
+    """Polls the control VMs for directives, and reports changed agents to the leader."""
 
     def __init__(self, context: base.RoleContext, config: settings_.Entry, zone: ZoneState) -> None:
         self.context = context
@@ -194,7 +197,7 @@
         self.report_clients = bus.RpcClients(context.codec)
 
     def poll(self) -> None:
-        """Ask one control VM; turn to the next if it does not answer or has lost its leader."""
+        """Poll the current control VM, and switch to the next on an error or a stale leader."""
         known = self.known_addresses()
         address = known[self.control_index % len(known)]
         directive = self.zone.snapshot.directive
@@ -213,7 +216,10 @@
             self.control_index += 1
 
     def send_changes(self) -> None:
-        """Tell the leader what changed among the agents whose home this entry is."""
+        """Report changes among this entry's home agents to the leader.
+
+        Without changes, an empty report is sent every `KEEPALIVE_INTERVAL_S` to keep the session.
+        """
         changed, gone, is_full = self.report_sender.changes(self.zone.home_reports(), self.listener)
         now = self.context.clock()
         if not (changed or gone or is_full) and now < self.sent_at + KEEPALIVE_INTERVAL_S:
@@ -231,7 +237,7 @@
         self.report_sender.confirm(changed, gone, self.listener)
 
     def send_to_leader(self, changes: messages.AgentChanges) -> messages.AgentChangesReply | None:
-        """Return the leader's answer, whichever control VM it is, or None."""
+        """Try the control VMs until one accepts the changes; return its reply, or None."""
         for address in self.addresses():
             try:
                 reply = self.report_clients.call(address, changes, RPC_TIMEOUT_S)
@@ -243,11 +249,11 @@
         return None
 
     def known_addresses(self) -> list[str]:
-        """Return the addresses in the settings and of control VMs that joined later."""
+        """Return the addresses of control VMs: configured ones, then those that joined later."""
         return list(dict.fromkeys([*self.config.controls, *self.joined_controls.values()]))
 
     def addresses(self) -> list[str]:
-        """Return the control VMs' addresses, the leader's first."""
+        """Return the control VMs' addresses, that of the presumed leader first."""
         first = (
             self.control_addresses.get(self.leader)
             or self.joined_controls.get(self.leader)
@@ -263,7 +269,7 @@
 
 
 class Submitter:
-    """Brings commands to the leading control VM; one per request thread."""
+    """Submits commands to the leader; thread-safe, with separate connections per thread."""
 
     def __init__(self, context: base.RoleContext, control_client: ControlClient) -> None:
         self.context = context
@@ -271,10 +277,10 @@
         self.local = threading.local()
 
     def submit(self, command: commands.Command, deadline: float) -> commands.Answer:
-        """Return the committed command's answer.
+        """Commit a command and return its result.
 
-        Raises ControlError (no_majority) if no leader took it before `deadline`, and
-        outcome_unknown if one may have.
+        Raises ControlError: no_majority if no leader accepted it before `deadline`,
+        outcome_unknown if one may have committed it.
         """
         name = self.context.codec.names[type(command)]
         message = messages.CommandRequest(msgspec.msgpack.encode((name, command)))
@@ -292,14 +298,14 @@
                     may_have_committed = True
         if may_have_committed:
             raise errors.ControlError(
-                "no control VM confirmed the claim", kind=errors.ErrorKind.OUTCOME_UNKNOWN
+                "no control VM confirmed the command", kind=errors.ErrorKind.OUTCOME_UNKNOWN
             )
-        raise errors.ControlError("no leader among the control VMs is reached")
+        raise errors.ControlError("no leader among the control VMs could be reached")
 
 
 @base.ROLES.add("entry")
 class EntryRole(base.Role):
-    """An entry VM: callers' HTTP, the bus for agents and entries, links to the control VMs."""
+    """An entry VM: the clients' HTTP API, the server for agents and entries, and their tasks."""
 
     def __init__(self, context: base.RoleContext) -> None:
         super().__init__(context)
@@ -338,13 +344,13 @@
         )
 
     def start(self) -> None:
-        """Start the tasks."""
+        """Start the server and the tasks."""
         self.rpc_server.start()
         for task in self.tasks:
             task.start()
 
     def exchange_summaries(self) -> None:
-        """Swap views with one other entry, chosen at random, so that the cost does not grow."""
+        """Exchange summaries with one random entry, which keeps the cost per entry constant."""
         if not self.config.entries:
             return
         address = self.rng.choice(self.config.entries)
@@ -360,7 +366,7 @@
         self.zone.merge_summaries(reply.summaries)
 
     def poll_platform(self) -> None:
-        """Read the platform's list of VMs for those that leave."""
+        """Update the set of leaving VMs from the platform's list."""
         assert self.config.platform_url is not None
         try:
             reply = self.client.request("GET", f"{self.config.platform_url}/v1/vms", timeout_s=2.0)
@@ -374,7 +380,7 @@
             self.zone.set_leaving(leaving)
 
     def not_ready_reason(self) -> str:
-        """Return why callers can't be served, or nothing."""
+        """Return why clients can't be served, or an empty string."""
         if self.context.in_flight.is_draining:
             return "leaving"
         if self.zone.snapshot.directive.bundle is None:
@@ -382,7 +388,7 @@
         return ""
 
     def stop(self) -> None:
-        """Stop the tasks."""
+        """Stop the tasks and the server, and close the connections."""
         for task in self.tasks:
             task.stop()
         self.rpc_server.stop()
@@ -400,6 +406,6 @@
 
 @dataclasses.dataclass(slots=True)
 class PlatformVmList:
-    """The platform's list, which lags."""
+    """The platform's list of VMs, which may be out of date."""
 
     vms: list[PlatformVm]
--- a/src/merlinthread/roles/operators_api.py
+++ b/src/merlinthread/roles/operators_api.py
@@ -1,4 +1,4 @@
-"""The operators' HTTP calls on a control VM: propose, sign, roll, roll back, and reading."""
+"""The HTTP API of control VMs for operators."""
 
 import typing
 from typing import Any
@@ -15,19 +15,19 @@
 
 
 class OperatorsApi:
-    """Turns operators' calls into commands for the log."""
+    """Handlers of the operators' HTTP API."""
 
     def __init__(self, role: "control.ControlRole") -> None:
         self.role = role
 
     def propose(self, request: http_server.Request) -> http_server.Response:
-        """Put a bundle forward."""
+        """Propose a bundle."""
         call = decode_body(request, operator_calls.ProposeRequest)
         bundle = bundle_file.from_data(call.bundle, "bundle")
         return self.commit(commands.Propose(call.request_id, call.operator, self.now(), bundle))
 
     def sign(self, request: http_server.Request) -> http_server.Response:
-        """Add a signature, if it is an operator's and valid."""
+        """Add an operator's signature to a bundle; raise BundleError if it is not valid."""
         call = decode_body(request, operator_calls.SignRequest)
         known = {operator.name: operator.public_key for operator in self.role.config.operators}
         if call.operator not in known:
@@ -38,7 +38,7 @@
             )
         if not signatures.is_valid(known[call.operator], call.signature, call.version, call.digest):
             raise errors.BundleError(
-                f"signature: it is not {call.operator!r}'s over version {call.version} with digest "
+                f"signature: it is not {call.operator!r}'s for version {call.version} with digest "
                 f"{call.digest}; sign again with the right key",
                 kind=errors.ErrorKind.BAD_SIGNATURE,
                 field="signature",
@@ -55,7 +55,7 @@
         )
 
     def roll(self, request: http_server.Request) -> http_server.Response:
-        """Put a version in force."""
+        """Roll out a signed version, or roll back to an earlier one."""
         call = decode_body(request, operator_calls.RollRequest)
         return self.commit(
             commands.Roll(
@@ -69,29 +69,29 @@
         )
 
     def resume(self, request: http_server.Request) -> http_server.Response:
-        """Let a paused roll go on."""
+        """Resume a paused roll."""
         call = decode_body(request, operator_calls.ResumeRequest)
         return self.commit(commands.Pause(call.generation, ""))
 
     def show(self, request: http_server.Request) -> http_server.Response:
-        """Return one bundle whole."""
+        """Return one bundle with its full content."""
         version = int(request.subpath) if request.subpath.isdigit() else -1
         return http_server.json_response(
             self.role.read(lambda task: show_bundle(task.state, version, self.role))
         )
 
     def history(self, request: http_server.Request) -> http_server.Response:
-        """Return all bundles and rolls."""
+        """Return all bundles and the most recent rolls."""
         return http_server.json_response(
             self.role.read(lambda task: make_history(task.state, self.role))
         )
 
     def status(self, request: http_server.Request) -> http_server.Response:
-        """Return what is in force and who enforces it."""
+        """Return the state of the deployment."""
         return http_server.json_response(self.role.read(self.make_status))
 
     def make_status(self, task: Any) -> operator_calls.Status:
-        """Return the status; runs in the log task."""
+        """Build the status; called in the thread of the log task."""
         now = self.role.context.clock()
         state = task.state
         raft = task.raft
@@ -125,7 +125,7 @@
         )
 
     def commit(self, command: commands.Command) -> http_server.Response:
-        """Commit a command; a refusal that the state machine decided becomes an error answer."""
+        """Commit a command and return its result, or the error that the state machine returned."""
         answer = self.role.submit(command)
         if answer.error:
             error = errors.ControlError(answer.message, kind=errors.ErrorKind(answer.error))
@@ -133,7 +133,7 @@
         return http_server.json_response(make_result(answer))
 
     def now(self) -> float:
-        """Return the wall clock, for records that operators read."""
+        """Return the seconds since the epoch, for stored records."""
         return self.role.context.wall_clock()
 
 
@@ -142,7 +142,7 @@
     directive: control_state.Directive,
     report: agents.AgentReport,
 ) -> operator_calls.AgentStatus:
-    """Return what operators see of one target VM."""
+    """Return the status of a target VM."""
     wanted = switch.wanted_models(directive, report.name)
     placed = state.placement.get(report.name)
     is_done = report.kind == bundles.SERVICE or report.serving == {
@@ -163,24 +163,24 @@
 
 
 def make_result(answer: commands.Answer) -> operator_calls.CommandResult:
-    """Return what operators see of an answer."""
+    """Return the response body for the result of a command."""
     return operator_calls.CommandResult(
         answer.status, answer.version, answer.digest, answer.generation, answer.message
     )
 
 
 def decode_body(request: http_server.Request, kind: Any) -> Any:
-    """Return the JSON body as `kind`; raise RequestError naming what is wrong."""
+    """Decode the JSON body as `kind`; raise RequestError with the reason if it is invalid."""
     try:
         return msgspec.json.decode(request.body, type=kind)
     except (msgspec.DecodeError, RecursionError) as error:
-        raise errors.RequestError(f"the body is refused: {error}")
+        raise errors.RequestError(f"invalid request body: {error}")
 
 
 def show_bundle(
     state: control_state.ControlState, version: int, role: "control.ControlRole"
 ) -> operator_calls.BundleDetails:
-    """Return one bundle with its state; raise ControlError if there is none."""
+    """Return a bundle with its content; raise ControlError if the version is unknown."""
     record = state.records.get(version)
     if record is None:
         raise errors.ControlError(
@@ -196,7 +196,7 @@
     record: control_state.BundleRecord,
     role: "control.ControlRole",
 ) -> operator_calls.BundleSummary:
-    """Return a bundle's line in the history."""
+    """Return a bundle's entry in the history."""
     bundle: bundles.Bundle = record.bundle
     return operator_calls.BundleSummary(
         bundle.version,
@@ -212,7 +212,7 @@
 def make_history(
     state: control_state.ControlState, role: "control.ControlRole"
 ) -> operator_calls.History:
-    """Return all bundles, newest first, and the last rolls."""
+    """Return all bundles and the last 100 rolls, newest first."""
     lines = [summarize_bundle(state, record, role) for record in state.records.values()]
     lines.sort(key=lambda line: -line.version)
     rolls = [
@@ -223,7 +223,7 @@
 
 
 def add_routes(routes: http_server.Routes, role: "control.ControlRole") -> None:
-    """Add the operators' calls to the listener."""
+    """Add the routes of the operators' API."""
     api = OperatorsApi(role)
     routes.add("POST", "/v1/bundles", api.propose)
     routes.add("POST", "/v1/signatures", api.sign)
