--- a/src/merlinthread/roles/service_call.py
+++ b/src/merlinthread/roles/service_call.py
@@ -1,4 +1,4 @@
-"""One call of a plain service at an entry; one that must not be repeated is claimed first."""
+"""Calls of plain services at an entry, at most once for those that are not repeatable."""
 
 import collections
 import threading
@@ -31,7 +31,10 @@
 
 
 class OutcomeRetrier:
-    """Brings the outcomes of claimed calls to the leader that could not be brought at once."""
+    """A queue of outcomes of claimed calls that the leader has not confirmed yet.
+
+    Drops the oldest outcome if more than `PENDING_OUTCOMES_MAX` are pending.
+    """
 
     def __init__(self, context: base.RoleContext, submitter: "entry.Submitter") -> None:
         self.context = context
@@ -42,12 +45,12 @@
         )
 
     def add(self, complete: commands.Complete) -> None:
-        """Put an outcome in line."""
+        """Queue an outcome."""
         with self.lock:
             self.pending.append(complete)
 
     def retry_pending(self) -> None:
-        """Bring what waits, oldest first, until the leader can't be reached."""
+        """Submit the pending outcomes, oldest first, until one fails."""
         while True:
             with self.lock:
                 if not self.pending:
@@ -64,7 +67,7 @@
 
 
 class ServiceCall:
-    """One call of a plain service; one that may not be repeated is claimed first."""
+    """One call of a plain service; a call that may not be repeated is claimed first."""
 
     def __init__(
         self, handler: "request_handler.RequestHandler", request: http_server.Request
@@ -84,13 +87,16 @@
         self.may_repeat = request.method == "GET" or self.service_path in service.repeatable
 
     def run(self) -> http_server.Response:
-        """Run the call and return the service's answer."""
+        """Run the call and return the service's response."""
         if self.may_repeat:
             return self.to_response(self.try_targets())
         return self.run_claimed()
 
     def try_targets(self) -> http_client.Response:
-        """Try targets until one answers; one that may not be repeated goes on only if not run."""
+        """Try targets until one responds.
+
+        A call that may not be repeated is retried only if the failed target did not run it.
+        """
         failure: errors.MerlinthreadError | None = None
         for _ in range(self.handler.config.attempts_max):
             try:
@@ -117,7 +123,7 @@
                 )
                 if is_not_run:
                     failure = errors.RequestError(
-                        f"no target ran it; the last one said: {error.message}",
+                        f"no target ran the call; the last error was: {error.message}",
                         kind=errors.ErrorKind.NOT_RUN,
                         retry_after_s=error.retry_after_s,
                     )
@@ -125,14 +131,14 @@
                     failure = error
                 else:
                     raise errors.RequestError(
-                        f"the target may have run it: {error.message}",
+                        f"the target may have run the call: {error.message}",
                         kind=errors.ErrorKind.OUTCOME_UNKNOWN,
                     )
         assert failure is not None
         raise failure
 
     def send_to_target(self, report: agents.AgentReport) -> http_client.Response:
-        """Send the call to one target and return its whole answer."""
+        """Send the call to one target and return the complete response."""
         self.handler.in_flight_by_target.add(report.name, 1)
         try:
             stream = self.handler.send(
@@ -150,7 +156,7 @@
             self.handler.in_flight_by_target.add(report.name, -1)
 
     def to_response(self, reply: http_client.Response) -> http_server.Response:
-        """Return the service's answer as ours."""
+        """Return the response to the client."""
         kind = reply.headers.get("content-type", "application/json")
         return http_server.Response(
             reply.status, reply.body, {"X-Request-Id": self.admitted.request_id}, kind
@@ -159,7 +165,11 @@
     # At most once
 
     def run_claimed(self) -> http_server.Response:
-        """Claim the key, run the call once, keep the answer for whoever asks again."""
+        """Claim the key, run the call, and store the response for repetitions.
+
+        A response over `STORED_RESPONSE_BYTES_MAX` is not stored; repetitions fail with
+        outcome_unknown.
+        """
         key, issued_at = self.parse_idempotency_key()
         attempt = uuid.uuid4().hex
         digest = blake3.blake3(self.service_path.encode() + b"\n" + self.request.body).hexdigest()
@@ -181,7 +191,10 @@
         return self.to_response(reply)
 
     def parse_idempotency_key(self) -> tuple[str, float]:
-        """Return the idempotency key and its time; raise RequestError without a good one."""
+        """Return the account and key as one string, and the time in the key.
+
+        Raises RequestError if the key is missing, no UUIDv7, or too far in the future.
+        """
         text = self.request.headers.get(attempts.IDEMPOTENCY_KEY, "")
         try:
             key = uuid.UUID(text)
@@ -189,25 +202,25 @@
             key = uuid.UUID(int=0)
         if key.version != 7:
             raise errors.RequestError(
-                f"header Idempotency-Key: {text!r} is no UUIDv7 (RFC 9562); a call that must not "
-                "be repeated needs one of its own, kept for every repetition",
+                f"header Idempotency-Key: {text!r} is not a UUIDv7 (RFC 9562); a call that must "
+                "not be repeated needs a key of its own; send the same key with each repetition",
                 kind=errors.ErrorKind.KEY_REQUIRED,
                 field="Idempotency-Key",
             )
         issued_at = (key.int >> 80) / 1000
         if issued_at > self.handler.context.wall_clock() + KEY_CLOCK_SKEW_MAX_S:
             raise errors.RequestError(
-                f"header Idempotency-Key: {text!r} is from the future; correct the caller's clock",
+                f"header Idempotency-Key: {text!r} is from the future; correct the client's clock",
                 kind=errors.ErrorKind.KEY_REQUIRED,
                 field="Idempotency-Key",
             )
         return f"{self.admitted.account} {key}", issued_at
 
     def acquire_claim(self, claim: commands.Claim) -> commands.Answer:
-        """Return "granted" or "done"; wait while another attempt runs.
+        """Return the result with status "granted" or "done"; wait while another attempt runs.
 
-        Raises RequestError: not_run if no majority took the claim, outcome_unknown if another
-        attempt has not finished before the deadline.
+        Raises RequestError: not_run if the claim was not committed, outcome_unknown if another
+        attempt has not finished before the deadline, and errors of the state machine.
         """
         while True:
             answer = self.submit_claim(claim)
@@ -223,15 +236,17 @@
                 return answer
             if self.handler.context.clock() + CLAIM_POLL_S >= self.admitted.deadline:
                 raise errors.RequestError(
-                    "another call with this key runs or was cut off; its outcome is not known",
+                    "another call with this key is running or was interrupted; its outcome is not "
+                    "known",
                     kind=errors.ErrorKind.OUTCOME_UNKNOWN,
                 )
             time.sleep(CLAIM_POLL_S)
 
     def submit_claim(self, claim: commands.Claim) -> commands.Answer:
-        """Bring the claim to the leader.
+        """Submit the claim to the leader.
 
-        If that may have failed the call was surely not run, and the key is freed in the background.
+        If that fails, even with an unknown outcome, the call is not run; the key is released in the
+        background.
         """
         deadline = min(self.admitted.deadline, self.handler.context.clock() + SUBMIT_TIMEOUT_S)
         try:
@@ -246,17 +261,17 @@
             )
 
     def replay_response(self, stored: commands.Answer) -> http_server.Response:
-        """Return the first call's answer."""
+        """Return the stored response; raise RequestError (outcome_unknown) if there is none."""
         if stored.http_status >= 500 and not stored.body:
             raise errors.RequestError(
-                "an earlier call with this key may have run; its answer is not known",
+                "an earlier call with this key may have run; its response is unknown",
                 kind=errors.ErrorKind.OUTCOME_UNKNOWN,
             )
         headers = {"X-Request-Id": self.admitted.request_id, "X-Replayed": "true"}
         return http_server.Response(stored.http_status, stored.body, headers)
 
     def record_failure(self, complete: commands.Complete, error: errors.MerlinthreadError) -> None:
-        """Free the key if nothing ran; otherwise keep that the outcome is unknown."""
+        """Release the key if the call was not run, otherwise record that its outcome is unknown."""
         if error.kind in NOT_RUN_KINDS:
             complete.not_run = True
         else:
@@ -264,7 +279,7 @@
         self.record_outcome(complete)
 
     def record_outcome(self, complete: commands.Complete) -> None:
-        """Bring what became of the call to the leader, now or as soon as one is reached."""
+        """Submit the outcome of the call to the leader; queue it for retries if that fails."""
         try:
             self.handler.submitter.submit(complete, self.handler.context.clock() + SUBMIT_TIMEOUT_S)
         except errors.MerlinthreadError as error:
--- a/src/merlinthread/roles/target.py
+++ b/src/merlinthread/roles/target.py
@@ -1,4 +1,4 @@
-"""The target beside an agent: requests in fair order, and fenced orders to the engine."""
+"""The target of an agent: fair queueing of requests, and fenced orders to the engine."""
 
 import dataclasses
 import threading
@@ -20,7 +20,7 @@
 
 @dataclasses.dataclass(slots=True)
 class CompletionBody:
-    """What an agent reads of a completion's body."""
+    """The fields of a completion request's JSON body that agents use."""
 
     model: str
     prompt: str
@@ -30,7 +30,7 @@
 
 
 class RequestQueue:
-    """The fair queue with a place to wait in for each request thread."""
+    """A thread-safe fair queue in which request threads wait for a slot of the target."""
 
     def __init__(self, slots: int, waiting_max: int, clock: base.Clock) -> None:
         self.queue = fair_queue.FairQueue(slots, waiting_max)
@@ -41,9 +41,10 @@
         self.measured_since = clock()
 
     def wait_for_slot(self, queued: fair_queue.QueuedRequest, deadline: float) -> None:
-        """Wait for the engine.
+        """Queue a request and block until it may start.
 
-        Raises RequestError: overloaded if the line is full, not_run if the deadline passes first.
+        `deadline` is on this queue's clock. Raises RequestError: overloaded if the queue is full,
+        not_run if the deadline passes first.
         """
         started = threading.Event()
         with self.lock:
@@ -58,25 +59,25 @@
             estimate = self.queue.wait_estimate_s()
         if was_waiting:
             raise errors.RequestError(
-                "the deadline passed while the request waited in line; it was not run",
+                "the deadline passed while the request was queued; it was not run",
                 kind=errors.ErrorKind.NOT_RUN,
                 retry_after_s=estimate,
             )
 
     def start_due(self) -> None:
-        """Let those go who are due; the caller holds the lock."""
+        """Start requests while slots are free; the caller holds the lock."""
         while (queued := self.queue.start_next()) is not None:
             self.start_events.pop(queued.id).set()
         metrics.queue_length.set(self.queue.count_waiting())
 
     def charge(self, attempt_id: str, tokens: float) -> None:
-        """Charge tokens that a running request used."""
+        """Charge a running request for tokens that it has used."""
         with self.lock:
             self.queue.charge(attempt_id, tokens)
             self.measure_throughput(tokens)
 
     def measure_throughput(self, tokens: float) -> None:
-        """Measure the engine's speed while work waits; the caller holds the lock."""
+        """Record the engine's throughput, if requests are queued; the caller holds the lock."""
         now = self.clock()
         self.generated_tokens += tokens
         if now - self.measured_since < THROUGHPUT_INTERVAL_S:
@@ -87,19 +88,19 @@
         self.measured_since = now
 
     def finish(self, attempt_id: str) -> None:
-        """Give the engine to the next."""
+        """Release the slot of a request and start the next ones."""
         with self.lock:
             self.queue.finish(attempt_id)
             self.start_due()
 
     def set_weights(self, weights: dict[str, float]) -> None:
-        """Set the accounts' weights."""
+        """Set the accounts' weights in the fair queue."""
         with self.lock:
             self.queue.set_weights(weights)
 
 
 def account_weights(bundle: bundles.Bundle) -> dict[str, float]:
-    """Return each account's weight: its group's share, divided among the group's accounts."""
+    """Return the weight of each account: its group's share, divided by the group's size."""
     found = {}
     for group in bundle.groups:
         for account in group.accounts:
@@ -108,7 +109,7 @@
 
 
 class Target:
-    """One engine or service: what it serves, requests to it, orders to it."""
+    """The client of one engine or plain service, with its state as of the last poll."""
 
     def __init__(
         self, context: base.RoleContext, config: settings_.Agent, incarnation: int
@@ -126,7 +127,7 @@
     # Status
 
     def refresh_status(self) -> None:
-        """Ask the target what it serves; what can't be asked counts as serving nothing."""
+        """Poll the target's status; an unreachable target is taken to serve nothing."""
         if self.config.target_kind == bundles.SERVICE:
             self.refresh_service_status()
             return
@@ -144,7 +145,7 @@
         self.is_leaving = status.is_leaving
 
     def refresh_service_status(self) -> None:
-        """Ask a plain service whether it is well."""
+        """Poll the health check of a plain service."""
         try:
             self.client.request_ok(
                 "GET", f"{self.config.target_url}/healthz", timeout_s=STATUS_TIMEOUT_S
@@ -156,7 +157,7 @@
         self.serving = {self.config.service: ""}
 
     def mark_unreachable(self, reason: str) -> None:
-        """Note that the target does not answer."""
+        """Record that the target is unreachable."""
         if self.is_reachable:
             logs.warning("target_unreached", reason=reason)
         self.is_reachable = False
@@ -165,10 +166,10 @@
     # Orders
 
     def send_order(self, step: switch.Step, generation: int, layout: object) -> None:
-        """Carry out one step at the engine.
+        """Send the engine the order for a step and wait until it is done.
 
-        Raises MerlinthreadError (fenced) if a later agent ordered already, and WeightsError if the
-        engine refuses or reports another digest than was ordered.
+        Raises MerlinthreadError (fenced) if the engine has accepted a newer order, other errors
+        that the engine returns, and WeightsError if its reply is invalid or has another digest.
         """
         order = self.make_order(step, generation, layout)
         outcome = "refused"
@@ -183,12 +184,12 @@
             answer = msgspec.json.decode(reply.body, type=engine_calls.OrderReply)
             if answer.digest != order.manifest:
                 raise errors.WeightsError(
-                    f"the engine reports {answer.digest} for {order.name}, ordered was "
+                    f"the engine reports digest {answer.digest} for {order.name}, ordered was "
                     f"{order.manifest}"
                 )
             outcome = "done"
         except msgspec.DecodeError as error:
-            raise errors.WeightsError(f"the engine's answer does not decode: {error}")
+            raise errors.WeightsError(f"the engine's reply can't be decoded: {error}")
         finally:
             metrics.orders_total.labels(order.action, outcome).inc()
             logs.event(
@@ -202,7 +203,7 @@
             )
 
     def make_order(self, step: switch.Step, generation: int, layout: object) -> engine_calls.Order:
-        """Return the order for a step."""
+        """Return the order for a step, with this agent's fencing token."""
         if isinstance(step, switch.Unload):
             return engine_calls.Order(engine_calls.UNLOAD, step.name, generation, self.incarnation)
         own = self.context.settings.http
@@ -221,23 +222,26 @@
     # Requests
 
     def apply_group_shares(self, directive: control_state.Directive) -> None:
-        """Take over the accounts' weights."""
+        """Set the accounts' weights from the shares of their groups."""
         if directive.bundle is not None:
             self.request_queue.set_weights(account_weights(directive.bundle))
 
     def verify_attempt(self, request: http_server.Request, path: str) -> attempts.Attempt:
-        """Return the attempt; raise RequestError if it is not for this incarnation or not ours."""
+        """Parse and authenticate an attempt.
+
+        Raises RequestError (not_run) if it is for another incarnation of the agent.
+        """
         attempt = attempts.parse_attempt(request.headers)
         attempts.verify_tag(self.context.codec, attempt, path, request.body, request.headers)
         if attempt.incarnation != self.incarnation:
             raise errors.RequestError(
-                f"the attempt is for incarnation {attempt.incarnation}, this is {self.incarnation}",
+                f"the attempt is for incarnation {attempt.incarnation}, not {self.incarnation}",
                 kind=errors.ErrorKind.NOT_RUN,
             )
         return attempt
 
     def on_request(self, request: http_server.Request) -> http_server.Response:
-        """Answer one attempt of an entry."""
+        """Handle an attempt of an entry."""
         self.context.in_flight.enter()
         try:
             if request.subpath == "v1/completions" and self.config.target_kind == bundles.GENERATE:
@@ -248,7 +252,7 @@
             raise
 
     def generate(self, request: http_server.Request) -> http_server.Response:
-        """Run a completion on the engine and stream its answer."""
+        """Run a completion on the engine and return the streamed response."""
         attempt = self.verify_attempt(request, request.path)
         call = msgspec.json.decode(request.body, type=CompletionBody)
         self.check_digest(call, attempt)
@@ -278,7 +282,7 @@
         )
 
     def check_digest(self, call: CompletionBody, attempt: attempts.Attempt) -> None:
-        """Raise RequestError (not_run) if the weights to go on with are not served here."""
+        """Raise RequestError (not_run) if the model or the required weights are not served here."""
         served = self.serving.get(call.model)
         if served is None:
             raise errors.RequestError(
@@ -286,14 +290,18 @@
             )
         if attempt.digest and served != attempt.digest:
             raise errors.RequestError(
-                f"weights {attempt.digest} of {call.model!r} are not served here any more",
+                f"weights {attempt.digest} of {call.model!r} are no longer served here",
                 kind=errors.ErrorKind.NOT_RUN,
             )
 
     def open_engine_stream(
         self, body: bytes, attempt: attempts.Attempt, deadline: float
     ) -> http_client.StreamingResponse:
-        """Send a completion to the engine; raise its refusal, or not_run if it was not reached."""
+        """Send a completion to the engine and return the response stream.
+
+        Raises RequestError: not_run if the request was not sent, stream_broken if the response is
+        for another attempt; and errors that the engine returns.
+        """
         remaining = max(0.05, deadline - self.context.clock())
         headers = {
             "Content-Type": "application/json",
@@ -307,7 +315,7 @@
             )
         except http_client.NotSentError as error:
             raise errors.RequestError(
-                f"the engine was not reached: {error.message}", kind=errors.ErrorKind.NOT_RUN
+                f"the engine could not be reached: {error.message}", kind=errors.ErrorKind.NOT_RUN
             )
         if stream.status >= 400:
             data = stream.read(65536)
@@ -316,14 +324,17 @@
             metrics.late_answers_total.inc()
             stream.close()
             raise errors.RequestError(
-                "the engine answered another request", kind=errors.ErrorKind.STREAM_BROKEN
+                "the engine's response is for another request", kind=errors.ErrorKind.STREAM_BROKEN
             )
         return stream
 
     def relay(
         self, stream: http_client.StreamingResponse, queued: fair_queue.QueuedRequest
     ) -> Iterator[bytes]:
-        """Give the engine's events on and charge its tokens."""
+        """Yield the engine's events, and charge the request for each token.
+
+        A stream that does not run to its end is cancelled on the engine.
+        """
         is_complete = False
         try:
             for event in events.decode(stream.iter_lines()):
@@ -345,7 +356,7 @@
             self.context.in_flight.leave()
 
     def cancel_on_engine(self, attempt: str) -> None:
-        """Free the engine's place of a request that nobody waits for any more."""
+        """Cancel an attempt on the engine to free its slot; errors are logged."""
         try:
             self.client.request(
                 "POST",
@@ -358,7 +369,7 @@
             logs.debug("cancel_failed", attempt=attempt, reason=error.message)
 
     def call_service(self, request: http_server.Request) -> http_server.Response:
-        """Run one call on a plain service and return its whole answer."""
+        """Run a call on a plain service and return the complete response."""
         attempt = self.verify_attempt(request, request.path)
         deadline = self.context.clock() + attempt.deadline_ms / 1000
         queued = fair_queue.QueuedRequest(
@@ -376,7 +387,10 @@
     def send_to_service(
         self, request: http_server.Request, attempt: attempts.Attempt, deadline: float
     ) -> http_client.Response:
-        """Send a call to the service; not_run only if it was not reached."""
+        """Send a call to the service.
+
+        Raises RequestError: not_run if the call was not sent, otherwise outcome_unknown.
+        """
         remaining = max(0.05, deadline - self.context.clock())
         headers = {
             "Content-Type": request.headers.get("content-type", "application/json"),
@@ -388,10 +402,10 @@
             return self.client.request(request.method, url, request.body, headers, remaining)
         except http_client.NotSentError as error:
             raise errors.RequestError(
-                f"the service was not reached: {error.message}", kind=errors.ErrorKind.NOT_RUN
+                f"the service could not be reached: {error.message}", kind=errors.ErrorKind.NOT_RUN
             )
         except errors.UnreachableError as error:
             raise errors.RequestError(
-                f"the service may have run it: {error.message}",
+                f"the service may have run the call: {error.message}",
                 kind=errors.ErrorKind.OUTCOME_UNKNOWN,
             )
--- a/src/merlinthread/roles/weights.py
+++ b/src/merlinthread/roles/weights.py
@@ -1,4 +1,4 @@
-"""The weights on a target VM: fetch them, keep them, give them to other agents and the engine."""
+"""Downloads of weights from peers and the origin into a local chunk store."""
 
 import dataclasses
 import random
@@ -14,7 +14,7 @@
 from merlinthread.state import chunks, manifests
 from merlinthread.transport import bus, http_client
 
-# Importing a module of policies files them in the registry.
+# Importing these modules registers their policies.
 BUILT_IN_POLICIES = (fetch_baselines, fetch_policies)
 IDLE_POLL_S = 0.1
 MANIFEST_RETRY_S = 0.5
@@ -26,7 +26,11 @@
 
 @dataclasses.dataclass(slots=True)
 class Download:
-    """One manifest on its way here."""
+    """The download of one manifest's chunks.
+
+    `plan` is None until the manifest is available, and `trouble` is the reason why the download has
+    stopped, or empty. `wrong_digests` has the digests of wrong data from the origin, by chunk.
+    """
 
     digest: str
     plan: fetch.FetchPlan | None
@@ -38,15 +42,15 @@
     def manifest_and_plan(
         self, known: dict[str, manifests.Manifest]
     ) -> tuple[manifests.Manifest, fetch.FetchPlan]:
-        """Return both, once the manifest is known."""
+        """Return the manifest and the plan; `plan` must be set."""
         assert self.plan is not None
         return known[self.digest], self.plan
 
 
 class WeightManager:
-    """Owns the chunk store, the downloads and the uploads of one agent.
+    """The chunk store and the downloads of one agent.
 
-    Download threads share the state under one lock and hold it only to decide.
+    Download threads share the state under `lock`, which is not held during transfers.
     """
 
     def __init__(
@@ -77,17 +81,17 @@
             thread.start()
 
     def stop(self) -> None:
-        """Ask the download threads to end; one that waits for a peer ends with the process."""
+        """Stop the download threads; one that is blocked in a call ends with the process."""
         with self.lock:
             self.stopping = True
             self.lock.notify_all()
         for thread in self.threads:
             thread.join(timeout=1)
 
-    # What should be here
+    # Wanted manifests
 
     def set_wanted(self, wanted: dict[str, list[fetch.Peer]]) -> None:
-        """Fetch these manifests; each comes with the other VMs that should hold it."""
+        """Set the manifests to download, each with the peers that should hold its chunks."""
         now = self.context.clock()
         with self.lock:
             self.peers = {
@@ -106,7 +110,7 @@
             self.lock.notify_all()
 
     def update_pinned(self) -> None:
-        """Keep the chunks of what is wanted; others go when room is needed."""
+        """Pin the chunks of wanted manifests; others may be evicted."""
         kept: list[str] = []
         for digest in self.downloads:
             if digest in self.manifests:
@@ -114,7 +118,7 @@
         self.store.pin(kept)
 
     def complete_manifests(self) -> set[str]:
-        """Return the wanted manifests whose chunks are all here and verified."""
+        """Return the wanted manifests whose chunks are all stored and verified."""
         with self.lock:
             return {
                 digest
@@ -123,7 +127,7 @@
             }
 
     def progress(self) -> dict[str, int]:
-        """Return how many chunks of each wanted manifest are here."""
+        """Return the number of stored chunks of each wanted manifest."""
         with self.lock:
             return {
                 digest: 0 if download.plan is None else download.plan.held.bit_count()
@@ -131,21 +135,21 @@
             }
 
     def trouble(self) -> str:
-        """Return why a wanted manifest can't be had, or nothing."""
+        """Return why a wanted manifest can't be downloaded, or an empty string."""
         with self.lock:
             return next((d.trouble for d in self.downloads.values() if d.trouble), "")
 
     def clear_trouble(self) -> None:
-        """Try again what was given up."""
+        """Resume downloads that have stopped."""
         with self.lock:
             for download in self.downloads.values():
                 download.trouble = ""
                 download.wrong_digests.clear()
 
-    # Downloading
+    # Downloads
 
     def run_downloads(self) -> None:
-        """Carry out one action after another."""
+        """Run jobs until stopped."""
         rpc_clients = bus.RpcClients(self.context.codec)
         while True:
             with self.lock:
@@ -163,11 +167,14 @@
         rpc_clients.close()
 
     def has_incomplete(self) -> bool:
-        """Return whether anything is left to fetch; the caller holds the lock."""
+        """Return whether a download is incomplete; the caller holds the lock."""
         return any(d.plan is None or not d.plan.is_complete() for d in self.downloads.values())
 
     def next_job(self) -> tuple[Download, fetch.Action | None] | None:
-        """Return what to do next; the caller holds the lock."""
+        """Return the next job, or None if there is none now; the caller holds the lock.
+
+        An action of None means that the manifest is to be fetched.
+        """
         now = self.context.clock()
         if now < self.idle_until:
             return None
@@ -181,14 +188,14 @@
             if action is not None:
                 download.plan.on_action_started(action)
                 return download, action
-        # Nothing changes by asking again at once; whoever changes something resets this.
+        # Changes of the state reset this.
         self.idle_until = now + IDLE_POLL_S
         return None
 
     def run_job(
         self, job: tuple[Download, fetch.Action | None], rpc_clients: bus.RpcClients
     ) -> None:
-        """Do one job."""
+        """Run one job and report the end of its action to the plan."""
         download, action = job
         if action is None:
             self.start_fetch(download, rpc_clients)
@@ -206,7 +213,7 @@
                 self.lock.notify()
 
     def start_fetch(self, download: Download, rpc_clients: bus.RpcClients) -> None:
-        """Get the manifest from here, a peer or the weight store, and make the plan."""
+        """Get the manifest and create the plan, with the chunks that are already stored."""
         manifest = self.manifests.get(download.digest) or self.load_manifest(download, rpc_clients)
         if manifest is None:
             return
@@ -237,7 +244,7 @@
     def load_manifest(
         self, download: Download, rpc_clients: bus.RpcClients
     ) -> manifests.Manifest | None:
-        """Ask the weight store, then a few peers."""
+        """Return the manifest from the local store or by download; None if that fails."""
         stored = self.store.read(download.digest)
         if stored is not None:
             return manifests.decode(stored, download.digest)
@@ -251,7 +258,10 @@
         return manifest
 
     def download_manifest(self, digest: str, rpc_clients: bus.RpcClients) -> bytes:
-        """Return the manifest's bytes from a peer, else from the weight store."""
+        """Return the manifest's bytes from one of the two nearest peers or the weight store.
+
+        Raises WeightsError if there is no weight store, and errors of the request to it.
+        """
         with self.lock:
             peers = list(self.peers.get(digest, {}).values())
         self.rng.shuffle(peers)
@@ -265,12 +275,14 @@
             if reply.data:
                 return reply.data
         if self.config.weight_store_url is None:
-            raise errors.WeightsError(f"no peer has manifest {digest} and there is no weight store")
+            raise errors.WeightsError(
+                f"no peer has manifest {digest} and agent.weight_store_url is not set"
+            )
         url = f"{self.config.weight_store_url}/manifests/{digest}"
         return self.client.request_ok("GET", url, timeout_s=ORIGIN_TIMEOUT_S).body
 
     def download_from_origin(self, download: Download, action: fetch.OriginRead) -> None:
-        """Read one chunk from the origin."""
+        """Download one chunk from the origin."""
         manifest, plan = download.manifest_and_plan(self.manifests)
         size = manifest.chunk_size(action.index)
         offset = manifest.chunk_offset(action.index)
@@ -304,9 +316,10 @@
             self.on_origin_mismatch(download, action.index, data)
 
     def on_origin_mismatch(self, download: Download, index: int, data: bytes) -> None:
-        """Tell a chunk damaged on its way from an object that was changed at the origin.
+        """Stop the download if the origin returned the same wrong data repeatedly.
 
-        Damage differs from try to try; the same wrong bytes twice are what the origin has now.
+        Data that was corrupted in transfer differs between attempts; equal data means that the
+        object was changed.
         """
         found = chunks.digest_of(data)
         with self.lock:
@@ -314,8 +327,8 @@
             seen.append(found)
             if seen.count(found) >= ORIGIN_MISMATCH_LIMIT:
                 download.trouble = (
-                    f"origin_changed: chunk {index} of manifest {download.digest} is no longer "
-                    "what was signed; restore the object or roll back"
+                    f"origin_changed: chunk {index} of manifest {download.digest} differs from the "
+                    "signed one; restore the object or roll back"
                 )
         if download.trouble:
             logs.warning("origin_changed", manifest=download.digest, index=index)
@@ -323,7 +336,7 @@
     def request_chunk(
         self, download: Download, action: fetch.PeerRequest, rpc_clients: bus.RpcClients
     ) -> None:
-        """Ask another agent for a chunk."""
+        """Request a chunk from another agent."""
         manifest, plan = download.manifest_and_plan(self.manifests)
         count = len(manifest.chunks)
         with self.lock:
@@ -348,7 +361,7 @@
         self.on_chunk_reply(download, plan, peer, reply, count)
 
     def peer_timeout_s(self, manifest: manifests.Manifest) -> float:
-        """Return how long a busy peer may take over one chunk, its other uploads included."""
+        """Return the timeout of a chunk request, with allowance for the peer's other uploads."""
         chunk_s = manifest.chunk_bytes / self.config.link_bytes_per_s
         return PEER_TIMEOUT_S + 2 * self.config.upload_slots * chunk_s
 
@@ -360,7 +373,7 @@
         reply: messages.ChunkReply,
         count: int,
     ) -> None:
-        """Take what a peer answered."""
+        """Report a peer's reply to the plan and store its chunk."""
         now = self.context.clock()
         with self.lock:
             plan.on_peer_report(peer.name, fetch.bitset_from_bytes(reply.held, count), now)
@@ -378,7 +391,10 @@
                 plan.on_corrupt_chunk(peer.name, self.context.clock())
 
     def store_chunk(self, download: Download, index: int, data: bytes, from_origin: bool) -> bool:
-        """Store a chunk; return whether its digest was right."""
+        """Store a chunk; return False if its digest is wrong.
+
+        If the disk is full, the download stops.
+        """
         manifest, plan = download.manifest_and_plan(self.manifests)
         try:
             self.store.add(manifest.chunks[index], data)
@@ -404,7 +420,7 @@
         return True
 
     def sleep_until(self, when: float) -> None:
-        """Wait until the link's share allows more."""
+        """Sleep until the time `when` on the clock of the role context."""
         wait = when - self.context.clock()
         if wait > 0:
             time.sleep(wait)
