--- a/src/merlinthread/roles/agent.py
+++ b/src/merlinthread/roles/agent.py
@@ -111,15 +111,15 @@
         with self.lock:
             self.counter += 1
             counter = self.counter
-        own = self.context.settings
+        settings = self.context.settings
         return agents.AgentReport(
-            own.name,
+            settings.name,
             self.incarnation,
             counter,
-            own.availability_zone,
-            own.region,
-            own.bus,
-            f"http://{own.http.address}:{own.http.port}",
+            settings.availability_zone,
+            settings.region,
+            settings.bus,
+            f"http://{settings.http.address}:{settings.http.port}",
             self.config.target_kind,
             self.config.service,
             dict(self.target.serving) if self.target.is_reachable else {},
@@ -242,7 +242,7 @@
 
     def peers_by_manifest(self, directive: control_state.Directive) -> dict[str, list[fetch.Peer]]:
         """Return the wanted manifests, each with the other VMs that should hold its chunks."""
-        found: dict[str, list[fetch.Peer]] = {
+        peers: dict[str, list[fetch.Peer]] = {
             item.manifest: [] for item in self.wanted_models(directive)
         }
         for name, placement in directive.placement.items():
@@ -250,9 +250,9 @@
                 continue
             peer = fetch.Peer(name, placement.bus, self.distance(placement))
             for item in switch.wanted_models(directive, name):
-                if item.manifest in found:
-                    found[item.manifest].append(peer)
-        return found
+                if item.manifest in peers:
+                    peers[item.manifest].append(peer)
+        return peers
 
     def distance(self, placement: commands.VmPlacement) -> int:
         """Return the distance class of another VM."""
--- a/src/merlinthread/roles/entry.py
+++ b/src/merlinthread/roles/entry.py
@@ -110,15 +110,15 @@
         with self.lock:
             self.counter += 1
             counter = self.counter
-        own = self.context.settings
+        settings = self.context.settings
         snapshot = self.snapshot
         summary = summaries.Summary(
-            own.name,
+            settings.name,
             self.incarnation,
             counter,
-            own.availability_zone,
-            own.region,
-            f"http://{own.http.address}:{own.http.port}",
+            settings.availability_zone,
+            settings.region,
+            f"http://{settings.http.address}:{settings.http.port}",
         )
         if not self.context.in_flight.is_draining:
             live = [report for report in snapshot.live if report.name not in snapshot.leaving]
--- a/src/merlinthread/roles/log_task.py
+++ b/src/merlinthread/roles/log_task.py
@@ -125,8 +125,9 @@
                 self.run_once()
                 if self.raft.replaced_by:
                     self.failure = (
-                        f"the data folder of {self.name!r} was lost: its identity is not the one that "
-                        "the members know; start this VM under a new name with control.replaces"
+                        f"the data folder of {self.name!r} was lost: its identity differs from the "
+                        "one that the members know; start this VM under a new name with "
+                        "control.replaces"
                     )
                     logs.warning("identity_lost", reason=self.failure)
                     return
@@ -174,10 +175,10 @@
         elif isinstance(item, raft_messages.Message):
             self.raft.step(item, now)
 
-    def run_or_reject(self, answer: futures.Future, work: Any) -> None:
-        """Call `work`; set a MerlinthreadError that it raises on the future."""
+    def run_or_reject(self, answer: futures.Future, function: Any) -> None:
+        """Call `function`; set a MerlinthreadError that it raises on the future."""
         try:
-            work()
+            function()
         except errors.MerlinthreadError as error:
             answer.set_exception(error)
 
@@ -238,8 +239,8 @@
     def save(self, ready: raft_messages.Ready) -> None:
         """Write the snapshot, entries and hard state of `ready` to disk."""
         if ready.snapshot is not None:
-            kept = self.raft.log.saved_entries()
-            self.journal.compact(ready.snapshot, kept)
+            entries = self.raft.log.saved_entries()
+            self.journal.compact(ready.snapshot, entries)
             self.restore_snapshot(ready.snapshot)
         if ready.hard_state is not None or ready.entries:
             self.journal.save(ready.hard_state, ready.entries, self.raft.commit)
@@ -265,9 +266,9 @@
         """Replace the applied entries in the log by a snapshot."""
         encoded = msgspec.msgpack.encode(self.state)
         snapshot = self.raft.compact(self.applied_index, encoded)
-        kept = self.raft.log.saved_entries()
+        entries = self.raft.log.saved_entries()
         try:
-            self.journal.compact(snapshot, kept)
+            self.journal.compact(snapshot, entries)
         except errors.DiskFullError as error:
             self.disk_full_until = now + 1.0
             logs.warning("disk_full", message=error.message)
--- a/src/merlinthread/roles/request_handler.py
+++ b/src/merlinthread/roles/request_handler.py
@@ -166,11 +166,11 @@
         self, others: list[summaries.Summary], requirements: routing.Requirements
     ) -> list[agents.AgentReport]:
         """Return reports for the entries that reach a suitable target."""
-        found = [
+        reports = [
             summaries.as_target(other, requirements.kind, requirements.name, requirements.adapter)
             for other in others
         ]
-        return [report for report in found if report is not None]
+        return [report for report in reports if report is not None]
 
     def remaining_s(self, admitted: AdmittedRequest) -> float:
         """Return the time until the deadline; raise RequestError (not_run) if it has passed."""
--- a/src/merlinthread/roles/target.py
+++ b/src/merlinthread/roles/target.py
@@ -101,11 +101,11 @@
 
 def account_weights(bundle: bundles.Bundle) -> dict[str, float]:
     """Return the weight of each account: its group's share, divided by the group's size."""
-    found = {}
+    weights = {}
     for group in bundle.groups:
         for account in group.accounts:
-            found[account] = group.share_percent / len(group.accounts)
-    return found
+            weights[account] = group.share_percent / len(group.accounts)
+    return weights
 
 
 class Target:
--- a/src/merlinthread/roles/weights.py
+++ b/src/merlinthread/roles/weights.py
@@ -111,11 +111,11 @@
 
     def update_pinned(self) -> None:
         """Pin the chunks of wanted manifests; others may be evicted."""
-        kept: list[str] = []
+        pinned: list[str] = []
         for digest in self.downloads:
             if digest in self.manifests:
-                kept.extend(self.manifests[digest].chunks)
-        self.store.pin(kept)
+                pinned.extend(self.manifests[digest].chunks)
+        self.store.pin(pinned)
 
     def complete_manifests(self) -> set[str]:
         """Return the wanted manifests whose chunks are all stored and verified."""
@@ -321,11 +321,11 @@
         Data that was corrupted in transfer differs between attempts; equal data means that the
         object was changed.
         """
-        found = chunks.digest_of(data)
+        digest = chunks.digest_of(data)
         with self.lock:
             seen = download.wrong_digests.setdefault(index, [])
-            seen.append(found)
-            if seen.count(found) >= ORIGIN_MISMATCH_LIMIT:
+            seen.append(digest)
+            if seen.count(digest) >= ORIGIN_MISMATCH_LIMIT:
                 download.trouble = (
                     f"origin_changed: chunk {index} of manifest {download.digest} differs from the "
                     "signed one; restore the object or roll back"
