--- a/tests/calls.py
+++ b/tests/calls.py
@@ -1,4 +1,4 @@
-"""What callers do, for tests: ask, stream, draft."""
+"""Client requests for tests: completions and calls of a plain service."""
 
 import dataclasses
 import uuid
@@ -14,7 +14,7 @@
 
 @dataclasses.dataclass
 class Answer:
-    """What a caller got."""
+    """A response; for completions, also the text received and the expected one."""
 
     status: int
     headers: dict[str, str]
@@ -39,7 +39,7 @@
     prompt: str = "",
     **headers: str,
 ) -> Answer:
-    """Ask for a completion and return what came, with what should have come."""
+    """Request a completion and return the response with the expected text."""
     prompt = prompt or f"explain {uuid.uuid4().hex}"
     body = msgspec.json.encode(
         {"model": model, "prompt": prompt, "max_tokens": tokens, "stream": is_streamed}
--- a/tests/test_control_failures.py
+++ b/tests/test_control_failures.py
@@ -1,4 +1,4 @@
-"""Bundles never revert, shown with real control VMs: kills, freezes, cuts, lost disks, races."""
+"""Fault-injection tests of real control VMs: the bundle in force never reverts."""
 
 import concurrent.futures
 import resource
@@ -27,7 +27,7 @@
 
 
 def entry_generations(fleet: fleets.Fleet) -> list[int]:
-    """Return the generation that each entry enforces, read from its metrics."""
+    """Return the generation that each entry enforces, from its metrics."""
     found = []
     for vm in fleet.entries():
         text = fleet.http.request("GET", f"http://{vm.http}/metrics").body.decode()
@@ -36,25 +36,30 @@
     return found
 
 
-def the_leader(fleet: fleets.Fleet) -> fleets.Vm:
-    """Return the control VM that leads, once one does: beside load a lease may lapse."""
+def wait_for_leader(fleet: fleets.Fleet) -> fleets.Vm:
+    """Wait for a leader and return its VM; under load the lease may expire briefly."""
     return processes.wait_for("a leader", fleet.leader, 15)
 
 
-def in_force(fleet: fleets.Fleet, generation: int, timeout_s: float = 5.0) -> None:
-    """Wait until each entry enforces a generation; one that does not listen yet does not."""
+def wait_for_generation(fleet: fleets.Fleet, generation: int, timeout_s: float = 5.0) -> None:
+    """Wait until each entry enforces the generation or a later one.
 
-    def is_everywhere() -> bool:
+    An entry that refuses connections is taken not to enforce it yet.
+    """
+
+    def is_enforced_by_all() -> bool:
         try:
             return all(found >= generation for found in entry_generations(fleet))
         except http_client.NotSentError:
             return False
 
-    processes.wait_for(f"generation {generation} in force everywhere", is_everywhere, timeout_s)
+    processes.wait_for(
+        f"generation {generation} in force everywhere", is_enforced_by_all, timeout_s
+    )
 
 
 def test_waiting_for_a_generation_bears_an_entry_that_does_not_listen_yet():
-    """A fleet is ready before all its entries are; once this was taken for a failure."""
+    """Guards against a failure if an entry does not accept connections yet."""
     calls = []
 
     def request(method: str, url: str) -> types.SimpleNamespace:
@@ -67,10 +72,10 @@
         entries=lambda: [types.SimpleNamespace(http="127.0.0.1:1")],
         http=types.SimpleNamespace(request=request),
     )
-    in_force(fleet, 1)
+    wait_for_generation(fleet, 1)
     assert len(calls) == 2
     with pytest.raises(TimeoutError):
-        in_force(fleet, 2, 0.1)
+        wait_for_generation(fleet, 2, 0.1)
 
 
 def test_a_bundle_s_life_goes_on_through_kills_of_the_leader_at_each_stage(make_fleet):
@@ -87,11 +92,11 @@
             }[step]()
             generation = max(generation, result.generation)
             if step == stage:
-                leader = the_leader(fleet)
+                leader = wait_for_leader(fleet)
                 leader.process.kill()
                 processes.wait_for("a new leader", lambda: fleet.leader(), 10)
                 fleet.restart(leader.name)
-        in_force(fleet, generation)
+        wait_for_generation(fleet, generation)
     history = ana.history()
     assert [roll.generation for roll in history.rolls] == [3, 2, 1]
     assert {line.version for line in history.bundles} == {1, 2, 3}
@@ -117,7 +122,7 @@
     ana.propose(bundle(1))
     ana.sign(bundle(1))
     first = ana.roll(1, request_id=request_id)
-    the_leader(fleet).process.kill()
+    wait_for_leader(fleet).process.kill()
     processes.wait_for("a new leader", lambda: fleet.leader(), 10)
     assert ana.roll(1, request_id=request_id) == first
     assert ana.roll(1).generation == first.generation + 1
@@ -127,19 +132,19 @@
     fleet = make_fleet(SMALL)
     ana = operators.Operator(fleet)
     ana.bring_in(bundle(1))
-    frozen = the_leader(fleet)
+    frozen = wait_for_leader(fleet)
     frozen.process.freeze()
     processes.wait_for("a new leader", lambda: fleet.leader(), 10)
     result = ana.bring_in(bundle(2))
-    in_force(fleet, result.generation)
+    wait_for_generation(fleet, result.generation)
     frozen.process.thaw()
     stale = fleet.get(frozen.http, "/v1/status")
     assert stale is None or stale["generation"] >= result.generation
     processes.wait_for(
-        "the woken control VM to follow",
+        "the resumed control VM to follow",
         lambda: frozen.process.events("following"),
     )
-    in_force(fleet, result.generation)
+    wait_for_generation(fleet, result.generation)
     assert ana.history().rolls[0].generation == result.generation
 
 
@@ -148,8 +153,8 @@
     fleet = make_fleet(SMALL)
     ana = operators.Operator(fleet)
     first = ana.bring_in(bundle(1))
-    in_force(fleet, first.generation)
-    leader = the_leader(fleet)
+    wait_for_generation(fleet, first.generation)
+    leader = wait_for_leader(fleet)
     cut = next(vm for vm in fleet.entries() if vm.settings["availability_zone"] != "zone-a")
     zone = cut.settings["availability_zone"]
     inside = {vm.name for vm in fleet.vms.values() if vm.settings["availability_zone"] == zone}
@@ -180,7 +185,7 @@
     )
     assert generations[cut.name] >= 1
     fleet.proxy.set(links)
-    in_force(fleet, 2, 15)
+    wait_for_generation(fleet, 2, 15)
 
 
 def test_a_lost_disk_is_repaired_and_then_a_second_loss_is_survived(make_fleet):
@@ -191,7 +196,7 @@
         "identities",
         lambda: any(vm.process.events("members_change") for vm in fleet.controls()),
     )
-    leader = the_leader(fleet)
+    leader = wait_for_leader(fleet)
     lost = next(vm for vm in fleet.controls() if vm.name != leader.name)
     lost.process.kill()
     fleet.remove_folder(lost.name)
@@ -214,7 +219,7 @@
     processes.wait_for("a leader", lambda: fleet.leader(), 15)
     assert [line.version for line in ana.history().bundles] == [1]
     result = ana.bring_in(bundle(2))
-    in_force(fleet, result.generation, 10)
+    wait_for_generation(fleet, result.generation, 10)
 
 
 def test_of_8_operators_with_one_version_number_exactly_one_wins(make_fleet):
@@ -259,7 +264,7 @@
     for vm in [*fleet.controls(), *fleet.entries()]:
         fleet.restart(vm.name)
     processes.wait_for("a leader", lambda: fleet.leader(), 15)
-    in_force(fleet, 1000, 10)
+    wait_for_generation(fleet, 1000, 10)
     assert ana.history().rolls[0].generation == 1000
     for vm in fleet.controls():
         folder = fleet.folder / "data" / vm.name
@@ -270,21 +275,23 @@
     fleet = make_fleet(SMALL)
     ana = operators.Operator(fleet)
     ana.bring_in(bundle(1))
-    hurt = next(vm for vm in fleet.controls() if vm.name != the_leader(fleet).name)
-    processes.wait_for("it to follow", lambda: "applied_roll" in hurt.process.log.read_text(), 15)
+    damaged = next(vm for vm in fleet.controls() if vm.name != wait_for_leader(fleet).name)
+    processes.wait_for(
+        "it to follow", lambda: "applied_roll" in damaged.process.log.read_text(), 15
+    )
     ana.bring_in(bundle(2))
-    path = next((fleet.folder / "data" / hurt.name).glob("log-*.bin"))
+    path = next((fleet.folder / "data" / damaged.name).glob("log-*.bin"))
     processes.wait_for(
         "a second record", lambda: len(records.read_records(path.read_bytes(), path)[0]) > 1, 15
     )
-    hurt.process.kill()
+    damaged.process.kill()
     data = bytearray(path.read_bytes())
-    # In the first record: damage to the last one can't be told from a write that was torn.
+    # Damage to the last record would be indistinguishable from an interrupted write.
     data[records.HEADER.size] ^= 0x10
     path.write_bytes(data)
-    fleet.restart(hurt.name)
-    assert hurt.process.wait(15) == 13
-    assert f"log_damaged: {path}" in hurt.process.log.read_text()
+    fleet.restart(damaged.name)
+    assert damaged.process.wait(15) == 13
+    assert f"log_damaged: {path}" in damaged.process.log.read_text()
     assert ana.bring_in(bundle(3)).generation == 3
 
 
@@ -292,19 +299,19 @@
     fleet = make_fleet(SMALL)
     ana = operators.Operator(fleet)
     ana.bring_in(bundle(1))
-    full = the_leader(fleet)
+    full = wait_for_leader(fleet)
     size = next((fleet.folder / "data" / full.name).glob("log-*.bin")).stat().st_size
     limit = (size, resource.RLIM_INFINITY)
     resource.prlimit(full.process.handle.pid, resource.RLIMIT_FSIZE, limit)
     result = ana.bring_in(bundle(2))
     assert result.generation == 2
-    assert the_leader(fleet).name != full.name
+    assert wait_for_leader(fleet).name != full.name
     assert full.process.is_running()
     unlimited = (resource.RLIM_INFINITY, resource.RLIM_INFINITY)
     resource.prlimit(full.process.handle.pid, resource.RLIMIT_FSIZE, unlimited)
-    in_force(fleet, 2, 10)
+    wait_for_generation(fleet, 2, 10)
     other = next(
-        vm for vm in fleet.controls() if vm.name not in (full.name, the_leader(fleet).name)
+        vm for vm in fleet.controls() if vm.name not in (full.name, wait_for_leader(fleet).name)
     )
     other.process.kill()
     processes.wait_for("a leader", lambda: fleet.leader(), 15)
@@ -324,7 +331,7 @@
     fleet = make_fleet(SMALL)
     ana = operators.Operator(fleet, timeout_s=4.0)
     ana.bring_in(bundle(1))
-    in_force(fleet, 1)
+    wait_for_generation(fleet, 1)
     ana.propose(bundle(2))
     ana.sign(bundle(2))
     for vm in fleet.controls()[1:]:
--- a/tests/test_leader_duties.py
+++ b/tests/test_leader_duties.py
@@ -1,4 +1,4 @@
-"""The leader's repairs in the product's own daemons: a replaced member goes in time."""
+"""Tests of the control leader's membership changes."""
 
 import types
 
@@ -8,7 +8,7 @@
 
 
 def test_a_replaced_member_goes_before_a_second_loss_would_leave_two_of_four():
-    """The joiner names whom it replaces, so a silence that ends a leadership is enough."""
+    """Guards against a group of four that loses its majority with a second failure."""
     cluster = raft_cluster.Cluster(3)
     cluster.run(2.0)
     leader = cluster.leader()
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -1,4 +1,4 @@
-"""Requests and a roll through real processes, nothing disturbed."""
+"""End-to-end tests of requests and a roll with real processes and no faults."""
 
 import json
 
