--- a/bench/swarm.py
+++ b/bench/swarm.py
@@ -16,7 +16,7 @@
 from merlinthread import logs, settings
 from merlinthread.coordination import fetch
 from merlinthread.protocol import messages
-from merlinthread.roles import base, chunk_giver, weights
+from merlinthread.roles import base, chunk_server, weights
 from merlinthread.state import chunks
 from merlinthread.transport import bus, http_server
 
@@ -24,7 +24,7 @@
 NOWHERE = "127.0.0.1:1"
 
 
-class CorruptingGiver(chunk_giver.ChunkGiver):
+class CorruptingGiver(chunk_server.ChunkServer):
     """A giver whose chunks are damaged now and then."""
 
     corrupt_share = 0.0
@@ -43,7 +43,7 @@
 
     def __init__(self, config: dict) -> None:
         checked = settings.parse(json.dumps(config["settings"]), "bench")
-        parts = base.Parts(
+        context = base.RoleContext(
             checked,
             messages.make_codec([]),
             http_server.Server("127.0.0.1", 1, 2),
@@ -52,11 +52,11 @@
         assert checked.agent is not None
         folder = pathlib.Path(config["folder"]) if config.get("folder") else None
         store = chunks.ChunkStore(folder, 1 << 34)
-        self.weights = weights.Weights(parts, checked.agent, store)
+        self.weights = weights.WeightManager(context, checked.agent, store)
         self.giver = CorruptingGiver(self.weights)
         self.giver.corrupt_share = config.get("corrupt_share", 0.0)
         self.responder = bus.RpcServer(
-            checked.bus, parts.codec, self.giver.handle, workers=RESPONDERS
+            checked.bus, context.codec, self.giver.handle, workers=RESPONDERS
         )
         self.responder.start()
         self.weights.start()
@@ -89,7 +89,7 @@
         for agent in self.agents.values():
             if agent.is_dead:
                 continue
-            zone = agent.weights.parts.settings.availability_zone
+            zone = agent.weights.context.settings.availability_zone
             peers = []
             for name, other, _, address in order["peers"]:
                 if name == agent.weights.name:
@@ -97,7 +97,7 @@
                 is_reached = (other == cut) == (zone == cut)
                 distance = fetch.SAME_ZONE if other == zone else fetch.SAME_REGION
                 peers.append(fetch.Peer(name, address if is_reached else NOWHERE, distance))
-            agent.weights.want({order["manifest"]: peers})
+            agent.weights.set_wanted({order["manifest"]: peers})
         return {}
 
     def on_kill(self, order: dict) -> dict:
@@ -110,7 +110,7 @@
     def on_poll(self, order: dict) -> dict:
         """Return when each agent was complete, on the machine's monotonic clock."""
         for agent in self.agents.values():
-            for digest in agent.weights.complete():
+            for digest in agent.weights.complete_manifests():
                 agent.done_at.setdefault(digest, time.monotonic())
         return {
             "done": {name: agent.done_at for name, agent in self.agents.items()},
--- a/src/merlinthread/daemon.py
+++ b/src/merlinthread/daemon.py
@@ -28,24 +28,24 @@
         server = http_server.Server(
             config.http.address, config.http.port, config.http.threads, config.http.body_bytes_max
         )
-        self.parts = base.Parts(
+        self.context = base.RoleContext(
             config, messages.make_codec(keys), server, http_server.InFlightRequests()
         )
         http_server.add_health_routes(server.routes, self.not_ready_reason)
-        self.roles = [base.ROLES.get(name)(self.parts) for name in config.roles]
+        self.roles = [base.ROLES.get(name)(self.context) for name in config.roles]
         self.stop_requested = threading.Event()
         self.reload_requested = threading.Event()
 
     def not_ready_reason(self) -> str:
         """Return why one of the roles is not ready, or an empty string if all are."""
-        return next((reason for role in self.roles if (reason := role.not_ready_because())), "")
+        return next((reason for role in self.roles if (reason := role.not_ready_reason())), "")
 
     def run(self) -> int:
         """Run until a signal stops the process or a role fails; return the exit code."""
         signal.signal(signal.SIGTERM, lambda *_: self.stop_requested.set())
         signal.signal(signal.SIGINT, lambda *_: self.stop_requested.set())
         signal.signal(signal.SIGHUP, lambda *_: self.reload_requested.set())
-        self.parts.http.start()
+        self.context.http.start()
         for role in self.roles:
             role.start()
         logs.event("started", version=__version__, roles=self.config.roles)
@@ -64,7 +64,7 @@
                 self.reload_requested.clear()
                 self.reload()
             for role in self.roles:
-                if reason := role.broken_because():
+                if reason := role.failure_reason():
                     return reason
         return ""
 
@@ -75,7 +75,7 @@
         except errors.SettingsError as error:
             logs.warning("reload_refused", reason=error.message)
             return
-        self.parts.codec.set_keys([codec.parse_key(text) for text in new_config.mesh_keys])
+        self.context.codec.set_keys([codec.parse_key(text) for text in new_config.mesh_keys])
         logs.configure(new_config.name, new_config.log.level)
         for role in self.roles:
             role.reload(new_config)
@@ -83,19 +83,19 @@
 
     def shut_down(self) -> None:
         """Announce the shutdown, wait for the requests in progress, then stop all roles."""
-        logs.event("leaving", in_flight=self.parts.in_flight.count)
-        self.parts.in_flight.is_draining = True
+        logs.event("leaving", in_flight=self.context.in_flight.count)
+        self.context.in_flight.is_draining = True
         for role in self.roles:
-            role.begin_leaving()
+            role.start_draining()
         if set(self.config.roles) != {"control"}:
             threading.Event().wait(SHUTDOWN_NOTICE_S)
         timeouts = [
             section.drain_timeout_s for section in (self.config.entry, self.config.agent) if section
         ]
-        is_drained = self.parts.in_flight.drain(max(timeouts, default=0.0))
+        is_drained = self.context.in_flight.drain(max(timeouts, default=0.0))
         if not is_drained:
-            logs.warning("drain_timeout", in_flight=self.parts.in_flight.count)
-        self.parts.http.stop()
+            logs.warning("drain_timeout", in_flight=self.context.in_flight.count)
+        self.context.http.stop()
         for role in self.roles:
             role.stop()
 
--- a/src/merlinthread/roles/agent.py
+++ b/src/merlinthread/roles/agent.py
@@ -1,4 +1,4 @@
-"""The `agent` role: the small process beside a target."""
+"""The `agent` role: connects one target, an engine or a plain service, to the entries."""
 
 import pathlib
 import threading
@@ -14,108 +14,119 @@
     switch,
 )
 from merlinthread.protocol import messages
-from merlinthread.roles import base, chunk_giver, target, weights
+from merlinthread.roles import base, chunk_server, target, weights
 from merlinthread.state import chunks, manifests
 from merlinthread.transport import bus, http_server
 
-CALL_TIMEOUT_S = 0.5
-SWITCH_EVERY_S = 0.1
-STATUS_EVERY_S = 0.25
-REFUSED_WAIT_S = 1.0
+RPC_TIMEOUT_S = 0.5
+SWITCH_INTERVAL_S = 0.1
+STATUS_INTERVAL_S = 0.25
+FAILED_STEP_RETRY_S = 1.0
 
 
 @base.ROLES.add("agent")
 class AgentRole(base.Role):
-    """An agent: heartbeats, weights, orders and requests of one target."""
+    """The agent of one target.
 
-    def __init__(self, parts: base.Parts) -> None:
-        super().__init__(parts)
-        config = parts.settings.agent
+    Sends heartbeats to the entries, fetches weights, sends orders to the engine and forwards
+    requests to the target.
+    """
+
+    def __init__(self, context: base.RoleContext) -> None:
+        super().__init__(context)
+        config = context.settings.agent
         assert config is not None
         self.config = config
-        self.incarnation = int(parts.wall_clock() * 1000)
+        self.incarnation = int(context.wall_clock() * 1000)
         self.lock = threading.Lock()
         self.counter = 0
         self.directive = control_state.Directive()
-        self.floor = 0
-        self.lease_until = float("-inf")
-        self.orders_from = float("-inf")
+        self.min_generation = 0
+        self.lease_expires_at = float("-inf")
+        self.orders_allowed_at = float("-inf")
         self.is_replaced = False
         self.trouble = ""
-        self.tried_at = float("-inf")
+        self.last_attempt_at = float("-inf")
         folder = pathlib.Path(config.store_folder) if config.store_folder else None
-        self.weights = weights.Weights(parts, config, chunks.ChunkStore(folder, config.store_bytes))
-        self.giver = chunk_giver.ChunkGiver(self.weights)
-        self.target = target.Target(parts, config, self.incarnation)
-        self.responder = bus.RpcServer(
-            parts.settings.bus,
-            parts.codec,
-            self.giver.handle,
+        self.weights = weights.WeightManager(
+            context, config, chunks.ChunkStore(folder, config.store_bytes)
+        )
+        self.chunk_server = chunk_server.ChunkServer(self.weights)
+        self.target = target.Target(context, config, self.incarnation)
+        self.rpc_server = bus.RpcServer(
+            context.settings.bus,
+            context.codec,
+            self.chunk_server.handle,
             workers=config.upload_slots + 2,
         )
-        self.entries = self.choose_entries()
-        self.callers = {address: bus.RpcClients(parts.codec) for address in self.entries}
-        self.home = self.entries[0]
-        self.told: dict[str, tuple[object, ...]] = {}
-        self.beats = [self.make_beat(address) for address in self.entries]
+        self.entries = self.select_entries()
+        self.rpc_clients = {address: bus.RpcClients(context.codec) for address in self.entries}
+        self.home_entry = self.entries[0]
+        self.sent_states: dict[str, tuple[object, ...]] = {}
+        self.heartbeat_tasks = [self.make_heartbeat_task(address) for address in self.entries]
         self.tasks = [
-            base.Task("status", STATUS_EVERY_S, self.target.refresh),
-            base.Task("switch", SWITCH_EVERY_S, self.change),
+            base.PeriodicTask("status", STATUS_INTERVAL_S, self.target.refresh_status),
+            base.PeriodicTask("switch", SWITCH_INTERVAL_S, self.run_next_step),
         ]
-        parts.http.routes.add("GET", "/weights/", self.give_weights)
+        context.http.routes.add("GET", "/weights/", self.serve_weights)
         for method in ("GET", "POST"):
-            parts.http.routes.add(method, "/target/", self.target.on_request)
+            context.http.routes.add(method, "/target/", self.target.on_request)
 
-    def choose_entries(self) -> list[str]:
-        """Return the entries to report to: a few of the zone's, others for other agents."""
+    def select_entries(self) -> list[str]:
+        """Return the `heartbeat_entries` entries to report to, selected by rendezvous hash.
+
+        This spreads the agents over the entries of the zone.
+        """
         ordered = sorted(
             self.config.entries,
-            key=lambda address: fetch.rendezvous_weight(address, self.parts.settings.name, 0),
+            key=lambda address: fetch.rendezvous_weight(address, self.context.settings.name, 0),
         )
         return ordered[: self.config.heartbeat_entries]
 
-    def make_beat(self, address: str) -> base.Task:
-        """Return the task that reports to one entry."""
-        return base.Task(
-            f"heartbeat {address}", self.config.heartbeat_every_s, lambda: self.beat(address)
+    def make_heartbeat_task(self, address: str) -> base.PeriodicTask:
+        """Return the task that sends heartbeats to one entry."""
+        return base.PeriodicTask(
+            f"heartbeat {address}",
+            self.config.heartbeat_every_s,
+            lambda: self.send_heartbeat(address),
         )
 
     def start(self) -> None:
-        """Learn what the target has obeyed so far, then start the tasks."""
-        self.target.refresh()
-        self.floor = self.target.fence.generation
+        """Start the tasks, with an incarnation above the epoch of the target's last order."""
+        self.target.refresh_status()
+        self.min_generation = self.target.fence.generation
         if self.target.fence.epoch >= self.incarnation:
             self.incarnation = self.target.fence.epoch + 1
             self.target.incarnation = self.incarnation
-        self.responder.start()
+        self.rpc_server.start()
         self.weights.start()
-        for task in self.tasks + self.beats:
+        for task in self.tasks + self.heartbeat_tasks:
             task.start()
 
     # Heartbeats
 
     def report(self) -> agents.AgentReport:
-        """Return this agent's report."""
-        line = self.target.line.queue
+        """Return a new report with the next counter value."""
+        queue = self.target.request_queue.queue
         with self.lock:
             self.counter += 1
             counter = self.counter
-        own = self.parts.settings
+        settings = self.context.settings
         return agents.AgentReport(
-            own.name,
+            settings.name,
             self.incarnation,
             counter,
-            own.availability_zone,
-            own.region,
-            own.bus,
-            f"http://{own.http.address}:{own.http.port}",
+            settings.availability_zone,
+            settings.region,
+            settings.bus,
+            f"http://{settings.http.address}:{settings.http.port}",
             self.config.target_kind,
             self.config.service,
-            dict(self.target.serving) if self.target.is_reached else {},
+            dict(self.target.serving) if self.target.is_reachable else {},
             self.weights.progress(),
-            len(line.running),
-            line.count_waiting(),
-            line.waiting_tokens,
+            len(queue.running),
+            queue.count_waiting(),
+            queue.waiting_tokens,
             self.config.slots,
             self.directive.revision,
             self.directive.generation,
@@ -124,38 +135,41 @@
         )
 
     def is_leaving(self) -> bool:
-        """Return whether the target takes no new work."""
-        return self.parts.in_flight.is_draining or self.target.is_leaving or self.is_replaced
+        """Return whether the target accepts no new requests."""
+        return self.context.in_flight.is_draining or self.target.is_leaving or self.is_replaced
 
-    def beat(self, address: str) -> None:
-        """Report to one entry and take over what it says."""
-        sent_at = self.parts.clock()
+    def send_heartbeat(self, address: str) -> None:
+        """Send a heartbeat to one entry and apply its reply."""
+        sent_at = self.context.clock()
         report = self.report()
         try:
-            reply = self.tell(address, report)
+            reply = self.send_report(address, report)
         except errors.MerlinthreadError as error:
             if error.kind == errors.ErrorKind.FENCED:
-                self.note_replaced(error.message)
+                self.mark_replaced(error.message)
             logs.debug("entry_unreached", address=address, reason=error.message)
-            self.told.pop(address, None)
-            self.leave_home(address)
+            self.sent_states.pop(address, None)
+            self.clear_home_entry(address)
             return
-        if self.orders_from == float("-inf"):
-            # A target that checks no fences: wait until the agent before has lost its lease.
+        if self.orders_allowed_at == float("-inf"):
+            # A target without fencing relies on the lease of the previous agent having expired.
             wait = 0.0 if self.config.checks_fences else reply.lease_s
-            self.orders_from = self.parts.clock() + wait
-        self.lease_until = max(self.lease_until, sent_at + reply.lease_s)
-        self.adopt(reply.directive, reply.entry)
-        if self.home == "":
-            self.home = address
-
-    def tell(self, address: str, report: agents.AgentReport) -> messages.HeartbeatReply:
-        """Send an entry the whole report, or only the load if nothing else has changed for it."""
-        is_home = self.home == address
-        shape = sessions.reported_state(report)
-        callers = self.callers[address]
-        if self.told.get(address) == shape:
-            beat = messages.LoadHeartbeat(
+            self.orders_allowed_at = self.context.clock() + wait
+        self.lease_expires_at = max(self.lease_expires_at, sent_at + reply.lease_s)
+        self.adopt_directive(reply.directive, reply.entry)
+        if self.home_entry == "":
+            self.home_entry = address
+
+    def send_report(self, address: str, report: agents.AgentReport) -> messages.HeartbeatReply:
+        """Send a report to an entry and return its reply.
+
+        Only the load is sent if nothing else has changed since the last report to this entry.
+        """
+        is_home = self.home_entry == address
+        state = sessions.reported_state(report)
+        rpc_clients = self.rpc_clients[address]
+        if self.sent_states.get(address) == state:
+            heartbeat = messages.LoadHeartbeat(
                 report.name,
                 report.incarnation,
                 report.counter,
@@ -164,141 +178,155 @@
                 report.queued_tokens,
                 is_home,
             )
-            reply = callers.call(address, beat, CALL_TIMEOUT_S)
+            reply = rpc_clients.call(address, heartbeat, RPC_TIMEOUT_S)
             if not reply.wants_full:
                 return reply
-        reply = callers.call(address, messages.Heartbeat(report, is_home), CALL_TIMEOUT_S)
-        self.told[address] = shape
+        reply = rpc_clients.call(address, messages.Heartbeat(report, is_home), RPC_TIMEOUT_S)
+        self.sent_states[address] = state
         return reply
 
-    def leave_home(self, address: str) -> None:
-        """Let the next entry that answers tell the leader of this agent."""
-        if self.home == address and len(self.entries) > 1:
-            self.home = ""
+    def clear_home_entry(self, address: str) -> None:
+        """Unset the home entry if it is `address`, so that the next entry to reply replaces it.
+
+        The home entry is the one that reports this agent to the leader.
+        """
+        if self.home_entry == address and len(self.entries) > 1:
+            self.home_entry = ""
 
-    def note_replaced(self, reason: str) -> None:
-        """Take no more work and give no more orders: a later agent has this target."""
+    def mark_replaced(self, reason: str) -> None:
+        """Stop accepting requests and sending orders: a newer agent controls the target."""
         if not self.is_replaced:
             logs.warning("replaced", reason=reason)
         self.is_replaced = True
 
-    def adopt(self, directive: control_state.Directive | None, source: str) -> None:
-        """Take over a newer directive; never one below what the target has obeyed."""
+    def adopt_directive(self, directive: control_state.Directive | None, source: str) -> None:
+        """Apply a directive if its revision is newer.
+
+        A generation lower than that of the current directive or of the target's last order before
+        the start is rejected.
+        """
         with self.lock:
             if directive is None or directive.revision <= self.directive.revision:
                 return
-            if directive.generation < max(self.floor, self.directive.generation):
-                logs.warning("directive_too_old", generation=directive.generation, floor=self.floor)
+            if directive.generation < max(self.min_generation, self.directive.generation):
+                logs.warning(
+                    "directive_too_old", generation=directive.generation, floor=self.min_generation
+                )
                 return
             self.directive = directive
         self.trouble = ""
         self.weights.clear_trouble()
-        self.target.apply_shares(directive)
+        self.target.apply_group_shares(directive)
         metrics.revision.set(directive.revision)
         metrics.generation.set(directive.generation)
-        self.weights.want(self.participants(directive))
+        self.weights.set_wanted(self.peers_by_manifest(directive))
         logs.event(
             "directive_adopted",
             revision=directive.revision,
             generation=directive.generation,
             source=source,
-            assigned=[item.name for item in self.wanted(directive)],
+            assigned=[item.name for item in self.wanted_models(directive)],
         )
-        self.beat_now()
+        self.send_heartbeats_now()
 
-    def beat_now(self) -> None:
-        """Report without waiting for the next period."""
-        for task in self.beats:
-            task.wake.set()
+    def send_heartbeats_now(self) -> None:
+        """Send the next heartbeats without waiting for the interval."""
+        for task in self.heartbeat_tasks:
+            task.wake_event.set()
 
-    def wanted(self, directive: control_state.Directive) -> list[switch.WantedModel]:
-        """Return what the engine should serve."""
+    def wanted_models(self, directive: control_state.Directive) -> list[switch.WantedModel]:
+        """Return the models and adapters that the engine should serve."""
         if self.config.target_kind == bundles.SERVICE:
             return []
-        return switch.wanted_models(directive, self.parts.settings.name)
+        return switch.wanted_models(directive, self.context.settings.name)
 
-    def participants(self, directive: control_state.Directive) -> dict[str, list[fetch.Peer]]:
-        """Return the manifests wanted here, each with the other VMs that should hold it."""
-        found: dict[str, list[fetch.Peer]] = {item.manifest: [] for item in self.wanted(directive)}
-        for name, placed in directive.placement.items():
-            if name == self.parts.settings.name:
+    def peers_by_manifest(self, directive: control_state.Directive) -> dict[str, list[fetch.Peer]]:
+        """Return the wanted manifests, each with the other VMs that should hold its chunks."""
+        peers: dict[str, list[fetch.Peer]] = {
+            item.manifest: [] for item in self.wanted_models(directive)
+        }
+        for name, placement in directive.placement.items():
+            if name == self.context.settings.name:
                 continue
-            peer = fetch.Peer(name, placed.bus, self.distance(placed))
+            peer = fetch.Peer(name, placement.bus, self.distance(placement))
             for item in switch.wanted_models(directive, name):
-                if item.manifest in found:
-                    found[item.manifest].append(peer)
-        return found
+                if item.manifest in peers:
+                    peers[item.manifest].append(peer)
+        return peers
 
-    def distance(self, placed: commands.VmPlacement) -> int:
-        """Return how far another VM is."""
-        if placed.availability_zone == self.parts.settings.availability_zone:
+    def distance(self, placement: commands.VmPlacement) -> int:
+        """Return the distance class of another VM."""
+        if placement.availability_zone == self.context.settings.availability_zone:
             return fetch.SAME_ZONE
-        if placed.region == self.parts.settings.region:
+        if placement.region == self.context.settings.region:
             return fetch.SAME_REGION
         return fetch.OTHER_REGION
 
     # Orders
 
-    def change(self) -> None:
-        """Give the engine the next order that is due, under the lease."""
-        if self.config.target_kind == bundles.SERVICE or not self.target.is_reached:
+    def run_next_step(self) -> None:
+        """Send the engine the next order, if there is one and the lease is valid.
+
+        After a failure, no order is sent for `FAILED_STEP_RETRY_S`.
+        """
+        if self.config.target_kind == bundles.SERVICE or not self.target.is_reachable:
             return
-        now = self.parts.clock()
-        if now < self.orders_from or now >= self.lease_until or self.is_replaced:
+        now = self.context.clock()
+        if now < self.orders_allowed_at or now >= self.lease_expires_at or self.is_replaced:
             return
-        if self.trouble and now < self.tried_at + REFUSED_WAIT_S:
+        if self.trouble and now < self.last_attempt_at + FAILED_STEP_RETRY_S:
             return
         directive = self.directive
-        wanted = switch.wanted_models(directive, self.parts.settings.name)
+        wanted = switch.wanted_models(directive, self.context.settings.name)
         step = switch.next_step(
-            wanted, self.target.serving, self.weights.complete(), bool(directive.paused)
+            wanted, self.target.serving, self.weights.complete_manifests(), bool(directive.paused)
         )
         if step is None or directive.bundle is None:
             return
-        self.tried_at = now
-        self.give(step, directive)
+        self.last_attempt_at = now
+        self.execute_step(step, directive)
 
-    def give(self, step: switch.Step, directive: control_state.Directive) -> None:
-        """Give one order and note what came of it."""
+    def execute_step(self, step: switch.Step, directive: control_state.Directive) -> None:
+        """Send the order for a step, and record a failure in `trouble`."""
         layout = None
         if isinstance(step, switch.Load):
             layout = manifests.to_dict(self.weights.manifests[step.item.manifest])
         try:
-            self.target.order(step, directive.generation, layout)
+            self.target.send_order(step, directive.generation, layout)
             self.trouble = ""
         except errors.MerlinthreadError as error:
             logs.warning("order_failed", kind=str(error.kind), reason=error.message)
             if error.kind == errors.ErrorKind.FENCED:
-                self.note_replaced(error.message)
+                self.mark_replaced(error.message)
             elif not isinstance(error, errors.UnreachableError):
                 self.trouble = f"load refused: {error.message}"
-        self.target.refresh()
-        self.beat_now()
+        self.target.refresh_status()
+        self.send_heartbeats_now()
 
-    def give_weights(self, request: http_server.Request) -> http_server.Response:
-        """Give a whole manifest's bytes to the engine."""
-        pieces = self.giver.read_all(request.subpath)
-        return http_server.Response(200, pieces, content_type="application/octet-stream")
+    def serve_weights(self, request: http_server.Request) -> http_server.Response:
+        """Handle an engine's request for all bytes of a manifest."""
+        data = self.chunk_server.stream_manifest(request.subpath)
+        return http_server.Response(200, data, content_type="application/octet-stream")
 
-    # Life
+    # Lifecycle
 
-    def not_ready_because(self) -> str:
-        """Return why no requests come here, or nothing."""
+    def not_ready_reason(self) -> str:
+        """Return why the target gets no requests, or an empty string."""
         if self.is_leaving():
             return "leaving"
-        if not self.target.is_reached:
-            return f"the target at {self.config.target_url} does not answer"
-        return "" if self.target.serving else "the target serves nothing yet"
+        if not self.target.is_reachable:
+            return f"the target at {self.config.target_url} is unreachable"
+        return "" if self.target.serving else "the target serves no models yet"
 
-    def begin_leaving(self) -> None:
-        """Tell the entries at once."""
-        self.beat_now()
+    def start_draining(self) -> None:
+        """Announce the shutdown to the entries at once."""
+        self.send_heartbeats_now()
 
     def stop(self) -> None:
-        """Stop the tasks."""
-        for task in self.beats + self.tasks:
+        """Stop the tasks and close the connections."""
+        for task in self.heartbeat_tasks + self.tasks:
             task.stop()
         self.weights.stop()
-        self.responder.stop()
-        for callers in self.callers.values():
-            callers.close()
+        self.rpc_server.stop()
+        for rpc_clients in self.rpc_clients.values():
+            rpc_clients.close()
--- a/src/merlinthread/roles/base.py
+++ b/src/merlinthread/roles/base.py
@@ -1,4 +1,4 @@
-"""What every role offers the composition root, and the registry of roles."""
+"""Base class and registry of the daemon's roles, and a periodic background task."""
 
 import dataclasses
 import threading
@@ -13,8 +13,11 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Parts:
-    """What the composition root gives each role."""
+class RoleContext:
+    """Objects that the daemon passes to each of its roles.
+
+    `clock` is monotonic, `wall_clock` returns seconds since the epoch.
+    """
 
     settings: settings.Settings
     codec: codec.Codec
@@ -25,44 +28,47 @@
 
 
 class Role:
-    """One role of the daemon."""
+    """Base class of roles; its methods do nothing by default."""
 
-    def __init__(self, parts: Parts) -> None:
-        self.parts = parts
+    def __init__(self, context: RoleContext) -> None:
+        self.context = context
 
     def start(self) -> None:
-        """Start the role's tasks; raise MerlinthreadError if it can't run."""
+        """Start the role; raise MerlinthreadError if it can't run."""
 
-    def not_ready_because(self) -> str:
-        """Return why the role can't serve yet, or an empty string."""
+    def not_ready_reason(self) -> str:
+        """Return why the role can't serve requests, or an empty string if it can."""
         return ""
 
-    def broken_because(self) -> str:
-        """Return why the process must end, or an empty string."""
+    def failure_reason(self) -> str:
+        """Return why the role has failed and the process must exit, or an empty string."""
         return ""
 
-    def begin_leaving(self) -> None:
-        """Tell others that this VM leaves; requests in progress go on."""
+    def start_draining(self) -> None:
+        """Announce that this VM is shutting down; requests in progress continue."""
 
     def stop(self) -> None:
-        """Stop the role's tasks; nothing is in progress any more."""
+        """Stop the role; called after requests in progress have finished or timed out."""
 
     def reload(self, changed: settings.Settings) -> None:
-        """Take over what may change without a restart."""
+        """Apply those of the changed settings that don't need a restart."""
 
 
 ROLES: registry.Registry[type[Role]] = registry.Registry("role")
 
 
-class Task:
-    """A thread that calls `work` every `every_s` seconds until stopped."""
+class PeriodicTask:
+    """A thread that calls `function` every `interval_s` seconds until stopped.
+
+    Exceptions of the function are logged. Setting `wake_event` triggers the next call at once.
+    """
 
-    def __init__(self, name: str, every_s: float, work: Callable[[], None]) -> None:
+    def __init__(self, name: str, interval_s: float, function: Callable[[], None]) -> None:
         self.name = name
-        self.every_s = every_s
-        self.work = work
-        self.stopping = threading.Event()
-        self.wake = threading.Event()
+        self.interval_s = interval_s
+        self.function = function
+        self.stop_event = threading.Event()
+        self.wake_event = threading.Event()
         self.thread = threading.Thread(target=self.run, name=name, daemon=True)
 
     def start(self) -> None:
@@ -70,18 +76,18 @@
         self.thread.start()
 
     def run(self) -> None:
-        """Work at once, then once a period or as soon as `wake` is set."""
-        while not self.stopping.is_set():
+        """Call the function until the task is stopped, the first time at once."""
+        while not self.stop_event.is_set():
             try:
-                self.work()
+                self.function()
             except Exception:
                 logs.exception("task_failed", task=self.name)
-            self.wake.wait(self.every_s)
-            self.wake.clear()
+            self.wake_event.wait(self.interval_s)
+            self.wake_event.clear()
 
     def stop(self) -> None:
-        """Ask the thread to end and wait for it."""
-        self.stopping.set()
-        self.wake.set()
+        """Stop the thread and wait up to 10 s for it to end."""
+        self.stop_event.set()
+        self.wake_event.set()
         if self.thread.ident is not None and self.thread is not threading.current_thread():
             self.thread.join(timeout=10)
--- a/src/merlinthread/roles/entry.py
+++ b/src/merlinthread/roles/entry.py
@@ -1,4 +1,4 @@
-"""The `entry` role: serves callers and looks after the agents of its availability zone."""
+"""The `entry` role: serves clients, and monitors the agents of its availability zone."""
 
 import dataclasses
 import random
@@ -11,20 +11,20 @@
 from merlinthread import settings as settings_
 from merlinthread.coordination import agents, commands, control_state, sessions, summaries
 from merlinthread.protocol import messages
-from merlinthread.roles import base, forwarding, request_path
+from merlinthread.roles import base, forwarding, request_handler
 from merlinthread.transport import bus, http_client
 
 LEASE_S = 3.0
-CALL_TIMEOUT_S = 0.5
-STALE_CONTROL_S = 1.5
-PLATFORM_EVERY_S = 0.5
-SETTLE_EVERY_S = 0.5
-KEEP_ALIVE_S = 1.5
+RPC_TIMEOUT_S = 0.5
+LEADER_STALE_S = 1.5
+PLATFORM_POLL_INTERVAL_S = 0.5
+OUTCOME_RETRY_INTERVAL_S = 0.5
+KEEPALIVE_INTERVAL_S = 1.5
 
 
 @dataclasses.dataclass(slots=True)
-class Known:
-    """What request threads may read: replaced whole, never changed."""
+class ZoneSnapshot:
+    """A view of the zone's state for request threads; replaced as a whole, never modified."""
 
     directive: control_state.Directive
     live: list[agents.AgentReport]
@@ -32,29 +32,29 @@
     leaving: frozenset[str] = frozenset()
 
 
-class ZoneTask:
-    """Owns what this entry knows of agents and of the bundle in force.
+class ZoneState:
+    """The directive, the agents of the zone and the summaries of other entries.
 
-    Its handlers run in the bus's threads under one lock; what request threads read is replaced
-    whole, so they take no lock.
+    Shared between threads: changes are made under `lock` and then published as a new `snapshot`,
+    which request threads read without locking.
     """
 
-    def __init__(self, parts: base.Parts, config: settings_.Entry) -> None:
-        self.parts = parts
-        self.name = parts.settings.name
-        self.zone = parts.settings.availability_zone
+    def __init__(self, context: base.RoleContext, config: settings_.Entry) -> None:
+        self.context = context
+        self.name = context.settings.name
+        self.zone = context.settings.availability_zone
         self.lock = threading.Lock()
         self.view = agents.AgentView(config.agent_lost_after_s)
         self.others = summaries.SummaryTable(self.name, config.summary_lost_after_s)
         self.homes: dict[str, bool] = {}
-        self.incarnation = int(parts.wall_clock() * 1000)
+        self.incarnation = int(context.wall_clock() * 1000)
         self.counter = 0
         self.directive = control_state.Directive()
         self.leaving: frozenset[str] = frozenset()
-        self.known = Known(self.directive, [])
+        self.snapshot = ZoneSnapshot(self.directive, [])
 
-    def adopt(self, directive: control_state.Directive | None, source: str) -> None:
-        """Take over a newer directive; an older one is never taken."""
+    def adopt_directive(self, directive: control_state.Directive | None, source: str) -> None:
+        """Apply a directive if its revision is newer."""
         if directive is None:
             return
         with self.lock:
@@ -71,90 +71,95 @@
             source=source,
         )
 
-    def take(self, heard: list[summaries.Summary]) -> None:
-        """Take in what other entries reach."""
-        now = self.parts.clock()
+    def merge_summaries(self, received: list[summaries.Summary]) -> None:
+        """Store the summaries received from another entry."""
+        now = self.context.clock()
         with self.lock:
-            for summary in heard:
+            for summary in received:
                 if summary.entry != self.name:
                     self.others.add(summary, now)
             self.publish()
 
     def set_leaving(self, names: frozenset[str]) -> None:
-        """Take over the platform's list of VMs that leave."""
+        """Set the names of VMs that the platform reports as leaving."""
         with self.lock:
             self.leaving = names
             self.publish()
 
     def refresh(self) -> None:
-        """Drop agents that were not heard of in time."""
+        """Publish a snapshot without agents and entries that have timed out."""
         with self.lock:
             self.publish()
 
     def publish(self) -> None:
-        """Replace what request threads read; the caller holds the lock."""
-        now = self.parts.clock()
-        self.known = Known(self.directive, self.view.live(now), self.others.live(now), self.leaving)
+        """Replace the snapshot; the caller holds the lock."""
+        now = self.context.clock()
+        self.snapshot = ZoneSnapshot(
+            self.directive, self.view.live(now), self.others.live(now), self.leaving
+        )
 
-    def homed(self) -> list[agents.AgentReport]:
-        """Return the reports of agents that this entry tells the leader of."""
-        return [report for report in self.known.live if self.homes.get(report.name)]
+    def home_reports(self) -> list[agents.AgentReport]:
+        """Return the reports of agents for which this entry is the home entry."""
+        return [report for report in self.snapshot.live if self.homes.get(report.name)]
 
     def summaries(self) -> list[summaries.Summary]:
-        """Return what this entry reaches, and what it heard of others."""
+        """Return a new summary of this entry and those received from others.
+
+        While the process drains, its own summary has no targets.
+        """
         with self.lock:
             self.counter += 1
             counter = self.counter
-        own = self.parts.settings
-        known = self.known
+        settings = self.context.settings
+        snapshot = self.snapshot
         summary = summaries.Summary(
-            own.name,
+            settings.name,
             self.incarnation,
             counter,
-            own.availability_zone,
-            own.region,
-            f"http://{own.http.address}:{own.http.port}",
+            settings.availability_zone,
+            settings.region,
+            f"http://{settings.http.address}:{settings.http.port}",
         )
-        if not self.parts.in_flight.is_draining:
-            live = [report for report in known.live if report.name not in known.leaving]
+        if not self.context.in_flight.is_draining:
+            live = [report for report in snapshot.live if report.name not in snapshot.leaving]
             summaries.add_reports(summary, live)
-        return [summary, *known.others]
+        return [summary, *snapshot.others]
 
     def handle(self, message: Any) -> Any:
-        """Answer one call of an agent or of another entry."""
+        """Return the reply to a request of an agent or another entry."""
         if isinstance(message, messages.Heartbeat):
             return self.on_heartbeat(message)
         if isinstance(message, messages.LoadHeartbeat):
-            return self.on_beat(message)
+            return self.on_load_heartbeat(message)
         if isinstance(message, messages.ExchangeRequest):
             return self.on_exchange(message)
-        raise errors.ProtocolError(f"an entry does not answer {type(message).__name__}")
+        raise errors.ProtocolError(f"entries don't handle {type(message).__name__} messages")
 
     def on_heartbeat(self, heartbeat: messages.Heartbeat) -> messages.HeartbeatReply:
-        """Take an agent's report and tell it what is new."""
+        """Store an agent's report; raise MerlinthreadError (fenced) if the agent was replaced."""
         report = heartbeat.report
         with self.lock:
             self.view.check_incarnation(report.name, report.incarnation)
-            self.view.update(report, self.parts.clock())
+            self.view.update(report, self.context.clock())
             self.homes[report.name] = heartbeat.is_home
             self.publish()
         return self.reply_to(report)
 
-    def on_beat(self, beat: messages.LoadHeartbeat) -> messages.HeartbeatReply:
-        """Take an agent's load, if its last full report is known here."""
-        order = (beat.incarnation, beat.counter)
-        load = (beat.running, beat.queued, beat.queued_tokens)
+    def on_load_heartbeat(self, heartbeat: messages.LoadHeartbeat) -> messages.HeartbeatReply:
+        """Update an agent's load; ask for a full report if none of this incarnation is known."""
+        order = (heartbeat.incarnation, heartbeat.counter)
+        load = (heartbeat.running, heartbeat.queued, heartbeat.queued_tokens)
         with self.lock:
-            self.view.check_incarnation(beat.name, beat.incarnation)
-            report = self.view.update_load(beat.name, order, load, self.parts.clock())
+            self.view.check_incarnation(heartbeat.name, heartbeat.incarnation)
+            report = self.view.update_load(heartbeat.name, order, load, self.context.clock())
             if report is None:
                 return messages.HeartbeatReply(self.name, 0.0, None, wants_full=True)
-            self.homes[beat.name] = beat.is_home
+            self.homes[heartbeat.name] = heartbeat.is_home
             self.publish()
         return self.reply_to(report)
 
     def reply_to(self, report: agents.AgentReport) -> messages.HeartbeatReply:
-        """Return the lease and what is new."""
+        """Return the reply to a heartbeat, with the directive if it is newer than the agent's."""
         directive = self.directive
         return messages.HeartbeatReply(
             self.name,
@@ -163,8 +168,8 @@
         )
 
     def on_exchange(self, exchange: messages.ExchangeRequest) -> messages.ExchangeReply:
-        """Swap views with another entry."""
-        self.take(exchange.summaries)
+        """Store the summaries of another entry and return this entry's."""
+        self.merge_summaries(exchange.summaries)
         directive = self.directive
         return messages.ExchangeReply(
             directive.revision,
@@ -173,182 +178,199 @@
         )
 
 
-class ControlLink:
-    """Polls the control VMs for news, and brings commands to the leader."""
+class ControlClient:
+    """Polls the control VMs for directives, and reports changed agents to the leader."""
 
-    def __init__(self, parts: base.Parts, config: settings_.Entry, zone: ZoneTask) -> None:
-        self.parts = parts
+    def __init__(self, context: base.RoleContext, config: settings_.Entry, zone: ZoneState) -> None:
+        self.context = context
         self.config = config
         self.zone = zone
-        self.callers = bus.RpcClients(parts.codec)
-        self.position = 0
-        self.names: dict[str, str] = {}
+        self.rpc_clients = bus.RpcClients(context.codec)
+        self.control_index = 0
+        self.control_addresses: dict[str, str] = {}
         self.leader = ""
-        self.joined: dict[str, str] = {}
-        self.outgoing = sessions.ReportSender()
+        self.joined_controls: dict[str, str] = {}
+        self.report_sender = sessions.ReportSender()
         self.listener = ""
         self.leader_address = ""
-        self.told_at = float("-inf")
-        self.tell_callers = bus.RpcClients(parts.codec)
+        self.sent_at = float("-inf")
+        self.report_clients = bus.RpcClients(context.codec)
 
     def poll(self) -> None:
-        """Ask one control VM; turn to the next if it does not answer or has lost its leader."""
+        """Poll the current control VM, and switch to the next on an error or a stale leader."""
         known = self.known_addresses()
-        address = known[self.position % len(known)]
-        directive = self.zone.known.directive
+        address = known[self.control_index % len(known)]
+        directive = self.zone.snapshot.directive
         poll = messages.PollRequest(self.zone.name, directive.revision)
         try:
-            reply = self.callers.call(address, poll, CALL_TIMEOUT_S)
+            reply = self.rpc_clients.call(address, poll, RPC_TIMEOUT_S)
         except errors.MerlinthreadError as error:
-            self.position += 1
+            self.control_index += 1
             logs.debug("control_unreached", address=address, reason=error.message)
             return
-        self.names[reply.control] = address
+        self.control_addresses[reply.control] = address
         self.leader = reply.leader
-        self.joined = reply.controls
-        self.zone.adopt(reply.directive, reply.control)
-        if reply.leader_age_s > STALE_CONTROL_S:
-            self.position += 1
-
-    def tell(self) -> None:
-        """Tell the leader what changed among the agents whose home this entry is."""
-        changed, gone, is_full = self.outgoing.changes(self.zone.homed(), self.listener)
-        now = self.parts.clock()
-        if not (changed or gone or is_full) and now < self.told_at + KEEP_ALIVE_S:
+        self.joined_controls = reply.controls
+        self.zone.adopt_directive(reply.directive, reply.control)
+        if reply.leader_age_s > LEADER_STALE_S:
+            self.control_index += 1
+
+    def send_changes(self) -> None:
+        """Report changes among this entry's home agents to the leader.
+
+        Without changes, an empty report is sent every `KEEPALIVE_INTERVAL_S` to keep the session.
+        """
+        changed, gone, is_full = self.report_sender.changes(self.zone.home_reports(), self.listener)
+        now = self.context.clock()
+        if not (changed or gone or is_full) and now < self.sent_at + KEEPALIVE_INTERVAL_S:
             return
-        told = self.find_leader(messages.AgentChanges(self.zone.name, changed, gone, is_full))
-        if told is None:
-            self.outgoing.forget()
+        reply = self.send_to_leader(messages.AgentChanges(self.zone.name, changed, gone, is_full))
+        if reply is None:
+            self.report_sender.forget()
             return
-        if told.wants_full or told.listener != self.listener:
-            self.outgoing.forget()
-            self.listener = told.listener
+        if reply.wants_full or reply.listener != self.listener:
+            self.report_sender.forget()
+            self.listener = reply.listener
             if not is_full:
                 return
-        self.told_at = now
-        self.outgoing.confirm(changed, gone, self.listener)
+        self.sent_at = now
+        self.report_sender.confirm(changed, gone, self.listener)
 
-    def find_leader(self, tell: messages.AgentChanges) -> messages.AgentChangesReply | None:
-        """Return the leader's answer, whichever control VM it is, or None."""
+    def send_to_leader(self, changes: messages.AgentChanges) -> messages.AgentChangesReply | None:
+        """Try the control VMs until one accepts the changes; return its reply, or None."""
         for address in self.addresses():
             try:
-                told = self.tell_callers.call(address, tell, CALL_TIMEOUT_S)
+                reply = self.report_clients.call(address, changes, RPC_TIMEOUT_S)
             except errors.MerlinthreadError as error:
                 logs.debug("not_told", address=address, reason=error.message)
                 continue
             self.leader_address = address
-            return told
+            return reply
         return None
 
     def known_addresses(self) -> list[str]:
-        """Return the addresses in the settings and of control VMs that joined later."""
-        return list(dict.fromkeys([*self.config.controls, *self.joined.values()]))
+        """Return the addresses of control VMs: configured ones, then those that joined later."""
+        return list(dict.fromkeys([*self.config.controls, *self.joined_controls.values()]))
 
     def addresses(self) -> list[str]:
-        """Return the control VMs' addresses, the leader's first."""
-        first = self.names.get(self.leader) or self.joined.get(self.leader) or self.leader_address
+        """Return the control VMs' addresses, that of the presumed leader first."""
+        first = (
+            self.control_addresses.get(self.leader)
+            or self.joined_controls.get(self.leader)
+            or self.leader_address
+        )
         rest = [address for address in self.known_addresses() if address != first]
         return ([first] if first else []) + rest
 
     def close(self) -> None:
         """Close the sockets."""
-        self.callers.close()
-        self.tell_callers.close()
+        self.rpc_clients.close()
+        self.report_clients.close()
 
 
 class Submitter:
-    """Brings commands to the leading control VM; one per request thread."""
+    """Submits commands to the leader; thread-safe, with separate connections per thread."""
 
-    def __init__(self, parts: base.Parts, link: ControlLink) -> None:
-        self.parts = parts
-        self.link = link
+    def __init__(self, context: base.RoleContext, control_client: ControlClient) -> None:
+        self.context = context
+        self.control_client = control_client
         self.local = threading.local()
 
     def submit(self, command: commands.Command, deadline: float) -> commands.Answer:
-        """Return the committed command's answer.
+        """Commit a command and return its result.
 
-        Raises ControlError (no_majority) if no leader took it before `deadline`, and
-        outcome_unknown if one may have.
+        Raises ControlError: no_majority if no leader accepted it before `deadline`,
+        outcome_unknown if one may have committed it.
         """
-        name = self.parts.codec.names[type(command)]
+        name = self.context.codec.names[type(command)]
         message = messages.CommandRequest(msgspec.msgpack.encode((name, command)))
-        if not hasattr(self.local, "callers"):
-            self.local.callers = bus.RpcClients(self.parts.codec)
+        if not hasattr(self.local, "rpc_clients"):
+            self.local.rpc_clients = bus.RpcClients(self.context.codec)
         may_have_committed = False
-        for address in self.link.addresses():
-            left = deadline - self.parts.clock()
-            if left <= 0:
+        for address in self.control_client.addresses():
+            remaining = deadline - self.context.clock()
+            if remaining <= 0:
                 break
             try:
-                return self.local.callers.call(address, message, min(left, 2.0)).answer
+                return self.local.rpc_clients.call(address, message, min(remaining, 2.0)).answer
             except errors.MerlinthreadError as error:
                 if error.kind not in (errors.ErrorKind.NOT_LEADER, errors.ErrorKind.OVERLOADED):
                     may_have_committed = True
         if may_have_committed:
             raise errors.ControlError(
-                "no control VM confirmed the claim", kind=errors.ErrorKind.OUTCOME_UNKNOWN
+                "no control VM confirmed the command", kind=errors.ErrorKind.OUTCOME_UNKNOWN
             )
-        raise errors.ControlError("no leader among the control VMs is reached")
+        raise errors.ControlError("no leader among the control VMs could be reached")
 
 
 @base.ROLES.add("entry")
 class EntryRole(base.Role):
-    """An entry VM: callers' HTTP, the bus for agents and entries, links to the control VMs."""
+    """An entry VM: the clients' HTTP API, the server for agents and entries, and their tasks."""
 
-    def __init__(self, parts: base.Parts) -> None:
-        super().__init__(parts)
-        config = parts.settings.entry
+    def __init__(self, context: base.RoleContext) -> None:
+        super().__init__(context)
+        config = context.settings.entry
         assert config is not None
         self.config = config
-        self.zone = ZoneTask(parts, config)
-        self.link = ControlLink(parts, config, self.zone)
-        self.responder = bus.RpcServer(parts.settings.bus, parts.codec, self.zone.handle, workers=4)
-        self.exchange_callers = bus.RpcClients(parts.codec)
+        self.zone = ZoneState(context, config)
+        self.control_client = ControlClient(context, config, self.zone)
+        self.rpc_server = bus.RpcServer(
+            context.settings.bus, context.codec, self.zone.handle, workers=4
+        )
+        self.exchange_clients = bus.RpcClients(context.codec)
         self.rng = random.Random()
         self.client = http_client.Client()
         self.tasks = [
-            base.Task("poll", config.poll_every_s, self.link.poll),
-            base.Task("tell", config.tell_every_s, self.link.tell),
-            base.Task("exchange", config.exchange_every_s, self.exchange),
-            base.Task("refresh", 0.25, self.zone.refresh),
+            base.PeriodicTask("poll", config.poll_every_s, self.control_client.poll),
+            base.PeriodicTask("tell", config.tell_every_s, self.control_client.send_changes),
+            base.PeriodicTask("exchange", config.exchange_every_s, self.exchange_summaries),
+            base.PeriodicTask("refresh", 0.25, self.zone.refresh),
         ]
         if config.platform_url:
-            self.tasks.append(base.Task("platform", PLATFORM_EVERY_S, self.read_platform))
-        self.path = request_path.RequestPath(parts, config, self.zone, Submitter(parts, self.link))
-        self.path.add_routes(parts.http.routes)
-        self.forwarder = forwarding.Forwarder(self.path)
+            self.tasks.append(
+                base.PeriodicTask("platform", PLATFORM_POLL_INTERVAL_S, self.poll_platform)
+            )
+        self.handler = request_handler.RequestHandler(
+            context, config, self.zone, Submitter(context, self.control_client)
+        )
+        self.handler.add_routes(context.http.routes)
+        self.forwarder = forwarding.Forwarder(self.handler)
         for method in ("GET", "POST"):
-            parts.http.routes.add(method, forwarding.PREFIX, self.forwarder.on_request)
-        self.tasks.append(base.Task("settle", SETTLE_EVERY_S, self.path.settler.work))
+            context.http.routes.add(method, forwarding.PREFIX, self.forwarder.on_request)
+        self.tasks.append(
+            base.PeriodicTask(
+                "settle", OUTCOME_RETRY_INTERVAL_S, self.handler.outcome_retrier.retry_pending
+            )
+        )
 
     def start(self) -> None:
-        """Start the tasks."""
-        self.responder.start()
+        """Start the server and the tasks."""
+        self.rpc_server.start()
         for task in self.tasks:
             task.start()
 
-    def exchange(self) -> None:
-        """Swap views with one other entry, chosen at random, so that the cost does not grow."""
+    def exchange_summaries(self) -> None:
+        """Exchange summaries with one random entry, which keeps the cost per entry constant."""
         if not self.config.entries:
             return
         address = self.rng.choice(self.config.entries)
         message = messages.ExchangeRequest(
-            self.zone.name, self.zone.known.directive.revision, self.zone.summaries()
+            self.zone.name, self.zone.snapshot.directive.revision, self.zone.summaries()
         )
         try:
-            reply = self.exchange_callers.call(address, message, CALL_TIMEOUT_S)
+            reply = self.exchange_clients.call(address, message, RPC_TIMEOUT_S)
         except errors.MerlinthreadError as error:
             logs.debug("entry_unreached", address=address, reason=error.message)
             return
-        self.zone.adopt(reply.directive, address)
-        self.zone.take(reply.summaries)
+        self.zone.adopt_directive(reply.directive, address)
+        self.zone.merge_summaries(reply.summaries)
 
-    def read_platform(self) -> None:
-        """Read the platform's list of VMs for those that leave."""
+    def poll_platform(self) -> None:
+        """Update the set of leaving VMs from the platform's list."""
         assert self.config.platform_url is not None
         try:
             reply = self.client.request("GET", f"{self.config.platform_url}/v1/vms", timeout_s=2.0)
-            listed = msgspec.json.decode(reply.body, type=PlatformList)
+            listed = msgspec.json.decode(reply.body, type=PlatformVmList)
         except (errors.MerlinthreadError, msgspec.DecodeError) as error:
             logs.debug("platform_unreached", reason=str(error))
             return
@@ -357,21 +379,21 @@
             logs.event("platform_leaving", names=sorted(leaving))
             self.zone.set_leaving(leaving)
 
-    def not_ready_because(self) -> str:
-        """Return why callers can't be served, or nothing."""
-        if self.parts.in_flight.is_draining:
+    def not_ready_reason(self) -> str:
+        """Return why clients can't be served, or an empty string."""
+        if self.context.in_flight.is_draining:
             return "leaving"
-        if self.zone.known.directive.bundle is None:
+        if self.zone.snapshot.directive.bundle is None:
             return "no bundle in force is known yet"
         return ""
 
     def stop(self) -> None:
-        """Stop the tasks."""
+        """Stop the tasks and the server, and close the connections."""
         for task in self.tasks:
             task.stop()
-        self.responder.stop()
-        self.link.close()
-        self.exchange_callers.close()
+        self.rpc_server.stop()
+        self.control_client.close()
+        self.exchange_clients.close()
 
 
 @dataclasses.dataclass(slots=True)
@@ -383,7 +405,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class PlatformList:
-    """The platform's list, which lags."""
+class PlatformVmList:
+    """The platform's list of VMs, which may be out of date."""
 
     vms: list[PlatformVm]
--- a/src/merlinthread/roles/log_task.py
+++ b/src/merlinthread/roles/log_task.py
@@ -1,4 +1,4 @@
-"""The thread that owns a control VM's replicated log, its files and the state machine."""
+"""The thread that runs a control VM's replicated log and state machine."""
 
 import dataclasses
 import pathlib
@@ -23,38 +23,44 @@
 from merlinthread.state import folder, journal
 from merlinthread.transport import bus
 
-INBOX_BATCH = 512
-COMPACT_BYTES = 32 * 1024 * 1024
-EXPIRE_EVERY_S = 600.0
+INBOX_BATCH_SIZE = 512
+COMPACT_LOG_BYTES = 32 * 1024 * 1024
+EXPIRY_INTERVAL_S = 600.0
 
 
 @dataclasses.dataclass(slots=True)
 class Proposal:
-    """A command on its way into the log, with the place for its answer."""
+    """A command to be committed, and the future of its result."""
 
     command: commands.Command
     answer: futures.Future
 
 
 @dataclasses.dataclass(slots=True)
-class Telling:
-    """What an entry tells of its agents, with the place for the answer."""
+class ReportUpdate:
+    """An entry's changes among its agents, and the future of the reply."""
 
-    tell: messages.AgentChanges
+    changes: messages.AgentChanges
     answer: futures.Future
 
 
 @dataclasses.dataclass(slots=True)
-class Reading:
-    """A question about the state that only a leader with a lease may answer."""
+class ReadRequest:
+    """A function that reads the leader's state, and the future of its result.
 
-    read: Any
+    `query` is called with the log task; the leader must hold its lease.
+    """
+
+    query: Any
     answer: futures.Future
 
 
 @dataclasses.dataclass(slots=True)
-class Standing:
-    """What others in this process may know of the log task; replaced whole, never changed."""
+class PublishedState:
+    """State of the log task for other threads; replaced as a whole, never modified.
+
+    `controls` maps the names of members to their `bus` addresses.
+    """
 
     directive: control_state.Directive
     leader: str
@@ -63,12 +69,16 @@
 
 
 class LogTask:
-    """The thread that owns the replicated log, its files and the state machine."""
+    """Runs the replicated log and its state machine in one thread.
+
+    Other threads put items into `inbox` and read `published`. `failure` is the reason why the
+    thread ended, or empty.
+    """
 
-    def __init__(self, parts: base.Parts, config: settings_.Control) -> None:
-        self.parts = parts
+    def __init__(self, context: base.RoleContext, config: settings_.Control) -> None:
+        self.context = context
         self.config = config
-        self.name = parts.settings.name
+        self.name = context.settings.name
         self.inbox: queue.SimpleQueue = queue.SimpleQueue()
         self.folder = folder.DataFolder(pathlib.Path(config.data_folder))
         self.journal = journal.Journal(self.folder.path)
@@ -79,124 +89,136 @@
             self.name,
             [] if config.replaces else [peer.name for peer in config.members],
             self.journal,
-            parts.clock(),
+            context.clock(),
             timing,
             identity=self.journal.identity,
         )
         self.state = control_state.ControlState()
-        self.applied = 0
-        self.restore(self.journal.snapshot)
-        self.waiting: dict[int, tuple[int, futures.Future]] = {}
-        self.incoming = sessions.ReportReceiver(config.agent_lost_after_s)
+        self.applied_index = 0
+        self.restore_snapshot(self.journal.snapshot)
+        self.pending_answers: dict[int, tuple[int, futures.Future]] = {}
+        self.report_receiver = sessions.ReportReceiver(config.agent_lost_after_s)
         self.senders = {
-            peer.name: bus.Sender(peer.log_bus, parts.codec)
+            peer.name: bus.Sender(peer.log_bus, context.codec)
             for peer in config.members
             if peer.name != self.name
         }
-        now = parts.clock()
-        self.place_at = now
+        now = context.clock()
+        self.next_placement_at = now
         self.duties = leader_duties.LeaderDuties(self)
-        self.expire_at = now + EXPIRE_EVERY_S
-        self.full_until = float("-inf")
+        self.next_expiry_at = now + EXPIRY_INTERVAL_S
+        self.disk_full_until = float("-inf")
         self.was_leader = False
         self.state_logged_at = float("-inf")
-        self.standing = Standing(control_state.Directive(), "", float("-inf"), {})
+        self.published = PublishedState(control_state.Directive(), "", float("-inf"), {})
         self.publish()
         self.thread = threading.Thread(target=self.run, name="log", daemon=True)
         self.stopping = False
-        self.broken = ""
+        self.failure = ""
 
-    # The loop
+    # Main loop
 
     def run(self) -> None:
-        """Take in messages, decide, make durable, send, apply; end on a broken disk."""
+        """Run until stopped, or until an unexpected error or the loss of this member's identity."""
         try:
             while not self.stopping:
-                self.turn()
+                self.run_once()
                 if self.raft.replaced_by:
-                    self.broken = (
-                        f"the data folder of {self.name!r} was lost: it has another identity than "
-                        "the members know. Start this VM under a new name with control.replaces"
+                    self.failure = (
+                        f"the data folder of {self.name!r} was lost: its identity differs from the "
+                        "one that the members know; start this VM under a new name with "
+                        "control.replaces"
                     )
-                    logs.warning("identity_lost", reason=self.broken)
+                    logs.warning("identity_lost", reason=self.failure)
                     return
         except Exception as error:
             logs.exception("log_task_failed")
-            self.broken = repr(error)
+            self.failure = repr(error)
 
-    def turn(self) -> None:
-        """Do one round."""
-        now = self.parts.clock()
-        wait = max(0.0, min(self.raft.next_tick_at(), self.place_at) - now)
+    def run_once(self) -> None:
+        """Wait for items or the next timer, handle them, and process their effects."""
+        now = self.context.clock()
+        wait = max(0.0, min(self.raft.next_tick_at(), self.next_placement_at) - now)
         items = self.receive(wait)
-        now = self.parts.clock()
+        now = self.context.clock()
         for item in items:
-            self.take(item, now)
+            self.handle_item(item, now)
         self.raft.tick(now)
         self.raft.flush(now)
-        self.settle(now)
-        self.note_leadership()
-        self.lead(now)
+        self.process_ready(now)
+        self.update_leadership()
+        self.run_leader_tasks(now)
         self.log_state(now)
         self.publish()
 
     def receive(self, wait_s: float) -> list[Any]:
-        """Return what is in the inbox, waiting for the first item."""
+        """Return up to `INBOX_BATCH_SIZE` items; wait up to `wait_s` for the first one."""
         items: list[Any] = []
         try:
             items.append(self.inbox.get(timeout=max(0.0005, wait_s)))
-            while len(items) < INBOX_BATCH:
+            while len(items) < INBOX_BATCH_SIZE:
                 items.append(self.inbox.get_nowait())
         except queue.Empty:
             pass
         return items
 
-    def take(self, item: Any, now: float) -> None:
+    def handle_item(self, item: Any, now: float) -> None:
         """Handle one item of the inbox."""
         if isinstance(item, Proposal):
-            self.guarded(item.answer, lambda: self.propose(item.command, item.answer, now))
+            self.run_or_reject(item.answer, lambda: self.propose(item.command, item.answer, now))
         elif isinstance(item, messages.JoinRequest):
-            self.duties.joiners[item.name] = (item, now)
-        elif isinstance(item, Reading):
-            self.guarded(item.answer, lambda: self.read(item, now))
-        elif isinstance(item, Telling):
-            self.guarded(item.answer, lambda: self.listen(item, now))
+            self.duties.join_requests[item.name] = (item, now)
+        elif isinstance(item, ReadRequest):
+            self.run_or_reject(item.answer, lambda: self.read(item, now))
+        elif isinstance(item, ReportUpdate):
+            self.run_or_reject(item.answer, lambda: self.apply_agent_changes(item, now))
         elif isinstance(item, raft_messages.Message):
             self.raft.step(item, now)
 
-    def guarded(self, answer: futures.Future, work: Any) -> None:
-        """Do `work`, or give its refusal as the answer."""
+    def run_or_reject(self, answer: futures.Future, function: Any) -> None:
+        """Call `function`; set a MerlinthreadError that it raises on the future."""
         try:
-            work()
+            function()
         except errors.MerlinthreadError as error:
             answer.set_exception(error)
 
     def propose(self, command: commands.Command, answer: futures.Future, now: float) -> None:
-        """Put a command into the log; its answer comes when it is applied."""
-        if now < self.full_until:
-            raise errors.DiskFullError(f"{self.folder.path}: no room on the disk; free some space")
-        name = self.parts.codec.names[type(command)]
+        """Append a command to the log; its future is set when it is applied.
+
+        Raises DiskFullError for 1 s after a failed write, NotLeaderError, and ControlError if too
+        many commands are pending.
+        """
+        if now < self.disk_full_until:
+            raise errors.DiskFullError(
+                f"{self.folder.path}: no space left on the disk; free some space"
+            )
+        name = self.context.codec.names[type(command)]
         index = self.raft.propose(msgspec.msgpack.encode((name, command)), now)
-        self.waiting[index] = (self.raft.hard_state.term, answer)
+        self.pending_answers[index] = (self.raft.hard_state.term, answer)
 
-    def listen(self, telling: Telling, now: float) -> None:
-        """Take in what an entry tells of its agents, if this member leads."""
+    def apply_agent_changes(self, update: ReportUpdate, now: float) -> None:
+        """Apply an entry's changes; raise NotLeaderError if this member does not lead."""
         self.raft.require_leader()
-        tell = telling.tell
-        is_taken = self.incoming.take(tell.entry, tell.changed, tell.gone, tell.is_full, now)
+        changes = update.changes
+        is_accepted = self.report_receiver.take(
+            changes.entry, changes.changed, changes.gone, changes.is_full, now
+        )
         listener = f"{self.name} {self.raft.hard_state.term}"
-        telling.answer.set_result(messages.AgentChangesReply(listener, not is_taken))
+        update.answer.set_result(messages.AgentChangesReply(listener, not is_accepted))
 
-    def read(self, reading: Reading, now: float) -> None:
-        """Answer a question if this member surely leads."""
+    def read(self, request: ReadRequest, now: float) -> None:
+        """Answer a read; raise NotLeaderError unless this member holds the leader's lease."""
         if not self.raft.holds_lease(now):
-            raise errors.NotLeaderError(f"{self.name} does not lead", self.raft.leader)
-        reading.answer.set_result(reading.read(self))
+            raise errors.NotLeaderError(f"{self.name} is not the leader", self.raft.leader)
+        request.answer.set_result(request.query(self))
 
     # Durability
 
-    def settle(self, now: float) -> None:
-        """Save, send and apply until nothing is left to do."""
+    def process_ready(self, now: float) -> None:
+        """Save entries, send messages and apply committed entries until none are left.
+
+        Then compact the log if it is due.
+        """
         while not (ready := self.raft.ready()).is_empty():
             try:
                 self.save(ready)
@@ -211,115 +233,118 @@
             self.raft.mark_saved(ready)
             self.raft.flush(now)
             self.connect_members()
-        if self.is_due_for_compaction() and now >= self.full_until:
+        if self.is_due_for_compaction() and now >= self.disk_full_until:
             self.compact(now)
 
     def save(self, ready: raft_messages.Ready) -> None:
-        """Make `ready` durable."""
+        """Write the snapshot, entries and hard state of `ready` to disk."""
         if ready.snapshot is not None:
-            kept = self.raft.log.saved_entries()
-            self.journal.compact(ready.snapshot, kept)
-            self.restore(ready.snapshot)
+            entries = self.raft.log.saved_entries()
+            self.journal.compact(ready.snapshot, entries)
+            self.restore_snapshot(ready.snapshot)
         if ready.hard_state is not None or ready.entries:
             self.journal.save(ready.hard_state, ready.entries, self.raft.commit)
 
     def on_full_disk(self, error: errors.DiskFullError, now: float) -> None:
-        """Give up leading, refuse what was not accepted, and try again a little later."""
+        """Step down, discard unsaved entries, fail their commands, and reject new ones for 1 s."""
         logs.warning("disk_full", message=error.message)
-        self.full_until = now + 1.0
+        self.disk_full_until = now + 1.0
         self.raft.discard_unsaved(now)
-        for index, (_, answer) in list(self.waiting.items()):
+        for index, (_, answer) in list(self.pending_answers.items()):
             if index > self.raft.log.saved_index:
-                self.waiting.pop(index)
+                self.pending_answers.pop(index)
                 answer.set_exception(error)
 
     def is_due_for_compaction(self) -> bool:
-        """Return whether the log has grown enough for a snapshot."""
-        grown = self.applied - self.journal.snapshot.index
+        """Return whether the log is long enough, in entries or bytes, to be compacted."""
+        grown = self.applied_index - self.journal.snapshot.index
         if grown >= self.config.compact_after_entries:
             return True
-        return grown > 0 and self.journal.file.length > COMPACT_BYTES
+        return grown > 0 and self.journal.file.length > COMPACT_LOG_BYTES
 
     def compact(self, now: float) -> None:
-        """Replace the applied part of the log by a snapshot."""
+        """Replace the applied entries in the log by a snapshot."""
         encoded = msgspec.msgpack.encode(self.state)
-        snapshot = self.raft.compact(self.applied, encoded)
-        kept = self.raft.log.saved_entries()
+        snapshot = self.raft.compact(self.applied_index, encoded)
+        entries = self.raft.log.saved_entries()
         try:
-            self.journal.compact(snapshot, kept)
+            self.journal.compact(snapshot, entries)
         except errors.DiskFullError as error:
-            self.full_until = now + 1.0
+            self.disk_full_until = now + 1.0
             logs.warning("disk_full", message=error.message)
             return
         metrics.data_folder_bytes.set(self.journal.size_bytes())
         logs.event("compacted", index=snapshot.index, state_bytes=len(encoded))
 
-    def restore(self, snapshot: journal.Snapshot) -> None:
-        """Take the state over from a snapshot."""
+    def restore_snapshot(self, snapshot: journal.Snapshot) -> None:
+        """Replace the state machine's state by that of a snapshot."""
         if snapshot.state:
             self.state = msgspec.msgpack.decode(snapshot.state, type=control_state.ControlState)
-        self.applied = snapshot.index
+        self.applied_index = snapshot.index
 
     def apply(self, entry: journal.Entry) -> None:
-        """Apply one committed entry and answer whoever waits for it."""
+        """Apply a committed entry, and set the result of the command that is waiting for it.
+
+        A command whose index was taken by an entry of another term fails.
+        """
         result = commands.Answer(status="changed")
         if entry.kind == "command":
-            name, raw = self.parts.codec.envelope_decoder.decode(entry.data)
-            command = self.parts.codec.decoders[name].decode(raw)
+            name, raw = self.context.codec.envelope_decoder.decode(entry.data)
+            command = self.context.codec.decoders[name].decode(raw)
             result = self.state.apply(command, entry.index)
             metrics.commands_total.labels(name).inc()
             log_applied(name, command, result, entry.index)
-        self.applied = entry.index
-        term, answer = self.waiting.pop(entry.index, (0, None))
+        self.applied_index = entry.index
+        term, answer = self.pending_answers.pop(entry.index, (0, None))
         if answer is None:
             return
         if term == entry.term:
             answer.set_result(result)
         else:
-            answer.set_exception(lost_leadership())
+            answer.set_exception(leadership_lost_error())
 
-    # Leading
+    # Leadership
 
-    def note_leadership(self) -> None:
-        """Log a change of leader and fail what waits on a lost leadership."""
+    def update_leadership(self) -> None:
+        """Record that this member became or ceased to be the leader; then fail pending commands."""
         leads = self.raft.is_leader()
         if leads == self.was_leader:
             return
         self.was_leader = leads
         metrics.is_leader.set(1 if leads else 0)
         logs.event("leading" if leads else "following", term=self.raft.hard_state.term)
-        self.incoming.clear()
-        self.duties.begin(self.parts.clock())
+        self.report_receiver.clear()
+        self.duties.on_leadership_change(self.context.clock())
         if leads:
             return
-        for index, (_, answer) in list(self.waiting.items()):
-            self.waiting.pop(index)
-            answer.set_exception(lost_leadership())
+        for index, (_, answer) in list(self.pending_answers.items()):
+            self.pending_answers.pop(index)
+            answer.set_exception(leadership_lost_error())
 
-    def lead(self, now: float) -> None:
-        """Do a leader's regular work."""
-        if now < self.place_at:
+    def run_leader_tasks(self, now: float) -> None:
+        """Run the leader's periodic tasks, if they are due and this member holds the lease."""
+        if now < self.next_placement_at:
             return
-        self.place_at = now + self.config.place_every_s
+        self.next_placement_at = now + self.config.place_every_s
         if not self.raft.is_leader():
             return
         if not self.raft.holds_lease(now):
             return
-        self.duties.look_after_members(now)
-        self.duties.place(now)
-        if now >= self.expire_at:
-            self.expire_at = now + EXPIRE_EVERY_S
-            before = self.parts.wall_clock() - self.config.claims_kept_s
+        self.duties.update_membership(now)
+        self.duties.update_placement(now)
+        if now >= self.next_expiry_at:
+            self.next_expiry_at = now + EXPIRY_INTERVAL_S
+            before = self.context.wall_clock() - self.config.claims_kept_s
             self.propose(commands.Expire(before), futures.Future(), now)
 
     def connect_members(self) -> None:
-        """Open a sender to each member whose address came by the log."""
+        """Create a sender for each new member of the log."""
         for name, address in self.raft.log.voters.addresses.items():
             if name != self.name and name not in self.senders:
-                self.senders[name] = bus.Sender(address.log_bus, self.parts.codec)
+                self.senders[name] = bus.Sender(address.log_bus, self.context.codec)
 
     def log_state(self, now: float) -> None:
-        """Log where this member stands, once a second, for whoever looks for why nobody leads."""
+        """Log the state of this member once a second, to diagnose failed elections."""
         if now < self.state_logged_at + 1.0:
             return
         self.state_logged_at = now
@@ -338,11 +363,11 @@
             reopened={name: sender.reopened for name, sender in self.senders.items()},
         )
 
-    # What other threads see
+    # State for other threads
 
     def publish(self) -> None:
-        """Replace what other threads may read."""
-        old = self.standing
+        """Replace `published`."""
+        old = self.published
         directive = old.directive
         if self.state.revision != directive.revision:
             directive = self.state.directive()
@@ -352,10 +377,10 @@
         if self.raft.is_leader():
             seen_at = self.raft.lease_until() - self.raft.timing.election_min_s
         controls = {name: a.bus for name, a in self.raft.log.voters.addresses.items()}
-        self.standing = Standing(directive, self.raft.leader, seen_at, controls)
+        self.published = PublishedState(directive, self.raft.leader, seen_at, controls)
 
     def stop(self) -> None:
-        """End the thread and let the folder go."""
+        """Stop the thread, close senders and files, and release the data folder."""
         self.stopping = True
         self.inbox.put(None)
         if self.thread.ident is not None:
@@ -366,17 +391,17 @@
         self.folder.release()
 
 
-def lost_leadership() -> errors.ControlError:
-    """Return the error for a command whose leader lost its place meanwhile."""
+def leadership_lost_error() -> errors.ControlError:
+    """Return the error for a command that was pending when leadership was lost."""
     return errors.ControlError(
         "the leader changed before the command was committed; send it again with the same "
-        "request id to learn what became of it",
+        "request id to learn the outcome",
         kind=errors.ErrorKind.OUTCOME_UNKNOWN,
     )
 
 
 def log_applied(name: str, command: commands.Command, answer: commands.Answer, index: int) -> None:
-    """Log commands that operators care for; claims are too many."""
+    """Log an applied command; the frequent commands about claims are omitted."""
     if name in ("claim", "complete", "expire"):
         return
     logs.event(
--- a/src/merlinthread/roles/operators_api.py
+++ b/src/merlinthread/roles/operators_api.py
@@ -1,4 +1,4 @@
-"""The operators' HTTP calls on a control VM: propose, sign, roll, roll back, and reading."""
+"""The HTTP API of control VMs for operators."""
 
 import typing
 from typing import Any
@@ -15,20 +15,20 @@
 
 
 class OperatorsApi:
-    """Turns operators' calls into commands for the log."""
+    """Handlers of the operators' HTTP API."""
 
     def __init__(self, role: "control.ControlRole") -> None:
         self.role = role
 
     def propose(self, request: http_server.Request) -> http_server.Response:
-        """Put a bundle forward."""
-        call = read_body(request, operator_calls.ProposeRequest)
+        """Propose a bundle."""
+        call = decode_body(request, operator_calls.ProposeRequest)
         bundle = bundle_file.from_data(call.bundle, "bundle")
         return self.commit(commands.Propose(call.request_id, call.operator, self.now(), bundle))
 
     def sign(self, request: http_server.Request) -> http_server.Response:
-        """Add a signature, if it is an operator's and valid."""
-        call = read_body(request, operator_calls.SignRequest)
+        """Add an operator's signature to a bundle; raise BundleError if it is not valid."""
+        call = decode_body(request, operator_calls.SignRequest)
         known = {operator.name: operator.public_key for operator in self.role.config.operators}
         if call.operator not in known:
             raise errors.BundleError(
@@ -38,7 +38,7 @@
             )
         if not signatures.is_valid(known[call.operator], call.signature, call.version, call.digest):
             raise errors.BundleError(
-                f"signature: it is not {call.operator!r}'s over version {call.version} with digest "
+                f"signature: it is not {call.operator!r}'s for version {call.version} with digest "
                 f"{call.digest}; sign again with the right key",
                 kind=errors.ErrorKind.BAD_SIGNATURE,
                 field="signature",
@@ -55,8 +55,8 @@
         )
 
     def roll(self, request: http_server.Request) -> http_server.Response:
-        """Put a version in force."""
-        call = read_body(request, operator_calls.RollRequest)
+        """Roll out a signed version, or roll back to an earlier one."""
+        call = decode_body(request, operator_calls.RollRequest)
         return self.commit(
             commands.Roll(
                 call.request_id,
@@ -69,30 +69,30 @@
         )
 
     def resume(self, request: http_server.Request) -> http_server.Response:
-        """Let a paused roll go on."""
-        call = read_body(request, operator_calls.ResumeRequest)
+        """Resume a paused roll."""
+        call = decode_body(request, operator_calls.ResumeRequest)
         return self.commit(commands.Pause(call.generation, ""))
 
     def show(self, request: http_server.Request) -> http_server.Response:
-        """Return one bundle whole."""
+        """Return one bundle with its full content."""
         version = int(request.subpath) if request.subpath.isdigit() else -1
         return http_server.json_response(
-            self.role.ask(lambda task: show_bundle(task.state, version, self.role))
+            self.role.read(lambda task: show_bundle(task.state, version, self.role))
         )
 
     def history(self, request: http_server.Request) -> http_server.Response:
-        """Return all bundles and rolls."""
+        """Return all bundles and the most recent rolls."""
         return http_server.json_response(
-            self.role.ask(lambda task: history_of(task.state, self.role))
+            self.role.read(lambda task: make_history(task.state, self.role))
         )
 
     def status(self, request: http_server.Request) -> http_server.Response:
-        """Return what is in force and who enforces it."""
-        return http_server.json_response(self.role.ask(self.status_of))
+        """Return the state of the deployment."""
+        return http_server.json_response(self.role.read(self.make_status))
 
-    def status_of(self, task: Any) -> operator_calls.Status:
-        """Return the status; runs in the log task."""
-        now = self.role.parts.clock()
+    def make_status(self, task: Any) -> operator_calls.Status:
+        """Build the status; called in the thread of the log task."""
+        now = self.role.context.clock()
         state = task.state
         raft = task.raft
         members = []
@@ -117,29 +117,32 @@
             record.digest if record else "",
             state.paused,
             members,
-            [agent_status(state, directive, report) for report in task.incoming.live(now)],
+            [
+                make_agent_status(state, directive, report)
+                for report in task.report_receiver.live(now)
+            ],
             task.journal.size_bytes(),
         )
 
     def commit(self, command: commands.Command) -> http_server.Response:
-        """Commit a command; a refusal that the state machine decided becomes an error answer."""
+        """Commit a command and return its result, or the error that the state machine returned."""
         answer = self.role.submit(command)
         if answer.error:
             error = errors.ControlError(answer.message, kind=errors.ErrorKind(answer.error))
             return http_server.error_response(error, answer.digest)
-        return http_server.json_response(to_result(answer))
+        return http_server.json_response(make_result(answer))
 
     def now(self) -> float:
-        """Return the wall clock, for records that operators read."""
-        return self.role.parts.wall_clock()
+        """Return the seconds since the epoch, for stored records."""
+        return self.role.context.wall_clock()
 
 
-def agent_status(
+def make_agent_status(
     state: control_state.ControlState,
     directive: control_state.Directive,
     report: agents.AgentReport,
 ) -> operator_calls.AgentStatus:
-    """Return what operators see of one target VM."""
+    """Return the status of a target VM."""
     wanted = switch.wanted_models(directive, report.name)
     placed = state.placement.get(report.name)
     is_done = report.kind == bundles.SERVICE or report.serving == {
@@ -159,41 +162,41 @@
     )
 
 
-def to_result(answer: commands.Answer) -> operator_calls.CommandResult:
-    """Return what operators see of an answer."""
+def make_result(answer: commands.Answer) -> operator_calls.CommandResult:
+    """Return the response body for the result of a command."""
     return operator_calls.CommandResult(
         answer.status, answer.version, answer.digest, answer.generation, answer.message
     )
 
 
-def read_body(request: http_server.Request, kind: Any) -> Any:
-    """Return the JSON body as `kind`; raise RequestError naming what is wrong."""
+def decode_body(request: http_server.Request, kind: Any) -> Any:
+    """Decode the JSON body as `kind`; raise RequestError with the reason if it is invalid."""
     try:
         return msgspec.json.decode(request.body, type=kind)
     except (msgspec.DecodeError, RecursionError) as error:
-        raise errors.RequestError(f"the body is refused: {error}")
+        raise errors.RequestError(f"invalid request body: {error}")
 
 
 def show_bundle(
     state: control_state.ControlState, version: int, role: "control.ControlRole"
 ) -> operator_calls.BundleDetails:
-    """Return one bundle with its state; raise ControlError if there is none."""
+    """Return a bundle with its content; raise ControlError if the version is unknown."""
     record = state.records.get(version)
     if record is None:
         raise errors.ControlError(
             f"no bundle has version {version}", kind=errors.ErrorKind.UNKNOWN_VERSION
         )
     return operator_calls.BundleDetails(
-        line_of(state, record, role), msgspec.to_builtins(record.bundle)
+        summarize_bundle(state, record, role), msgspec.to_builtins(record.bundle)
     )
 
 
-def line_of(
+def summarize_bundle(
     state: control_state.ControlState,
     record: control_state.BundleRecord,
     role: "control.ControlRole",
 ) -> operator_calls.BundleSummary:
-    """Return a bundle's line in the history."""
+    """Return a bundle's entry in the history."""
     bundle: bundles.Bundle = record.bundle
     return operator_calls.BundleSummary(
         bundle.version,
@@ -206,11 +209,11 @@
     )
 
 
-def history_of(
+def make_history(
     state: control_state.ControlState, role: "control.ControlRole"
 ) -> operator_calls.History:
-    """Return all bundles, newest first, and the last rolls."""
-    lines = [line_of(state, record, role) for record in state.records.values()]
+    """Return all bundles and the last 100 rolls, newest first."""
+    lines = [summarize_bundle(state, record, role) for record in state.records.values()]
     lines.sort(key=lambda line: -line.version)
     rolls = [
         operator_calls.RollSummary(r.generation, r.version, r.operator, r.at, r.is_back)
@@ -219,8 +222,8 @@
     return operator_calls.History(lines, rolls)
 
 
-def add(routes: http_server.Routes, role: "control.ControlRole") -> None:
-    """Add the operators' calls to the listener."""
+def add_routes(routes: http_server.Routes, role: "control.ControlRole") -> None:
+    """Add the routes of the operators' API."""
     api = OperatorsApi(role)
     routes.add("POST", "/v1/bundles", api.propose)
     routes.add("POST", "/v1/signatures", api.sign)
--- a/src/merlinthread/roles/request_path.py
+++ b/src/merlinthread/roles/request_handler.py
@@ -1,4 +1,4 @@
-"""A caller's request at an entry: checks, routing, attempts, and the answer."""
+"""Client requests at an entry: admission, routing and attempts."""
 
 import dataclasses
 import random
@@ -18,8 +18,12 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Call:
-    """One caller's request on its way; `deadline` is on this entry's clock."""
+class AdmittedRequest:
+    """An admitted request.
+
+    `deadline` and `arrived_at` are on this entry's monotonic clock; `tried` holds the names of the
+    targets that failed.
+    """
 
     request_id: str
     account: str
@@ -29,122 +33,124 @@
     tried: set[str] = dataclasses.field(default_factory=set)
 
 
-class Outstanding:
-    """How many requests this entry has at each target right now."""
+class InFlightByTarget:
+    """The number of this entry's requests in flight at each target."""
 
     def __init__(self) -> None:
         self.lock = threading.Lock()
         self.counts: dict[str, int] = {}
 
     def add(self, agent: str, change: int) -> None:
-        """Count one more or one less."""
+        """Add `change` to the count of `agent`."""
         with self.lock:
             self.counts[agent] = self.counts.get(agent, 0) + change
 
     def get(self, agent: str) -> int:
-        """Return the count for `agent`."""
+        """Return the count of `agent`."""
         return self.counts.get(agent, 0)
 
 
-class RequestPath:
-    """Handles callers' requests; every request has a thread of its own."""
+class RequestHandler:
+    """Handles client requests; called in the threads of the HTTP server."""
 
     def __init__(
         self,
-        parts: base.Parts,
+        context: base.RoleContext,
         config: settings_.Entry,
-        zone: "entry.ZoneTask",
+        zone: "entry.ZoneState",
         submitter: "entry.Submitter",
     ) -> None:
-        self.parts = parts
+        self.context = context
         self.config = config
         self.zone = zone
         self.submitter = submitter
-        self.settler = service_call.Settler(parts, submitter)
+        self.outcome_retrier = service_call.OutcomeRetrier(context, submitter)
         self.client = http_client.Client()
-        self.outstanding = Outstanding()
+        self.in_flight_by_target = InFlightByTarget()
         self.policy = routing.POLICIES.get(config.policy)
-        self.place = routing.Location(parts.settings.availability_zone, parts.settings.region)
+        self.location = routing.Location(
+            context.settings.availability_zone, context.settings.region
+        )
         self.rng = random.Random()
 
     def add_routes(self, routes: http_server.Routes) -> None:
-        """Add the callers' paths to the listener."""
+        """Add the routes of the clients' API."""
         routes.add("POST", "/v1/completions", self.on_completion)
         for method in ("GET", "POST"):
             routes.add(method, "/v1/services/", self.on_service)
 
-    # What every request goes through
+    # Common to all requests
 
-    def admit(self, request: http_server.Request) -> Call:
-        """Return the request's frame; raise RequestError if account or headers are refused."""
+    def admit(self, request: http_server.Request) -> AdmittedRequest:
+        """Admit a request; raise RequestError if its account or headers are invalid."""
         account = request.headers.get(attempts.ACCOUNT, "")
         bundle = self.bundle()
         group = bundle.group_of(account)
         if group is None:
             raise errors.RequestError(
-                f"header X-Account: {account!r} is in no group of the bundle in force",
+                f"header X-Account: {account!r} is not in any group of the bundle in force",
                 kind=errors.ErrorKind.UNKNOWN_ACCOUNT,
                 field="X-Account",
             )
-        now = self.parts.clock()
-        return Call(
+        now = self.context.clock()
+        return AdmittedRequest(
             request.headers.get(attempts.REQUEST_ID) or uuid.uuid4().hex,
             account,
             group,
-            now + self.deadline_s(request),
+            now + self.timeout_s(request),
             now,
         )
 
-    def deadline_s(self, request: http_server.Request) -> float:
-        """Return how long the caller waits, in seconds."""
+    def timeout_s(self, request: http_server.Request) -> float:
+        """Return the request's timeout from its X-Deadline-Ms header, or the default."""
         text = request.headers.get(attempts.DEADLINE_MS)
         if text is None:
             return self.config.default_deadline_s
         if not text.isdigit() or not 0 < int(text) <= 86_400_000:
             raise errors.RequestError(
-                f"header X-Deadline-Ms: {text!r} is no number of milliseconds from 1 to 86400000",
+                f"header X-Deadline-Ms: {text!r} is not an integer from 1 to 86400000 (ms)",
                 field="X-Deadline-Ms",
             )
         return int(text) / 1000
 
     def bundle(self) -> bundles.Bundle:
         """Return the bundle in force; raise RequestError if none is known yet."""
-        bundle = self.zone.known.directive.bundle
+        bundle = self.zone.snapshot.directive.bundle
         if bundle is None:
             raise errors.RequestError(
-                "this entry knows no bundle in force yet", kind=errors.ErrorKind.NOT_RUN
+                "this entry has not received a bundle yet", kind=errors.ErrorKind.NOT_RUN
             )
         return bundle
 
     def choose(
         self,
         request_id: str,
-        wanted: routing.Requirements,
+        requirements: routing.Requirements,
         tried: frozenset[str],
         is_local: bool = False,
     ) -> agents.AgentReport:
-        """Choose a target and log why; raise RequestError (no_target) if there is none.
+        """Choose a target and log the reason; raise RequestError (no_target) if there is none.
 
-        Entries of other places count as targets for what they reach, unless `is_local`.
+        Other entries are candidates too, for the targets that they can reach, unless `is_local`.
         """
-        known = self.zone.known
-        wanted = dataclasses.replace(wanted, excluded=known.leaving | tried)
-        reports = list(known.live)
+        snapshot = self.zone.snapshot
+        requirements = dataclasses.replace(requirements, excluded=snapshot.leaving | tried)
+        reports = list(snapshot.live)
         if not is_local:
-            reports += self.others_as_targets(known.others, wanted)
+            reports += self.entries_as_targets(snapshot.others, requirements)
         candidates = [
-            routing.Candidate(report, self.outstanding.get(report.name))
+            routing.Candidate(report, self.in_flight_by_target.get(report.name))
             for report in reports
-            if routing.can_serve(report, wanted)
+            if routing.can_serve(report, requirements)
         ]
         if not candidates:
             raise errors.RequestError(
-                f"no live target serves {wanted.name!r}"
-                + (f" with adapter {wanted.adapter!r}" if wanted.adapter else "")
-                + (f" besides the {len(tried)} tried" if tried else ""),
+                f"no live target serves {requirements.name!r}"
+                + (f" with adapter {requirements.adapter!r}" if requirements.adapter else "")
+                + (f" besides the {len(tried)} already tried" if tried else ""),
                 kind=errors.ErrorKind.NO_TARGET,
             )
-        choice = self.policy(candidates, wanted, self.place, self.rng)
+        choice = self.policy(candidates, requirements, self.location, self.rng)
         logs.event(
             "routed",
             request_id=request_id,
@@ -156,27 +162,28 @@
         )
         return choice.report
 
-    def others_as_targets(
-        self, others: list[summaries.Summary], wanted: routing.Requirements
+    def entries_as_targets(
+        self, others: list[summaries.Summary], requirements: routing.Requirements
     ) -> list[agents.AgentReport]:
-        """Return the other entries that reach a target for the request."""
-        found = [
-            summaries.as_target(other, wanted.kind, wanted.name, wanted.adapter) for other in others
+        """Return reports for the entries that reach a suitable target."""
+        reports = [
+            summaries.as_target(other, requirements.kind, requirements.name, requirements.adapter)
+            for other in others
         ]
-        return [report for report in found if report is not None]
+        return [report for report in reports if report is not None]
 
-    def left_s(self, call: Call) -> float:
-        """Return how long the caller still waits; raise RequestError (not_run) if it is over."""
-        left = call.deadline - self.parts.clock()
-        if left <= 0:
+    def remaining_s(self, admitted: AdmittedRequest) -> float:
+        """Return the time until the deadline; raise RequestError (not_run) if it has passed."""
+        remaining = admitted.deadline - self.context.clock()
+        if remaining <= 0:
             raise errors.RequestError(
-                "the deadline passed before a target ran it", kind=errors.ErrorKind.NOT_RUN
+                "the deadline passed before a target ran the request", kind=errors.ErrorKind.NOT_RUN
             )
-        return left
+        return remaining
 
     def send(
         self,
-        call: Call,
+        admitted: AdmittedRequest,
         report: agents.AgentReport,
         method: str,
         path: str,
@@ -184,16 +191,16 @@
         digest: str = "",
         service: str = "",
     ) -> http_client.StreamingResponse:
-        """Send one attempt to a target's agent and return its answer's beginning.
+        """Send an attempt to a target's agent and return the response stream.
 
-        Raises NotSentError and the agent's own refusals.
+        Raises NotSentError, and errors that the agent returned.
         """
         attempt = attempts.Attempt(
             uuid.uuid4().hex,
             report.incarnation,
-            call.account,
-            call.group.priority,
-            int(self.left_s(call) * 1000),
+            admitted.account,
+            admitted.group.priority,
+            int(self.remaining_s(admitted) * 1000),
             digest,
             service,
         )
@@ -207,26 +214,26 @@
         body: bytes,
         attempt: attempts.Attempt,
     ) -> http_client.StreamingResponse:
-        """Send an attempt and return its answer's beginning; see `send`."""
+        """Send an existing attempt; see `send`."""
         headers = attempt.headers()
-        headers.update(attempts.authentication_headers(self.parts.codec, attempt, path, body))
-        left = max(0.001, attempt.deadline_ms / 1000)
-        stream = self.client.open(method, report.http + path, body, headers, left)
+        headers.update(attempts.authentication_headers(self.context.codec, attempt, path, body))
+        remaining = max(0.001, attempt.deadline_ms / 1000)
+        stream = self.client.open(method, report.http + path, body, headers, remaining)
         if stream.status >= 400 and attempts.ATTEMPT not in stream.headers:
             data = stream.read(self.config.answer_bytes_max)
             stream.release()
             raise error_responses.parse_error(data, stream.status)
         return stream
 
-    # Generation
+    # Completions
 
     def on_completion(self, request: http_server.Request) -> http_server.Response:
-        """Answer a completion request, streamed or whole."""
-        self.parts.in_flight.enter()
+        """Handle a completion request."""
+        self.context.in_flight.enter()
         try:
             answer = completion.Completion(self, request).run()
         except BaseException as error:
-            self.parts.in_flight.leave()
+            self.context.in_flight.leave()
             kind = error.kind if isinstance(error, errors.MerlinthreadError) else "internal"
             metrics.requests_total.labels("generate", str(kind)).inc()
             raise
@@ -235,8 +242,8 @@
     # Services
 
     def on_service(self, request: http_server.Request) -> http_server.Response:
-        """Answer a call of a plain service."""
-        self.parts.in_flight.enter()
+        """Handle a call of a plain service."""
+        self.context.in_flight.enter()
         outcome = "internal"
         try:
             response = service_call.ServiceCall(self, request).run()
@@ -246,5 +253,5 @@
             outcome = str(error.kind)
             raise
         finally:
-            self.parts.in_flight.leave()
+            self.context.in_flight.leave()
             metrics.requests_total.labels("service", outcome).inc()
--- a/src/merlinthread/roles/service_call.py
+++ b/src/merlinthread/roles/service_call.py
@@ -1,4 +1,4 @@
-"""One call of a plain service at an entry; one that must not be repeated is claimed first."""
+"""Calls of plain services at an entry, at most once for those that are not repeatable."""
 
 import collections
 import threading
@@ -15,14 +15,14 @@
 from merlinthread.transport import http_client, http_server
 
 if typing.TYPE_CHECKING:
-    from merlinthread.roles import entry, request_path
+    from merlinthread.roles import entry, request_handler
 
-CLAIM_WAIT_S = 2.0
-RUNNING_POLL_S = 0.05
-ANSWER_KEPT_BYTES = 65536
-KEY_AHEAD_MAX_S = 300.0
-UNSETTLED_MAX = 10_000
-SURELY_NOT_RUN = (
+SUBMIT_TIMEOUT_S = 2.0
+CLAIM_POLL_S = 0.05
+STORED_RESPONSE_BYTES_MAX = 65536
+KEY_CLOCK_SKEW_MAX_S = 300.0
+PENDING_OUTCOMES_MAX = 10_000
+NOT_RUN_KINDS = (
     errors.ErrorKind.NOT_RUN,
     errors.ErrorKind.LEAVING,
     errors.ErrorKind.OVERLOADED,
@@ -30,82 +30,92 @@
 )
 
 
-class Settler:
-    """Brings the outcomes of claimed calls to the leader that could not be brought at once."""
+class OutcomeRetrier:
+    """A queue of outcomes of claimed calls that the leader has not confirmed yet.
 
-    def __init__(self, parts: base.Parts, submitter: "entry.Submitter") -> None:
-        self.parts = parts
+    Drops the oldest outcome if more than `PENDING_OUTCOMES_MAX` are pending.
+    """
+
+    def __init__(self, context: base.RoleContext, submitter: "entry.Submitter") -> None:
+        self.context = context
         self.submitter = submitter
         self.lock = threading.Lock()
-        self.waiting: collections.deque[commands.Complete] = collections.deque(maxlen=UNSETTLED_MAX)
+        self.pending: collections.deque[commands.Complete] = collections.deque(
+            maxlen=PENDING_OUTCOMES_MAX
+        )
 
     def add(self, complete: commands.Complete) -> None:
-        """Put an outcome in line."""
+        """Queue an outcome."""
         with self.lock:
-            self.waiting.append(complete)
+            self.pending.append(complete)
 
-    def work(self) -> None:
-        """Bring what waits, oldest first, until the leader can't be reached."""
+    def retry_pending(self) -> None:
+        """Submit the pending outcomes, oldest first, until one fails."""
         while True:
             with self.lock:
-                if not self.waiting:
+                if not self.pending:
                     return
-                complete = self.waiting[0]
+                complete = self.pending[0]
             try:
-                self.submitter.submit(complete, self.parts.clock() + CLAIM_WAIT_S)
+                self.submitter.submit(complete, self.context.clock() + SUBMIT_TIMEOUT_S)
             except errors.MerlinthreadError as error:
                 logs.debug("claim_not_settled", key=complete.key, reason=error.message)
                 return
             with self.lock:
-                if self.waiting and self.waiting[0] is complete:
-                    self.waiting.popleft()
+                if self.pending and self.pending[0] is complete:
+                    self.pending.popleft()
 
 
 class ServiceCall:
-    """One call of a plain service; one that may not be repeated is claimed first."""
+    """One call of a plain service; a call that may not be repeated is claimed first."""
 
-    def __init__(self, path: "request_path.RequestPath", request: http_server.Request) -> None:
-        self.path = path
+    def __init__(
+        self, handler: "request_handler.RequestHandler", request: http_server.Request
+    ) -> None:
+        self.handler = handler
         self.request = request
-        self.call = path.admit(request)
+        self.admitted = handler.admit(request)
         name, _, rest = request.subpath.partition("/")
         self.service_path = "/" + rest
-        service = path.bundle().service(name)
+        service = handler.bundle().service(name)
         if service is None:
             raise errors.RequestError(
                 f"service {name!r} is not in the bundle in force",
                 kind=errors.ErrorKind.UNKNOWN_MODEL,
             )
-        self.wanted = routing.Requirements(bundles.SERVICE, name)
+        self.requirements = routing.Requirements(bundles.SERVICE, name)
         self.may_repeat = request.method == "GET" or self.service_path in service.repeatable
 
     def run(self) -> http_server.Response:
-        """Run the call and return the service's answer."""
+        """Run the call and return the service's response."""
         if self.may_repeat:
             return self.to_response(self.try_targets())
-        return self.run_once()
+        return self.run_claimed()
 
     def try_targets(self) -> http_client.Response:
-        """Try targets until one answers; one that may not be repeated goes on only if not run."""
+        """Try targets until one responds.
+
+        A call that may not be repeated is retried only if the failed target did not run it.
+        """
         failure: errors.MerlinthreadError | None = None
-        for _ in range(self.path.config.attempts_max):
+        for _ in range(self.handler.config.attempts_max):
             try:
-                report = self.path.choose(
-                    self.call.request_id, self.wanted, frozenset(self.call.tried)
+                report = self.handler.choose(
+                    self.admitted.request_id, self.requirements, frozenset(self.admitted.tried)
                 )
             except errors.MerlinthreadError as error:
                 raise failure or error
             try:
-                return self.try_at(report)
+                return self.send_to_target(report)
             except errors.MerlinthreadError as error:
-                self.call.tried.add(report.name)
+                self.admitted.tried.add(report.name)
                 metrics.attempts_total.labels(str(error.kind)).inc()
                 is_not_run = (
-                    isinstance(error, http_client.NotSentError) or error.kind in SURELY_NOT_RUN
+                    isinstance(error, http_client.NotSentError) or error.kind in NOT_RUN_KINDS
                 )
                 logs.event(
                     "attempt_failed",
-                    request_id=self.call.request_id,
+                    request_id=self.admitted.request_id,
                     target=report.name,
                     kind=str(error.kind),
                     reason=error.message,
@@ -113,7 +123,7 @@
                 )
                 if is_not_run:
                     failure = errors.RequestError(
-                        f"no target ran it; the last one said: {error.message}",
+                        f"no target ran the call; the last error was: {error.message}",
                         kind=errors.ErrorKind.NOT_RUN,
                         retry_after_s=error.retry_after_s,
                     )
@@ -121,63 +131,70 @@
                     failure = error
                 else:
                     raise errors.RequestError(
-                        f"the target may have run it: {error.message}",
+                        f"the target may have run the call: {error.message}",
                         kind=errors.ErrorKind.OUTCOME_UNKNOWN,
                     )
         assert failure is not None
         raise failure
 
-    def try_at(self, report: agents.AgentReport) -> http_client.Response:
-        """Send the call to one target and return its whole answer."""
-        self.path.outstanding.add(report.name, 1)
+    def send_to_target(self, report: agents.AgentReport) -> http_client.Response:
+        """Send the call to one target and return the complete response."""
+        self.handler.in_flight_by_target.add(report.name, 1)
         try:
-            stream = self.path.send(
-                self.call,
+            stream = self.handler.send(
+                self.admitted,
                 report,
                 self.request.method,
                 "/target" + self.service_path,
                 self.request.body,
-                service=self.wanted.name,
+                service=self.requirements.name,
             )
-            data = stream.read(self.path.config.answer_bytes_max)
+            data = stream.read(self.handler.config.answer_bytes_max)
             stream.release()
             return http_client.Response(stream.status, stream.headers, data)
         finally:
-            self.path.outstanding.add(report.name, -1)
+            self.handler.in_flight_by_target.add(report.name, -1)
 
     def to_response(self, reply: http_client.Response) -> http_server.Response:
-        """Return the service's answer as ours."""
+        """Return the response to the client."""
         kind = reply.headers.get("content-type", "application/json")
         return http_server.Response(
-            reply.status, reply.body, {"X-Request-Id": self.call.request_id}, kind
+            reply.status, reply.body, {"X-Request-Id": self.admitted.request_id}, kind
         )
 
     # At most once
 
-    def run_once(self) -> http_server.Response:
-        """Claim the key, run the call once, keep the answer for whoever asks again."""
-        key, issued_at = self.read_key()
+    def run_claimed(self) -> http_server.Response:
+        """Claim the key, run the call, and store the response for repetitions.
+
+        A response over `STORED_RESPONSE_BYTES_MAX` is not stored; repetitions fail with
+        outcome_unknown.
+        """
+        key, issued_at = self.parse_idempotency_key()
         attempt = uuid.uuid4().hex
         digest = blake3.blake3(self.service_path.encode() + b"\n" + self.request.body).hexdigest()
         claim = commands.Claim(key, digest, attempt, issued_at)
-        granted = self.claim(claim)
+        granted = self.acquire_claim(claim)
         if granted.status == "done":
-            return self.replay(granted)
+            return self.replay_response(granted)
         complete = commands.Complete(key, attempt, 0, b"")
         try:
             reply = self.try_targets()
         except errors.MerlinthreadError as error:
-            self.settle_failure(complete, error)
+            self.record_failure(complete, error)
             raise
         complete.status = reply.status
-        complete.body = reply.body if len(reply.body) <= ANSWER_KEPT_BYTES else b""
+        complete.body = reply.body if len(reply.body) <= STORED_RESPONSE_BYTES_MAX else b""
         if complete.body != reply.body:
             complete.status = error_responses.RESPONSES[errors.ErrorKind.OUTCOME_UNKNOWN].status
-        self.settle(complete)
+        self.record_outcome(complete)
         return self.to_response(reply)
 
-    def read_key(self) -> tuple[str, float]:
-        """Return the idempotency key and its time; raise RequestError without a good one."""
+    def parse_idempotency_key(self) -> tuple[str, float]:
+        """Return the account and key as one string, and the time in the key.
+
+        Raises RequestError if the key is missing, no UUIDv7, or too far in the future.
+        """
         text = self.request.headers.get(attempts.IDEMPOTENCY_KEY, "")
         try:
             key = uuid.UUID(text)
@@ -185,25 +202,25 @@
             key = uuid.UUID(int=0)
         if key.version != 7:
             raise errors.RequestError(
-                f"header Idempotency-Key: {text!r} is no UUIDv7 (RFC 9562); a call that must not "
-                "be repeated needs one of its own, kept for every repetition",
+                f"header Idempotency-Key: {text!r} is not a UUIDv7 (RFC 9562); a call that must "
+                "not be repeated needs a key of its own; send the same key with each repetition",
                 kind=errors.ErrorKind.KEY_REQUIRED,
                 field="Idempotency-Key",
             )
         issued_at = (key.int >> 80) / 1000
-        if issued_at > self.path.parts.wall_clock() + KEY_AHEAD_MAX_S:
+        if issued_at > self.handler.context.wall_clock() + KEY_CLOCK_SKEW_MAX_S:
             raise errors.RequestError(
-                f"header Idempotency-Key: {text!r} is from the future; correct the caller's clock",
+                f"header Idempotency-Key: {text!r} is from the future; correct the client's clock",
                 kind=errors.ErrorKind.KEY_REQUIRED,
                 field="Idempotency-Key",
             )
-        return f"{self.call.account} {key}", issued_at
+        return f"{self.admitted.account} {key}", issued_at
 
-    def claim(self, claim: commands.Claim) -> commands.Answer:
-        """Return "granted" or "done"; wait while another attempt runs.
+    def acquire_claim(self, claim: commands.Claim) -> commands.Answer:
+        """Return the result with status "granted" or "done"; wait while another attempt runs.
 
-        Raises RequestError: not_run if no majority took the claim, outcome_unknown if another
-        attempt has not finished before the deadline.
+        Raises RequestError: not_run if the claim was not committed, outcome_unknown if another
+        attempt has not finished before the deadline, and errors of the state machine.
         """
         while True:
             answer = self.submit_claim(claim)
@@ -212,57 +229,59 @@
             if answer.status in ("granted", "done"):
                 logs.event(
                     "claim_decided",
-                    request_id=self.call.request_id,
+                    request_id=self.admitted.request_id,
                     key=claim.key,
                     status=answer.status,
                 )
                 return answer
-            if self.path.parts.clock() + RUNNING_POLL_S >= self.call.deadline:
+            if self.handler.context.clock() + CLAIM_POLL_S >= self.admitted.deadline:
                 raise errors.RequestError(
-                    "another call with this key runs or was cut off; its outcome is not known",
+                    "another call with this key is running or was interrupted; its outcome is not "
+                    "known",
                     kind=errors.ErrorKind.OUTCOME_UNKNOWN,
                 )
-            time.sleep(RUNNING_POLL_S)
+            time.sleep(CLAIM_POLL_S)
 
     def submit_claim(self, claim: commands.Claim) -> commands.Answer:
-        """Bring the claim to the leader.
+        """Submit the claim to the leader.
 
-        If that may have failed the call was surely not run, and the key is freed in the background.
+        If that fails, even with an unknown outcome, the call is not run; the key is released in the
+        background.
         """
-        deadline = min(self.call.deadline, self.path.parts.clock() + CLAIM_WAIT_S)
+        deadline = min(self.admitted.deadline, self.handler.context.clock() + SUBMIT_TIMEOUT_S)
         try:
-            return self.path.submitter.submit(claim, deadline)
+            return self.handler.submitter.submit(claim, deadline)
         except errors.MerlinthreadError as error:
-            freed = commands.Complete(claim.key, claim.attempt, 0, b"", not_run=True)
-            self.path.settler.add(freed)
+            release = commands.Complete(claim.key, claim.attempt, 0, b"", not_run=True)
+            self.handler.outcome_retrier.add(release)
             raise errors.RequestError(
                 f"the call was not run, since its key could not be claimed: {error.message}",
                 kind=errors.ErrorKind.NOT_RUN,
                 retry_after_s=2.0,
             )
 
-    def replay(self, kept: commands.Answer) -> http_server.Response:
-        """Return the first call's answer."""
-        if kept.http_status >= 500 and not kept.body:
+    def replay_response(self, stored: commands.Answer) -> http_server.Response:
+        """Return the stored response; raise RequestError (outcome_unknown) if there is none."""
+        if stored.http_status >= 500 and not stored.body:
             raise errors.RequestError(
-                "an earlier call with this key may have run; its answer is not known",
+                "an earlier call with this key may have run; its response is unknown",
                 kind=errors.ErrorKind.OUTCOME_UNKNOWN,
             )
-        headers = {"X-Request-Id": self.call.request_id, "X-Replayed": "true"}
-        return http_server.Response(kept.http_status, kept.body, headers)
+        headers = {"X-Request-Id": self.admitted.request_id, "X-Replayed": "true"}
+        return http_server.Response(stored.http_status, stored.body, headers)
 
-    def settle_failure(self, complete: commands.Complete, error: errors.MerlinthreadError) -> None:
-        """Free the key if nothing ran; otherwise keep that the outcome is unknown."""
-        if error.kind in SURELY_NOT_RUN:
+    def record_failure(self, complete: commands.Complete, error: errors.MerlinthreadError) -> None:
+        """Release the key if the call was not run, otherwise record that its outcome is unknown."""
+        if error.kind in NOT_RUN_KINDS:
             complete.not_run = True
         else:
             complete.status = error_responses.RESPONSES[errors.ErrorKind.OUTCOME_UNKNOWN].status
-        self.settle(complete)
+        self.record_outcome(complete)
 
-    def settle(self, complete: commands.Complete) -> None:
-        """Bring what became of the call to the leader, now or as soon as one is reached."""
+    def record_outcome(self, complete: commands.Complete) -> None:
+        """Submit the outcome of the call to the leader; queue it for retries if that fails."""
         try:
-            self.path.submitter.submit(complete, self.path.parts.clock() + CLAIM_WAIT_S)
+            self.handler.submitter.submit(complete, self.handler.context.clock() + SUBMIT_TIMEOUT_S)
         except errors.MerlinthreadError as error:
             logs.warning("claim_not_settled", key=complete.key, reason=error.message)
-            self.path.settler.add(complete)
+            self.handler.outcome_retrier.add(complete)
--- a/src/merlinthread/roles/target.py
+++ b/src/merlinthread/roles/target.py
@@ -1,4 +1,4 @@
-"""The target beside an agent: requests in fair order, and fenced orders to the engine."""
+"""The target of an agent: fair queueing of requests, and fenced orders to the engine."""
 
 import dataclasses
 import threading
@@ -15,12 +15,12 @@
 
 STATUS_TIMEOUT_S = 2.0
 ORDER_TIMEOUT_S = 600.0
-SPEED_EVERY_S = 1.0
+THROUGHPUT_INTERVAL_S = 1.0
 
 
 @dataclasses.dataclass(slots=True)
-class GenerateCall:
-    """What an agent reads of a completion's body."""
+class CompletionBody:
+    """The fields of a completion request's JSON body that agents use."""
 
     model: str
     prompt: str
@@ -29,104 +29,107 @@
     resume_from: int = 0
 
 
-class Line:
-    """The fair queue with a place to wait in for each request thread."""
+class RequestQueue:
+    """A thread-safe fair queue in which request threads wait for a slot of the target."""
 
     def __init__(self, slots: int, waiting_max: int, clock: base.Clock) -> None:
         self.queue = fair_queue.FairQueue(slots, waiting_max)
         self.clock = clock
         self.lock = threading.Lock()
-        self.turns: dict[str, threading.Event] = {}
-        self.made_tokens = 0.0
-        self.measured_from = clock()
+        self.start_events: dict[str, threading.Event] = {}
+        self.generated_tokens = 0.0
+        self.measured_since = clock()
 
-    def enter(self, ticket: fair_queue.QueuedRequest, deadline: float) -> None:
-        """Wait for the engine.
+    def wait_for_slot(self, queued: fair_queue.QueuedRequest, deadline: float) -> None:
+        """Queue a request and block until it may start.
 
-        Raises RequestError: overloaded if the line is full, not_run if the deadline passes first.
+        `deadline` is on this queue's clock. Raises RequestError: overloaded if the queue is full,
+        not_run if the deadline passes first.
         """
-        turn = threading.Event()
+        started = threading.Event()
         with self.lock:
-            self.queue.add(ticket)
-            self.turns[ticket.id] = turn
-            self.call_next()
-        if turn.wait(max(0.0, deadline - self.clock())):
+            self.queue.add(queued)
+            self.start_events[queued.id] = started
+            self.start_due()
+        if started.wait(max(0.0, deadline - self.clock())):
             return
         with self.lock:
-            was_waiting = self.queue.cancel(ticket.id)
-            self.turns.pop(ticket.id, None)
+            was_waiting = self.queue.cancel(queued.id)
+            self.start_events.pop(queued.id, None)
             estimate = self.queue.wait_estimate_s()
         if was_waiting:
             raise errors.RequestError(
-                "the deadline passed while the request waited in line; it was not run",
+                "the deadline passed while the request was queued; it was not run",
                 kind=errors.ErrorKind.NOT_RUN,
                 retry_after_s=estimate,
             )
 
-    def call_next(self) -> None:
-        """Let those go who are due; the caller holds the lock."""
-        while (ticket := self.queue.start_next()) is not None:
-            self.turns.pop(ticket.id).set()
+    def start_due(self) -> None:
+        """Start requests while slots are free; the caller holds the lock."""
+        while (queued := self.queue.start_next()) is not None:
+            self.start_events.pop(queued.id).set()
         metrics.queue_length.set(self.queue.count_waiting())
 
-    def charge(self, ticket_id: str, tokens: float) -> None:
-        """Charge tokens that a running request used."""
+    def charge(self, attempt_id: str, tokens: float) -> None:
+        """Charge a running request for tokens that it has used."""
         with self.lock:
-            self.queue.charge(ticket_id, tokens)
-            self.note_speed(tokens)
+            self.queue.charge(attempt_id, tokens)
+            self.measure_throughput(tokens)
 
-    def note_speed(self, tokens: float) -> None:
-        """Measure the engine's speed while work waits; the caller holds the lock."""
+    def measure_throughput(self, tokens: float) -> None:
+        """Record the engine's throughput, if requests are queued; the caller holds the lock."""
         now = self.clock()
-        self.made_tokens += tokens
-        if now - self.measured_from < SPEED_EVERY_S:
+        self.generated_tokens += tokens
+        if now - self.measured_since < THROUGHPUT_INTERVAL_S:
             return
         if self.queue.waiting:
-            self.queue.record_throughput(self.made_tokens, now - self.measured_from)
-        self.made_tokens = 0.0
-        self.measured_from = now
+            self.queue.record_throughput(self.generated_tokens, now - self.measured_since)
+        self.generated_tokens = 0.0
+        self.measured_since = now
 
-    def leave(self, ticket_id: str) -> None:
-        """Give the engine to the next."""
+    def finish(self, attempt_id: str) -> None:
+        """Release the slot of a request and start the next ones."""
         with self.lock:
-            self.queue.finish(ticket_id)
-            self.call_next()
+            self.queue.finish(attempt_id)
+            self.start_due()
 
     def set_weights(self, weights: dict[str, float]) -> None:
-        """Set the accounts' weights."""
+        """Set the accounts' weights in the fair queue."""
         with self.lock:
             self.queue.set_weights(weights)
 
 
-def weights_of(bundle: bundles.Bundle) -> dict[str, float]:
-    """Return each account's weight: its group's share, divided among the group's accounts."""
-    found = {}
+def account_weights(bundle: bundles.Bundle) -> dict[str, float]:
+    """Return the weight of each account: its group's share, divided by the group's size."""
+    weights = {}
     for group in bundle.groups:
         for account in group.accounts:
-            found[account] = group.share_percent / len(group.accounts)
-    return found
+            weights[account] = group.share_percent / len(group.accounts)
+    return weights
 
 
 class Target:
-    """One engine or service: what it serves, requests to it, orders to it."""
+    """The client of one engine or plain service, with its state as of the last poll."""
 
-    def __init__(self, parts: base.Parts, config: settings_.Agent, incarnation: int) -> None:
-        self.parts = parts
+    def __init__(
+        self, context: base.RoleContext, config: settings_.Agent, incarnation: int
+    ) -> None:
+        self.context = context
         self.config = config
         self.incarnation = incarnation
         self.client = http_client.Client(connections=config.slots + 4)
-        self.line = Line(config.slots, config.queue_max, parts.clock)
+        self.request_queue = RequestQueue(config.slots, config.queue_max, context.clock)
         self.serving: dict[str, str] = {}
         self.fence = engine_calls.FencingToken()
-        self.is_reached = False
+        self.is_reachable = False
         self.is_leaving = False
 
     # Status
 
-    def refresh(self) -> None:
-        """Ask the target what it serves; what can't be asked counts as serving nothing."""
+    def refresh_status(self) -> None:
+        """Poll the target's status; an unreachable target is taken to serve nothing."""
         if self.config.target_kind == bundles.SERVICE:
-            self.refresh_service()
+            self.refresh_service_status()
             return
         try:
             reply = self.client.request_ok(
@@ -134,41 +137,41 @@
             )
             status = msgspec.json.decode(reply.body, type=engine_calls.EngineStatus)
         except (errors.MerlinthreadError, msgspec.DecodeError) as error:
-            self.note_unreached(str(error))
+            self.mark_unreachable(str(error))
             return
-        self.is_reached = True
+        self.is_reachable = True
         self.serving = status.models
         self.fence = status.fence
         self.is_leaving = status.is_leaving
 
-    def refresh_service(self) -> None:
-        """Ask a plain service whether it is well."""
+    def refresh_service_status(self) -> None:
+        """Poll the health check of a plain service."""
         try:
             self.client.request_ok(
                 "GET", f"{self.config.target_url}/healthz", timeout_s=STATUS_TIMEOUT_S
             )
         except errors.MerlinthreadError as error:
-            self.note_unreached(error.message)
+            self.mark_unreachable(error.message)
             return
-        self.is_reached = True
+        self.is_reachable = True
         self.serving = {self.config.service: ""}
 
-    def note_unreached(self, reason: str) -> None:
-        """Note that the target does not answer."""
-        if self.is_reached:
+    def mark_unreachable(self, reason: str) -> None:
+        """Record that the target is unreachable."""
+        if self.is_reachable:
             logs.warning("target_unreached", reason=reason)
-        self.is_reached = False
+        self.is_reachable = False
         self.serving = {}
 
     # Orders
 
-    def order(self, step: switch.Step, generation: int, layout: object) -> None:
-        """Carry out one step at the engine.
+    def send_order(self, step: switch.Step, generation: int, layout: object) -> None:
+        """Send the engine the order for a step and wait until it is done.
 
-        Raises MerlinthreadError (fenced) if a later agent ordered already, and WeightsError if the
-        engine refuses or reports another digest than was ordered.
+        Raises MerlinthreadError (fenced) if the engine has accepted a newer order, other errors
+        that the engine returns, and WeightsError if its reply is invalid or has another digest.
         """
-        order = self.order_of(step, generation, layout)
+        order = self.make_order(step, generation, layout)
         outcome = "refused"
         try:
             reply = self.client.request_ok(
@@ -181,12 +184,12 @@
             answer = msgspec.json.decode(reply.body, type=engine_calls.OrderReply)
             if answer.digest != order.manifest:
                 raise errors.WeightsError(
-                    f"the engine reports {answer.digest} for {order.name}, ordered was "
+                    f"the engine reports digest {answer.digest} for {order.name}, ordered was "
                     f"{order.manifest}"
                 )
             outcome = "done"
         except msgspec.DecodeError as error:
-            raise errors.WeightsError(f"the engine's answer does not decode: {error}")
+            raise errors.WeightsError(f"the engine's reply can't be decoded: {error}")
         finally:
             metrics.orders_total.labels(order.action, outcome).inc()
             logs.event(
@@ -199,11 +202,11 @@
                 outcome=outcome,
             )
 
-    def order_of(self, step: switch.Step, generation: int, layout: object) -> engine_calls.Order:
-        """Return the order for a step."""
+    def make_order(self, step: switch.Step, generation: int, layout: object) -> engine_calls.Order:
+        """Return the order for a step, with this agent's fencing token."""
         if isinstance(step, switch.Unload):
             return engine_calls.Order(engine_calls.UNLOAD, step.name, generation, self.incarnation)
-        own = self.parts.settings.http
+        own = self.context.settings.http
         return engine_calls.Order(
             engine_calls.LOAD,
             step.item.name,
@@ -218,56 +221,59 @@
 
     # Requests
 
-    def apply_shares(self, directive: control_state.Directive) -> None:
-        """Take over the accounts' weights."""
+    def apply_group_shares(self, directive: control_state.Directive) -> None:
+        """Set the accounts' weights from the shares of their groups."""
         if directive.bundle is not None:
-            self.line.set_weights(weights_of(directive.bundle))
+            self.request_queue.set_weights(account_weights(directive.bundle))
 
-    def admit(self, request: http_server.Request, path: str) -> attempts.Attempt:
-        """Return the attempt; raise RequestError if it is not for this incarnation or not ours."""
+    def verify_attempt(self, request: http_server.Request, path: str) -> attempts.Attempt:
+        """Parse and authenticate an attempt.
+
+        Raises RequestError (not_run) if it is for another incarnation of the agent.
+        """
         attempt = attempts.parse_attempt(request.headers)
-        attempts.verify_tag(self.parts.codec, attempt, path, request.body, request.headers)
+        attempts.verify_tag(self.context.codec, attempt, path, request.body, request.headers)
         if attempt.incarnation != self.incarnation:
             raise errors.RequestError(
-                f"the attempt is for incarnation {attempt.incarnation}, this is {self.incarnation}",
+                f"the attempt is for incarnation {attempt.incarnation}, not {self.incarnation}",
                 kind=errors.ErrorKind.NOT_RUN,
             )
         return attempt
 
     def on_request(self, request: http_server.Request) -> http_server.Response:
-        """Answer one attempt of an entry."""
-        self.parts.in_flight.enter()
+        """Handle an attempt of an entry."""
+        self.context.in_flight.enter()
         try:
             if request.subpath == "v1/completions" and self.config.target_kind == bundles.GENERATE:
                 return self.generate(request)
             return self.call_service(request)
         except BaseException:
-            self.parts.in_flight.leave()
+            self.context.in_flight.leave()
             raise
 
     def generate(self, request: http_server.Request) -> http_server.Response:
-        """Run a completion on the engine and stream its answer."""
-        attempt = self.admit(request, request.path)
-        call = msgspec.json.decode(request.body, type=GenerateCall)
+        """Run a completion on the engine and return the streamed response."""
+        attempt = self.verify_attempt(request, request.path)
+        call = msgspec.json.decode(request.body, type=CompletionBody)
         self.check_digest(call, attempt)
-        deadline = self.parts.clock() + attempt.deadline_ms / 1000
-        ticket = fair_queue.QueuedRequest(
+        deadline = self.context.clock() + attempt.deadline_ms / 1000
+        queued = fair_queue.QueuedRequest(
             attempt.id,
             attempt.account,
             attempt.priority,
             len(call.prompt.split()),
             call.max_tokens,
-            self.parts.clock(),
+            self.context.clock(),
         )
-        self.line.enter(ticket, deadline)
+        self.request_queue.wait_for_slot(queued, deadline)
         try:
-            stream = self.open_engine(request.body, attempt, deadline)
+            stream = self.open_engine_stream(request.body, attempt, deadline)
         except BaseException:
-            self.line.leave(ticket.id)
+            self.request_queue.finish(queued.id)
             raise
         return http_server.Response(
             200,
-            self.relay(stream, ticket),
+            self.relay(stream, queued),
             {
                 attempts.ATTEMPT: attempt.id,
                 attempts.DIGEST: stream.headers.get(attempts.DIGEST, ""),
@@ -275,8 +281,8 @@
             "text/event-stream",
         )
 
-    def check_digest(self, call: GenerateCall, attempt: attempts.Attempt) -> None:
-        """Raise RequestError (not_run) if the weights to go on with are not served here."""
+    def check_digest(self, call: CompletionBody, attempt: attempts.Attempt) -> None:
+        """Raise RequestError (not_run) if the model or the required weights are not served here."""
         served = self.serving.get(call.model)
         if served is None:
             raise errors.RequestError(
@@ -284,15 +290,19 @@
             )
         if attempt.digest and served != attempt.digest:
             raise errors.RequestError(
-                f"weights {attempt.digest} of {call.model!r} are not served here any more",
+                f"weights {attempt.digest} of {call.model!r} are no longer served here",
                 kind=errors.ErrorKind.NOT_RUN,
             )
 
-    def open_engine(
+    def open_engine_stream(
         self, body: bytes, attempt: attempts.Attempt, deadline: float
     ) -> http_client.StreamingResponse:
-        """Send a completion to the engine; raise its refusal, or not_run if it was not reached."""
-        left = max(0.05, deadline - self.parts.clock())
+        """Send a completion to the engine and return the response stream.
+
+        Raises RequestError: not_run if the request was not sent, stream_broken if the response is
+        for another attempt; and errors that the engine returns.
+        """
+        remaining = max(0.05, deadline - self.context.clock())
         headers = {
             "Content-Type": "application/json",
             attempts.ATTEMPT: attempt.id,
@@ -301,11 +311,11 @@
         }
         try:
             stream = self.client.open(
-                "POST", f"{self.config.target_url}/v1/completions", body, headers, left
+                "POST", f"{self.config.target_url}/v1/completions", body, headers, remaining
             )
         except http_client.NotSentError as error:
             raise errors.RequestError(
-                f"the engine was not reached: {error.message}", kind=errors.ErrorKind.NOT_RUN
+                f"the engine could not be reached: {error.message}", kind=errors.ErrorKind.NOT_RUN
             )
         if stream.status >= 400:
             data = stream.read(65536)
@@ -314,36 +324,39 @@
             metrics.late_answers_total.inc()
             stream.close()
             raise errors.RequestError(
-                "the engine answered another request", kind=errors.ErrorKind.STREAM_BROKEN
+                "the engine's response is for another request", kind=errors.ErrorKind.STREAM_BROKEN
             )
         return stream
 
     def relay(
-        self, stream: http_client.StreamingResponse, ticket: fair_queue.QueuedRequest
+        self, stream: http_client.StreamingResponse, queued: fair_queue.QueuedRequest
     ) -> Iterator[bytes]:
-        """Give the engine's events on and charge its tokens."""
-        is_whole = False
+        """Yield the engine's events, and charge the request for each token.
+
+        A stream that does not run to its end is cancelled on the engine.
+        """
+        is_complete = False
         try:
             for event in events.decode(stream.iter_lines()):
                 if event.kind == events.TOKEN:
-                    self.line.charge(ticket.id, 1)
-                is_whole = event.kind in (events.DONE, events.ERROR)
+                    self.request_queue.charge(queued.id, 1)
+                is_complete = event.kind in (events.DONE, events.ERROR)
                 yield events.encode(event.kind, event.data)
-                if is_whole:
+                if is_complete:
                     return
         except errors.MerlinthreadError as error:
-            logs.event("engine_broke_off", attempt=ticket.id, reason=error.message)
+            logs.event("engine_broke_off", attempt=queued.id, reason=error.message)
         finally:
-            if is_whole:
+            if is_complete:
                 stream.release()
             else:
                 stream.close()
-                self.cancel(ticket.id)
-            self.line.leave(ticket.id)
-            self.parts.in_flight.leave()
+                self.cancel_on_engine(queued.id)
+            self.request_queue.finish(queued.id)
+            self.context.in_flight.leave()
 
-    def cancel(self, attempt: str) -> None:
-        """Free the engine's place of a request that nobody waits for any more."""
+    def cancel_on_engine(self, attempt: str) -> None:
+        """Cancel an attempt on the engine to free its slot; errors are logged."""
         try:
             self.client.request(
                 "POST",
@@ -356,26 +369,29 @@
             logs.debug("cancel_failed", attempt=attempt, reason=error.message)
 
     def call_service(self, request: http_server.Request) -> http_server.Response:
-        """Run one call on a plain service and return its whole answer."""
-        attempt = self.admit(request, request.path)
-        deadline = self.parts.clock() + attempt.deadline_ms / 1000
-        ticket = fair_queue.QueuedRequest(
-            attempt.id, attempt.account, attempt.priority, 1, 0, self.parts.clock()
+        """Run a call on a plain service and return the complete response."""
+        attempt = self.verify_attempt(request, request.path)
+        deadline = self.context.clock() + attempt.deadline_ms / 1000
+        queued = fair_queue.QueuedRequest(
+            attempt.id, attempt.account, attempt.priority, 1, 0, self.context.clock()
         )
-        self.line.enter(ticket, deadline)
+        self.request_queue.wait_for_slot(queued, deadline)
         try:
-            reply = self.call_target(request, attempt, deadline)
+            reply = self.send_to_service(request, attempt, deadline)
         finally:
-            self.line.leave(ticket.id)
-            self.parts.in_flight.leave()
+            self.request_queue.finish(queued.id)
+            self.context.in_flight.leave()
         kind = reply.headers.get("content-type", "application/json")
         return http_server.Response(reply.status, reply.body, {attempts.ATTEMPT: attempt.id}, kind)
 
-    def call_target(
+    def send_to_service(
         self, request: http_server.Request, attempt: attempts.Attempt, deadline: float
     ) -> http_client.Response:
-        """Send a call to the service; not_run only if it was not reached."""
-        left = max(0.05, deadline - self.parts.clock())
+        """Send a call to the service.
+
+        Raises RequestError: not_run if the call was not sent, otherwise outcome_unknown.
+        """
+        remaining = max(0.05, deadline - self.context.clock())
         headers = {
             "Content-Type": request.headers.get("content-type", "application/json"),
             attempts.ATTEMPT: attempt.id,
@@ -383,13 +399,13 @@
         }
         url = f"{self.config.target_url}/{request.subpath}"
         try:
-            return self.client.request(request.method, url, request.body, headers, left)
+            return self.client.request(request.method, url, request.body, headers, remaining)
         except http_client.NotSentError as error:
             raise errors.RequestError(
-                f"the service was not reached: {error.message}", kind=errors.ErrorKind.NOT_RUN
+                f"the service could not be reached: {error.message}", kind=errors.ErrorKind.NOT_RUN
             )
         except errors.UnreachableError as error:
             raise errors.RequestError(
-                f"the service may have run it: {error.message}",
+                f"the service may have run the call: {error.message}",
                 kind=errors.ErrorKind.OUTCOME_UNKNOWN,
             )
--- a/src/merlinthread/roles/weights.py
+++ b/src/merlinthread/roles/weights.py
@@ -1,4 +1,4 @@
-"""The weights on a target VM: fetch them, keep them, give them to other agents and the engine."""
+"""Downloads of weights from peers and the origin into a local chunk store."""
 
 import dataclasses
 import random
@@ -14,60 +14,64 @@
 from merlinthread.state import chunks, manifests
 from merlinthread.transport import bus, http_client
 
-# Importing a module of policies files them in the registry.
+# Importing these modules registers their policies.
 BUILT_IN_POLICIES = (fetch_baselines, fetch_policies)
-IDLE_WAIT_S = 0.1
+IDLE_POLL_S = 0.1
 MANIFEST_RETRY_S = 0.5
 PEER_TIMEOUT_S = 1.0
 ORIGIN_TIMEOUT_S = 20.0
 ORIGIN_RETRY_S = 0.5
-SAME_WRONG_MAX = 2
+ORIGIN_MISMATCH_LIMIT = 2
 
 
 @dataclasses.dataclass(slots=True)
 class Download:
-    """One manifest on its way here."""
+    """The download of one manifest's chunks.
+
+    `plan` is None until the manifest is available, and `trouble` is the reason why the download has
+    stopped, or empty. `wrong_digests` has the digests of wrong data from the origin, by chunk.
+    """
 
     digest: str
     plan: fetch.FetchPlan | None
-    not_before: float
+    retry_at: float
     started_at: float
-    wrong: dict[int, list[str]] = dataclasses.field(default_factory=dict)
+    wrong_digests: dict[int, list[str]] = dataclasses.field(default_factory=dict)
     trouble: str = ""
 
     def manifest_and_plan(
         self, known: dict[str, manifests.Manifest]
     ) -> tuple[manifests.Manifest, fetch.FetchPlan]:
-        """Return both, once the manifest is known."""
+        """Return the manifest and the plan; `plan` must be set."""
         assert self.plan is not None
         return known[self.digest], self.plan
 
 
-class Weights:
-    """Owns the chunk store, the downloads and the uploads of one agent.
+class WeightManager:
+    """The chunk store and the downloads of one agent.
 
-    Download threads share the state under one lock and hold it only to decide.
+    Download threads share the state under `lock`, which is not held during transfers.
     """
 
     def __init__(
-        self, parts: base.Parts, config: settings_.Agent, store: chunks.ChunkStore
+        self, context: base.RoleContext, config: settings_.Agent, store: chunks.ChunkStore
     ) -> None:
-        self.parts = parts
+        self.context = context
         self.config = config
-        self.name = parts.settings.name
+        self.name = context.settings.name
         self.store = store
         self.lock = threading.Condition()
         self.downloads: dict[str, Download] = {}
         self.manifests: dict[str, manifests.Manifest] = {}
         self.peers: dict[str, dict[str, fetch.Peer]] = {}
-        self.down = pacing.Pacer(config.link_bytes_per_s)
-        self.origin_pace = pacing.Pacer(config.origin_bytes_per_s)
+        self.download_pacer = pacing.Pacer(config.link_bytes_per_s)
+        self.origin_pacer = pacing.Pacer(config.origin_bytes_per_s)
         self.client = http_client.Client()
         self.rng = random.Random()
         self.stopping = False
         self.idle_until = 0.0
         self.threads = [
-            threading.Thread(target=self.work, name=f"download-{number}", daemon=True)
+            threading.Thread(target=self.run_downloads, name=f"download-{number}", daemon=True)
             for number in range(config.download_slots)
         ]
 
@@ -77,18 +81,18 @@
             thread.start()
 
     def stop(self) -> None:
-        """Ask the download threads to end; one that waits for a peer ends with the process."""
+        """Stop the download threads; one that is blocked in a call ends with the process."""
         with self.lock:
             self.stopping = True
             self.lock.notify_all()
         for thread in self.threads:
             thread.join(timeout=1)
 
-    # What should be here
+    # Wanted manifests
 
-    def want(self, wanted: dict[str, list[fetch.Peer]]) -> None:
-        """Fetch these manifests; each comes with the other VMs that should hold it."""
-        now = self.parts.clock()
+    def set_wanted(self, wanted: dict[str, list[fetch.Peer]]) -> None:
+        """Set the manifests to download, each with the peers that should hold its chunks."""
+        now = self.context.clock()
         with self.lock:
             self.peers = {
                 digest: {peer.name: peer for peer in peers} for digest, peers in wanted.items()
@@ -101,20 +105,20 @@
             for download in self.downloads.values():
                 if download.plan is not None:
                     download.plan.set_peers(wanted[download.digest])
-            self.repin()
+            self.update_pinned()
             self.idle_until = 0.0
             self.lock.notify_all()
 
-    def repin(self) -> None:
-        """Keep the chunks of what is wanted; others go when room is needed."""
-        kept: list[str] = []
+    def update_pinned(self) -> None:
+        """Pin the chunks of wanted manifests; others may be evicted."""
+        pinned: list[str] = []
         for digest in self.downloads:
             if digest in self.manifests:
-                kept.extend(self.manifests[digest].chunks)
-        self.store.pin(kept)
+                pinned.extend(self.manifests[digest].chunks)
+        self.store.pin(pinned)
 
-    def complete(self) -> set[str]:
-        """Return the wanted manifests whose chunks are all here and verified."""
+    def complete_manifests(self) -> set[str]:
+        """Return the wanted manifests whose chunks are all stored and verified."""
         with self.lock:
             return {
                 digest
@@ -123,7 +127,7 @@
             }
 
     def progress(self) -> dict[str, int]:
-        """Return how many chunks of each wanted manifest are here."""
+        """Return the number of stored chunks of each wanted manifest."""
         with self.lock:
             return {
                 digest: 0 if download.plan is None else download.plan.held.bit_count()
@@ -131,71 +135,76 @@
             }
 
     def trouble(self) -> str:
-        """Return why a wanted manifest can't be had, or nothing."""
+        """Return why a wanted manifest can't be downloaded, or an empty string."""
         with self.lock:
             return next((d.trouble for d in self.downloads.values() if d.trouble), "")
 
     def clear_trouble(self) -> None:
-        """Try again what was given up."""
+        """Resume downloads that have stopped."""
         with self.lock:
             for download in self.downloads.values():
                 download.trouble = ""
-                download.wrong.clear()
+                download.wrong_digests.clear()
 
-    # Downloading
+    # Downloads
 
-    def work(self) -> None:
-        """Carry out one action after another."""
-        callers = bus.RpcClients(self.parts.codec)
+    def run_downloads(self) -> None:
+        """Run jobs until stopped."""
+        rpc_clients = bus.RpcClients(self.context.codec)
         while True:
             with self.lock:
                 if self.stopping:
                     break
                 job = self.next_job()
                 if job is None:
-                    self.lock.wait(IDLE_WAIT_S if self.has_unfinished() else 1.0)
+                    self.lock.wait(IDLE_POLL_S if self.has_incomplete() else 1.0)
                     continue
             try:
-                self.carry_out(job, callers)
+                self.run_job(job, rpc_clients)
             except Exception:
                 logs.exception("download_failed")
-                time.sleep(IDLE_WAIT_S)
-        callers.close()
+                time.sleep(IDLE_POLL_S)
+        rpc_clients.close()
 
-    def has_unfinished(self) -> bool:
-        """Return whether anything is left to fetch; the caller holds the lock."""
+    def has_incomplete(self) -> bool:
+        """Return whether a download is incomplete; the caller holds the lock."""
         return any(d.plan is None or not d.plan.is_complete() for d in self.downloads.values())
 
     def next_job(self) -> tuple[Download, fetch.Action | None] | None:
-        """Return what to do next; the caller holds the lock."""
-        now = self.parts.clock()
+        """Return the next job, or None if there is none now; the caller holds the lock.
+
+        An action of None means that the manifest is to be fetched.
+        """
+        now = self.context.clock()
         if now < self.idle_until:
             return None
         for download in self.downloads.values():
-            if download.trouble or now < download.not_before:
+            if download.trouble or now < download.retry_at:
                 continue
             if download.plan is None:
-                download.not_before = now + MANIFEST_RETRY_S
+                download.retry_at = now + MANIFEST_RETRY_S
                 return download, None
             action = download.plan.next_action(now)
             if action is not None:
                 download.plan.on_action_started(action)
                 return download, action
-        # Nothing changes by asking again at once; whoever changes something resets this.
-        self.idle_until = now + IDLE_WAIT_S
+        # Changes of the state reset this.
+        self.idle_until = now + IDLE_POLL_S
         return None
 
-    def carry_out(self, job: tuple[Download, fetch.Action | None], callers: bus.RpcClients) -> None:
-        """Do one job."""
+    def run_job(
+        self, job: tuple[Download, fetch.Action | None], rpc_clients: bus.RpcClients
+    ) -> None:
+        """Run one job and report the end of its action to the plan."""
         download, action = job
         if action is None:
-            self.fetch_manifest(download, callers)
+            self.start_fetch(download, rpc_clients)
             return
         try:
             if isinstance(action, fetch.OriginRead):
-                self.read_origin(download, action)
+                self.download_from_origin(download, action)
             else:
-                self.ask_peer(download, action, callers)
+                self.request_chunk(download, action, rpc_clients)
         finally:
             with self.lock:
                 assert download.plan is not None
@@ -203,9 +212,9 @@
                 self.idle_until = 0.0
                 self.lock.notify()
 
-    def fetch_manifest(self, download: Download, callers: bus.RpcClients) -> None:
-        """Get the manifest from here, a peer or the weight store, and make the plan."""
-        manifest = self.manifests.get(download.digest) or self.find_manifest(download, callers)
+    def start_fetch(self, download: Download, rpc_clients: bus.RpcClients) -> None:
+        """Get the manifest and create the plan, with the chunks that are already stored."""
+        manifest = self.manifests.get(download.digest) or self.load_manifest(download, rpc_clients)
         if manifest is None:
             return
         held = 0
@@ -214,14 +223,14 @@
                 held |= 1 << index
         with self.lock:
             self.manifests[download.digest] = manifest
-            now = self.parts.clock()
+            now = self.context.clock()
             download.plan = fetch.POLICIES.get(self.config.fetch_policy)(
                 self.name, download.digest, len(manifest.chunks), held, 2, now, self.rng
             )
             chunk_s = manifest.chunk_bytes / self.config.link_bytes_per_s
             download.plan.busy_retry_delay_s = max(fetch.BUSY_RETRY_DELAY_S, 0.5 * chunk_s)
             download.plan.set_peers(list(self.peers.get(download.digest, {}).values()))
-            self.repin()
+            self.update_pinned()
             self.idle_until = 0.0
             self.lock.notify_all()
         logs.event(
@@ -232,15 +241,15 @@
             policy=self.config.fetch_policy,
         )
 
-    def find_manifest(
-        self, download: Download, callers: bus.RpcClients
+    def load_manifest(
+        self, download: Download, rpc_clients: bus.RpcClients
     ) -> manifests.Manifest | None:
-        """Ask the weight store, then a few peers."""
+        """Return the manifest from the local store or by download; None if that fails."""
         stored = self.store.read(download.digest)
         if stored is not None:
             return manifests.decode(stored, download.digest)
         try:
-            data = self.read_manifest(download.digest, callers)
+            data = self.download_manifest(download.digest, rpc_clients)
             manifest = manifests.decode(data, download.digest)
         except errors.MerlinthreadError as error:
             logs.warning("manifest_failed", manifest=download.digest, reason=error.message)
@@ -248,27 +257,32 @@
         self.store.add(download.digest, data)
         return manifest
 
-    def read_manifest(self, digest: str, callers: bus.RpcClients) -> bytes:
-        """Return the manifest's bytes from a peer, else from the weight store."""
+    def download_manifest(self, digest: str, rpc_clients: bus.RpcClients) -> bytes:
+        """Return the manifest's bytes from one of the two nearest peers or the weight store.
+
+        Raises WeightsError if there is no weight store, and errors of the request to it.
+        """
         with self.lock:
             peers = list(self.peers.get(digest, {}).values())
         self.rng.shuffle(peers)
         peers.sort(key=lambda peer: peer.distance)
         for peer in peers[:2]:
             try:
-                found = callers.call(peer.bus, messages.ManifestRequest(digest), 1.0)
+                reply = rpc_clients.call(peer.bus, messages.ManifestRequest(digest), 1.0)
             except errors.MerlinthreadError as error:
                 logs.debug("peer_failed", peer=peer.name, reason=error.message)
                 continue
-            if found.data:
-                return found.data
+            if reply.data:
+                return reply.data
         if self.config.weight_store_url is None:
-            raise errors.WeightsError(f"no peer has manifest {digest} and there is no weight store")
+            raise errors.WeightsError(
+                f"no peer has manifest {digest} and agent.weight_store_url is not set"
+            )
         url = f"{self.config.weight_store_url}/manifests/{digest}"
         return self.client.request_ok("GET", url, timeout_s=ORIGIN_TIMEOUT_S).body
 
-    def read_origin(self, download: Download, action: fetch.OriginRead) -> None:
-        """Read one chunk from the origin."""
+    def download_from_origin(self, download: Download, action: fetch.OriginRead) -> None:
+        """Download one chunk from the origin."""
         manifest, plan = download.manifest_and_plan(self.manifests)
         size = manifest.chunk_size(action.index)
         offset = manifest.chunk_offset(action.index)
@@ -288,37 +302,41 @@
             logs.warning("origin_failed", manifest=download.digest, reason=error.message)
             wait = error.retry_after_s or ORIGIN_RETRY_S
             with self.lock:
-                plan.on_origin_failed(self.parts.clock(), wait)
+                plan.on_origin_failed(self.context.clock(), wait)
             return
         metrics.chunk_bytes_total.labels("origin").inc(len(data))
-        now = self.parts.clock()
+        now = self.context.clock()
         self.sleep_until(
-            max(self.origin_pace.record_arrival(size, now), self.down.record_arrival(size, now))
+            max(
+                self.origin_pacer.record_arrival(size, now),
+                self.download_pacer.record_arrival(size, now),
+            )
         )
-        if not self.keep(download, action.index, data, from_origin=True):
-            self.note_wrong_origin(download, action.index, data)
+        if not self.store_chunk(download, action.index, data, from_origin=True):
+            self.on_origin_mismatch(download, action.index, data)
 
-    def note_wrong_origin(self, download: Download, index: int, data: bytes) -> None:
-        """Tell a chunk damaged on its way from an object that was changed at the origin.
+    def on_origin_mismatch(self, download: Download, index: int, data: bytes) -> None:
+        """Stop the download if the origin returned the same wrong data repeatedly.
 
-        Damage differs from try to try; the same wrong bytes twice are what the origin has now.
+        Data that was corrupted in transfer differs between attempts; equal data means that the
+        object was changed.
         """
-        found = chunks.digest_of(data)
+        digest = chunks.digest_of(data)
         with self.lock:
-            seen = download.wrong.setdefault(index, [])
-            seen.append(found)
-            if seen.count(found) >= SAME_WRONG_MAX:
+            seen = download.wrong_digests.setdefault(index, [])
+            seen.append(digest)
+            if seen.count(digest) >= ORIGIN_MISMATCH_LIMIT:
                 download.trouble = (
-                    f"origin_changed: chunk {index} of manifest {download.digest} is no longer "
-                    "what was signed; restore the object or roll back"
+                    f"origin_changed: chunk {index} of manifest {download.digest} differs from the "
+                    "signed one; restore the object or roll back"
                 )
         if download.trouble:
             logs.warning("origin_changed", manifest=download.digest, index=index)
 
-    def ask_peer(
-        self, download: Download, action: fetch.PeerRequest, callers: bus.RpcClients
+    def request_chunk(
+        self, download: Download, action: fetch.PeerRequest, rpc_clients: bus.RpcClients
     ) -> None:
-        """Ask another agent for a chunk."""
+        """Request a chunk from another agent."""
         manifest, plan = download.manifest_and_plan(self.manifests)
         count = len(manifest.chunks)
         with self.lock:
@@ -326,54 +344,57 @@
             held = plan.held
         if peer is None:
             return
-        wanted = messages.ChunkRequest(
+        request = messages.ChunkRequest(
             self.name,
             download.digest,
             fetch.bitset_to_bytes(action.wanted, count),
             fetch.bitset_to_bytes(held, count),
         )
         try:
-            found = callers.call(peer.bus, wanted, self.peer_timeout_s(manifest))
+            reply = rpc_clients.call(peer.bus, request, self.peer_timeout_s(manifest))
         except errors.MerlinthreadError as error:
             metrics.chunk_failures_total.labels("peer").inc()
             logs.debug("peer_failed", peer=peer.name, reason=error.message)
             with self.lock:
-                plan.on_peer_failed(peer.name, self.parts.clock())
+                plan.on_peer_failed(peer.name, self.context.clock())
             return
-        self.take_answer(download, plan, peer, found, count)
+        self.on_chunk_reply(download, plan, peer, reply, count)
 
     def peer_timeout_s(self, manifest: manifests.Manifest) -> float:
-        """Return how long a busy peer may take over one chunk, its other uploads included."""
+        """Return the timeout of a chunk request, with allowance for the peer's other uploads."""
         chunk_s = manifest.chunk_bytes / self.config.link_bytes_per_s
         return PEER_TIMEOUT_S + 2 * self.config.upload_slots * chunk_s
 
-    def take_answer(
+    def on_chunk_reply(
         self,
         download: Download,
         plan: fetch.FetchPlan,
         peer: fetch.Peer,
-        found: messages.ChunkReply,
+        reply: messages.ChunkReply,
         count: int,
     ) -> None:
-        """Take what a peer answered."""
-        now = self.parts.clock()
+        """Report a peer's reply to the plan and store its chunk."""
+        now = self.context.clock()
         with self.lock:
-            plan.on_peer_report(peer.name, fetch.bitset_from_bytes(found.held, count), now)
-            if found.index == messages.NO_UPLOAD_SLOT:
+            plan.on_peer_report(peer.name, fetch.bitset_from_bytes(reply.held, count), now)
+            if reply.index == messages.NO_UPLOAD_SLOT:
                 plan.on_peer_busy(peer.name, now)
-            elif found.index == messages.NO_CHUNK:
+            elif reply.index == messages.NO_CHUNK:
                 plan.on_peer_empty(peer.name, now)
-        if found.index < 0 or found.index >= count:
+        if reply.index < 0 or reply.index >= count:
             return
-        self.sleep_until(self.down.record_arrival(len(found.data), now))
-        metrics.chunk_bytes_total.labels("peer").inc(len(found.data))
-        if not self.keep(download, found.index, found.data, from_origin=False):
+        self.sleep_until(self.download_pacer.record_arrival(len(reply.data), now))
+        metrics.chunk_bytes_total.labels("peer").inc(len(reply.data))
+        if not self.store_chunk(download, reply.index, reply.data, from_origin=False):
             logs.warning("chunk_corrupt", peer=peer.name, manifest=download.digest)
             with self.lock:
-                plan.on_corrupt_chunk(peer.name, self.parts.clock())
+                plan.on_corrupt_chunk(peer.name, self.context.clock())
 
-    def keep(self, download: Download, index: int, data: bytes, from_origin: bool) -> bool:
-        """Store a chunk; return whether its digest was right."""
+    def store_chunk(self, download: Download, index: int, data: bytes, from_origin: bool) -> bool:
+        """Store a chunk; return False if its digest is wrong.
+
+        If the disk is full, the download stops.
+        """
         manifest, plan = download.manifest_and_plan(self.manifests)
         try:
             self.store.add(manifest.chunks[index], data)
@@ -385,7 +406,7 @@
                 download.trouble = f"disk_full: {error.message}"
             logs.warning("disk_full", message=error.message)
             return True
-        now = self.parts.clock()
+        now = self.context.clock()
         with self.lock:
             plan.on_chunk_received(index, from_origin, now)
             is_complete = plan.is_complete()
@@ -399,7 +420,7 @@
         return True
 
     def sleep_until(self, when: float) -> None:
-        """Wait until the link's share allows more."""
-        wait = when - self.parts.clock()
+        """Sleep until the time `when` on the clock of the role context."""
+        wait = when - self.context.clock()
         if wait > 0:
             time.sleep(wait)
