--- a/bench/permits.py
+++ b/bench/permits.py
@@ -13,7 +13,7 @@
 import tracemalloc
 
 from merlinthread.coordination import rate_limits
-from merlinthread.nodes import permit_office
+from merlinthread.nodes import permit_server
 from merlinthread.protocol import codec as codecs
 from merlinthread.protocol import node_messages
 
@@ -59,7 +59,7 @@
     """Ask for permits by lot; `named` is how many back ends a question names."""
     codec = codecs.Codec([node_messages.MESSAGES], [])
     times = [0.0]
-    office = permit_office.PermitOffice(Leader(), lambda: times[0])  # type: ignore[arg-type]
+    office = permit_server.PermitOffice(Leader(), lambda: times[0])  # type: ignore[arg-type]
     names = [f"i-{rng.getrandbits(40):010x}@1767000000000" for _ in range(backends)]
     spent = Spent()
     for number in range(QUESTIONS):
--- a/tests/permit_net.py
+++ b/tests/permit_net.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 
 from merlinthread.coordination import backend_record, backend_signals
-from merlinthread.nodes import permit_office, permits
+from merlinthread.nodes import permit_server, permits
 from merlinthread.protocol import node_messages
 
 CONTROLS = ["c0", "c1", "c2"]
@@ -65,7 +65,7 @@
         self.leader = self.leader_before = CONTROLS[0]
         self.alive = set(CONTROLS)
         self.offices = {
-            address: permit_office.PermitOffice(Member(self, address), self.random_clock())
+            address: permit_server.PermitOffice(Member(self, address), self.random_clock())
             for address in CONTROLS
         }
         self.entries = {f"e{number}": self.entry(f"e{number}") for number in range(entries)}
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -8,7 +8,7 @@
 
 from merlinthread import errors
 from merlinthread.coordination import backend_record, backend_signals, rate_limits
-from merlinthread.nodes import permit_office, permits
+from merlinthread.nodes import permit_server, permits
 from merlinthread.protocol import codec as codecs
 from merlinthread.protocol import node_messages
 
@@ -36,7 +36,7 @@
 
 def make_office():
     member, times = Member(), [100.0]
-    return permit_office.PermitOffice(member, lambda: times[0]), member, times
+    return permit_server.PermitOffice(member, lambda: times[0]), member, times
 
 
 def query(number: int, entry: str = "entry:1", per_s: float = 2.0) -> node_messages.LoadQuery:
@@ -91,7 +91,7 @@
         office.answer(query(number, name))
     answer = office.answer(query(9, "b"))
     assert (answer.entries, answer.rank, answer.at) == (3, 1, times[0])
-    times[0] += 2 * permit_office.ASKED_S
+    times[0] += 2 * permit_server.ASKED_S
     answer = office.answer(query(10, "b"))
     assert (answer.entries, answer.rank) == (1, 0)
 
