--- a/src/merlinthread/nodes/control_node.py
+++ b/src/merlinthread/nodes/control_node.py
@@ -15,7 +15,7 @@
     raft_messages,
 )
 from merlinthread.nodes import (
-    control_calls,
+    control_api,
     crash_registry,
     limit_registry,
     log_member,
@@ -64,7 +64,7 @@
         self.datagrams = node_bus.DatagramEndpoint(codec, self.on_datagram)
         self.permits = permit_server.PermitOffice(self.member, clock)
         limits = http_messages.Limits(body_bytes=BODY_BYTES_MAX, idle_timeout_s=60.0)
-        self.calls = control_calls.ControlCalls(
+        self.calls = control_api.ControlCalls(
             dialect, self.member, self.registry, self.caller, self.submit, self.take_here
         )
         self.server = stream_server.Server(self.calls.serve, limits)
@@ -161,7 +161,7 @@
 
     async def commit(self, encoded: bytes) -> bool:
         """Commit an encoded command here or at the leader."""
-        async with asyncio.timeout(control_calls.FORWARD_TIMEOUT_S):
+        async with asyncio.timeout(control_api.FORWARD_TIMEOUT_S):
             if self.member.raft.is_leader():
                 return await self.member.propose(encoded)
             leader = self.member.leader_address()
@@ -169,7 +169,7 @@
                 raise errors.NotLeaderError("no leader is known", "")
             self.member.check_leader_reads(encoded, leader)
             reply = await self.caller.call(
-                leader, node_messages.CommandRequest(encoded), control_calls.FORWARD_TIMEOUT_S
+                leader, node_messages.CommandRequest(encoded), control_api.FORWARD_TIMEOUT_S
             )
             return reply.is_applied
 
@@ -199,7 +199,7 @@
             self.limits.take_heard(message.limits)
             return node_messages.Acknowledgement(levels.NEWEST)
         if isinstance(message, node_messages.CommandRequest):
-            async with asyncio.timeout(control_calls.FORWARD_TIMEOUT_S):
+            async with asyncio.timeout(control_api.FORWARD_TIMEOUT_S):
                 is_changed = await self.member.propose(message.command)
             return node_messages.CommandReply(is_changed, self.member.state.version)
         if isinstance(message, node_messages.ConfigurationRequest):
@@ -305,7 +305,7 @@
     async def pass_on(self, address: str, message: node_messages.HeartbeatBatch) -> None:
         """Send heartbeats to one control VM; the next beat makes good for a lost one."""
         with contextlib.suppress(errors.MerlinthreadError):
-            await self.caller.call(address, message, control_calls.FORWARD_TIMEOUT_S)
+            await self.caller.call(address, message, control_api.FORWARD_TIMEOUT_S)
 
     async def expire(self) -> None:
         """Drop back ends that were silent for long."""
