--- a/bench/permits.py
+++ b/bench/permits.py
@@ -59,7 +59,7 @@
     """Ask for permits by lot; `named` is how many back ends a question names."""
     codec = codecs.Codec([node_messages.MESSAGES], [])
     times = [0.0]
-    office = permit_server.PermitOffice(Leader(), lambda: times[0])  # type: ignore[arg-type]
+    office = permit_server.PermitServer(Leader(), lambda: times[0])  # type: ignore[arg-type]
     names = [f"i-{rng.getrandbits(40):010x}@1767000000000" for _ in range(backends)]
     spent = Spent()
     for number in range(QUESTIONS):
--- a/src/merlinthread/nodes/control_node.py
+++ b/src/merlinthread/nodes/control_node.py
@@ -62,7 +62,7 @@
         )
         self.listener = node_bus.RpcServer(codec, self.on_message)
         self.datagrams = node_bus.DatagramEndpoint(codec, self.on_datagram)
-        self.permits = permit_server.PermitOffice(self.member, clock)
+        self.permits = permit_server.PermitServer(self.member, clock)
         limits = http_messages.Limits(body_bytes=BODY_BYTES_MAX, idle_timeout_s=60.0)
         self.calls = control_api.ControlCalls(
             dialect, self.member, self.registry, self.caller, self.submit, self.take_here
--- a/src/merlinthread/nodes/permit_server.py
+++ b/src/merlinthread/nodes/permit_server.py
@@ -22,7 +22,7 @@
 ANSWERS_KEPT = 1024
 
 
-class PermitOffice:
+class PermitServer:
     """Answers entries that ask for permits."""
 
     def __init__(self, member: log_member.LogMember, clock: Callable[[], float]) -> None:
--- a/tests/permit_net.py
+++ b/tests/permit_net.py
@@ -65,7 +65,7 @@
         self.leader = self.leader_before = CONTROLS[0]
         self.alive = set(CONTROLS)
         self.offices = {
-            address: permit_server.PermitOffice(Member(self, address), self.random_clock())
+            address: permit_server.PermitServer(Member(self, address), self.random_clock())
             for address in CONTROLS
         }
         self.entries = {f"e{number}": self.entry(f"e{number}") for number in range(entries)}
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -36,7 +36,7 @@
 
 def make_office():
     member, times = Member(), [100.0]
-    return permit_server.PermitOffice(member, lambda: times[0]), member, times
+    return permit_server.PermitServer(member, lambda: times[0]), member, times
 
 
 def query(number: int, entry: str = "entry:1", per_s: float = 2.0) -> node_messages.LoadQuery:
