--- a/src/merlinthread/nodes/permit_server.py
+++ b/src/merlinthread/nodes/permit_server.py
@@ -14,7 +14,7 @@
 from merlinthread.protocol import node_messages
 
 # Entries that asked within this time are taken to share the limits, in seconds.
-ASKED_S = 60.0
+ENTRY_EXPIRY_S = 60.0
 SWEEP_EVERY_S = 5.0
 # A question that comes again within this time, in seconds, gets the answer it had, not a second
 # permit; and so many of them are remembered.
@@ -74,7 +74,7 @@
         if now - self.swept_at > SWEEP_EVERY_S:
             self.swept_at = now
             self.asked_at = {
-                entry: at for entry, at in self.asked_at.items() if now - at <= ASKED_S
+                entry: at for entry, at in self.asked_at.items() if now - at <= ENTRY_EXPIRY_S
             }
             self.ranks = sorted(self.asked_at)
         if address not in self.asked_at:
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -91,7 +91,7 @@
         office.answer(query(number, name))
     answer = office.answer(query(9, "b"))
     assert (answer.entries, answer.rank, answer.at) == (3, 1, times[0])
-    times[0] += 2 * permit_server.ASKED_S
+    times[0] += 2 * permit_server.ENTRY_EXPIRY_S
     answer = office.answer(query(10, "b"))
     assert (answer.entries, answer.rank) == (1, 0)
 
