--- a/src/merlinthread/nodes/control_api.py
+++ b/src/merlinthread/nodes/control_api.py
@@ -19,7 +19,7 @@
 Submit = Callable[[fleet_state.Command], Awaitable[bool]]
 
 
-class ControlCalls:
+class ControlApi:
     """Answers calls; `submit` commits a command, `take` takes a heartbeat in and passes it on."""
 
     def __init__(
--- a/src/merlinthread/nodes/control_node.py
+++ b/src/merlinthread/nodes/control_node.py
@@ -64,7 +64,7 @@
         self.datagrams = node_bus.DatagramEndpoint(codec, self.on_datagram)
         self.permits = permit_server.PermitServer(self.member, clock)
         limits = http_messages.Limits(body_bytes=BODY_BYTES_MAX, idle_timeout_s=60.0)
-        self.calls = control_api.ControlCalls(
+        self.calls = control_api.ControlApi(
             dialect, self.member, self.registry, self.caller, self.submit, self.take_here
         )
         self.server = stream_server.Server(self.calls.serve, limits)
