--- a/src/merlinthread/nodes/agent_node.py
+++ b/src/merlinthread/nodes/agent_node.py
@@ -73,7 +73,7 @@
         """Take other control VMs to start from."""
         self.settings.control_ips = settings.control_ips
 
-    async def leave(self) -> None:
+    async def stop(self) -> None:
         """Stop to answer peers."""
         self.listener.server.stop_accepting()
 
--- a/src/merlinthread/nodes/control_node.py
+++ b/src/merlinthread/nodes/control_node.py
@@ -90,7 +90,7 @@
         """Take other control VMs to start from."""
         self.settings.control_ips = settings.control_ips
 
-    async def leave(self) -> None:
+    async def stop(self) -> None:
         """Stop to accept calls and wait for those in progress."""
         self.server.stop_accepting()
         for _ in range(20):
--- a/src/merlinthread/nodes/entry_node.py
+++ b/src/merlinthread/nodes/entry_node.py
@@ -138,7 +138,7 @@
         )
         await task.run()
 
-    async def leave(self) -> None:
+    async def stop(self) -> None:
         """Say that this entry is not ready, finish what is in progress, and stop."""
         deadline = self.clock() + self.settings.bounds.grace_s - LEAVE_MARGIN_S
         self.is_leaving = True
--- a/src/merlinthread/nodes/node_daemon.py
+++ b/src/merlinthread/nodes/node_daemon.py
@@ -57,7 +57,7 @@
         logs.event("started", role=self.role, version=__version__, ip=self.settings.ip)
         await self.watch()
         logs.event("stopping", role=self.role)
-        await self.node.leave()
+        await self.node.stop()
         logs.event("stopped", role=self.role)
 
     async def listen_for_metrics(self) -> None:
--- a/src/merlinthread/nodes/node_roles.py
+++ b/src/merlinthread/nodes/node_roles.py
@@ -30,7 +30,7 @@
     def reload(self, settings: node_settings.NodeSettings) -> None:
         """Take over what may change without a restart."""
 
-    async def leave(self) -> None:
+    async def stop(self) -> None:
         """End as planned."""
 
 
--- a/tests/test_log_repair.py
+++ b/tests/test_log_repair.py
@@ -136,7 +136,7 @@
         await controls.start(REPLACEMENT)
         new = controls.nodes[REPLACEMENT].member
         await fleet_nodes.until(lambda: new.name in new.raft.log.voters.voters)
-        await controls.nodes[leader].leave()
+        await controls.nodes[leader].stop()
         fleet_nodes.end_tasks(controls.nodes.pop(leader))
         # A further failure right away: of three remaining voters, two are a majority.
         assert len(new.raft.log.voters.voters) == 3
@@ -164,7 +164,7 @@
         # The removal is in the leader's log and not replicated yet.
         member.raft.change_membership(raft_members.MembershipChange(remove=lost), time.monotonic())
         assert member.raft.log.has_membership_change_after(member.raft.commit)
-        await controls.nodes[leader].leave()
+        await controls.nodes[leader].stop()
         fleet_nodes.end_tasks(controls.nodes.pop(leader))
         await put(controls, 2)
 
@@ -175,7 +175,7 @@
     async def scenario(controls):
         await put(controls, 1)
         leader = controls.leader()
-        await controls.nodes[leader].leave()
+        await controls.nodes[leader].stop()
         fleet_nodes.end_tasks(controls.nodes.pop(leader))
         await put(controls, 2)
         await controls.start(leader)
