--- a/src/merlinthread/nodes/node_daemon.py
+++ b/src/merlinthread/nodes/node_daemon.py
@@ -34,7 +34,7 @@
         self.path = path
         self.load = load
         self.settings = load(path)
-        self.node = node_roles.maker_of(role)(self.settings, dialect)
+        self.node = node_roles.factory_for(role)(self.settings, dialect)
         self.stop_asked = asyncio.Event()
         self.seen = self.stamp()
         self.metrics_server = stream_server.Server(serve_metrics)
--- a/src/merlinthread/nodes/node_roles.py
+++ b/src/merlinthread/nodes/node_roles.py
@@ -39,7 +39,7 @@
 NODES: registry.Registry[Maker] = registry.Registry("role")
 
 
-def maker_of(role: str) -> Maker:
+def factory_for(role: str) -> Maker:
     """Return what makes a node of a role; raise KeyError for a role that there is not."""
     importlib.import_module(MODULES[role])
     return NODES.get(role)
