--- a/src/merlinthread/nodes/member_changes.py
+++ b/src/merlinthread/nodes/member_changes.py
@@ -88,7 +88,7 @@
             return
         join = node_messages.JoinRequest(member.name, levels.NEWEST)
         members = [raft_members.address_of(name) for name in member.log.voters.members()]
-        for address in set(self.settings.control_nodes()) | set(members):
+        for address in set(self.settings.control_rpc_addresses()) | set(members):
             if address != self.address:
                 asyncio.get_running_loop().create_task(self.send_join(address, join))
 
--- a/src/merlinthread/nodes/membership.py
+++ b/src/merlinthread/nodes/membership.py
@@ -43,7 +43,7 @@
     path = folder / FILE
     if path.exists():
         return msgspec.json.decode(records.read_single(path), type=Membership)
-    seeds = settings.control_nodes()
+    seeds = settings.control_rpc_addresses()
     if is_first_start:
         voters = seeds if address in seeds else []
         found = Membership(address, voters, levels.NEWEST)
--- a/src/merlinthread/nodes/news_watcher.py
+++ b/src/merlinthread/nodes/news_watcher.py
@@ -82,7 +82,7 @@
         self.missing: dict[str, float] = {}
         self.named: dict[str, int] = {}
         self.named_at: dict[str, dict[int, float]] = {}
-        self.controls: list[str] = settings.control_nodes()
+        self.controls: list[str] = settings.control_rpc_addresses()
         self.current = ""
         self.told: dict[str, Told] = {}
         self.search_at = float("-inf")
@@ -137,7 +137,7 @@
 
     def others(self) -> list[str]:
         """Return the control VMs but the present one."""
-        known = dict.fromkeys([*self.controls, *self.settings.control_nodes()])
+        known = dict.fromkeys([*self.controls, *self.settings.control_rpc_addresses()])
         return [address for address in known if address != self.current]
 
     async def ask(
--- a/src/merlinthread/nodes/node_settings.py
+++ b/src/merlinthread/nodes/node_settings.py
@@ -53,7 +53,7 @@
     bounds: Bounds = dataclasses.field(default_factory=Bounds)
     policy: node_policy.NodePolicy = dataclasses.field(default_factory=node_policy.NodePolicy)
 
-    def control_nodes(self) -> list[str]:
+    def control_rpc_addresses(self) -> list[str]:
         """Return the addresses at which control VMs answer nodes."""
         return [f"{ip}:{self.control_port}" for ip in self.control_ips]
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -63,7 +63,7 @@
     found = settings_file.translate(
         msgspec.json.decode(json.dumps(SETTINGS), type=settings_file.SettingsBody)
     )
-    assert found.control_nodes() == ["10.1.0.2:7700", "10.2.0.2:7700"]
+    assert found.control_rpc_addresses() == ["10.1.0.2:7700", "10.2.0.2:7700"]
     assert (found.bounds.drain_s, found.bounds.version_s, found.bounds.grace_s) == (1.5, 9.0, 6.0)
     assert found.link_bytes_per_s == 1e6
 
