--- a/bench/compare.py
+++ b/bench/compare.py
@@ -68,9 +68,9 @@
 
 def ways_of(decision: str) -> registry.Registry:
     """Return the ways of a decision; raise SystemExit naming what there is."""
-    if decision not in node_policy.DECISIONS:
-        give_up(f"no decision {decision!r}; there is {', '.join(node_policy.DECISIONS)}")
-    return node_policy.DECISIONS[decision]
+    if decision not in node_policy.POLICY_REGISTRIES:
+        give_up(f"no decision {decision!r}; there is {', '.join(node_policy.POLICY_REGISTRIES)}")
+    return node_policy.POLICY_REGISTRIES[decision]
 
 
 def give_up(reason: str) -> None:
@@ -155,7 +155,9 @@
     parser.add_argument("--jobs", type=int, default=2)
     options = parser.parse_args(argv)
     if options.list:
-        print(json.dumps({name: sorted(ways) for name, ways in node_policy.DECISIONS.items()}))
+        print(
+            json.dumps({name: sorted(ways) for name, ways in node_policy.POLICY_REGISTRIES.items()})
+        )
         return 0
     known = ways_of(options.decision)
     ways = options.ways or sorted(known)
--- a/src/merlinthread/nodes/node_policy.py
+++ b/src/merlinthread/nodes/node_policy.py
@@ -15,7 +15,7 @@
 # The modules whose decorators fill the registries.
 WAYS_IN = (fetch_claimed, fetch_policies, return_times)
 
-DECISIONS: dict[str, registry.Registry] = {
+POLICY_REGISTRIES: dict[str, registry.Registry] = {
     "fetch": fetch.POLICIES,
     "returns": return_times.POLICIES,
 }
@@ -47,13 +47,13 @@
     except OSError as error:
         raise errors.SettingsError(f"{path}: {error.strerror}; name a file that can be read")
     except msgspec.DecodeError as error:
-        known = ", ".join(DECISIONS)
+        known = ", ".join(POLICY_REGISTRIES)
         raise errors.SettingsError(f"{path}: {error}; the decisions are {known}")
-    for decision, ways in DECISIONS.items():
+    for decision, ways in POLICY_REGISTRIES.items():
         name = getattr(body, decision)
         if name not in ways.entries:
             raise errors.SettingsError(
                 f"{path}: {decision}: there is no {name!r}; there is {', '.join(ways)}",
                 field=decision,
             )
-    return NodePolicy(**{decision: getattr(body, decision) for decision in DECISIONS})
+    return NodePolicy(**{decision: getattr(body, decision) for decision in POLICY_REGISTRIES})
