--- a/src/merlinthread/nodes/log_member.py
+++ b/src/merlinthread/nodes/log_member.py
@@ -83,7 +83,7 @@
             clock,
             lambda: self.raft,
             self.wakeup.set,
-            self.start_anew,
+            self.rejoin_as_new_member,
             lambda: self.state.level,
         )
         self.duties_at = 0.0
@@ -125,7 +125,7 @@
             voters=self.raft.log.voters.voters,
         )
 
-    def start_anew(self) -> None:
+    def rejoin_as_new_member(self) -> None:
         """Give up this member's identity: the others have removed it. Join as a new one."""
         logs.warning("member_removed", member=self.name)
         self.journal.close()
--- a/tests/test_control_nodes.py
+++ b/tests/test_control_nodes.py
@@ -231,7 +231,7 @@
         ip = controls.ips[0]
         member = controls.nodes[ip].member
         old = member.name
-        member.start_anew()
+        member.rejoin_as_new_member()
         assert member.name != old
         await fleet_nodes.until(lambda: member.name in member.raft.log.voters.voters, 15)
         await fleet_nodes.until(lambda: old not in member.raft.log.voters.voters, 15)
