--- a/src/merlinthread/nodes/log_member.py
+++ b/src/merlinthread/nodes/log_member.py
@@ -183,7 +183,7 @@
             # It can't tell what is in force, so it must not lead; it goes on as a voter.
             self.raft.resign(now)
         self.note_leadership()
-        self.note_current()
+        self.update_current_at()
         if now >= self.duties_at:
             self.duties_at = now + DUTIES_EVERY_S
             self.keep_commit(now)
@@ -375,7 +375,7 @@
         """Return how long ago this member surely held what a majority holds, in seconds."""
         return min(LONG_AGO_S, max(0.0, now - self.current_at))
 
-    def note_current(self) -> None:
+    def update_current_at(self) -> None:
         """Note when this member surely held what a majority holds.
 
         A leader does while others answer it, once it has committed an entry of its term. A follower
--- a/tests/test_log_repair.py
+++ b/tests/test_log_repair.py
@@ -215,10 +215,10 @@
         member = controls.nodes[controls.leader()].member
         member.raft.term_start = member.raft.commit + 1
         member.current_at = float("-inf")
-        member.note_current()
+        member.update_current_at()
         assert member.majority_age(time.monotonic()) == log_member.LONG_AGO_S
         member.raft.term_start = member.raft.commit
-        member.note_current()
+        member.update_current_at()
         assert member.majority_age(time.monotonic()) < news_watcher.STALE_S
 
     run(tmp_path, scenario)
