--- a/src/merlinthread/nodes/control_node.py
+++ b/src/merlinthread/nodes/control_node.py
@@ -257,7 +257,7 @@
             state.version,
             state.body if is_newer else b"",
             self.member.member_addresses(),
-            self.member.majority_age(now),
+            self.member.staleness_s(now),
             suspicions,
             self.crashes.ledger.reported_revision,
             self.limits.since(limits_from),
--- a/src/merlinthread/nodes/log_member.py
+++ b/src/merlinthread/nodes/log_member.py
@@ -307,7 +307,7 @@
         """
         if self.raft.is_leader() and entry.term == self.raft.hard_state.term:
             return 0.0
-        age_s = self.majority_age(now)
+        age_s = self.staleness_s(now)
         return age_s if age_s > CAUGHT_UP_S else 0.0
 
     def known_command(self, entry: journal.Entry) -> fleet_state.Command | None:
@@ -371,7 +371,7 @@
         """Return whether this member surely leads now."""
         return self.raft.holds_lease(self.clock())
 
-    def majority_age(self, now: float) -> float:
+    def staleness_s(self, now: float) -> float:
         """Return how long ago this member surely held what a majority holds, in seconds."""
         return min(LONG_AGO_S, max(0.0, now - self.current_at))
 
--- a/tests/test_control_nodes.py
+++ b/tests/test_control_nodes.py
@@ -318,7 +318,7 @@
         await put(controls, 1)
         follower = next(ip for ip in controls.ips if ip != controls.leader())
         await fleet_nodes.until(
-            lambda: controls.nodes[follower].member.majority_age(time.monotonic()) < 0.5
+            lambda: controls.nodes[follower].member.staleness_s(time.monotonic()) < 0.5
         )
         assert applied_version(controls, 1) < 0.5
         # What was named while it was cut off may be as old as the cut.
@@ -429,7 +429,7 @@
         await put(controls, 7)
         assert (old.state.version, old.state.named) == (5, {})
         assert old.applied == old.blocked_at - 1
-        assert old.majority_age(old.clock()) > 0
+        assert old.staleness_s(old.clock()) > 0
         await fleet_nodes.until(lambda: old.raft.log.last_index() > old.blocked_at)
         # It gives nothing away and never leads, also when it alone could.
         assert not old.is_due_for_compaction()
