--- a/src/merlinthread/nodes/control_node.py
+++ b/src/merlinthread/nodes/control_node.py
@@ -122,7 +122,7 @@
         for instance, state in self.member.state.departed.items():
             self.depart(instance, state)
         for model in self.member.state.named:
-            self.named_at.setdefault(model, self.clock() - log_member.LONG_AGO_S)
+            self.named_at.setdefault(model, self.clock() - log_member.UNKNOWN_AGE_S)
         self.crashes.on_applied()
         self.tell()
 
--- a/src/merlinthread/nodes/log_member.py
+++ b/src/merlinthread/nodes/log_member.py
@@ -31,7 +31,7 @@
 # of them); what it applies was committed just now.
 CAUGHT_UP_S = 2 * TIMING.heartbeat_s
 # Told in place of an age that is not known; finite, so that it can be sent and compared.
-LONG_AGO_S = 1e6
+UNKNOWN_AGE_S = 1e6
 # How often a member that knows no leader tells so in its log.
 NO_LEADER_TOLD_EVERY_S = 2.0
 
@@ -373,7 +373,7 @@
 
     def staleness_s(self, now: float) -> float:
         """Return how long ago this member surely held what a majority holds, in seconds."""
-        return min(LONG_AGO_S, max(0.0, now - self.current_at))
+        return min(UNKNOWN_AGE_S, max(0.0, now - self.current_at))
 
     def update_current_at(self) -> None:
         """Note when this member surely held what a majority holds.
--- a/tests/test_log_repair.py
+++ b/tests/test_log_repair.py
@@ -216,7 +216,7 @@
         member.raft.term_start = member.raft.commit + 1
         member.current_at = float("-inf")
         member.update_current_at()
-        assert member.staleness_s(time.monotonic()) == log_member.LONG_AGO_S
+        assert member.staleness_s(time.monotonic()) == log_member.UNKNOWN_AGE_S
         member.raft.term_start = member.raft.commit
         member.update_current_at()
         assert member.staleness_s(time.monotonic()) < news_watcher.STALE_S
