--- a/src/merlinthread/nodes/log_member.py
+++ b/src/merlinthread/nodes/log_member.py
@@ -159,7 +159,7 @@
         while True:
             now = self.clock()
             self.turn(now)
-            self.members.ask(now)
+            self.members.request_join(now)
             self.wakeup.clear()
             if not self.inbox:
                 due = min(self.raft.next_tick_at(), self.duties_at, self.members.ask_at)
--- a/src/merlinthread/nodes/member_changes.py
+++ b/src/merlinthread/nodes/member_changes.py
@@ -75,7 +75,7 @@
 
     # Joining
 
-    def ask(self, now: float) -> None:
+    def request_join(self, now: float) -> None:
         """Ask to be taken in, if this member is none or has not heard a leader for long."""
         if now < self.ask_at:
             return
