--- a/src/merlinthread/nodes/member_changes.py
+++ b/src/merlinthread/nodes/member_changes.py
@@ -22,7 +22,7 @@
 ASKER_KEPT_S = 2.0
 # Shares of the time that a deployment gives a replacement until the next loss may come. A lost
 # voter must be out within it, after an election and its silence; one that costs no loss may stay.
-SPARE_SILENCE_SHARE = 0.35
+SURPLUS_SILENCE_FRACTION = 0.35
 SILENCE_SHARE = 2.0
 # Share of the time that a planned end may take within which the others must go on without this
 # member: 3 s of the usual 8, enough for an election (1.5 s at most) and two changes of members.
@@ -64,7 +64,7 @@
         catch_up_s = self.settings.bounds.catch_up_s
         return log_repair.RepairPolicy(
             self.settings.members_lost_max,
-            SPARE_SILENCE_SHARE * catch_up_s,
+            SURPLUS_SILENCE_FRACTION * catch_up_s,
             SILENCE_SHARE * catch_up_s,
         )
 
