--- a/src/merlinthread/nodes/control_node.py
+++ b/src/merlinthread/nodes/control_node.py
@@ -220,7 +220,7 @@
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(left):
                     await self.changed.wait()
-        return self.news(watch)
+        return self.changes_for(watch)
 
     def has_news(self, watch: node_messages.WatchRequest) -> bool:
         """Return whether there is anything that the asker does not know."""
@@ -232,7 +232,7 @@
             return True
         return watch.configuration < self.member.state.version
 
-    def news(self, watch: node_messages.WatchRequest) -> node_messages.WatchReply:
+    def changes_for(self, watch: node_messages.WatchRequest) -> node_messages.WatchReply:
         """Return what the asker does not know."""
         now = self.clock()
         position = watch.position if watch.feed == self.feed else 0
--- a/tests/test_control_nodes.py
+++ b/tests/test_control_nodes.py
@@ -87,7 +87,7 @@
         await controls.start(alone)
         watch = node_messages.WatchRequest("entry", "", 0, 0, 0.5)
         await fleet_nodes.until(
-            lambda: controls.nodes[alone].news(watch).configuration_version >= 4, 3.0
+            lambda: controls.nodes[alone].changes_for(watch).configuration_version >= 4, 3.0
         )
         assert not controls.leader()
         answer = await controls.call(alone, "GET", "/config")
@@ -309,7 +309,7 @@
     member = node.member
     command = member.encode_command(fleet_state.NameVersion("m", version))
     member.apply(journal.Entry(member.applied + 1, member.raft.hard_state.term, "command", command))
-    told = node.news(node_messages.WatchRequest("entry", "", 0, 0, 0.0)).named
+    told = node.changes_for(node_messages.WatchRequest("entry", "", 0, 0, 0.0)).named
     return next(named.age_s for named in told if named.model == "m")
 
 
@@ -334,7 +334,7 @@
         leader = controls.nodes[controls.leader()]
         leader.member.current_at = float("-inf")
         await controls.until_acknowledged("POST", "/version-put", {"model": "m", "version": 2})
-        told = leader.news(node_messages.WatchRequest("entry", "", 0, 0, 0.0)).named
+        told = leader.changes_for(node_messages.WatchRequest("entry", "", 0, 0, 0.0)).named
         assert told[0].age_s < 3.0
 
     run(tmp_path, scenario)
--- a/tests/test_log_repair.py
+++ b/tests/test_log_repair.py
@@ -49,9 +49,11 @@
             controls.kill(ip)
         await controls.start(controls.ips[0])
         alone = controls.nodes[controls.ips[0]]
-        assert alone.news(WATCH).leader_age_s > news_watcher.STALE_S
+        assert alone.changes_for(WATCH).leader_age_s > news_watcher.STALE_S
         await controls.start(controls.ips[1])
-        await fleet_nodes.until(lambda: alone.news(WATCH).leader_age_s < news_watcher.STALE_S)
+        await fleet_nodes.until(
+            lambda: alone.changes_for(WATCH).leader_age_s < news_watcher.STALE_S
+        )
 
     run(tmp_path, scenario)
 
@@ -63,17 +65,17 @@
         await put(controls, 1)
         follower = next(ip for ip in controls.ips if ip != controls.leader())
         node = controls.nodes[follower]
-        await fleet_nodes.until(lambda: node.news(WATCH).leader_age_s < news_watcher.STALE_S)
+        await fleet_nodes.until(lambda: node.changes_for(WATCH).leader_age_s < news_watcher.STALE_S)
 
         def full(hard_state, entries, commit):
             raise errors.DiskFullError("no room")
 
         monkeypatch.setattr(node.member.journal, "save", full)
         await put(controls, 2)
-        await fleet_nodes.until(lambda: node.news(WATCH).leader_age_s > news_watcher.STALE_S)
+        await fleet_nodes.until(lambda: node.changes_for(WATCH).leader_age_s > news_watcher.STALE_S)
         assert node.member.state.version == 1
         monkeypatch.undo()
-        await fleet_nodes.until(lambda: node.news(WATCH).leader_age_s < news_watcher.STALE_S)
+        await fleet_nodes.until(lambda: node.changes_for(WATCH).leader_age_s < news_watcher.STALE_S)
         assert node.member.state.version == 2
 
     run(tmp_path, scenario)
@@ -89,7 +91,7 @@
             controls.kill(ip)
         await controls.start(controls.ips[0])
         alone = controls.nodes[controls.ips[0]]
-        await fleet_nodes.until(lambda: alone.news(WATCH).configuration_version == 7)
+        await fleet_nodes.until(lambda: alone.changes_for(WATCH).configuration_version == 7)
 
     run(tmp_path, scenario)
 
