--- a/src/merlinthread/nodes/crash_registry.py
+++ b/src/merlinthread/nodes/crash_registry.py
@@ -141,7 +141,7 @@
             # The leader decides; another one only what the leader seems not to know of.
             patience_s = 0.0 if self.member.raft.is_leader() else TEND_EVERY_S
             now = self.clock()
-            for command in decisions(self.ledger, self.held_since, now, patience_s):
+            for command in due_commands(self.ledger, self.held_since, now, patience_s):
                 await self.commit(command)
 
     async def commit(self, command: fleet_state.Command) -> None:
@@ -161,7 +161,7 @@
             self.start_sending(address, [])
 
 
-def decisions(
+def due_commands(
     ledger: crash_ledger.CrashLedger, held_since: dict[str, float], now: float, patience_s: float
 ) -> list[fleet_state.PlaceHold | fleet_state.ReleaseHold]:
     """Return what the log should say of requests, and does not say `patience_s` later."""
