--- a/src/merlinthread/nodes/crash_registry.py
+++ b/src/merlinthread/nodes/crash_registry.py
@@ -47,7 +47,7 @@
         self.has_changed = asyncio.Event()
         self.passing: set[asyncio.Task[None]] = set()
         # Requests of which a control VM could not be told, by its address.
-        self.missed: dict[str, dict[str, None]] = {}
+        self.undelivered: dict[str, dict[str, None]] = {}
 
     # What is told
 
@@ -90,15 +90,15 @@
                 self.member.levels.record_inferred(address, levels.FormatLevel.HELD_REQUESTS)
         except errors.MerlinthreadError as error:
             logs.debug("crash_report_lost", control=address, reason=error.message)
-            missed = self.missed.setdefault(address, {})
-            missed.update(dict.fromkeys(told.fingerprint for told in message.suspicions))
+            undelivered = self.undelivered.setdefault(address, {})
+            undelivered.update(dict.fromkeys(told.fingerprint for told in message.suspicions))
 
     def send_missed(self) -> None:
         """Tell control VMs what they missed: else three may know one end each, and none three."""
-        missed, self.missed = self.missed, {}
+        undelivered, self.undelivered = self.undelivered, {}
         now = self.clock()
         for address in self.others():
-            records = [self.ledger.records.get(name) for name in missed.get(address, {})]
+            records = [self.ledger.records.get(name) for name in undelivered.get(address, {})]
             found = [self.ledger.report_of(record, now) for record in records if record is not None]
             if found:
                 self.start_sending(address, found)
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -122,7 +122,7 @@
         fleet.controls.kill(away)
         await fleet.ask(0, crashing_fleet.DEADLY)
         nodes = list(fleet.controls.nodes.values())
-        await fleet_nodes.until(lambda: any(node.crashes.missed for node in nodes))
+        await fleet_nodes.until(lambda: any(node.crashes.undelivered for node in nodes))
         for node in nodes:
             node.member.propose = None  # nothing is decided: the log tells nothing
         await fleet.controls.start(away)
