--- a/src/merlinthread/nodes/__init__.py
+++ b/src/merlinthread/nodes/__init__.py
@@ -1,1 +1,1 @@
-"""Nodes on one event loop each: the control VM, the entry and the agent of a fed deployment."""
+"""The node processes, each on one asyncio event loop: control VM, entry and agent."""
--- a/src/merlinthread/nodes/control_api.py
+++ b/src/merlinthread/nodes/control_api.py
@@ -1,4 +1,4 @@
-"""The calls of operators and back ends at a control VM, over HTTP."""
+"""The HTTP API of a control VM, for operators and back ends."""
 
 import zlib
 from collections.abc import Awaitable, Callable
@@ -12,122 +12,135 @@
 from merlinthread.protocol import error_responses, node_messages
 from merlinthread.transport import http_messages, node_bus, stream_server
 
-# How long a call that is passed on to the leader may take, in seconds.
+# The timeout of a request to another control VM.
 FORWARD_TIMEOUT_S = 0.9
-COMPRESSION = 6
+ZLIB_LEVEL = 6
 
 Submit = Callable[[fleet_state.Command], Awaitable[bool]]
 
 
 class ControlApi:
-    """Answers calls; `submit` commits a command, `take` takes a heartbeat in and passes it on."""
+    """Handles the HTTP requests of operators and back ends.
+
+    `submit` commits a command. `record_heartbeat` records a heartbeat and forwards it to the other
+    control VMs.
+    """
 
     def __init__(
         self,
         dialect: dialects.Dialect,
         member: log_member.LogMember,
         registry: instances.InstanceRegistry,
-        caller: node_bus.RpcClient,
+        rpc_client: node_bus.RpcClient,
         submit: Submit,
-        take: Callable[[fleet.Heartbeat], None],
+        record_heartbeat: Callable[[fleet.Heartbeat], None],
     ) -> None:
         self.dialect = dialect
         self.member = member
         self.registry = registry
-        self.caller = caller
+        self.rpc_client = rpc_client
         self.submit = submit
-        self.take = take
+        self.record_heartbeat = record_heartbeat
 
     async def serve(self, exchange: stream_server.Exchange) -> None:
-        """Answer one call over HTTP."""
+        """Handle one HTTP exchange; errors become error responses."""
         request = exchange.request
         try:
             call = self.dialect.control_call(request)
-            answer = await self.handle(call)
+            response = await self.handle(call)
         except TimeoutError:
-            answer = refusal(errors.ControlError("no majority answered in time; send it again"))
+            response = error_response(
+                errors.ControlError("no majority answered in time; send it again")
+            )
         except errors.MerlinthreadError as error:
-            answer = refusal(error)
-        if answer.status >= 300:
+            response = error_response(error)
+        if response.status >= 300:
             logs.event(
                 "control_refused",
                 method=request.method.decode("ascii", "replace"),
                 path=request.target.decode("ascii", "replace"),
-                status=answer.status,
-                body=answer.body.decode("utf-8", "replace"),
+                status=response.status,
+                body=response.body.decode("utf-8", "replace"),
             )
-        await exchange.respond(answer)
+        await exchange.respond(response)
 
     async def handle(self, call: dialects.ControlCall) -> http_messages.Response:
-        """Do what a call asks for; return its answer."""
+        """Dispatch a call to its handler; return the response."""
         if isinstance(call, dialects.TakeHeartbeat):
             return await self.on_heartbeat(call.heartbeat)
         if isinstance(call, dialects.Leave):
-            await self.depart_for_good(self.registry.latest(call.instance), fleet.GONE)
-            return ok()
+            await self.commit_departure(self.registry.latest(call.instance), fleet.GONE)
+            return ok_response()
         if isinstance(call, dialects.PutConfiguration):
-            return await self.on_put(call)
+            return await self.put_configuration(call)
         if isinstance(call, dialects.NameVersion):
             if call.version > self.member.state.named.get(call.model, 0):
                 await self.submit(fleet_state.NameVersion(call.model, call.version))
-            return ok()
-        return await self.on_get()
+            return ok_response()
+        return await self.get_configuration()
 
     async def on_heartbeat(self, heartbeat: fleet.Heartbeat) -> http_messages.Response:
-        """Take a heartbeat; that it drains is acknowledged once a majority holds it."""
-        self.take(heartbeat)
+        """Record a heartbeat; one that reports draining is acknowledged once that is committed."""
+        self.record_heartbeat(heartbeat)
         if heartbeat.state == fleet.DRAINING:
-            await self.depart_for_good(heartbeat.instance, fleet.DRAINING)
-        return ok()
+            await self.commit_departure(heartbeat.instance, fleet.DRAINING)
+        return ok_response()
 
-    async def depart_for_good(self, instance: str, state: str) -> None:
-        """Commit that an instance leaves, unless that is known to be committed."""
+    async def commit_departure(self, instance: str, state: str) -> None:
+        """Commit that an instance is draining or gone, unless that is already committed."""
         known = self.member.state.departed.get(instance)
         if known == state or known == fleet.GONE:
             return
         await self.submit(fleet_state.Depart(instance, state))
 
-    async def on_put(self, call: dialects.PutConfiguration) -> http_messages.Response:
-        """Commit a configuration, or acknowledge one that was overtaken."""
+    async def put_configuration(self, call: dialects.PutConfiguration) -> http_messages.Response:
+        """Commit a configuration; one that is not newer is acknowledged and ignored."""
         version = call.configuration.version
         if version > self.member.state.version:
-            body = zlib.compress(call.body, COMPRESSION)
+            body = zlib.compress(call.body, ZLIB_LEVEL)
             await self.submit(fleet_state.Configure(version, body))
-        return ok()
+        return ok_response()
 
-    async def on_get(self) -> http_messages.Response:
-        """Answer with the newest configuration, if that is sure."""
-        reply = await self.read()
+    async def get_configuration(self) -> http_messages.Response:
+        """Return the newest committed configuration.
+
+        Raises ControlError if there is none yet.
+        """
+        reply = await self.read_configuration()
         if not reply.version:
             raise errors.ControlError("no configuration was put yet", retry_after_s=0.5)
         body = zlib.decompress(reply.body)
         return http_messages.Response(200, [(b"content-type", b"application/json")], body)
 
-    async def read(self) -> node_messages.ConfigurationReply:
-        """Return the newest configuration, from the leader."""
+    async def read_configuration(self) -> node_messages.ConfigurationReply:
+        """Read the newest configuration from the leader.
+
+        Raises NotLeaderError if the leader is unknown, and an error of the RPC if it does not
+        reply.
+        """
         if self.member.raft.is_leader():
-            return self.read_here()
+            return self.read_local_configuration()
         leader = self.member.leader_address()
         if not leader or leader == self.member.address:
             raise errors.NotLeaderError("no leader is known", "")
-        return await self.caller.call(
+        return await self.rpc_client.call(
             leader, node_messages.ConfigurationRequest(), FORWARD_TIMEOUT_S
         )
 
-    def read_here(self) -> node_messages.ConfigurationReply:
-        """Return the newest configuration if this member surely leads."""
+    def read_local_configuration(self) -> node_messages.ConfigurationReply:
+        """Return this member's configuration; raise NotLeaderError unless it holds the lease."""
         if not self.member.holds_lease():
-            raise errors.NotLeaderError("this member does not surely lead", "")
+            raise errors.NotLeaderError("this member does not hold the leader's lease", "")
         return node_messages.ConfigurationReply(self.member.state.version, self.member.state.body)
 
 
-def ok() -> http_messages.Response:
-    """Return an acknowledgement."""
+def ok_response() -> http_messages.Response:
+    """Return a response with status 200 and an empty JSON object."""
     return http_messages.Response(200, [(b"content-type", b"application/json")], b"{}")
 
 
-def refusal(error: errors.MerlinthreadError) -> http_messages.Response:
-    """Return the answer that tells `error`."""
+def error_response(error: errors.MerlinthreadError) -> http_messages.Response:
+    """Return the JSON response for `error`, with a Retry-After header if it has a delay."""
     body = error_responses.error_body(error)
     headers = [(b"content-type", b"application/json")]
     if body.retry_after_s is not None:
--- a/src/merlinthread/nodes/control_node.py
+++ b/src/merlinthread/nodes/control_node.py
@@ -1,4 +1,4 @@
-"""A control VM: configurations, named weights and the registry of back ends, for all nodes."""
+"""The control VM node: configuration, weight versions and the registry of back ends of a fleet."""
 
 import asyncio
 import contextlib
@@ -28,15 +28,19 @@
 from merlinthread.protocol import node_messages
 from merlinthread.transport import http_messages, node_bus, stream_server
 
-BEATS_EVERY_S = 0.1
+HEARTBEAT_FORWARD_INTERVAL_S = 0.1
 WATCH_WAIT_MAX_S = 1.0
-SILENT_AFTER_BEATS = 8
-EXPIRE_EVERY_S = 1.0
+# Instances expire after this many heartbeat intervals without a heartbeat.
+EXPIRY_HEARTBEATS = 8
+EXPIRE_INTERVAL_S = 1.0
 BODY_BYTES_MAX = 8 * 1024 * 1024
 
 
 class ControlNode:
-    """One control VM: the log member, the operators' and back ends' calls, the feed of news."""
+    """One control VM: a member of the replicated log, the HTTP API and the RPC service for nodes.
+
+    `clock` returns monotonic time in seconds.
+    """
 
     def __init__(
         self,
@@ -47,32 +51,37 @@
     ) -> None:
         self.settings = settings
         self.clock = clock
-        self.caller = node_bus.RpcClient(codec)
+        self.rpc_client = node_bus.RpcClient(codec)
         self.registry = instances.InstanceRegistry(settings.heartbeat_s)
         self.named_at: dict[str, float] = {}
         self.feed = secrets.token_hex(8)
         self.changed = asyncio.Event()
-        self.outgoing: list[fleet.Heartbeat] = []
-        self.limits = limit_registry.LimitRegistry(clock, self.tell)
+        self.outgoing_heartbeats: list[fleet.Heartbeat] = []
+        self.limits = limit_registry.LimitRegistry(clock, self.notify_watchers)
         self.member = log_member.LogMember(
-            settings, codec, self.caller, clock, self.on_applied, self.on_restored
+            settings, codec, self.rpc_client, clock, self.on_applied, self.on_restored
         )
         self.crashes = crash_registry.CrashRegistry(
-            settings, clock, self.caller, self.member, self.submit, self.tell
+            settings, clock, self.rpc_client, self.member, self.submit, self.notify_watchers
         )
         self.listener = node_bus.RpcServer(codec, self.on_message)
         self.datagrams = node_bus.DatagramEndpoint(codec, self.on_datagram)
         self.permits = permit_server.PermitServer(self.member, clock)
         limits = http_messages.Limits(body_bytes=BODY_BYTES_MAX, idle_timeout_s=60.0)
-        self.calls = control_api.ControlApi(
-            dialect, self.member, self.registry, self.caller, self.submit, self.take_here
+        self.api = control_api.ControlApi(
+            dialect,
+            self.member,
+            self.registry,
+            self.rpc_client,
+            self.submit,
+            self.record_local_heartbeat,
         )
-        self.server = stream_server.Server(self.calls.serve, limits)
-        self.pending: dict[bytes, asyncio.Task] = {}
+        self.server = stream_server.Server(self.api.serve, limits)
+        self.pending_commits: dict[bytes, asyncio.Task] = {}
         self.tasks: list[asyncio.Task] = []
 
     async def start(self) -> None:
-        """Listen and start the tasks."""
+        """Start the servers and the background tasks."""
         self.on_restored()
         await self.listener.listen(self.settings.ip, self.settings.control_port)
         await self.datagrams.listen(self.settings.ip, self.settings.control_port)
@@ -81,17 +90,17 @@
         loop = asyncio.get_running_loop()
         self.tasks = [
             loop.create_task(self.member.run()),
-            loop.create_task(self.pass_beats_on()),
-            loop.create_task(self.expire()),
-            loop.create_task(self.crashes.tend()),
+            loop.create_task(self.forward_heartbeats()),
+            loop.create_task(self.expire_instances()),
+            loop.create_task(self.crashes.run()),
         ]
 
     def reload(self, settings: node_settings.NodeSettings) -> None:
-        """Take other control VMs to start from."""
+        """Apply changed settings: the addresses of the control VMs."""
         self.settings.control_ips = settings.control_ips
 
     async def stop(self) -> None:
-        """Stop to accept calls and wait for those in progress."""
+        """Shut down gracefully: wait for active requests, then resign from the replicated log."""
         self.server.stop_accepting()
         for _ in range(20):
             if not self.server.count_active_requests():
@@ -100,67 +109,67 @@
         await self.member.members.resign()
         self.member.close()
 
-    # The log's side
+    # Replicated log
 
     def on_applied(self, command: fleet_state.Command, age_s: float) -> None:
-        """Take a command into what is told to nodes; it was committed `age_s` ago at most."""
+        """Handle an applied command, which was committed at most `age_s` seconds ago."""
         if isinstance(command, fleet_state.Depart):
-            # Whoever took the call may not have known which life of the back end it was about.
+            # The VM that proposed it may not have known the incarnation of the back end.
             for instance in self.registry.incarnations_of(command.instance):
-                self.depart(instance, command.state)
+                self.mark_departed(instance, command.state)
         elif isinstance(command, fleet_state.NameVersion):
             self.named_at[command.model] = self.clock() - age_s
             self.registry.advance()
         elif isinstance(command, fleet_state.PlaceHold | fleet_state.ReleaseHold):
             self.crashes.on_applied()
         name = self.member.command_names[type(command)]
-        logs.event("applied", command=name, **described(command))
-        self.tell()
+        logs.event("applied", command=name, **log_fields(command))
+        self.notify_watchers()
 
     def on_restored(self) -> None:
-        """Take a snapshot's state into what is told to nodes."""
+        """Update the state that is sent to nodes after a snapshot was restored."""
         for instance, state in self.member.state.departed.items():
-            self.depart(instance, state)
+            self.mark_departed(instance, state)
         for model in self.member.state.named:
             self.named_at.setdefault(model, self.clock() - log_member.UNKNOWN_AGE_S)
         self.crashes.on_applied()
-        self.tell()
+        self.notify_watchers()
 
-    def depart(self, instance: str, state: str) -> None:
-        """Take over that an instance leaves."""
+    def mark_departed(self, instance: str, state: str) -> None:
+        """Mark an instance as draining or gone in the registry."""
         if state == fleet.GONE:
             self.registry.mark_gone(instance)
         else:
             self.registry.mark_draining(instance)
 
-    def tell(self) -> None:
-        """Wake those who wait for news."""
+    def notify_watchers(self) -> None:
+        """Wake the pending watch requests."""
         self.changed.set()
         self.changed = asyncio.Event()
 
     async def submit(self, command: fleet_state.Command) -> bool:
-        """Commit a command here or at the leader; return whether it changed anything.
+        """Commit a command here or at the leader; return whether it changed the state.
 
-        Calls for the same command share one entry. Raises NotLeaderError, UnreachableError or
-        ControlError if it is not known to be committed.
+        Concurrent calls with the same command share one log entry. Raises NotLeaderError,
+        UnreachableError, ControlError or TimeoutError if the command is not known to be committed.
         """
         encoded = self.member.encode_command(command)
-        answer = self.pending.get(encoded)
-        if answer is None:
+        commit = self.pending_commits.get(encoded)
+        if commit is None:
             loop = asyncio.get_running_loop()
-            answer = loop.create_task(self.commit(encoded))
-            self.pending[encoded] = answer
-            answer.add_done_callback(lambda done: self.forget(encoded, done))
-        return await asyncio.shield(answer)
-
-    def forget(self, encoded: bytes, done: asyncio.Future) -> None:
-        """Forget a command that is decided."""
-        self.pending.pop(encoded, None)
+            commit = loop.create_task(self.commit(encoded))
+            self.pending_commits[encoded] = commit
+            commit.add_done_callback(lambda done: self.on_commit_done(encoded, done))
+        return await asyncio.shield(commit)
+
+    def on_commit_done(self, encoded: bytes, done: asyncio.Future) -> None:
+        """Remove a finished commit, and retrieve its exception so that asyncio logs none."""
+        self.pending_commits.pop(encoded, None)
         if not done.cancelled():
             done.exception()
 
     async def commit(self, encoded: bytes) -> bool:
-        """Commit an encoded command here or at the leader."""
+        """Commit an encoded command here or at the leader; return whether it changed the state."""
         async with asyncio.timeout(control_api.FORWARD_TIMEOUT_S):
             if self.member.raft.is_leader():
                 return await self.member.propose(encoded)
@@ -168,22 +177,22 @@
             if not leader or leader == self.member.address:
                 raise errors.NotLeaderError("no leader is known", "")
             self.member.check_leader_reads(encoded, leader)
-            reply = await self.caller.call(
+            reply = await self.rpc_client.call(
                 leader, node_messages.CommandRequest(encoded), control_api.FORWARD_TIMEOUT_S
             )
             return reply.is_applied
 
-    # Nodes
+    # Requests of nodes
 
     def on_datagram(self, message: Any) -> None:
-        """Answer an entry that asks for a permit."""
+        """Reply to an entry's request for a permit."""
         if isinstance(message, node_messages.LoadQuery) and message.permit is not None:
             permit = self.permits.answer(message)
-            answer = node_messages.LoadReply(message.number, 0, 0, 0.0, permit=permit)
-            self.datagrams.send(message.address, answer)
+            reply = node_messages.LoadReply(message.number, 0, 0, 0.0, permit=permit)
+            self.datagrams.send(message.address, reply)
 
     async def on_message(self, message: Any) -> Any:
-        """Answer one call of another node."""
+        """Handle one RPC of another node; raise ProtocolError for an unsupported message."""
         if isinstance(message, node_messages.RaftFrames):
             self.member.receive(message.frames)
             return node_messages.Acknowledgement(levels.NEWEST)
@@ -191,49 +200,49 @@
             return await self.on_watch(message)
         if isinstance(message, node_messages.HeartbeatBatch):
             for heartbeat in message.heartbeats:
-                self.take(heartbeat)
-            self.limits.take(message.limits)
+                self.record_heartbeat(heartbeat)
+            self.limits.merge(message.limits)
             return node_messages.Acknowledgement(levels.NEWEST)
         if isinstance(message, node_messages.CrashReport):
-            self.crashes.take(message)
-            self.limits.take_heard(message.limits)
+            self.crashes.on_report(message)
+            self.limits.merge_from_entry(message.limits)
             return node_messages.Acknowledgement(levels.NEWEST)
         if isinstance(message, node_messages.CommandRequest):
             async with asyncio.timeout(control_api.FORWARD_TIMEOUT_S):
                 is_changed = await self.member.propose(message.command)
             return node_messages.CommandReply(is_changed, self.member.state.version)
         if isinstance(message, node_messages.ConfigurationRequest):
-            return self.calls.read_here()
+            return self.api.read_local_configuration()
         if isinstance(message, node_messages.JoinRequest):
             return await self.member.members.on_join(message)
         if isinstance(message, node_messages.LeaveRequest):
-            return await self.member.members.on_resign(message)
-        raise errors.ProtocolError(f"a control VM does not answer {type(message).__name__}")
+            return await self.member.members.on_leave(message)
+        raise errors.ProtocolError(f"a control VM does not handle {type(message).__name__}")
 
     async def on_watch(self, watch: node_messages.WatchRequest) -> node_messages.WatchReply:
-        """Answer with what is new, at once or as soon as there is something."""
+        """Reply with the changes that the node lacks; wait for some until the request times out."""
         deadline = self.clock() + min(watch.wait_s, WATCH_WAIT_MAX_S)
-        while not self.has_news(watch):
-            left = deadline - self.clock()
-            if left <= 0:
+        while not self.has_changes_for(watch):
+            remaining_s = deadline - self.clock()
+            if remaining_s <= 0:
                 break
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(left):
+                async with asyncio.timeout(remaining_s):
                     await self.changed.wait()
         return self.changes_for(watch)
 
-    def has_news(self, watch: node_messages.WatchRequest) -> bool:
-        """Return whether there is anything that the asker does not know."""
+    def has_changes_for(self, watch: node_messages.WatchRequest) -> bool:
+        """Return whether anything changed since the positions in a watch request."""
         if watch.feed != self.feed or watch.position < self.registry.position:
             return True
         if 0 <= watch.suspicions < self.crashes.ledger.reported_revision:
             return True
-        if 0 <= watch.limits < self.limits.ledger.revision:
+        if 0 <= watch.limits < self.limits.table.revision:
             return True
         return watch.configuration < self.member.state.version
 
     def changes_for(self, watch: node_messages.WatchRequest) -> node_messages.WatchReply:
-        """Return what the asker does not know."""
+        """Return the changes since the positions in a watch request."""
         now = self.clock()
         position = watch.position if watch.feed == self.feed else 0
         is_full, changed, gone = self.registry.changes_since(position, now)
@@ -260,14 +269,14 @@
             self.member.staleness_s(now),
             suspicions,
             self.crashes.ledger.reported_revision,
-            self.limits.since(limits_from),
-            self.limits.ledger.revision,
+            self.limits.changes_since(limits_from),
+            self.limits.table.revision,
         )
 
     # Heartbeats
 
-    def take(self, heartbeat: fleet.Heartbeat) -> None:
-        """Take a heartbeat in; what has left stays so."""
+    def record_heartbeat(self, heartbeat: fleet.Heartbeat) -> None:
+        """Record a heartbeat; a departed instance stays draining or gone."""
         state = self.member.state.departed.get(heartbeat.instance)
         if state == fleet.GONE:
             return
@@ -282,44 +291,44 @@
                     service=heartbeat.service,
                     address=heartbeat.address,
                 )
-            self.tell()
+            self.notify_watchers()
 
-    def take_here(self, heartbeat: fleet.Heartbeat) -> None:
-        """Take a heartbeat that came to this VM; the other control VMs hear of it."""
-        self.take(heartbeat)
-        self.outgoing.append(heartbeat)
+    def record_local_heartbeat(self, heartbeat: fleet.Heartbeat) -> None:
+        """Record a heartbeat that a back end sent to this VM, and queue it for the other VMs."""
+        self.record_heartbeat(heartbeat)
+        self.outgoing_heartbeats.append(heartbeat)
 
-    async def pass_beats_on(self) -> None:
-        """Pass heartbeats and limits on to the other control VMs, many at a time."""
+    async def forward_heartbeats(self) -> None:
+        """Forward heartbeats and rate limits to the other control VMs, in batches."""
         while True:
-            await asyncio.sleep(BEATS_EVERY_S)
-            if not self.outgoing and not self.limits.outgoing:
+            await asyncio.sleep(HEARTBEAT_FORWARD_INTERVAL_S)
+            if not self.outgoing_heartbeats and not self.limits.outgoing:
                 continue
-            heartbeats, self.outgoing = self.outgoing, []
+            heartbeats, self.outgoing_heartbeats = self.outgoing_heartbeats, []
             limits = self.limits.pop_outgoing()
             message = node_messages.HeartbeatBatch(self.settings.name, heartbeats, limits)
             for address in self.member.member_addresses():
                 if address != self.member.address:
-                    asyncio.get_running_loop().create_task(self.pass_on(address, message))
+                    asyncio.get_running_loop().create_task(self.send_batch(address, message))
 
-    async def pass_on(self, address: str, message: node_messages.HeartbeatBatch) -> None:
-        """Send heartbeats to one control VM; the next beat makes good for a lost one."""
+    async def send_batch(self, address: str, message: node_messages.HeartbeatBatch) -> None:
+        """Send a batch to one control VM; errors are ignored, since heartbeats are sent again."""
         with contextlib.suppress(errors.MerlinthreadError):
-            await self.caller.call(address, message, control_api.FORWARD_TIMEOUT_S)
+            await self.rpc_client.call(address, message, control_api.FORWARD_TIMEOUT_S)
 
-    async def expire(self) -> None:
-        """Drop back ends that were silent for long."""
+    async def expire_instances(self) -> None:
+        """Remove instances that sent no heartbeat for EXPIRY_HEARTBEATS intervals, periodically."""
         while True:
-            await asyncio.sleep(EXPIRE_EVERY_S)
-            silent_s = SILENT_AFTER_BEATS * self.settings.heartbeat_s
+            await asyncio.sleep(EXPIRE_INTERVAL_S)
+            silent_s = EXPIRY_HEARTBEATS * self.settings.heartbeat_s
             silent = self.registry.expire(self.clock(), silent_s)
             if silent:
                 logs.event("instances_silent", instances=silent, silent_s=silent_s)
-                self.tell()
+                self.notify_watchers()
 
 
-def described(command: fleet_state.Command) -> dict[str, Any]:
-    """Return a command's fields for the log, without its body."""
+def log_fields(command: fleet_state.Command) -> dict[str, Any]:
+    """Return the fields of a command to log, without its body."""
     if isinstance(command, fleet_state.Configure):
         return {"version": command.version, "bytes": len(command.body)}
     if isinstance(command, fleet_state.NameVersion):
@@ -331,6 +340,6 @@
 
 @node_roles.NODES.add("control")
 def make(settings: node_settings.NodeSettings, dialect: dialects.Dialect) -> ControlNode:
-    """Return a control VM on this process's clock."""
+    """Create a control VM that uses the system clock."""
     codec = codecs.Codec([raft_messages.MESSAGES, node_messages.MESSAGES], [])
     return ControlNode(settings, dialect, codec, clocks.now)
--- a/src/merlinthread/nodes/crash_registry.py
+++ b/src/merlinthread/nodes/crash_registry.py
@@ -1,8 +1,8 @@
-"""What the control VMs know of requests that end back ends' processes, and their decisions on them.
+"""A control VM's registry of requests that crash back ends, which places and releases holds.
 
-What entries saw is soft: any control VM takes a report and passes it on. That a request is held
-back must survive the loss of power of all VMs, or it would end three more processes each time; it
-goes into the replicated log.
+Crash reports of entries are not persisted: any control VM accepts one and forwards it to the
+others. Holds are committed to the replicated log, so that they survive a power loss of all VMs;
+without that, a request could crash several more processes after each one.
 """
 
 import asyncio
@@ -15,98 +15,107 @@
 from merlinthread.protocol import node_messages
 from merlinthread.transport import node_bus
 
-PASS_ON_TIMEOUT_S = 0.9
-# How often decisions are looked at again: one that found no majority, one whose time is over.
-TEND_EVERY_S = 0.5
-# A whole answer may come in while the decision to hold its request back is being committed.
-COMMIT_S_MAX = 2.0
+FORWARD_TIMEOUT_S = 0.9
+# How often holds are checked for expiry and uncommitted decisions are proposed again.
+DECISION_INTERVAL_S = 0.5
+# A complete response up to this long before a hold was applied still releases it, since the hold
+# may have been on its way to being committed.
+COMMIT_MAX_S = 2.0
 
 Submit = Callable[[fleet_state.Command], Awaitable[bool]]
 
 
 class CrashRegistry:
-    """One control VM's part; `submit` commits a command, `tell` wakes those who wait for news."""
+    """The crash records of one control VM.
+
+    `submit` commits a command to the replicated log; `notify` wakes the pending watch requests.
+    """
 
     def __init__(
         self,
         settings: node_settings.NodeSettings,
         clock: Callable[[], float],
-        caller: node_bus.RpcClient,
+        rpc_client: node_bus.RpcClient,
         member: log_member.LogMember,
         submit: Submit,
-        tell: Callable[[], None],
+        notify: Callable[[], None],
     ) -> None:
         self.settings = settings
         self.clock = clock
-        self.caller = caller
+        self.rpc_client = rpc_client
         self.member = member
         self.submit = submit
-        self.tell = tell
+        self.notify = notify
         self.ledger = crash_ledger.CrashLedger()
         self.held_since: dict[str, float] = {}
-        self.has_changed = asyncio.Event()
-        self.passing: set[asyncio.Task[None]] = set()
-        # Requests of which a control VM could not be told, by its address.
+        self.changed_event = asyncio.Event()
+        self.send_tasks: set[asyncio.Task[None]] = set()
+        # The fingerprints that could not be reported to a control VM, by its address.
         self.undelivered: dict[str, dict[str, None]] = {}
 
-    # What is told
+    # Reports
 
-    def take(self, report: node_messages.CrashReport) -> None:
-        """Take over what an entry saw, and pass it on to the other control VMs."""
+    def on_report(self, report: node_messages.CrashReport) -> None:
+        """Merge a crash report, and forward it to the other control VMs unless it was forwarded."""
         now = self.clock()
-        known = self.ledger.revision
+        revision_before = self.ledger.revision
         for suspicion in report.suspicions:
             self.ledger.merge(suspicion, now)
-        if self.ledger.revision == known:
+        if self.ledger.revision == revision_before:
             return
-        self.has_changed.set()
-        self.tell()
+        self.changed_event.set()
+        self.notify()
         if not report.is_passed_on:
-            self.pass_on(report.suspicions)
+            self.forward(report.suspicions)
 
-    def pass_on(self, suspicions: list[crash_ledger.SuspectReport]) -> None:
-        """Tell the other control VMs."""
-        for address in self.others():
-            self.start_sending(address, suspicions)
+    def forward(self, suspicions: list[crash_ledger.SuspectReport]) -> None:
+        """Send reports to all other control VMs in the background."""
+        for address in self.other_addresses():
+            self.schedule_send(address, suspicions)
 
-    def others(self) -> list[str]:
+    def other_addresses(self) -> list[str]:
         """Return the addresses of the other control VMs."""
         members = self.member.member_addresses()
         return [address for address in members if address != self.member.address]
 
-    def start_sending(self, address: str, suspicions: list[crash_ledger.SuspectReport]) -> None:
-        """Tell one control VM, beside other work."""
+    def schedule_send(self, address: str, suspicions: list[crash_ledger.SuspectReport]) -> None:
+        """Send reports to one control VM in a background task."""
         message = node_messages.CrashReport(self.settings.name, suspicions, True)
         task = asyncio.get_running_loop().create_task(self.send(address, message))
-        self.passing.add(task)
-        task.add_done_callback(self.passing.discard)
+        self.send_tasks.add(task)
+        task.add_done_callback(self.send_tasks.discard)
 
     async def send(self, address: str, message: node_messages.CrashReport) -> None:
-        """Tell one control VM, or note that it was not told."""
+        """Send a report to one control VM; on failure, record its requests as undelivered."""
         try:
-            reply = await self.caller.call(address, message, PASS_ON_TIMEOUT_S)
+            reply = await self.rpc_client.call(address, message, FORWARD_TIMEOUT_S)
             if not reply.level:
-                # An older build that tells no level, and reads reports: it reads their entries too.
+                # An older build that reports no level but accepts crash reports reads holds too.
                 self.member.levels.record_inferred(address, levels.FormatLevel.HELD_REQUESTS)
         except errors.MerlinthreadError as error:
             logs.debug("crash_report_lost", control=address, reason=error.message)
             undelivered = self.undelivered.setdefault(address, {})
-            undelivered.update(dict.fromkeys(told.fingerprint for told in message.suspicions))
+            undelivered.update(dict.fromkeys(report.fingerprint for report in message.suspicions))
+
+    def send_undelivered(self) -> None:
+        """Send undelivered reports again.
 
-    def send_missed(self) -> None:
-        """Tell control VMs what they missed: else three may know one end each, and none three."""
+        Otherwise three control VMs might know of one crash each, and none of them of all three.
+        """
         undelivered, self.undelivered = self.undelivered, {}
         now = self.clock()
-        for address in self.others():
+        for address in self.other_addresses():
             records = [self.ledger.records.get(name) for name in undelivered.get(address, {})]
-            found = [self.ledger.report_of(record, now) for record in records if record is not None]
-            if found:
-                self.start_sending(address, found)
+            reports = [
+                self.ledger.report_of(record, now) for record in records if record is not None
+            ]
+            if reports:
+                self.schedule_send(address, reports)
 
-    # The log's side
+    # Replicated log
 
     def on_applied(self) -> None:
-        """Take over what the log says of requests that are held back."""
+        """Update the ledger and the metric from the holds in the replicated state."""
         now = self.clock()
         held = self.member.state.held
         for fingerprint, request in held.items():
@@ -128,60 +137,64 @@
 
     # Decisions
 
-    async def tend(self) -> None:
-        """Decide again and again which requests are held back."""
+    async def run(self) -> None:
+        """Propose due holds and releases periodically, and whenever a report changed a record."""
         while True:
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(TEND_EVERY_S):
-                    await self.has_changed.wait()
-            self.has_changed.clear()
-            self.send_missed()
-            self.ask_levels()
+                async with asyncio.timeout(DECISION_INTERVAL_S):
+                    await self.changed_event.wait()
+            self.changed_event.clear()
+            self.send_undelivered()
+            self.probe_levels()
             self.ledger.expire(self.clock())
-            # The leader decides; another one only what the leader seems not to know of.
-            patience_s = 0.0 if self.member.raft.is_leader() else TEND_EVERY_S
+            # Followers propose only what the leader did not, in case it lacks the reports.
+            patience_s = 0.0 if self.member.raft.is_leader() else DECISION_INTERVAL_S
             now = self.clock()
             for command in due_commands(self.ledger, self.held_since, now, patience_s):
                 await self.commit(command)
 
     async def commit(self, command: fleet_state.Command) -> None:
-        """Commit a decision; without a majority it is tried again later.
+        """Commit a command; on failure it is proposed again later.
 
-        While control VMs run a build that can't read it, the decision is not written: it holds here
-        and at all entries, as what entries saw does, and is lost only if all VMs lose power.
+        While a control VM runs a build that can't read the entry, it is not written. The request is
+        then held by its crash records alone, which are lost only if all VMs lose power.
         """
         try:
             await self.submit(command)
         except (errors.MerlinthreadError, TimeoutError) as error:
             logs.debug("decision_not_committed", reason=str(error))
 
-    def ask_levels(self) -> None:
-        """Find out by an empty report whether members that tell no level read such entries."""
-        for address in self.member.levels.without_level(self.others()):
-            self.start_sending(address, [])
+    def probe_levels(self) -> None:
+        """Send empty reports to members without a known level, to learn whether they read holds."""
+        for address in self.member.levels.without_level(self.other_addresses()):
+            self.schedule_send(address, [])
 
 
 def due_commands(
     ledger: crash_ledger.CrashLedger, held_since: dict[str, float], now: float, patience_s: float
 ) -> list[fleet_state.PlaceHold | fleet_state.ReleaseHold]:
-    """Return what the log should say of requests, and does not say `patience_s` later."""
-    found: list[fleet_state.PlaceHold | fleet_state.ReleaseHold] = []
+    """Return the commands for holds and releases that are not in the log yet.
+
+    Those due for less than `patience_s` are left out. `held_since` contains the times at which
+    holds were applied, by fingerprint.
+    """
+    commands: list[fleet_state.PlaceHold | fleet_state.ReleaseHold] = []
     for record in ledger.held():
         if now - record.changed_at < patience_s:
             continue
         hold = record.hold
         since = held_since.get(record.fingerprint, now)
         if not hold.is_held():
-            ended = [end.instance for end in record.crashes]
-            found.append(
+            crashed = [crash.instance for crash in record.crashes]
+            commands.append(
                 fleet_state.PlaceHold(
-                    record.fingerprint, record.label, ended, hold.times + 1, record.account
+                    record.fingerprint, record.label, crashed, hold.times + 1, record.account
                 )
             )
-        elif not record.crashes and record.cleared_at >= since - COMMIT_S_MAX:
+        elif not record.crashes and record.cleared_at >= since - COMMIT_MAX_S:
             state = crash_ledger.HoldState.CLEARED
-            found.append(fleet_state.ReleaseHold(record.fingerprint, hold.times, state))
+            commands.append(fleet_state.ReleaseHold(record.fingerprint, hold.times, state))
         elif now - since > crash_ledger.hold_duration_s(hold) + patience_s:
             state = crash_ledger.HoldState.HALF_OPEN
-            found.append(fleet_state.ReleaseHold(record.fingerprint, hold.times, state))
-    return found
+            commands.append(fleet_state.ReleaseHold(record.fingerprint, hold.times, state))
+    return commands
--- a/src/merlinthread/nodes/limit_registry.py
+++ b/src/merlinthread/nodes/limit_registry.py
@@ -1,5 +1,7 @@
-"""A control VM's part in spreading limits of back ends: from one entry to the other control VMs and
-to all entries that ask for news.
+"""Distributes back ends' rate limits between the control VMs and to the entries.
+
+An entry reports a limit to one control VM, which forwards it to the others. Each control VM sends
+limits to the entries that watch it for changes.
 """
 
 from collections.abc import Callable
@@ -8,34 +10,37 @@
 
 
 class LimitRegistry:
-    """What this control VM knows, and what it has yet to pass on; `tell` wakes those who wait."""
+    """The limits known to one control VM, and the back ends whose limits it must still forward.
+
+    `notify` wakes the pending watch requests.
+    """
 
-    def __init__(self, clock: Callable[[], float], tell: Callable[[], None]) -> None:
+    def __init__(self, clock: Callable[[], float], notify: Callable[[], None]) -> None:
         self.clock = clock
-        self.tell = tell
-        self.ledger = limit_ledger.LimitTable()
-        # The back ends whose limits are to be passed on to the other control VMs.
+        self.notify = notify
+        self.table = limit_ledger.LimitTable()
+        # The back ends whose limits must be forwarded to the other control VMs.
         self.outgoing: set[str] = set()
 
-    def take_heard(self, told: list[limit_ledger.LimitReport]) -> None:
-        """Take over what an entry heard, to be passed on."""
-        if self.take(told):
-            self.outgoing.update(each.instance for each in told)
+    def merge_from_entry(self, reports: list[limit_ledger.LimitReport]) -> None:
+        """Merge the reports of an entry; queue them for the other control VMs if any is new."""
+        if self.merge(reports):
+            self.outgoing.update(report.instance for report in reports)
 
-    def take(self, told: list[limit_ledger.LimitReport]) -> bool:
-        """Take over limits; return whether anything is new."""
+    def merge(self, reports: list[limit_ledger.LimitReport]) -> bool:
+        """Merge reports; return whether any of them changed a limit."""
         now = self.clock()
-        is_new = any([self.ledger.merge(each, now) for each in told])
+        is_new = any([self.table.merge(report, now) for report in reports])
         if is_new:
-            self.tell()
+            self.notify()
         return is_new
 
     def pop_outgoing(self) -> list[limit_ledger.LimitReport]:
-        """Return what is to be passed on now."""
-        found = self.ledger.reports_for(self.outgoing, self.clock())
+        """Return the reports to forward, and clear the queue."""
+        reports = self.table.reports_for(self.outgoing, self.clock())
         self.outgoing = set()
-        return found
+        return reports
 
-    def since(self, revision: int) -> list[limit_ledger.LimitReport]:
-        """Return what has changed after `revision`; nothing if that is below 0."""
-        return self.ledger.since(revision, self.clock()) if revision >= 0 else []
+    def changes_since(self, revision: int) -> list[limit_ledger.LimitReport]:
+        """Return the limits that changed after `revision`, or none if it is negative."""
+        return self.table.since(revision, self.clock()) if revision >= 0 else []
--- a/src/merlinthread/nodes/member_changes.py
+++ b/src/merlinthread/nodes/member_changes.py
@@ -186,7 +186,7 @@
         number = len(member.log.voters.voters)
         return member.is_voter() and log_repair.removal_improves_tolerance(number, 1, self.policy())
 
-    async def on_resign(self, resign: node_messages.LeaveRequest) -> node_messages.LeaveReply:
+    async def on_leave(self, resign: node_messages.LeaveRequest) -> node_messages.LeaveReply:
         """Note a leaver if this member leads."""
         member = self.current()
         now = self.clock()
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -44,10 +44,10 @@
         body = fleet_nodes.configuration(1, ["safe"])
         await controls.until_acknowledged("PUT", "/config", body)
         leader = controls.nodes[controls.leader()]
-        assert leader.calls.read_here().version == 1
+        assert leader.api.read_local_configuration().version == 1
         clock.suspended_s = 5.0
         with pytest.raises(errors.NotLeaderError):
-            leader.calls.read_here()
+            leader.api.read_local_configuration()
         for ip in list(controls.nodes):
             controls.kill(ip)
 
