--- a/src/merlinthread/nodes/log_member.py
+++ b/src/merlinthread/nodes/log_member.py
@@ -1,7 +1,7 @@
-"""One member of a deployment's replicated log: it owns the log, its files and the state machine.
+"""A member of the replicated log: it runs Raft, persists the log and applies committed commands.
 
-One whose disk was lost is another member (`membership`): it joins anew and takes the place of the
-first one.
+A VM that lost its disk returns under a new member name (`membership`), joins the group and replaces
+its former member.
 """
 
 import asyncio
@@ -20,47 +20,46 @@
 from merlinthread.transport import node_bus
 
 TIMING = raft_messages.Timing(heartbeat_s=0.15, election_min_s=0.75, election_max_s=1.5)
-COMPACT_ENTRIES = 1500
-COMPACT_BYTES = 16 * 1024 * 1024
-DUTIES_EVERY_S = 0.2
-DISK_RETRY_S = 0.5
-# How long the log is quiet before what is known to be committed is made durable by itself. One sync
-# for a burst of changes; less would add one to each change of a storm (every 60 ms).
-COMMIT_KEPT_AFTER_S = 0.2
-# A member that held what a majority holds this long ago follows as closely as heartbeats come (two
-# of them); what it applies was committed just now.
+COMPACT_AFTER_ENTRIES = 1500
+COMPACT_AFTER_BYTES = 16 * 1024 * 1024
+MAINTENANCE_INTERVAL_S = 0.2
+DISK_RETRY_DELAY_S = 0.5
+# The commit index is saved once nothing was saved for this long, so that a burst of changes shares
+# one sync.
+COMMIT_SAVE_DELAY_S = 0.2
+# A follower up to this stale is caught up: what it applies was committed just now.
 CAUGHT_UP_S = 2 * TIMING.heartbeat_s
-# Told in place of an age that is not known; finite, so that it can be sent and compared.
+# Reported if an age is not known; finite, so that it can be encoded and compared.
 UNKNOWN_AGE_S = 1e6
-# How often a member that knows no leader tells so in its log.
-NO_LEADER_TOLD_EVERY_S = 2.0
+# How often a member without a known leader logs a warning.
+NO_LEADER_LOG_INTERVAL_S = 2.0
 
 
-class SnapshotHead(msgspec.Struct):
-    """What is read of a snapshot first: the level of the entries that made it."""
+class SnapshotLevel(msgspec.Struct):
+    """The part of a snapshot that is decoded first: the highest format level of its entries."""
 
     level: int = levels.LOWEST
 
 
 class LogMember:
-    """The owner of the log; all calls are made on its event loop.
+    """One member of the replicated log; not thread-safe, use it on its event loop only.
 
-    `on_applied(command, age_s)` is called for each applied command, with how long ago it was
-    committed at most; `on_restored()` after a snapshot has replaced the state.
+    `on_applied(command, age_s)` is called for each applied command, which was committed at most
+    `age_s` seconds ago; `on_restored()` after a snapshot has replaced the state.
     """
 
     def __init__(
         self,
         settings: node_settings.NodeSettings,
         codec: codecs.Codec,
-        caller: node_bus.RpcClient,
+        rpc_client: node_bus.RpcClient,
         clock: Callable[[], float],
         on_applied: Callable[[fleet_state.Command, float], None],
         on_restored: Callable[[], None],
     ) -> None:
         self.settings = settings
         self.codec = codec
-        self.caller = caller
+        self.rpc_client = rpc_client
         self.clock = clock
         self.on_applied = on_applied
         self.on_restored = on_restored
@@ -71,37 +70,37 @@
             for name, kind in fleet_state.COMMANDS.entries.items()
         }
         self.command_names = {kind: name for name, kind in fleet_state.COMMANDS.entries.items()}
-        self.pair = msgspec.msgpack.Decoder(tuple[str, msgspec.Raw])
-        self.waiting: dict[int, tuple[int, asyncio.Future]] = {}
+        self.envelope_decoder = msgspec.msgpack.Decoder(tuple[str, msgspec.Raw])
+        self.pending: dict[int, tuple[int, asyncio.Future]] = {}
         self.inbox: list[raft_messages.Message] = []
         self.wakeup = asyncio.Event()
         self.levels = levels.MemberLevels()
-        self.sender = log_sender.LogSender(codec, caller, self.levels)
+        self.sender = log_sender.LogSender(codec, rpc_client, self.levels)
         self.members = member_changes.MemberChanges(
             settings,
-            caller,
+            rpc_client,
             clock,
             lambda: self.raft,
             self.wakeup.set,
             self.rejoin_as_new_member,
             lambda: self.state.level,
         )
-        self.duties_at = 0.0
-        self.full_until = float("-inf")
+        self.maintenance_at = 0.0
+        self.disk_retry_at = float("-inf")
         self.saved_at = float("-inf")
         self.was_leader = False
         self.last_leader = ""
         self.leaderless_since = clock()
-        self.leaderless_told_at = clock()
+        self.leaderless_logged_at = clock()
         self.open(settings.is_first_start)
 
     # Files
 
     def open(self, is_first_start: bool) -> None:
-        """Open the files and take up where they end."""
+        """Open the data folder and restore the state from it."""
         self.folder.mkdir(parents=True, exist_ok=True)
         self.journal = journal.Journal(self.folder)
-        self.membership = membership.load(
+        self.membership = membership.load_or_create(
             self.folder, self.settings, self.address, self.journal.identity, is_first_start
         )
         self.name = self.membership.name
@@ -110,9 +109,9 @@
         )
         self.state = fleet_state.FleetState()
         self.applied = 0
-        # The index of the first entry that this build can't read, 0 while there is none.
+        # The index of the first entry or snapshot that this build can't read, or 0.
         self.blocked_at = 0
-        self.gate = levels.WriteGate(self.levels, self.membership.first_level)
+        self.write_gate = levels.WriteGate(self.levels, self.membership.first_level)
         metrics.log_blocked.set(0)
         self.current_at = float("-inf")
         self.restore(self.journal.snapshot)
@@ -126,7 +125,7 @@
         )
 
     def rejoin_as_new_member(self) -> None:
-        """Give up this member's identity: the others have removed it. Join as a new one."""
+        """Delete the data of this member, which the group has removed, and rejoin as a new one."""
         logs.warning("member_removed", member=self.name)
         self.journal.close()
         for path in list(self.folder.iterdir()):
@@ -134,73 +133,73 @@
                 shutil.rmtree(path)
             else:
                 path.unlink()
-        self.fail_waiting("this member was removed")
+        self.fail_pending("this member was removed")
         self.open(is_first_start=False)
         self.on_restored()
 
     def restore(self, snapshot: journal.Snapshot) -> None:
-        """Take the state over from a snapshot, unless a build of a higher level made it."""
+        """Restore the state from a snapshot; block the log if its format level is too high."""
         if snapshot.state:
-            level = msgspec.msgpack.decode(snapshot.state, type=SnapshotHead).level
+            level = msgspec.msgpack.decode(snapshot.state, type=SnapshotLevel).level
             if level > levels.NEWEST:
                 self.block(snapshot.index, f"a snapshot of level {level}")
                 return
             self.state = msgspec.msgpack.decode(snapshot.state, type=fleet_state.FleetState)
             if self.state.held:
-                # Builds that wrote such entries before levels were told name none.
+                # Builds without levels could already write holds.
                 self.state.level = max(self.state.level, levels.FormatLevel.HELD_REQUESTS)
         self.applied = snapshot.index
         metrics.log_level.set(self.state.level)
 
-    # The loop
+    # Event loop
 
     async def run(self) -> None:
-        """Take in messages, decide, make durable, send and apply, for ever."""
+        """Process messages and timers until the task is cancelled."""
         while True:
             now = self.clock()
-            self.turn(now)
+            self.process(now)
             self.members.request_join(now)
             self.wakeup.clear()
             if not self.inbox:
-                due = min(self.raft.next_tick_at(), self.duties_at, self.members.ask_at)
-                await self.sleep(max(0.001, due - self.clock()))
+                due = min(self.raft.next_tick_at(), self.maintenance_at, self.members.next_join_at)
+                await self.wait_for_message(max(0.001, due - self.clock()))
 
-    async def sleep(self, seconds: float) -> None:
-        """Wait for a message, at most `seconds`."""
+    async def wait_for_message(self, timeout_s: float) -> None:
+        """Wait for a wakeup, such as by a received message, for at most `timeout_s`."""
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(seconds):
+            async with asyncio.timeout(timeout_s):
                 await self.wakeup.wait()
 
-    def turn(self, now: float) -> None:
-        """Do one round."""
+    def process(self, now: float) -> None:
+        """Process the received messages and the due timers."""
         messages, self.inbox = self.inbox, []
         for message in messages:
             self.raft.step(message, now)
         self.raft.tick(now)
         self.raft.flush(now)
-        self.settle(now)
+        self.process_ready(now)
         if self.blocked_at and not self.raft.is_resigned:
-            # It can't tell what is in force, so it must not lead; it goes on as a voter.
+            # Its state is outdated, so it must not lead; it goes on as a voter.
             self.raft.resign(now)
-        self.note_leadership()
+        self.update_leadership()
         self.update_current_at()
-        if now >= self.duties_at:
-            self.duties_at = now + DUTIES_EVERY_S
-            self.keep_commit(now)
-            self.gate.update(self.other_addresses(), now)
-            self.tell_missing_leader(now)
-            self.members.look_after(now)
+        if now >= self.maintenance_at:
+            self.maintenance_at = now + MAINTENANCE_INTERVAL_S
+            self.save_commit_index(now)
+            self.write_gate.update(self.other_addresses(), now)
+            self.log_missing_leader(now)
+            self.members.repair(now)
 
     def receive(self, frames: list[bytes]) -> None:
-        """Take messages of another member."""
+        """Queue encoded messages of another member."""
         for frame in frames:
             self.inbox.append(self.codec.decode(frame))
         self.wakeup.set()
 
     # Durability
 
-    def settle(self, now: float) -> None:
-        """Save, send and apply until nothing is left to do."""
+    def process_ready(self, now: float) -> None:
+        """Save entries, send messages and apply committed entries until Raft has no more work."""
         while not (ready := self.raft.ready()).is_empty():
             try:
                 self.save(ready)
@@ -214,14 +213,14 @@
             self.raft.mark_saved(ready)
             self.raft.flush(now)
             if self.raft.is_leader() and any(entry.data for entry in ready.committed):
-                # The others learn at once, not with the next heartbeat, that it is committed.
+                # Send the commit index to the others now instead of with the next heartbeat.
                 self.raft.heartbeat_at = now
                 self.raft.tick(now)
-        if self.is_due_for_compaction() and now >= self.full_until:
+        if self.is_due_for_compaction() and now >= self.disk_retry_at:
             self.compact(now)
 
     def save(self, ready: raft_messages.Ready) -> None:
-        """Make `ready` durable."""
+        """Make the snapshot, hard state and entries of `ready` durable; raise DiskFullError."""
         if ready.snapshot is not None:
             self.journal.compact(ready.snapshot, self.raft.log.saved_entries())
             self.restore(ready.snapshot)
@@ -230,88 +229,89 @@
             self.journal.save(ready.hard_state, ready.entries, self.raft.commit)
             self.saved_at = self.clock()
 
-    def keep_commit(self, now: float) -> None:
-        """Make durable what is known to be committed, once the log has been quiet for a moment.
+    def save_commit_index(self, now: float) -> None:
+        """Save the commit index, once nothing was saved for COMMIT_SAVE_DELAY_S.
 
-        Entries carry it along, but the last one can't tell that it is committed itself; without
-        this a member that starts without a leader would not tell the last change.
+        It is also saved along with entries, but before these are committed. Without this, a member
+        that restarts without a leader would not apply the last change.
         """
-        is_quiet = now - self.saved_at >= COMMIT_KEPT_AFTER_S
-        if self.raft.commit <= self.journal.commit or not is_quiet or now < self.full_until:
+        is_idle = now - self.saved_at >= COMMIT_SAVE_DELAY_S
+        if self.raft.commit <= self.journal.commit or not is_idle or now < self.disk_retry_at:
             return
         try:
             self.journal.save(None, [], self.raft.commit)
         except errors.DiskFullError as error:
-            self.full_until = now + DISK_RETRY_S
+            self.disk_retry_at = now + DISK_RETRY_DELAY_S
             logs.warning("disk_full", message=error.message)
 
     def on_full_disk(self, error: errors.DiskFullError, now: float) -> None:
-        """Give up leading, refuse what was not accepted, and try again a little later."""
-        if now >= self.full_until:
+        """Step down, fail the commands that could not be saved, and retry the disk later."""
+        if now >= self.disk_retry_at:
             logs.warning("disk_full", message=error.message)
-        self.full_until = now + DISK_RETRY_S
+        self.disk_retry_at = now + DISK_RETRY_DELAY_S
         self.raft.discard_unsaved(now)
-        for index, (_, answer) in list(self.waiting.items()):
+        for index, (_, future) in list(self.pending.items()):
             if index > self.raft.log.saved_index:
-                del self.waiting[index]
-                set_error(answer, error)
+                del self.pending[index]
+                fail_future(future, error)
 
     def is_due_for_compaction(self) -> bool:
-        """Return whether the log has grown enough for a snapshot."""
-        grown = self.applied - self.journal.snapshot.index
-        return grown >= COMPACT_ENTRIES or (grown > 0 and self.journal.file.length > COMPACT_BYTES)
+        """Return whether the log has grown enough since the last snapshot."""
+        entry_count = self.applied - self.journal.snapshot.index
+        return entry_count >= COMPACT_AFTER_ENTRIES or (
+            entry_count > 0 and self.journal.file.length > COMPACT_AFTER_BYTES
+        )
 
     def compact(self, now: float) -> None:
-        """Replace the applied part of the log by a snapshot."""
+        """Replace the applied entries of the log by a snapshot; a full disk delays this."""
         snapshot = self.raft.compact(self.applied, msgspec.msgpack.encode(self.state))
         try:
             self.journal.compact(snapshot, self.raft.log.saved_entries())
         except errors.DiskFullError as error:
-            self.full_until = now + DISK_RETRY_S
+            self.disk_retry_at = now + DISK_RETRY_DELAY_S
             logs.warning("disk_full", message=error.message)
             return
         logs.event("compacted", index=snapshot.index)
 
     def apply(self, entry: journal.Entry) -> None:
-        """Apply one committed entry and answer whoever waits for it.
+        """Apply a committed entry and complete the proposal that waits for it.
 
-        Nothing is applied from the first entry on that can't be read.
+        From the first entry that can't be decoded on, none is applied.
         """
         if self.blocked_at:
             return
         is_changed = False
         if entry.kind == "command":
-            command = self.known_command(entry)
+            command = self.decode_or_block(entry)
             if command is None:
                 return
             is_changed = self.state.apply(command)
             metrics.log_level.set(self.state.level)
-            self.on_applied(command, self.age_s_max(entry, self.clock()))
+            self.on_applied(command, self.commit_age_max_s(entry, self.clock()))
         self.applied = entry.index
         metrics.log_index.set(entry.index)
-        term, answer = self.waiting.pop(entry.index, (0, None))
-        if answer is None:
+        term, future = self.pending.pop(entry.index, (0, None))
+        if future is None:
             return
         if term == entry.term:
-            if not answer.done():
-                answer.set_result(is_changed)
+            if not future.done():
+                future.set_result(is_changed)
         else:
-            set_error(answer, lost_leadership())
+            fail_future(future, leadership_lost_error())
 
-    def age_s_max(self, entry: journal.Entry, now: float) -> float:
-        """Return how long ago an entry that is applied now may have been committed.
+    def commit_age_max_s(self, entry: journal.Entry, now: float) -> float:
+        """Return the maximum age of the commit of an entry that is applied now, in seconds.
 
-        It was committed after the last moment at which this member surely held what a majority
-        holds; a member that catches up may be as late as that. A leader commits its own entries
-        itself.
+        It was committed after this member was last known to be up to date, and just now if this
+        member is the leader that proposed it.
         """
         if self.raft.is_leader() and entry.term == self.raft.hard_state.term:
             return 0.0
         age_s = self.staleness_s(now)
         return age_s if age_s > CAUGHT_UP_S else 0.0
 
-    def known_command(self, entry: journal.Entry) -> fleet_state.Command | None:
-        """Return the command in an entry; block the log, and return None, if it can't be read."""
+    def decode_or_block(self, entry: journal.Entry) -> fleet_state.Command | None:
+        """Return the command of an entry; block the log and return None if it can't be decoded."""
         try:
             return self.decode_command(entry.data)
         except (KeyError, msgspec.DecodeError) as error:
@@ -319,11 +319,11 @@
             return None
 
     def block(self, index: int, reason: str) -> None:
-        """Note that this build can't read an entry or a snapshot that a newer one wrote.
+        """Stop applying entries at `index`, which a newer build wrote and this one can't read.
 
-        To pass over it would leave this member with another state than the others, which it would
-        tell, lead with and give away in snapshots; to end would be repeated at each start. So it
-        stays where it is: it saves and votes, and tells its age, until it runs a newer build.
+        Skipping it would make the state diverge from the others', and exiting would only repeat at
+        each start. The member goes on saving and voting, and reports its staleness, until it runs a
+        newer build.
         """
         self.blocked_at = index
         metrics.log_blocked.set(1)
@@ -336,61 +336,61 @@
         )
 
     def decode_command(self, data: bytes) -> fleet_state.Command:
-        """Return the command in an entry."""
-        name, raw = self.pair.decode(data)
+        """Decode the command of an entry; raise KeyError or msgspec.DecodeError."""
+        name, raw = self.envelope_decoder.decode(data)
         return self.command_decoders[name].decode(raw)
 
     def encode_command(self, command: fleet_state.Command) -> bytes:
-        """Return the bytes of a command in an entry."""
+        """Encode a command for an entry."""
         return msgspec.msgpack.encode((self.command_names[type(command)], command))
 
-    # Leading
+    # Proposals and leadership
 
     def propose(self, command: bytes) -> asyncio.Future:
-        """Put a command into the log; the result tells whether it changed anything.
+        """Propose a command; the future's result is whether it changed the state.
 
         Raises NotLeaderError on a follower, DiskFullError on a full disk, and ControlError if a
-        member can't read it.
+        member is not known to read it.
         """
         now = self.clock()
         others = self.other_addresses()
-        objection = self.gate.reason_not_writable(
+        reason = self.write_gate.reason_not_writable(
             self.level_of(command), others, self.state.level, now
         )
-        if objection:
-            raise errors.ControlError(objection)
-        if now < self.full_until:
+        if reason:
+            raise errors.ControlError(reason)
+        if now < self.disk_retry_at:
             raise errors.DiskFullError(f"{self.folder}: no room on the disk; free some space")
         index = self.raft.propose(command, now)
-        answer = asyncio.get_running_loop().create_future()
-        self.waiting[index] = (self.raft.hard_state.term, answer)
+        future = asyncio.get_running_loop().create_future()
+        self.pending[index] = (self.raft.hard_state.term, future)
         self.wakeup.set()
-        return answer
+        return future
 
     def holds_lease(self) -> bool:
-        """Return whether this member surely leads now."""
+        """Return whether this member holds the leader's lease."""
         return self.raft.holds_lease(self.clock())
 
     def staleness_s(self, now: float) -> float:
-        """Return how long ago this member surely held what a majority holds, in seconds."""
+        """Return the seconds since this member was last known to be up to date with a majority."""
         return min(UNKNOWN_AGE_S, max(0.0, now - self.current_at))
 
     def update_current_at(self) -> None:
-        """Note when this member surely held what a majority holds.
+        """Update the time at which this member was last known to be up to date with a majority.
 
-        A leader does while others answer it, once it has committed an entry of its term. A follower
-        does when it has applied all that its leader has told it to be committed: not before it has
-        heard one since its start, not while it catches up, and not while its disk is full.
+        A leader is while a majority replies to it, once it has committed an entry of its term. A
+        follower is when it has applied all that its leader reported as committed: not before it has
+        heard from a leader, while it catches up, or while its disk is full.
         """
         if self.raft.is_leader():
             if self.raft.commit >= self.raft.term_start:
-                span_s = TIMING.election_min_s * TIMING.lease_fraction
-                self.current_at = self.raft.lease_until() - span_s
+                lease_s = TIMING.election_min_s * TIMING.lease_fraction
+                self.current_at = self.raft.lease_until() - lease_s
         elif self.raft.last_known_leader and self.applied >= self.raft.leader_commit:
             self.current_at = self.raft.heard_leader_at
 
     def leader_address(self) -> str:
-        """Return the address of the leader, or nothing."""
+        """Return the address of the leader, or "" if it is unknown."""
         return raft_members.address_of(self.raft.leader)
 
     def member_addresses(self) -> list[str]:
@@ -402,9 +402,10 @@
         return [address for address in self.member_addresses() if address != self.address]
 
     def level_of(self, command: bytes) -> levels.FormatLevel:
-        """Return the level that an encoded command needs; raise ControlError if it can't be read.
+        """Return the format level that an encoded command requires.
 
-        An entry can't be taken back: older builds end at one that they can't read, at each start.
+        Raises ControlError if this build can't decode it: an entry can't be withdrawn, and builds
+        that can't read it stop applying the log there.
         """
         try:
             return levels.level_of(type(self.decode_command(command)))
@@ -417,33 +418,33 @@
     def check_leader_reads(self, command: bytes, leader: str) -> None:
         """Raise ControlError if the leader is not known to read a command.
 
-        One of an older build would write what it can't read itself.
+        A leader of an older build would append an entry that it can't read itself.
         """
         level = self.level_of(command)
         if self.levels.below([leader], level):
             raise errors.ControlError(f"the leader {leader} is not known to read level {level}")
 
-    def note_leadership(self) -> None:
-        """Log a change of leader; fail what waits on a lost leadership."""
-        leads = self.raft.is_leader()
+    def update_leadership(self) -> None:
+        """Log a change of leader; fail the pending proposals when this member steps down."""
+        is_leader = self.raft.is_leader()
         if self.raft.leader != self.last_leader:
             self.last_leader = self.raft.leader
-            self.leaderless_since = self.leaderless_told_at = self.clock()
+            self.leaderless_since = self.leaderless_logged_at = self.clock()
             metrics.leader_changes_total.inc()
             logs.event("leader", leader=self.raft.leader, term=self.raft.hard_state.term)
-        if leads == self.was_leader:
+        if is_leader == self.was_leader:
             return
-        self.was_leader = leads
-        self.members.forget()
-        if not leads:
-            self.fail_waiting("the leader changed")
-
-    def tell_missing_leader(self, now: float) -> None:
-        """Log now and then that no leader is known, and whose votes are missing."""
-        is_due = now - self.leaderless_told_at >= NO_LEADER_TOLD_EVERY_S
+        self.was_leader = is_leader
+        self.members.clear_requests()
+        if not is_leader:
+            self.fail_pending("the leader changed")
+
+    def log_missing_leader(self, now: float) -> None:
+        """Log periodically that no leader is known, with the votes granted so far."""
+        is_due = now - self.leaderless_logged_at >= NO_LEADER_LOG_INTERVAL_S
         if self.raft.leader or not is_due or not self.raft.is_voter():
             return
-        self.leaderless_told_at = now
+        self.leaderless_logged_at = now
         voters = self.raft.log.voters
         logs.warning(
             "no_leader",
@@ -455,27 +456,27 @@
             voters=voters.voters,
         )
 
-    def fail_waiting(self, reason: str) -> None:
-        """Tell all who wait that the outcome is unknown."""
-        waiting, self.waiting = self.waiting, {}
-        for _, answer in waiting.values():
-            set_error(answer, lost_leadership())
-        if waiting:
-            logs.event("commands_unknown", count=len(waiting), reason=reason)
+    def fail_pending(self, reason: str) -> None:
+        """Fail all pending proposals with OUTCOME_UNKNOWN."""
+        pending, self.pending = self.pending, {}
+        for _, future in pending.values():
+            fail_future(future, leadership_lost_error())
+        if pending:
+            logs.event("commands_unknown", count=len(pending), reason=reason)
 
     def close(self) -> None:
-        """Close the files."""
+        """Close the journal."""
         self.journal.close()
 
 
-def set_error(answer: asyncio.Future, error: Exception) -> None:
-    """Give an error to whoever still waits."""
-    if not answer.done():
-        answer.set_exception(error)
+def fail_future(future: asyncio.Future, error: Exception) -> None:
+    """Set an exception on a future that is not done."""
+    if not future.done():
+        future.set_exception(error)
 
 
-def lost_leadership() -> errors.ControlError:
-    """Return the error for a command whose leader lost its place meanwhile."""
+def leadership_lost_error() -> errors.ControlError:
+    """Return the error for a command whose leader stepped down before it was committed."""
     return errors.ControlError(
         "the leader changed before the command was committed; send it again",
         kind=errors.ErrorKind.OUTCOME_UNKNOWN,
--- a/src/merlinthread/nodes/log_sender.py
+++ b/src/merlinthread/nodes/log_sender.py
@@ -1,4 +1,4 @@
-"""Sends messages of the replicated log to its other members, in order, many at a time."""
+"""Sends Raft messages to the other members of the replicated log, in order and in batches."""
 
 import asyncio
 
@@ -12,48 +12,53 @@
 QUEUE_MAX = 64
 
 
-class Queue:
-    """What waits for one member."""
+class SendQueue:
+    """The messages queued for one member."""
 
     def __init__(self) -> None:
         self.messages: list[raft_messages.Message] = []
-        self.is_filled = asyncio.Event()
+        self.not_empty = asyncio.Event()
         self.task: asyncio.Task | None = None
 
 
 class LogSender:
-    """One queue and one task for each member; the log bears that messages are lost."""
+    """Sends messages with a queue and a task for each member; messages may be lost."""
 
     def __init__(
-        self, codec: codecs.Codec, caller: node_bus.RpcClient, known: levels.MemberLevels
+        self,
+        codec: codecs.Codec,
+        rpc_client: node_bus.RpcClient,
+        member_levels: levels.MemberLevels,
     ) -> None:
         self.codec = codec
-        self.caller = caller
-        self.levels = known
-        self.queues: dict[str, Queue] = {}
+        self.rpc_client = rpc_client
+        self.levels = member_levels
+        self.queues: dict[str, SendQueue] = {}
 
     def send(self, receiver: str, message: raft_messages.Message) -> None:
-        """Queue a message for a member; the oldest gives way when many wait."""
-        queue = self.queues.setdefault(receiver, Queue())
+        """Queue a message for a member; the oldest ones above QUEUE_MAX are dropped."""
+        queue = self.queues.setdefault(receiver, SendQueue())
         if queue.task is None or queue.task.done():
-            queue.task = asyncio.get_running_loop().create_task(self.empty(receiver, queue))
+            queue.task = asyncio.get_running_loop().create_task(self.run(receiver, queue))
         queue.messages.append(message)
         del queue.messages[:-QUEUE_MAX]
-        queue.is_filled.set()
+        queue.not_empty.set()
 
-    async def empty(self, receiver: str, queue: Queue) -> None:
-        """Send what is queued for a member, for ever."""
+    async def run(self, receiver: str, queue: SendQueue) -> None:
+        """Send the messages queued for a member until the task is cancelled."""
         while True:
-            await queue.is_filled.wait()
-            queue.is_filled.clear()
+            await queue.not_empty.wait()
+            queue.not_empty.clear()
             messages, queue.messages = queue.messages, []
             frames = [self.codec.encode(message) for message in messages]
-            await self.call(raft_members.address_of(receiver), node_messages.RaftFrames(frames))
+            await self.send_frames(
+                raft_members.address_of(receiver), node_messages.RaftFrames(frames)
+            )
 
-    async def call(self, address: str, message: node_messages.RaftFrames) -> None:
-        """Send messages to a member, and take the level that its answer tells."""
+    async def send_frames(self, address: str, message: node_messages.RaftFrames) -> None:
+        """Send encoded messages to a member, and record the format level in its reply."""
         try:
-            reply = await self.caller.call(address, message, SEND_TIMEOUT_S)
+            reply = await self.rpc_client.call(address, message, SEND_TIMEOUT_S)
         except errors.MerlinthreadError:
             self.levels.record_unreachable(address)
             return
