--- a/src/merlinthread/nodes/node_daemon.py
+++ b/src/merlinthread/nodes/node_daemon.py
@@ -1,4 +1,4 @@
-"""The life of a node's process: start, reload, planned stop. The composition root wires it."""
+"""Runs a node as a process: start, reload of settings, graceful stop."""
 
 import asyncio
 import contextlib
@@ -12,20 +12,23 @@
 from merlinthread.nodes import node_roles, node_settings
 from merlinthread.transport import http_messages, stream_server
 
-WATCH_SETTINGS_EVERY_S = 1.0
+SETTINGS_POLL_INTERVAL_S = 1.0
 METRICS_PATH = b"/metrics"
 
-Loader = Callable[[pathlib.Path], node_settings.NodeSettings]
+SettingsLoader = Callable[[pathlib.Path], node_settings.NodeSettings]
 
 
 class NodeDaemon:
-    """One node's process."""
+    """The process of one node.
+
+    `load` reads the settings from `path`. `metrics_port` is 0 for no metrics server.
+    """
 
     def __init__(
         self,
         role: str,
         path: pathlib.Path,
-        load: Loader,
+        load: SettingsLoader,
         dialect: dialects.Dialect,
         metrics_port: int = 0,
     ) -> None:
@@ -35,33 +38,33 @@
         self.load = load
         self.settings = load(path)
         self.node = node_roles.factory_for(role)(self.settings, dialect)
-        self.stop_asked = asyncio.Event()
-        self.seen = self.stamp()
+        self.stop_requested = asyncio.Event()
+        self.loaded_signature = self.file_signature()
         self.metrics_server = stream_server.Server(serve_metrics)
 
-    def stamp(self) -> tuple[int, int]:
-        """Return what changes when the settings file does."""
+    def file_signature(self) -> tuple[int, int]:
+        """Return the modification time and size of the settings file, (0, 0) if it is missing."""
         with contextlib.suppress(OSError):
             status = os.stat(self.path)
             return (status.st_mtime_ns, status.st_size)
         return (0, 0)
 
     async def run(self) -> None:
-        """Serve until a planned stop."""
+        """Run the node until SIGTERM or SIGINT, then stop it gracefully."""
         loop = asyncio.get_running_loop()
-        loop.add_signal_handler(signal.SIGTERM, self.stop_asked.set)
-        loop.add_signal_handler(signal.SIGINT, self.stop_asked.set)
+        loop.add_signal_handler(signal.SIGTERM, self.stop_requested.set)
+        loop.add_signal_handler(signal.SIGINT, self.stop_requested.set)
         loop.add_signal_handler(signal.SIGHUP, self.reload)
         await self.node.start()
-        await self.listen_for_metrics()
+        await self.start_metrics_server()
         logs.event("started", role=self.role, version=__version__, ip=self.settings.ip)
-        await self.watch()
+        await self.supervise()
         logs.event("stopping", role=self.role)
         await self.node.stop()
         logs.event("stopped", role=self.role)
 
-    async def listen_for_metrics(self) -> None:
-        """Serve the figures, if a port is set; a port that is taken is no reason to end."""
+    async def start_metrics_server(self) -> None:
+        """Start the metrics server if a port is set; failure to listen is logged, not raised."""
         if not self.metrics_port:
             return
         try:
@@ -69,13 +72,13 @@
         except OSError as error:
             logs.warning("metrics_not_served", port=self.metrics_port, reason=str(error))
 
-    async def watch(self) -> None:
-        """Wait for the stop; notice a changed settings file, also without a signal."""
-        while not self.stop_asked.is_set():
+    async def supervise(self) -> None:
+        """Wait for a stop request; reload changed settings and raise the error of a failed task."""
+        while not self.stop_requested.is_set():
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(WATCH_SETTINGS_EVERY_S):
-                    await self.stop_asked.wait()
-            if self.stamp() != self.seen:
+                async with asyncio.timeout(SETTINGS_POLL_INTERVAL_S):
+                    await self.stop_requested.wait()
+            if self.file_signature() != self.loaded_signature:
                 self.reload()
             for task in self.node.tasks:
                 if task.done() and not task.cancelled() and task.exception() is not None:
@@ -83,19 +86,19 @@
                     raise task.exception()  # type: ignore[misc]
 
     def reload(self) -> None:
-        """Take over what may change without a restart; refuse a file that can't be used."""
-        self.seen = self.stamp()
+        """Reload the settings that may change at run time; log and ignore an invalid file."""
+        self.loaded_signature = self.file_signature()
         try:
-            changed = self.load(self.path)
+            settings = self.load(self.path)
         except errors.SettingsError as error:
             logs.warning("reload_refused", reason=error.message)
             return
-        self.node.reload(changed)
-        logs.event("reloaded", controls=changed.control_ips)
+        self.node.reload(settings)
+        logs.event("reloaded", controls=settings.control_ips)
 
 
 async def serve_metrics(exchange: stream_server.Exchange) -> None:
-    """Answer with the process's figures as text."""
+    """Serve the metrics in the Prometheus text format."""
     if exchange.request.target != METRICS_PATH:
         await exchange.respond(http_messages.Response(404, []))
         return
@@ -106,11 +109,11 @@
 def run(
     role: str,
     path: pathlib.Path,
-    load: Loader,
+    load: SettingsLoader,
     dialect: dialects.Dialect,
     metrics_port: int = 0,
 ) -> int:
-    """Run a node's process; return its exit code."""
+    """Run a node until it is stopped; return the exit code of the process."""
     clocks.check_platform()
     asyncio.run(NodeDaemon(role, path, load, dialect, metrics_port).run())
     return 0
--- a/src/merlinthread/nodes/node_policy.py
+++ b/src/merlinthread/nodes/node_policy.py
@@ -1,7 +1,6 @@
-"""Which way each decision of a node is made: names out of the registries, checked at the start.
+"""The policies that a node uses, chosen by name in a policy file and validated at start.
 
-The file is plain JSON and not JSON with comments: each node reads it at its start, and the parser
-of the other takes 20 ms to import (on a busy machine).
+The file is plain JSON rather than JSON with comments, whose parser is slow to import.
 """
 
 import dataclasses
@@ -12,8 +11,8 @@
 from merlinthread import errors, registry
 from merlinthread.coordination import fetch, fetch_claimed, fetch_policies, return_times
 
-# The modules whose decorators fill the registries.
-WAYS_IN = (fetch_claimed, fetch_policies, return_times)
+# Imported for their decorators, which register the policies.
+POLICY_MODULES = (fetch_claimed, fetch_policies, return_times)
 
 POLICY_REGISTRIES: dict[str, registry.Registry] = {
     "fetch": fetch.POLICIES,
@@ -23,10 +22,10 @@
 
 @dataclasses.dataclass(slots=True)
 class NodePolicy:
-    """The name of the way in force, by decision.
+    """The names of the policies in use.
 
-    `fetch`: where an agent gets the pieces of weights from; `claimed` spares the origin, `zoned`
-    takes more of it. `returns`: when a client that is refused is told to come back.
+    `fetch` selects the sources from which an agent fetches pieces of weights: `claimed` loads the
+    origin less than `zoned`. `returns` computes the retry delay of a refused client.
     """
 
     fetch: str = "zoned"
@@ -34,26 +33,26 @@
 
 
 class PolicyBody(msgspec.Struct, forbid_unknown_fields=True):
-    """The policy file; what it leaves out stays as it is by default."""
+    """The contents of a policy file; missing fields have the defaults of `NodePolicy`."""
 
     fetch: str = NodePolicy().fetch
     returns: str = NodePolicy().returns
 
 
 def load(path: pathlib.Path) -> NodePolicy:
-    """Read a policy file; raise SettingsError naming the field, its value and what there is."""
+    """Read a policy file; raise SettingsError if it is unreadable or names an unknown policy."""
     try:
         body = msgspec.json.decode(path.read_bytes(), type=PolicyBody)
     except OSError as error:
         raise errors.SettingsError(f"{path}: {error.strerror}; name a file that can be read")
     except msgspec.DecodeError as error:
         known = ", ".join(POLICY_REGISTRIES)
-        raise errors.SettingsError(f"{path}: {error}; the decisions are {known}")
-    for decision, ways in POLICY_REGISTRIES.items():
-        name = getattr(body, decision)
-        if name not in ways.entries:
+        raise errors.SettingsError(f"{path}: {error}; the fields are {known}")
+    for field, policies in POLICY_REGISTRIES.items():
+        name = getattr(body, field)
+        if name not in policies.entries:
             raise errors.SettingsError(
-                f"{path}: {decision}: there is no {name!r}; there is {', '.join(ways)}",
-                field=decision,
+                f"{path}: {field}: unknown policy {name!r}; known are {', '.join(policies)}",
+                field=field,
             )
-    return NodePolicy(**{decision: getattr(body, decision) for decision in POLICY_REGISTRIES})
+    return NodePolicy(**{field: getattr(body, field) for field in POLICY_REGISTRIES})
--- a/src/merlinthread/nodes/node_roles.py
+++ b/src/merlinthread/nodes/node_roles.py
@@ -1,7 +1,6 @@
-"""The roles that a node's process can have; each module of a node files its own under its name.
+"""The registry of node roles; the module of each role registers its factory on import.
 
-A process imports the modules of its own role only: that saves a tenth to a quarter of the processor
-time of an entry's or agent's imports (process time on a busy machine, medians of three).
+A process imports only the modules of its own role, to start faster.
 """
 
 import importlib
@@ -20,26 +19,26 @@
 
 
 class Node(Protocol):
-    """What the daemon does with a node; `tasks` never end by themselves."""
+    """A node as run by `NodeDaemon`; its `tasks` run until they are cancelled."""
 
     tasks: list
 
     async def start(self) -> None:
-        """Listen and start the tasks."""
+        """Start the servers and the background tasks."""
 
     def reload(self, settings: node_settings.NodeSettings) -> None:
-        """Take over what may change without a restart."""
+        """Apply the settings that may change at run time."""
 
     async def stop(self) -> None:
-        """End as planned."""
+        """Shut down gracefully."""
 
 
-Maker = Callable[[node_settings.NodeSettings, dialects.Dialect], Node]
+NodeFactory = Callable[[node_settings.NodeSettings, dialects.Dialect], Node]
 
-NODES: registry.Registry[Maker] = registry.Registry("role")
+NODES: registry.Registry[NodeFactory] = registry.Registry("role")
 
 
-def factory_for(role: str) -> Maker:
-    """Return what makes a node of a role; raise KeyError for a role that there is not."""
+def factory_for(role: str) -> NodeFactory:
+    """Return the factory for nodes of a role; raise KeyError for an unknown role."""
     importlib.import_module(MODULES[role])
     return NODES.get(role)
--- a/src/merlinthread/nodes/node_settings.py
+++ b/src/merlinthread/nodes/node_settings.py
@@ -1,4 +1,4 @@
-"""What a node is told at its start, and the bounds that its timers derive from."""
+"""The settings of a node, and the bounds from which its timers derive."""
 
 import dataclasses
 
@@ -7,7 +7,10 @@
 
 @dataclasses.dataclass(slots=True)
 class Bounds:
-    """What the deployment promises, in seconds; every timer of a node derives from these."""
+    """The guarantees of the deployment, from which the timers of nodes derive.
+
+    Fields ending in `_s` are seconds.
+    """
 
     contact_s: float = 3.0
     acknowledge_s: float = 4.0
@@ -24,10 +27,11 @@
 
 @dataclasses.dataclass(slots=True)
 class NodeSettings:
-    """One node: its place, its addresses ("IP:port"), the control VMs it starts from.
+    """The settings of one node; addresses have the form "IP:port".
 
-    `control_port`, `agent_port` and `entry_port` are those of nodes among themselves, alike on all
-    machines. `engine` is the address of the engine beside an agent.
+    `regions` maps each zone to its region. `control_port`, `agent_port` and `entry_port` are for
+    RPCs between nodes and the same on all VMs. `control_ips` are the control VMs to contact first.
+    `engine` is the address of the engine next to an agent.
     """
 
     name: str
@@ -54,17 +58,17 @@
     policy: node_policy.NodePolicy = dataclasses.field(default_factory=node_policy.NodePolicy)
 
     def control_rpc_addresses(self) -> list[str]:
-        """Return the addresses at which control VMs answer nodes."""
+        """Return the RPC addresses of the control VMs in the settings."""
         return [f"{ip}:{self.control_port}" for ip in self.control_ips]
 
     def distance(self, zone: str) -> int:
-        """Return 0 for this node's zone, 1 for its region, 2 for any other."""
+        """Return 0 for this node's zone, 1 for another in its region, 2 for any other."""
         if zone == self.zone:
             return 0
         return 1 if self.regions.get(zone) == self.region else 2
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Return the parts of "IP:port"."""
+    """Split "IP:port" into the IP address and the port number."""
     host, _, port = address.rpartition(":")
     return host, int(port)
--- a/src/merlinthread/nodes/permit_server.py
+++ b/src/merlinthread/nodes/permit_server.py
@@ -1,7 +1,7 @@
-"""The control VM's part in limits of back ends: the leader gives out permits for all entries.
+"""Grants entries the permits that keep back ends within their rate limits.
 
-Only a member that holds the leader's lease counts, so that no two count at once. What it knows is
-not replicated: the next leader begins with nothing given and nothing saved up.
+Only the control VM that holds the leader's lease grants permits, so that no two do so at once. The
+state is not replicated: a new leader starts without granted and unused permits.
 """
 
 import bisect
@@ -13,76 +13,76 @@
 from merlinthread.nodes import log_member
 from merlinthread.protocol import node_messages
 
-# Entries that asked within this time are taken to share the limits, in seconds.
+# Entries that have sent no query for this long no longer share the limits.
 ENTRY_EXPIRY_S = 60.0
-SWEEP_EVERY_S = 5.0
-# A question that comes again within this time, in seconds, gets the answer it had, not a second
-# permit; and so many of them are remembered.
-REPEATED_S = 1.0
-ANSWERS_KEPT = 1024
+PRUNE_INTERVAL_S = 5.0
+# A query repeated within this time gets the same reply again instead of a second permit.
+REPEAT_WINDOW_S = 1.0
+REPLIES_MAX = 1024
 
 
 class PermitServer:
-    """Answers entries that ask for permits."""
+    """Replies to the permit queries of entries on one control VM."""
 
     def __init__(self, member: log_member.LogMember, clock: Callable[[], float]) -> None:
         self.member = member
         self.clock = clock
-        self.counter: rate_limits.PermitAllocator | None = None
-        # When each entry asked last, by its address.
-        self.asked_at: dict[str, float] = {}
-        self.ranks: list[str] = []
-        # The last answers, with when they were given, by entry and number.
-        self.given: dict[tuple[str, int], tuple[float, node_messages.PermitReply]] = {}
-        self.swept_at = float("-inf")
+        self.allocator: rate_limits.PermitAllocator | None = None
+        # The time of each entry's last query, by its address.
+        self.queried_at: dict[str, float] = {}
+        # The addresses of these entries, in order.
+        self.ranked: list[str] = []
+        # The last replies and their times, by the address and number of the query.
+        self.replies: dict[tuple[str, int], tuple[float, node_messages.PermitReply]] = {}
+        self.pruned_at = float("-inf")
 
     def answer(self, query: node_messages.LoadQuery) -> node_messages.PermitReply:
-        """Return the answer to a question, the same one if it was answered just now."""
+        """Return the reply to a query; one repeated within REPEAT_WINDOW_S gets the same reply."""
         now = self.clock()
-        given_at, given = self.given.get((query.address, query.number), (-math.inf, None))
-        if given is not None and now - given_at <= REPEATED_S:
-            return given
+        replied_at, previous = self.replies.get((query.address, query.number), (-math.inf, None))
+        if previous is not None and now - replied_at <= REPEAT_WINDOW_S:
+            return previous
         assert query.permit is not None
-        answer = self.decide(query.permit, query.address, now)
-        if answer.decision is not None:
-            self.given[query.address, query.number] = (now, answer)
-        while len(self.given) > ANSWERS_KEPT:
-            del self.given[next(iter(self.given))]
-        return answer
+        reply = self.decide(query.permit, query.address, now)
+        if reply.decision is not None:
+            self.replies[query.address, query.number] = (now, reply)
+        while len(self.replies) > REPLIES_MAX:
+            del self.replies[next(iter(self.replies))]
+        return reply
 
     def decide(
         self, request: rate_limits.PermitRequest, entry: str, now: float
     ) -> node_messages.PermitReply:
-        """Decide on the request of the entry at an address, if this VM surely leads."""
+        """Decide on the request of the entry at an address, or refer it to the leader."""
         if not self.member.holds_lease():
-            self.counter = None
+            self.allocator = None
             leader = self.member.leader_address()
             is_other = leader != self.member.address
             return node_messages.PermitReply(None, leader if is_other else "")
-        if self.counter is None:
-            self.counter = rate_limits.PermitAllocator(now)
+        if self.allocator is None:
+            self.allocator = rate_limits.PermitAllocator(now)
             logs.event("permits_counted_here", entry=entry)
-        self.note_asked(entry, now)
-        decision = self.counter.decide(request, now)
+        self.record_query(entry, now)
+        decision = self.allocator.decide(request, now)
         metrics.permits_total.labels("given" if decision.instance else "denied").inc()
-        self.note_allowances()
-        rank = bisect.bisect_left(self.ranks, entry)
-        return node_messages.PermitReply(decision, "", len(self.ranks), rank, now)
+        self.update_metrics()
+        rank = bisect.bisect_left(self.ranked, entry)
+        return node_messages.PermitReply(decision, "", len(self.ranked), rank, now)
 
-    def note_asked(self, address: str, now: float) -> None:
-        """Note that an entry asks; forget those that have not of late."""
-        if now - self.swept_at > SWEEP_EVERY_S:
-            self.swept_at = now
-            self.asked_at = {
-                entry: at for entry, at in self.asked_at.items() if now - at <= ENTRY_EXPIRY_S
+    def record_query(self, address: str, now: float) -> None:
+        """Record a query of an entry; drop entries without queries for ENTRY_EXPIRY_S."""
+        if now - self.pruned_at > PRUNE_INTERVAL_S:
+            self.pruned_at = now
+            self.queried_at = {
+                entry: at for entry, at in self.queried_at.items() if now - at <= ENTRY_EXPIRY_S
             }
-            self.ranks = sorted(self.asked_at)
-        if address not in self.asked_at:
-            bisect.insort(self.ranks, address)
-        self.asked_at[address] = now
+            self.ranked = sorted(self.queried_at)
+        if address not in self.queried_at:
+            bisect.insort(self.ranked, address)
+        self.queried_at[address] = now
 
-    def note_allowances(self) -> None:
-        """Set the figures that operators see."""
-        assert self.counter is not None
-        allowances = self.counter.allowances.values()
-        metrics.limited_per_second.set(sum(known.per_s for known in allowances))
+    def update_metrics(self) -> None:
+        """Update the metric of the total limit of all back ends."""
+        assert self.allocator is not None
+        allowances = self.allocator.allowances.values()
+        metrics.limited_per_second.set(sum(allowance.per_s for allowance in allowances))
