--- a/src/merlinthread/nodes/log_member.py
+++ b/src/merlinthread/nodes/log_member.py
@@ -27,7 +27,7 @@
 # The commit index is saved once nothing was saved for this long, so that a burst of changes shares
 # one sync.
 COMMIT_SAVE_DELAY_S = 0.2
-# A follower up to this stale is caught up: what it applies was committed just now.
+# A follower that is no staler than this is caught up: what it applies was committed just now.
 CAUGHT_UP_S = 2 * TIMING.heartbeat_s
 # Reported if an age is not known; finite, so that it can be encoded and compared.
 UNKNOWN_AGE_S = 1e6
@@ -165,7 +165,7 @@
                 await self.wait_for_message(max(0.001, due - self.clock()))
 
     async def wait_for_message(self, timeout_s: float) -> None:
-        """Wait for a wakeup, such as by a received message, for at most `timeout_s`."""
+        """Wait for a message or another wakeup, for at most `timeout_s`."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(timeout_s):
                 await self.wakeup.wait()
@@ -378,9 +378,10 @@
     def update_current_at(self) -> None:
         """Update the time at which this member was last known to be up to date with a majority.
 
-        A leader is while a majority replies to it, once it has committed an entry of its term. A
-        follower is when it has applied all that its leader reported as committed: not before it has
-        heard from a leader, while it catches up, or while its disk is full.
+        A leader is up to date while a majority replies to it, once it has committed an entry of its
+        term. A follower is up to date when it has applied all entries that its leader reported as
+        committed: not before it has heard from a leader, while it catches up, or while its disk is
+        full.
         """
         if self.raft.is_leader():
             if self.raft.commit >= self.raft.term_start:
--- a/src/merlinthread/nodes/permit_server.py
+++ b/src/merlinthread/nodes/permit_server.py
@@ -1,7 +1,7 @@
 """Grants entries the permits that keep back ends within their rate limits.
 
 Only the control VM that holds the leader's lease grants permits, so that no two do so at once. The
-state is not replicated: a new leader starts without granted and unused permits.
+state is not replicated: a new leader knows of no granted permits and has no unused ones.
 """
 
 import bisect
--- a/tests/fed_fleet.py
+++ b/tests/fed_fleet.py
@@ -1,4 +1,4 @@
-"""One entry that is fed by hand before some workers of one service, over loopback, for tests."""
+"""A fixture of one entry and some workers of one service, on loopback without control VMs."""
 
 from merlinthread.transport import http_messages
 from stand_ins import fleet_worker
@@ -8,7 +8,7 @@
 
 
 class FedFleet:
-    """The entry and its workers; the service "model" streams, the others are plain."""
+    """An entry and its workers; the service "model" streams its responses, others do not."""
 
     def __init__(self, service: str = "safe", count: int = 2, work_s: float = 0.0) -> None:
         self.service = service
@@ -17,10 +17,10 @@
         self.workers = [fleet_worker.Worker(f"i-{number}", self.model) for number in range(count)]
         for worker in self.workers:
             worker.behaviour.work_s = work_s
-        self.asked = 0
+        self.request_count = 0
 
     async def start(self) -> "FedFleet":
-        """Start all, and tell the entry of all workers."""
+        """Start the entry and the workers, and announce all workers to the entry."""
         await self.entry.start()
         for worker in self.workers:
             await worker.start()
@@ -28,17 +28,17 @@
         return self
 
     def feed(self, workers: list[fleet_worker.Worker]) -> None:
-        """Tell the entry that some workers are ready."""
+        """Announce to the entry that some workers are ready."""
         services = [] if self.model else [self.service]
         body = fleet_nodes.configuration(1, services, self.service if self.model else "")
         self.entry.feed(body, {worker: self.service for worker in workers})
 
     async def ask(self) -> http_messages.Response:
-        """Send one client's request; return its answer."""
-        self.asked += 1
+        """Send a client request; return its response."""
+        self.request_count += 1
         headers = STREAM if self.model else {}
-        return await self.entry.ask(f"/{self.service}/x", f"id-{self.asked}", **headers)
+        return await self.entry.ask(f"/{self.service}/x", f"id-{self.request_count}", **headers)
 
     def now(self) -> float:
-        """Return the entry's time."""
+        """Return the time on the entry's clock."""
         return self.entry.node.clock()
--- a/tests/fleet_nodes.py
+++ b/tests/fleet_nodes.py
@@ -1,4 +1,4 @@
-"""Nodes of a fed deployment on this process's event loop, over loopback, for tests."""
+"""Fixtures that run control VMs and entries on loopback, in the event loop of the test."""
 
 import asyncio
 import json
@@ -19,30 +19,30 @@
 from merlinthread.transport import http_messages, node_bus, stream_client
 from stand_ins import fleet_worker
 
-# Test processes side by side each have loopback addresses of their own.
+# Parallel test processes use separate loopback addresses.
 NETWORK = soak_nodes.NETWORK
 
 
 class JumpingClock:
-    """The clock of a VM that was suspended for `suspended_s`, while its timers stood still."""
+    """The clock of a VM that was suspended for `suspended_s` while its timers were stopped."""
 
     def __init__(self) -> None:
         self.suspended_s = 0.0
 
     def __call__(self) -> float:
-        """Return the time."""
+        """Return the time in seconds."""
         return clocks.now() + self.suspended_s
 
 
 def free_port() -> int:
-    """Return a TCP port that is free now."""
+    """Return a TCP port that is currently free."""
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
         return sock.getsockname()[1]
 
 
 def is_free(ip: str, port: int) -> bool:
-    """Return whether a datagram socket can be bound to an address."""
+    """Return whether a UDP socket can be bound to an address."""
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
         try:
             sock.bind((ip, port))
@@ -52,7 +52,7 @@
 
 
 def make_codec() -> codecs.Codec:
-    """Return the codec of nodes."""
+    """Return the codec for messages between nodes."""
     return codecs.Codec([raft_messages.MESSAGES, node_messages.MESSAGES], [])
 
 
@@ -68,7 +68,7 @@
 
 
 def make_settings(name: str, ip: str = "127.0.0.1", **changes) -> node_settings.NodeSettings:
-    """Return settings on loopback; each control VM has a loopback address of its own."""
+    """Return settings of a node on loopback, with `changes` to the defaults."""
     fields = {
         "name": name,
         "ip": ip,
@@ -84,7 +84,7 @@
 
 
 class Controls:
-    """Control VMs at addresses of this process alone, with ports alike on all."""
+    """A group of control VMs on separate loopback addresses with the same ports."""
 
     def __init__(
         self, folder: pathlib.Path, count: int = 3, clock: Callable[[], float] = clocks.now
@@ -96,7 +96,7 @@
         self.nodes: dict[str, control_node.ControlNode] = {}
 
     async def start(self, ip: str, is_first: bool = False, folder: str = "") -> None:
-        """Start one control VM."""
+        """Start one control VM; `folder` is the name of its data folder, by default its IP."""
         settings = make_settings(
             f"control-{ip}",
             ip,
@@ -113,18 +113,18 @@
         await node.start()
 
     async def start_all(self) -> None:
-        """Start all for the first time."""
+        """Start all control VMs for the first time."""
         for ip in self.ips:
             await self.start(ip, is_first=True)
 
     def kill(self, ip: str) -> None:
-        """End one as a killed process does; its files stay."""
+        """Stop a control VM abruptly, like a killed process; its files stay."""
         node = self.nodes.pop(ip)
         end_tasks(node)
         node.member.close()
 
     def leader(self) -> str:
-        """Return the IP of the VM that surely leads, or nothing."""
+        """Return the IP of the VM that holds the leader's lease, or ""."""
         for ip, node in self.nodes.items():
             if node.member.holds_lease():
                 return ip
@@ -133,7 +133,7 @@
     async def call(
         self, ip: str, method: str, path: str, body: dict | None = None
     ) -> http_messages.Response:
-        """Make one call of an operator or worker."""
+        """Send one HTTP request of an operator or worker."""
         data = json.dumps(body).encode() if body is not None else b""
         headers = [(b"host", b"c"), (b"content-length", b"%d" % len(data))]
         request = http_messages.Request(method.encode(), path.encode(), headers, data)
@@ -143,7 +143,7 @@
     async def until_acknowledged(
         self, method: str, path: str, body: dict | None = None
     ) -> http_messages.Response:
-        """Make a call again, at any VM, until it is acknowledged."""
+        """Repeat a request, to each VM in turn, until one replies with status 200."""
         for attempt in range(400):
             ips = list(self.nodes)
             try:
@@ -157,7 +157,7 @@
 
 
 def end_tasks(node: control_node.ControlNode) -> None:
-    """End the tasks and connections of a control VM, as the end of its process does."""
+    """Cancel the tasks and abort the connections of a control VM, as if its process ended."""
     for task in node.tasks + node.member.sender.tasks():
         task.cancel()
     for server in (node.server, node.listener.server):
@@ -179,7 +179,7 @@
 def configuration(
     version: int, services: list[str], model_service: str = "", origin: str = ""
 ) -> dict:
-    """Return a configuration with a route for each service; "safe" or "unsafe" by its name."""
+    """Return a configuration with a route for each service; its name selects "safe" or "unsafe"."""
     routes = []
     for name in services:
         kind = "unsafe" if name.startswith("unsafe") else "safe"
@@ -207,7 +207,7 @@
 
 
 def route_body(service: str, kind: str) -> dict:
-    """Return a route of one service at the prefix of its name."""
+    """Return a route whose path prefix is the name of its service."""
     return {
         "name": f"r-{service}",
         "hostname": "h.example",
@@ -222,7 +222,7 @@
 
 
 class Entry:
-    """An entry that is fed by hand, without control VMs, unless settings name some."""
+    """An entry that gets its configuration from the test, unless `settings` name control VMs."""
 
     def __init__(
         self,
@@ -237,7 +237,7 @@
         self.sequence = 0
 
     async def start(self) -> None:
-        """Listen for clients only."""
+        """Start the server for clients only."""
         await self.node.server.listen("127.0.0.1", 0)
         assert self.node.server.listener is not None
         port = self.node.server.listener.sockets[0].getsockname()[1]
@@ -246,7 +246,7 @@
     def feed(
         self, body: dict, workers: dict[fleet_worker.Worker, str], gone=(), leader_age_s=0.0
     ) -> None:
-        """Tell the entry a configuration and its workers with their services."""
+        """Send the entry a configuration and its workers, as a control VM would."""
         self.sequence += 1
         instances = [
             instance_records.Instance(
@@ -284,7 +284,7 @@
     async def ask(
         self, path: str, request_id: str, body: bytes = b"", **headers
     ) -> http_messages.Response:
-        """Send one client's request and return its answer."""
+        """Send a client request and return its response."""
         connection = await self.send(path, request_id, body, **headers)
         try:
             return await connection.receive()
@@ -294,7 +294,7 @@
     async def send(
         self, path: str, request_id: str, body: bytes = b"", **headers
     ) -> stream_client.ClientConnection:
-        """Send one client's request."""
+        """Send a client request and return its connection."""
         sent = {
             "Host": "h.example",
             "X-Merlinthread-Request-Id": request_id,
--- a/tests/test_control_nodes.py
+++ b/tests/test_control_nodes.py
@@ -1,4 +1,4 @@
-"""Control VMs over loopback with files: what was acknowledged stays, whatever is lost."""
+"""Tests of control VMs on loopback: acknowledged changes survive crashes and lost disks."""
 
 import asyncio
 import dataclasses
@@ -19,7 +19,7 @@
 
 
 def run(tmp_path, scenario, count=3):
-    async def whole():
+    async def run_scenario():
         controls = fleet_nodes.Controls(tmp_path, count)
         await controls.start_all()
         await fleet_nodes.until(controls.leader)
@@ -27,7 +27,7 @@
         for ip in list(controls.nodes):
             controls.kill(ip)
 
-    asyncio.run(whole())
+    asyncio.run(run_scenario())
 
 
 async def put(controls, version: int) -> None:
@@ -91,7 +91,7 @@
         )
         assert not controls.leader()
         answer = await controls.call(alone, "GET", "/config")
-        assert answer.status == 503, "a member alone is not sure of the newest configuration"
+        assert answer.status == 503, "a member without a majority returned a configuration"
 
     run(tmp_path, scenario)
 
@@ -106,7 +106,7 @@
         new = controls.nodes[lost].member
         await fleet_nodes.until(lambda: new.name in new.raft.log.voters.voters, 15)
         assert len(new.raft.log.voters.voters) == 3
-        # The second loss, right after the repair, of another one.
+        # Another member fails right after the repair.
         other = next(ip for ip in controls.ips if ip != lost)
         controls.kill(other)
         assert await read(controls) == 5
@@ -181,7 +181,7 @@
         )
         controls.kill(controls.leader())
         await fleet_nodes.until(controls.leader)
-        # A late heartbeat from before does not undo it.
+        # A delayed older heartbeat must not make the instance ready again.
         await controls.until_acknowledged("PUT", "/instances/i-1", heartbeat(sequence=1))
         for node in controls.nodes.values():
             states = [known.heartbeat.state for known in node.registry.known.values()]
@@ -294,7 +294,7 @@
         for _ in range(100):
             for ip in (second, behind):
                 answer = await controls.call(ip, "GET", "/config")
-                assert answer.status != 200, "an older configuration was read back"
+                assert answer.status != 200, "an outdated configuration was returned"
             await asyncio.sleep(0.02)
         await controls.start(first)
         assert await read(controls) == 2
@@ -303,14 +303,14 @@
 
 
 def applied_version(controls, version: int) -> float:
-    """Let a follower apply that a version was named; return the age that it tells."""
+    """Apply a named version on a follower; return the age that it reports."""
     follower = next(ip for ip in controls.ips if ip != controls.leader())
     node = controls.nodes[follower]
     member = node.member
     command = member.encode_command(fleet_state.NameVersion("m", version))
     member.apply(journal.Entry(member.applied + 1, member.raft.hard_state.term, "command", command))
-    told = node.changes_for(node_messages.WatchRequest("entry", "", 0, 0, 0.0)).named
-    return next(named.age_s for named in told if named.model == "m")
+    versions = node.changes_for(node_messages.WatchRequest("entry", "", 0, 0, 0.0)).named
+    return next(named.age_s for named in versions if named.model == "m")
 
 
 def test_a_control_vm_that_catches_up_tells_a_version_as_old_as_it_may_be(tmp_path):
@@ -321,7 +321,7 @@
             lambda: controls.nodes[follower].member.staleness_s(time.monotonic()) < 0.5
         )
         assert applied_version(controls, 1) < 0.5
-        # What was named while it was cut off may be as old as the cut.
+        # A version named during a partition may be as old as the partition.
         controls.nodes[follower].member.current_at = time.monotonic() - 7.0
         assert applied_version(controls, 2) >= 7.0
 
@@ -334,8 +334,8 @@
         leader = controls.nodes[controls.leader()]
         leader.member.current_at = float("-inf")
         await controls.until_acknowledged("POST", "/version-put", {"model": "m", "version": 2})
-        told = leader.changes_for(node_messages.WatchRequest("entry", "", 0, 0, 0.0)).named
-        assert told[0].age_s < 3.0
+        versions = leader.changes_for(node_messages.WatchRequest("entry", "", 0, 0, 0.0)).named
+        assert versions[0].age_s < 3.0
 
     run(tmp_path, scenario)
 
@@ -343,39 +343,39 @@
 def test_of_two_ages_told_of_a_version_the_younger_one_holds():
     watcher = fleet_nodes.make_watcher(fleet_nodes.make_settings("entry"))
 
-    def tell(age_s: float) -> None:
+    def receive(age_s: float) -> None:
         named = [node_messages.NamedVersion("m", 2, age_s)]
         watcher.take_versions(
             node_messages.WatchReply("f", 1, False, [], [], named, 0, b"", [], 0.0), 100.0
         )
 
-    tell(60.0)
-    tell(3.0)
-    tell(30.0)
+    receive(60.0)
+    receive(3.0)
+    receive(30.0)
     assert watcher.named_at["m"][2] == 97.0
-    # What may be the way of the news alone does not put a bound off.
-    tell(2.0)
+    # A difference that network latency alone can explain does not change the time.
+    receive(2.0)
     assert watcher.named_at["m"][2] == 97.0
 
 
 def test_an_instance_that_a_watcher_was_told_wrongly_to_be_replaced_comes_back():
     watcher = fleet_nodes.make_watcher(fleet_nodes.make_settings("entry"))
 
-    def tell(instance: str, age_s: float, gone: list[str]) -> None:
-        beat = dialect.bodies.heartbeat(instance, json.dumps(heartbeat(instance)).encode())
-        told = [instances.Instance(beat, age_s)]
-        watcher.take(node_messages.WatchReply("f", 1, False, told, gone, [], 0, b"", [], 0.0))
+    def receive(instance: str, age_s: float, gone: list[str]) -> None:
+        body = dialect.bodies.heartbeat(instance, json.dumps(heartbeat(instance)).encode())
+        reported = [instances.Instance(body, age_s)]
+        watcher.take(node_messages.WatchReply("f", 1, False, reported, gone, [], 0, b"", [], 0.0))
 
-    tell("new", 0.5, [])
-    tell("old", 0.0, [])
-    tell("new", 0.1, ["old"])
+    receive("new", 0.5, [])
+    receive("old", 0.0, [])
+    receive("new", 0.1, ["old"])
     assert set(watcher.instances) == {"new"}
-    tell("old", 0.0, [])
+    receive("old", 0.0, [])
     assert set(watcher.instances) == {"new"}
 
 
 def test_a_disk_lost_while_all_other_vms_lose_power_loses_nothing_that_was_acknowledged(tmp_path):
-    """Power goes everywhere in the moment in which one disk is lost, right after an answer."""
+    """Guards against losing acknowledged changes if all VMs lose power as one disk fails."""
 
     async def scenario(controls):
         for version in (5, 6):
@@ -409,7 +409,7 @@
 
 
 def make_older(node):
-    """Let a control VM read what an older build reads: no versions of weights."""
+    """Make a control VM unable to read named versions, like an older build."""
     del node.member.command_decoders["fleet.name_version"]
 
 
@@ -424,21 +424,21 @@
         make_older(controls.nodes[old_ip])
         await controls.until_acknowledged("POST", "/version-put", {"model": "m", "version": 2})
         await fleet_nodes.until(lambda: old.blocked_at)
-        # It votes: with it the other two are a majority and one more, without the other one too.
+        # It still votes: the leader commits with its vote after the other follower is killed.
         controls.kill(other)
         await put(controls, 7)
         assert (old.state.version, old.state.named) == (5, {})
         assert old.applied == old.blocked_at - 1
         assert old.staleness_s(old.clock()) > 0
         await fleet_nodes.until(lambda: old.raft.log.last_index() > old.blocked_at)
-        # It gives nothing away and never leads, also when it alone could.
+        # It makes no snapshots and never becomes leader.
         assert not old.is_due_for_compaction()
         await controls.start(other)
         await fleet_nodes.until(lambda: controls.nodes[other].member.state.version == 7)
         controls.kill(lead)
         await fleet_nodes.until(lambda: controls.leader() == other)
         await put(controls, 9)
-        # A newer build in its place takes up what lies there.
+        # A newer build started on the same data folder applies the rest of the log.
         controls.kill(old_ip)
         await controls.start(old_ip)
         new = controls.nodes[old_ip].member
@@ -466,11 +466,11 @@
         others = node.member.other_addresses()
         await fleet_nodes.until(lambda: not node.member.levels.below(others, levels.NEWEST))
         command = fleet_state.PlaceHold("f", "label", ["i-1"], 1)
-        # One runs an older build: its answers tell no level.
+        # One member runs an older build, whose replies report no level.
         node.member.levels.reported[others[0]] = 0
         with pytest.raises(errors.ControlError, match=f"level 2.*{others[0]}.*newer builds"):
             node.member.propose(node.member.encode_command(command))
-        # It tells its level, as the newer build does that takes its place, with its next answer.
+        # Its next reply reports a level, as after an update to a newer build.
         await fleet_nodes.until(lambda: not node.member.levels.below(others, levels.NEWEST))
         assert await node.submit(command)
         for each in controls.nodes.values():
@@ -488,7 +488,7 @@
         join = node_messages.JoinRequest("10.0.0.9:1#new", levels.NEWEST)
         with pytest.raises(errors.ControlError, match=r"reads up to level 2.* start a build"):
             await node.member.members.on_join(join)
-        # A build that tells no level can't be judged.
+        # A build that reports no level is admitted.
         old = node_messages.JoinRequest("10.0.0.9:1#old")
         assert not (await node.member.members.on_join(old)).is_removed
 
@@ -520,23 +520,23 @@
     members = levels.MemberLevels()
     gate = levels.WriteGate(members, first_level=0)
 
-    def objection(now, written=levels.LOWEST):
+    def reason(now, written=levels.LOWEST):
         gate.update(others, now)
         return gate.reason_not_writable(level, others, written, now)
 
     members.record_reported(others[0], level)
     members.record_reported(others[1], 0)
-    assert f"{others[1]} are not known" in objection(10.0)
+    assert f"{others[1]} are not known" in reason(10.0)
     members.record_reported(others[1], level)
-    assert "going back is possible" in objection(20.0)
-    assert "going back" in objection(20.0 + levels.ROLLBACK_WINDOW_S - 0.1)
-    # A VM goes back, and is replaced again: the time begins anew.
+    assert "going back is possible" in reason(20.0)
+    assert "going back" in reason(20.0 + levels.ROLLBACK_WINDOW_S - 0.1)
+    # A rollback of one VM restarts the rollback window.
     members.record_reported(others[0], 0)
-    assert objection(25.0)
+    assert reason(25.0)
     members.record_reported(others[0], level)
-    assert objection(30.0)
-    assert objection(30.0 + levels.ROLLBACK_WINDOW_S - 0.1)
-    assert not objection(30.0 + levels.ROLLBACK_WINDOW_S)
+    assert reason(30.0)
+    assert reason(30.0 + levels.ROLLBACK_WINDOW_S - 0.1)
+    assert not reason(30.0 + levels.ROLLBACK_WINDOW_S)
 
 
 def test_nobody_waits_where_no_build_that_reads_less_was_there():
@@ -545,11 +545,13 @@
     members.record_reported(others[0], level)
     gate = levels.WriteGate(members, first_level=0)
     assert gate.reason_not_writable(level, others, levels.LOWEST, 1.0)
-    assert not gate.reason_not_writable(level, others, level, 1.0), "one was written before"
+    assert not gate.reason_not_writable(
+        level, others, level, 1.0
+    ), "an entry of this level was written before"
     assert not levels.WriteGate(members, level).reason_not_writable(
         level, others, levels.LOWEST, 1.0
     )
-    # A build that tells no level answered what only level 2 reads; then a newer one took its place.
+    # A build that reports no level replied to a level 2 request; then a newer build replaced it.
     members.record_reported(others[0], 0)
     members.record_inferred(others[0], level)
     assert not gate.reason_not_writable(level, others, levels.LOWEST, 1.0)
@@ -560,8 +562,8 @@
 def test_what_a_silent_member_has_shown_counts_no_more():
     level, other = levels.FormatLevel.HELD_REQUESTS, "10.0.0.2:1"
     members = levels.MemberLevels()
-    assert members.below([other], level) == [other], "one that was never heard"
-    assert members.without_level([other]) == [], "it may be new: it is not asked before it answers"
+    assert members.below([other], level) == [other], "a member that never replied"
+    assert members.without_level([other]) == [], "a member that never replied is not probed"
     members.record_reported(other, 0)
     assert members.without_level([other]) == [other]
     members.record_inferred(other, level)
@@ -570,7 +572,9 @@
     assert members.below([other], level) == [other]
     members.record_reported(other, level)
     members.record_unreachable(other)
-    assert members.below([other], level) == [], "what it told stays until it tells another one"
+    assert (
+        members.below([other], level) == []
+    ), "a reported level stays until another one is reported"
 
 
 def test_a_group_that_this_build_has_begun_need_not_wait(tmp_path):
--- a/tests/test_node_daemon.py
+++ b/tests/test_node_daemon.py
@@ -1,4 +1,4 @@
-"""Node processes as they are started: settings, metrics, reload, a planned stop, stuck readers."""
+"""Tests of node processes: settings, metrics, reload, graceful stop, blocked log readers."""
 
 import json
 import os
@@ -15,7 +15,7 @@
 STARTER = "import sys; from merlinthread.platform import main; sys.exit(main.main(sys.argv[1:]))"
 
 
-# An address of its own for each process: nothing else listens there.
+# Each process gets its own address, on which nothing else listens.
 NETWORK = f"127.{64 + os.getpid() // 250 % 128}.{os.getpid() % 250}"
 ADDRESSES = (f"{NETWORK}.{number}" for number in range(100, 250))
 FRONT, READY, METRICS = 8005, 8002, 9464
@@ -35,7 +35,7 @@
 
 @pytest.fixture
 def entry(tmp_path):
-    """Return a running entry process with its address and its settings file."""
+    """Start an entry process; return it with its address and its settings file."""
     ip = next(ADDRESSES)
     path = tmp_path / "node.json"
     path.write_text(json.dumps(settings_of(ip, ["127.0.0.1:1"])))
@@ -59,18 +59,18 @@
         return 0
 
 
-def lines_until(process, event: str) -> list[dict]:
-    found = []
+def read_log_until(process, event: str) -> list[dict]:
+    lines = []
     for raw in process.stdout:
-        found.append(json.loads(raw))
-        if found[-1]["event"] == event:
-            return found
+        lines.append(json.loads(raw))
+        if lines[-1]["event"] == event:
+            return lines
     raise AssertionError(f"{event} was never logged")
 
 
 def test_an_entry_without_a_configuration_runs_and_says_that_it_is_not_ready(entry):
     process, ip, _ = entry
-    lines_until(process, "started")
+    read_log_until(process, "started")
     assert status(f"http://{ip}:{READY}/readyz") == 503
     assert status(f"http://{ip}:{FRONT}/any") == 503
     text = urllib.request.urlopen(f"http://{ip}:{METRICS}/metrics", timeout=1).read()
@@ -79,51 +79,51 @@
 
 def test_changed_settings_are_taken_over_without_a_signal_and_bad_ones_refused(entry):
     process, ip, path = entry
-    lines_until(process, "started")
+    read_log_until(process, "started")
     path.write_text(json.dumps(settings_of(ip, ["127.0.0.9:1"])))
-    assert lines_until(process, "reloaded")[-1]["controls"] == ["127.0.0.9"]
+    assert read_log_until(process, "reloaded")[-1]["controls"] == ["127.0.0.9"]
     path.write_text("{")
-    lines_until(process, "reload_refused")
+    read_log_until(process, "reload_refused")
     process.send_signal(signal.SIGHUP)
-    lines_until(process, "reload_refused")
+    read_log_until(process, "reload_refused")
     assert process.poll() is None
 
 
 def test_a_planned_stop_ends_within_its_grace(entry):
     process, _, _ = entry
-    lines_until(process, "started")
-    began = time.monotonic()
+    read_log_until(process, "started")
+    started_at = time.monotonic()
     process.send_signal(signal.SIGTERM)
-    lines_until(process, "stopped")
+    read_log_until(process, "stopped")
     assert process.wait(5) == 0
-    assert time.monotonic() - began < 3.5
+    assert time.monotonic() - started_at < 3.5
 
 
 def test_nobody_who_reads_the_log_costs_no_request(entry):
     process, ip, _ = entry
-    lines_until(process, "started")
-    # Nobody reads the pipe from here on; it fills, and the entry goes on answering.
+    read_log_until(process, "started")
+    # Nothing reads the pipe from here on: it fills, and the entry must go on responding.
     for _ in range(1500):
         assert status(f"http://{ip}:{FRONT}/any") == 503
     assert process.poll() is None
 
 
 def test_unusable_arguments_are_told():
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-c", STARTER, "nothing"], capture_output=True, text=True, cwd=ROOT
     )
-    assert done.returncode == 2 and "usage" in done.stderr
+    assert completed.returncode == 2 and "usage" in completed.stderr
 
 
 def test_a_missing_settings_file_is_told(tmp_path):
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-c", STARTER, "entry"],
         env=os.environ | {"MERLINTHREAD_CONFIG": str(tmp_path / "none.json")},
         capture_output=True,
         text=True,
         cwd=ROOT,
     )
-    assert done.returncode == 2 and "none.json" in done.stderr
+    assert completed.returncode == 2 and "none.json" in completed.stderr
 
 
 def test_the_deploy_file_names_what_is_there():
--- a/tests/test_other_writers.py
+++ b/tests/test_other_writers.py
@@ -1,4 +1,4 @@
-"""Whatever others write is read or refused with an error of ours, at every border that reads it."""
+"""Property tests: input from outside is parsed or rejected with a MerlinthreadError."""
 
 import json
 import zlib
@@ -27,7 +27,7 @@
 
 
 def refused_or_read(read, *arguments) -> None:
-    """Call `read`; anything raised must be an error of ours."""
+    """Call `read`; any exception but a MerlinthreadError fails the test."""
     try:
         read(*arguments)
     except errors.MerlinthreadError:
