--- a/tests/test_control_nodes.py
+++ b/tests/test_control_nodes.py
@@ -30,7 +30,7 @@
     asyncio.run(run_scenario())
 
 
-async def put(controls, version: int) -> None:
+async def put_configuration(controls, version: int) -> None:
     await controls.until_acknowledged(
         "PUT", "/config", fleet_nodes.configuration(version, ["safe"])
     )
@@ -56,10 +56,10 @@
 
 def test_an_acknowledged_configuration_survives_the_kill_of_the_leader(tmp_path):
     async def scenario(controls):
-        await put(controls, 3)
+        await put_configuration(controls, 3)
         controls.kill(controls.leader())
         assert await read(controls) == 3
-        await put(controls, 7)
+        await put_configuration(controls, 7)
         assert await read(controls) == 7
 
     run(tmp_path, scenario)
@@ -67,7 +67,7 @@
 
 def test_all_killed_at_once_come_back_with_what_was_acknowledged(tmp_path):
     async def scenario(controls):
-        await put(controls, 4)
+        await put_configuration(controls, 4)
         for ip in controls.ips:
             controls.kill(ip)
         for ip in controls.ips:
@@ -79,8 +79,8 @@
 
 def test_a_member_that_starts_alone_tells_at_once_what_it_knew_to_be_committed(tmp_path):
     async def scenario(controls):
-        await put(controls, 4)
-        await put(controls, 7)
+        await put_configuration(controls, 4)
+        await put_configuration(controls, 7)
         for ip in controls.ips:
             controls.kill(ip)
         alone = controls.ips[0]
@@ -98,7 +98,7 @@
 
 def test_a_disk_lost_right_after_an_acknowledgement_loses_nothing(tmp_path):
     async def scenario(controls):
-        await put(controls, 5)
+        await put_configuration(controls, 5)
         lost = controls.leader()
         controls.kill(lost)
         await controls.start(lost, folder=f"{lost}-empty")
@@ -116,7 +116,7 @@
 
 def test_a_member_replaced_at_another_address_is_removed_and_the_new_one_votes(tmp_path):
     async def scenario(controls):
-        await put(controls, 2)
+        await put_configuration(controls, 2)
         for node in controls.nodes.values():
             node.settings.bounds.catch_up_s = 0.5
         gone = next(ip for ip in controls.ips if ip != controls.leader())
@@ -132,8 +132,8 @@
 
 def test_an_older_or_equal_configuration_is_acknowledged_and_changes_nothing(tmp_path):
     async def scenario(controls):
-        await put(controls, 9)
-        await put(controls, 8)
+        await put_configuration(controls, 9)
+        await put_configuration(controls, 8)
         other = fleet_nodes.configuration(9, ["safe", "unsafe"])
         await controls.until_acknowledged("PUT", "/config", other)
         answer = await controls.until_acknowledged("GET", "/config")
@@ -145,7 +145,7 @@
 
 def test_an_invalid_configuration_is_refused_by_name_also_under_an_old_version(tmp_path):
     async def scenario(controls):
-        await put(controls, 9)
+        await put_configuration(controls, 9)
         for version in (1, 9, 20):
             body = fleet_nodes.configuration(version, ["safe"])
             body["routes"][0]["service"] = "nowhere"
@@ -159,7 +159,7 @@
 
 def test_a_cut_off_minority_neither_acknowledges_nor_answers_reads(tmp_path):
     async def scenario(controls):
-        await put(controls, 1)
+        await put_configuration(controls, 1)
         left = controls.leader()
         for ip in controls.ips:
             if ip != left:
@@ -198,10 +198,10 @@
         loop = asyncio.get_running_loop()
         watcher = fleet_nodes.make_watcher(settings)
         task = loop.create_task(watcher.run())
-        await put(controls, 1)
+        await put_configuration(controls, 1)
         await fleet_nodes.until(lambda: watcher.version == 1)
         controls.kill(watcher.current.split(":")[0])
-        await put(controls, 2)
+        await put_configuration(controls, 2)
         await fleet_nodes.until(lambda: watcher.version == 2)
         await controls.until_acknowledged("PUT", "/instances/i-1", heartbeat())
         await fleet_nodes.until(lambda: "i-1" in watcher.instances)
@@ -241,14 +241,14 @@
 
 def test_a_full_disk_refuses_what_is_new_and_keeps_what_was_acknowledged(tmp_path, monkeypatch):
     async def scenario(controls):
-        await put(controls, 1)
+        await put_configuration(controls, 1)
         leader = controls.nodes[controls.leader()].member
 
         def full(hard_state, entries, commit):
             raise errors.DiskFullError("no room")
 
         monkeypatch.setattr(leader.journal, "save", full)
-        await put(controls, 2)
+        await put_configuration(controls, 2)
         monkeypatch.undo()
         assert await read(controls) == 2
         await fleet_nodes.until(lambda: leader.state.version == 2)
@@ -259,7 +259,7 @@
 @pytest.mark.parametrize("count", [1, 5])
 def test_other_numbers_of_control_vms_work_from_three_seeds(tmp_path, count):
     async def scenario(controls):
-        await put(controls, 3)
+        await put_configuration(controls, 3)
         for node in controls.nodes.values():
             voters = node.member.raft.log.voters
             await fleet_nodes.until(lambda voters=voters, n=node: n.member.applied > 0, 15)
@@ -283,10 +283,10 @@
 def test_a_member_without_its_disk_does_not_help_a_member_that_is_behind_to_lead(tmp_path):
     async def scenario(controls):
         first, second, behind = controls.ips
-        await put(controls, 1)
+        await put_configuration(controls, 1)
         controls.kill(behind)
         await fleet_nodes.until(controls.leader)
-        await put(controls, 2)
+        await put_configuration(controls, 2)
         for ip in (first, second):
             controls.kill(ip)
         await controls.start(second, folder="empty")
@@ -315,7 +315,7 @@
 
 def test_a_control_vm_that_catches_up_tells_a_version_as_old_as_it_may_be(tmp_path):
     async def scenario(controls):
-        await put(controls, 1)
+        await put_configuration(controls, 1)
         follower = next(ip for ip in controls.ips if ip != controls.leader())
         await fleet_nodes.until(
             lambda: controls.nodes[follower].member.staleness_s(time.monotonic()) < 0.5
@@ -330,7 +330,7 @@
 
 def test_a_version_that_a_leader_has_just_committed_is_told_as_new(tmp_path):
     async def scenario(controls):
-        await put(controls, 1)
+        await put_configuration(controls, 1)
         leader = controls.nodes[controls.leader()]
         leader.member.current_at = float("-inf")
         await controls.until_acknowledged("POST", "/version-put", {"model": "m", "version": 2})
@@ -379,7 +379,7 @@
 
     async def scenario(controls):
         for version in (5, 6):
-            await put(controls, version)
+            await put_configuration(controls, version)
         await controls.until_acknowledged("POST", "/version-put", {"model": "m", "version": 2})
         await controls.until_acknowledged("DELETE", "/instances/i-gone")
         lost = controls.leader()
@@ -397,12 +397,12 @@
 
 def test_a_command_that_this_build_can_not_read_is_refused_with_its_level_and_the_remedy(tmp_path):
     async def scenario(controls):
-        await put(controls, 5)
+        await put_configuration(controls, 5)
         leader = controls.nodes[controls.leader()].member
         for command in (("fleet.of_tomorrow", {"x": 1}), ("fleet.configure", {"version": "six"})):
             with pytest.raises(errors.ControlError, match=f"level {levels.NEWEST}.*newer one"):
                 leader.propose(msgspec.msgpack.encode(command))
-        await put(controls, 7)
+        await put_configuration(controls, 7)
         assert await read(controls) == 7
 
     run(tmp_path, scenario)
@@ -417,7 +417,7 @@
     tmp_path,
 ):
     async def scenario(controls):
-        await put(controls, 5)
+        await put_configuration(controls, 5)
         lead = controls.leader()
         old_ip, other = [ip for ip in controls.ips if ip != lead]
         old = controls.nodes[old_ip].member
@@ -426,7 +426,7 @@
         await fleet_nodes.until(lambda: old.blocked_at)
         # It still votes: the leader commits with its vote after the other follower is killed.
         controls.kill(other)
-        await put(controls, 7)
+        await put_configuration(controls, 7)
         assert (old.state.version, old.state.named) == (5, {})
         assert old.applied == old.blocked_at - 1
         assert old.staleness_s(old.clock()) > 0
@@ -437,7 +437,7 @@
         await fleet_nodes.until(lambda: controls.nodes[other].member.state.version == 7)
         controls.kill(lead)
         await fleet_nodes.until(lambda: controls.leader() == other)
-        await put(controls, 9)
+        await put_configuration(controls, 9)
         # A newer build started on the same data folder applies the rest of the log.
         controls.kill(old_ip)
         await controls.start(old_ip)
@@ -450,7 +450,7 @@
 
 def test_a_snapshot_of_a_higher_level_is_not_taken_over(tmp_path):
     async def scenario(controls):
-        await put(controls, 5)
+        await put_configuration(controls, 5)
         member = controls.nodes[controls.leader()].member
         state = dataclasses.replace(member.state, version=9, level=levels.NEWEST + 1)
         member.restore(journal.Snapshot(member.applied + 5, 1, b"", msgspec.msgpack.encode(state)))
@@ -461,7 +461,7 @@
 
 def test_a_request_is_held_back_in_the_log_only_once_all_members_are_known_to_read_that(tmp_path):
     async def scenario(controls):
-        await put(controls, 5)
+        await put_configuration(controls, 5)
         node = controls.nodes[controls.leader()]
         others = node.member.other_addresses()
         await fleet_nodes.until(lambda: not node.member.levels.below(others, levels.NEWEST))
@@ -482,7 +482,7 @@
 
 def test_a_joiner_that_reads_less_than_the_log_holds_is_told_so(tmp_path):
     async def scenario(controls):
-        await put(controls, 5)
+        await put_configuration(controls, 5)
         node = controls.nodes[controls.leader()]
         node.member.state.level = levels.NEWEST + 1
         join = node_messages.JoinRequest("10.0.0.9:1#new", levels.NEWEST)
@@ -579,7 +579,7 @@
 
 def test_a_group_that_this_build_has_begun_need_not_wait(tmp_path):
     async def scenario(controls):
-        await put(controls, 5)
+        await put_configuration(controls, 5)
         for ip in controls.ips:
             controls.kill(ip)
             await controls.start(ip)
--- a/tests/test_log_repair.py
+++ b/tests/test_log_repair.py
@@ -8,7 +8,7 @@
 from merlinthread.nodes import log_member, news_watcher
 from merlinthread.protocol import node_messages
 from tests import fleet_nodes
-from tests.test_control_nodes import put, read, run
+from tests.test_control_nodes import put_configuration, read, run
 
 CATCH_UP_S = 4.0
 REPLACEMENT = f"{fleet_nodes.NETWORK}.19"
@@ -32,11 +32,11 @@
 def test_a_loss_once_a_replacement_has_had_its_time_leaves_a_majority(tmp_path):
     async def scenario(controls):
         set_catch_up(controls)
-        await put(controls, 1)
+        await put_configuration(controls, 1)
         await replace(controls, controls.leader(), REPLACEMENT)
-        await put(controls, 2)
+        await put_configuration(controls, 2)
         controls.kill(next(ip for ip in controls.nodes if ip != REPLACEMENT))
-        await put(controls, 3)
+        await put_configuration(controls, 3)
         assert await read(controls) == 3
 
     run(tmp_path, scenario)
@@ -44,7 +44,7 @@
 
 def test_a_control_vm_that_has_just_started_is_not_told_as_joined_to_a_majority(tmp_path):
     async def scenario(controls):
-        await put(controls, 4)
+        await put_configuration(controls, 4)
         for ip in controls.ips:
             controls.kill(ip)
         await controls.start(controls.ips[0])
@@ -62,7 +62,7 @@
     tmp_path, monkeypatch
 ):
     async def scenario(controls):
-        await put(controls, 1)
+        await put_configuration(controls, 1)
         follower = next(ip for ip in controls.ips if ip != controls.leader())
         node = controls.nodes[follower]
         await fleet_nodes.until(lambda: node.changes_for(WATCH).leader_age_s < news_watcher.STALE_S)
@@ -71,7 +71,7 @@
             raise errors.DiskFullError("no room")
 
         monkeypatch.setattr(node.member.journal, "save", full)
-        await put(controls, 2)
+        await put_configuration(controls, 2)
         await fleet_nodes.until(lambda: node.changes_for(WATCH).leader_age_s > news_watcher.STALE_S)
         assert node.member.state.version == 1
         monkeypatch.undo()
@@ -83,8 +83,8 @@
 
 def test_a_member_that_starts_alone_tells_the_last_change_that_was_acknowledged(tmp_path):
     async def scenario(controls):
-        await put(controls, 4)
-        await put(controls, 7)
+        await put_configuration(controls, 4)
+        await put_configuration(controls, 7)
         members = [node.member for node in controls.nodes.values()]
         await fleet_nodes.until(lambda: all(m.journal.commit == m.raft.commit for m in members))
         for ip in controls.ips:
@@ -98,7 +98,7 @@
 
 def test_a_watcher_prefers_a_control_vm_that_hears_a_leader_to_one_that_answers_first(tmp_path):
     async def scenario(controls):
-        await put(controls, 1)
+        await put_configuration(controls, 1)
         for ip in controls.ips:
             controls.kill(ip)
         await controls.start(controls.ips[0])
@@ -120,7 +120,7 @@
 
 def test_a_joiner_that_knows_only_a_follower_is_taken_in(tmp_path):
     async def scenario(controls):
-        await put(controls, 1)
+        await put_configuration(controls, 1)
         follower = next(ip for ip in controls.ips if ip != controls.leader())
         seeds, controls.ips = controls.ips, [follower]
         await controls.start(REPLACEMENT)
@@ -133,7 +133,7 @@
 
 def test_a_voter_that_ends_as_planned_beside_its_successor_leaves_the_group_first(tmp_path):
     async def scenario(controls):
-        await put(controls, 1)
+        await put_configuration(controls, 1)
         leader = controls.leader()
         await controls.start(REPLACEMENT)
         new = controls.nodes[REPLACEMENT].member
@@ -143,7 +143,7 @@
         # A further failure right away: of three remaining voters, two are a majority.
         assert len(new.raft.log.voters.voters) == 3
         controls.kill(next(ip for ip in controls.nodes if ip != REPLACEMENT))
-        await put(controls, 2)
+        await put_configuration(controls, 2)
 
     run(tmp_path, scenario)
 
@@ -151,7 +151,7 @@
 def test_a_leader_that_ends_as_planned_first_finishes_the_change_of_members_under_way(tmp_path):
     async def scenario(controls):
         set_catch_up(controls)
-        await put(controls, 1)
+        await put_configuration(controls, 1)
         leader = controls.leader()
         await controls.start(REPLACEMENT)
         new = controls.nodes[REPLACEMENT].member
@@ -168,18 +168,18 @@
         assert member.raft.log.has_membership_change_after(member.raft.commit)
         await controls.nodes[leader].stop()
         fleet_nodes.end_tasks(controls.nodes.pop(leader))
-        await put(controls, 2)
+        await put_configuration(controls, 2)
 
     run(tmp_path, scenario)
 
 
 def test_a_voter_that_is_needed_ends_without_leaving_the_group(tmp_path):
     async def scenario(controls):
-        await put(controls, 1)
+        await put_configuration(controls, 1)
         leader = controls.leader()
         await controls.nodes[leader].stop()
         fleet_nodes.end_tasks(controls.nodes.pop(leader))
-        await put(controls, 2)
+        await put_configuration(controls, 2)
         await controls.start(leader)
         assert await read(controls) == 2
         voters = controls.nodes[leader].member.raft.log.voters
@@ -213,7 +213,7 @@
 
 def test_a_new_leader_is_not_sure_before_it_has_committed_an_entry_of_its_term(tmp_path):
     async def scenario(controls):
-        await put(controls, 1)
+        await put_configuration(controls, 1)
         member = controls.nodes[controls.leader()].member
         member.raft.term_start = member.raft.commit + 1
         member.current_at = float("-inf")
