--- a/tests/test_control_nodes.py
+++ b/tests/test_control_nodes.py
@@ -36,7 +36,7 @@
     )
 
 
-async def read(controls) -> int:
+async def read_version(controls) -> int:
     answer = await controls.until_acknowledged("GET", "/config")
     return json.loads(answer.body)["version"]
 
@@ -58,9 +58,9 @@
     async def scenario(controls):
         await put_configuration(controls, 3)
         controls.kill(controls.leader())
-        assert await read(controls) == 3
+        assert await read_version(controls) == 3
         await put_configuration(controls, 7)
-        assert await read(controls) == 7
+        assert await read_version(controls) == 7
 
     run(tmp_path, scenario)
 
@@ -72,7 +72,7 @@
             controls.kill(ip)
         for ip in controls.ips:
             await controls.start(ip)
-        assert await read(controls) == 4
+        assert await read_version(controls) == 4
 
     run(tmp_path, scenario)
 
@@ -102,14 +102,14 @@
         lost = controls.leader()
         controls.kill(lost)
         await controls.start(lost, folder=f"{lost}-empty")
-        assert await read(controls) == 5
+        assert await read_version(controls) == 5
         new = controls.nodes[lost].member
         await fleet_nodes.until(lambda: new.name in new.raft.log.voters.voters, 15)
         assert len(new.raft.log.voters.voters) == 3
         # Another member fails right after the repair.
         other = next(ip for ip in controls.ips if ip != lost)
         controls.kill(other)
-        assert await read(controls) == 5
+        assert await read_version(controls) == 5
 
     run(tmp_path, scenario)
 
@@ -125,7 +125,7 @@
         new = controls.nodes[f"{fleet_nodes.NETWORK}.19"].member
         await fleet_nodes.until(lambda: new.name in new.raft.log.voters.voters, 15)
         await fleet_nodes.until(lambda: len(new.raft.log.voters.voters) == 3, 15)
-        assert await read(controls) == 2
+        assert await read_version(controls) == 2
 
     run(tmp_path, scenario)
 
@@ -152,7 +152,7 @@
             answer = await controls.call(controls.ips[0], "PUT", "/config", body)
             assert answer.status == 400
             assert b"nowhere" in answer.body
-        assert await read(controls) == 9
+        assert await read_version(controls) == 9
 
     run(tmp_path, scenario)
 
@@ -250,7 +250,7 @@
         monkeypatch.setattr(leader.journal, "save", full)
         await put_configuration(controls, 2)
         monkeypatch.undo()
-        assert await read(controls) == 2
+        assert await read_version(controls) == 2
         await fleet_nodes.until(lambda: leader.state.version == 2)
 
     run(tmp_path, scenario)
@@ -265,7 +265,7 @@
             await fleet_nodes.until(lambda voters=voters, n=node: n.member.applied > 0, 15)
         leader = controls.nodes[controls.leader()].member
         await fleet_nodes.until(lambda: len(leader.raft.log.voters.voters) == count, 15)
-        assert await read(controls) == 3
+        assert await read_version(controls) == 3
 
     run(tmp_path, scenario, count)
 
@@ -297,7 +297,7 @@
                 assert answer.status != 200, "an outdated configuration was returned"
             await asyncio.sleep(0.02)
         await controls.start(first)
-        assert await read(controls) == 2
+        assert await read_version(controls) == 2
 
     run(tmp_path, scenario)
 
@@ -387,7 +387,7 @@
             controls.kill(ip)
         for ip in controls.ips:
             await controls.start(ip, folder=f"{ip}-empty" if ip == lost else "")
-        assert await read(controls) == 6
+        assert await read_version(controls) == 6
         for node in controls.nodes.values():
             await fleet_nodes.until(lambda node=node: node.member.state.named == {"m": 2})
             assert node.member.state.departed == {"i-gone": fleet.GONE}
@@ -403,7 +403,7 @@
             with pytest.raises(errors.ControlError, match=f"level {levels.NEWEST}.*newer one"):
                 leader.propose(msgspec.msgpack.encode(command))
         await put_configuration(controls, 7)
-        assert await read(controls) == 7
+        assert await read_version(controls) == 7
 
     run(tmp_path, scenario)
 
--- a/tests/test_log_repair.py
+++ b/tests/test_log_repair.py
@@ -8,7 +8,7 @@
 from merlinthread.nodes import log_member, news_watcher
 from merlinthread.protocol import node_messages
 from tests import fleet_nodes
-from tests.test_control_nodes import put_configuration, read, run
+from tests.test_control_nodes import put_configuration, read_version, run
 
 CATCH_UP_S = 4.0
 REPLACEMENT = f"{fleet_nodes.NETWORK}.19"
@@ -37,7 +37,7 @@
         await put_configuration(controls, 2)
         controls.kill(next(ip for ip in controls.nodes if ip != REPLACEMENT))
         await put_configuration(controls, 3)
-        assert await read(controls) == 3
+        assert await read_version(controls) == 3
 
     run(tmp_path, scenario)
 
@@ -181,7 +181,7 @@
         fleet_nodes.end_tasks(controls.nodes.pop(leader))
         await put_configuration(controls, 2)
         await controls.start(leader)
-        assert await read(controls) == 2
+        assert await read_version(controls) == 2
         voters = controls.nodes[leader].member.raft.log.voters
         assert sorted(voters.voters) == sorted(f"{ip}:{controls.port}" for ip in controls.ips)
 
