--- a/src/merlinthread/nodes/crash_registry.py
+++ b/src/merlinthread/nodes/crash_registry.py
@@ -18,8 +18,8 @@
 FORWARD_TIMEOUT_S = 0.9
 # How often holds are checked for expiry and uncommitted decisions are proposed again.
 DECISION_INTERVAL_S = 0.5
-# A complete response up to this long before a hold was applied still releases it, since the hold
-# may have been on its way to being committed.
+# A complete response up to this long before a hold was applied still releases it, since committing
+# the hold may take this long.
 COMMIT_MAX_S = 2.0
 
 Submit = Callable[[fleet_state.Command], Awaitable[bool]]
@@ -175,8 +175,8 @@
 ) -> list[fleet_state.PlaceHold | fleet_state.ReleaseHold]:
     """Return the commands for holds and releases that are not in the log yet.
 
-    Those due for less than `patience_s` are left out. `held_since` contains the times at which
-    holds were applied, by fingerprint.
+    Those due for less than `patience_s` are left out. `held_since` has the time at which the hold
+    of each request last changed in the log, by fingerprint.
     """
     commands: list[fleet_state.PlaceHold | fleet_state.ReleaseHold] = []
     for record in ledger.held():
--- a/src/merlinthread/nodes/node_settings.py
+++ b/src/merlinthread/nodes/node_settings.py
@@ -9,7 +9,8 @@
 class Bounds:
     """The guarantees of the deployment, from which the timers of nodes derive.
 
-    Fields ending in `_s` are seconds.
+    Fields ending in `_s` are seconds. `retry_ratio` bounds the retries within `retry_window_s`,
+    relative to the first attempts.
     """
 
     contact_s: float = 3.0
