--- a/bench/transfer.py
+++ b/bench/transfer.py
@@ -17,7 +17,7 @@
 from collections.abc import Callable
 
 from merlinthread.coordination import fetch, fetch_claimed, fetch_policies, pacing
-from merlinthread.nodes import piece_fetcher, piece_giver
+from merlinthread.nodes import piece_fetcher, piece_server
 from merlinthread.transport import node_bus
 
 # The modules whose decorators fill `fetch.POLICIES`.
@@ -99,7 +99,7 @@
             piece_fetcher.IN_SHARE * shape.link_rate, piece_fetcher.AHEAD_S
         )
         self.outgoing = pacing.FeedbackPacer(
-            piece_giver.OUT_SHARE * shape.link_rate, 0.0, piece_giver.SENT_TARGET_S
+            piece_server.OUT_SHARE * shape.link_rate, 0.0, piece_server.SENT_TARGET_S
         )
         self.took_s: dict[str, float] = {}
         self.plan = fetch.POLICIES.get(shape.policy)(
@@ -331,7 +331,7 @@
         wanted = fetch.bit_positions(action.wanted & peer.plan.held)
         told = peer.plan.held
         free_in_s = peer.outgoing.wait_s(self.now) if wanted else 0.0
-        if not wanted or free_in_s > piece_giver.UPLOAD_WAIT_S_MAX:
+        if not wanted or free_in_s > piece_server.UPLOAD_WAIT_S_MAX:
             left = peer.link_out.carry(ANSWER_BYTES, self.now)
             self.at(left + delay, lambda: self.nothing(agent, action, told, free_in_s))
             return
--- a/src/merlinthread/nodes/piece_giver.py
+++ b/src/merlinthread/nodes/piece_server.py
@@ -21,7 +21,7 @@
 NOTHING = node_messages.PieceReply(-1, b"", b"")
 
 
-class PieceGiver:
+class PieceServer:
     """Answers the peers of one agent; pieces leave at the pace of `outgoing`."""
 
     def __init__(
--- a/src/merlinthread/nodes/weights_task.py
+++ b/src/merlinthread/nodes/weights_task.py
@@ -16,7 +16,7 @@
     news_watcher,
     node_settings,
     piece_fetcher,
-    piece_giver,
+    piece_server,
     piece_store,
     weights_facts,
 )
@@ -57,7 +57,7 @@
         self.fetcher = piece_fetcher.PieceFetcher(
             self.facts, engine, self.store, caller, clock, send
         )
-        self.giver = piece_giver.PieceGiver(self.store, clock, rng, settings.link_bytes_per_s)
+        self.giver = piece_server.PieceServer(self.store, clock, rng, settings.link_bytes_per_s)
         self.manifest: fleet.Manifest | None = None
         self.plan: fetch_policies.Zoned | None = None
         self.report: fleet.EngineReport | None = None
@@ -255,13 +255,13 @@
     async def give(self, request: node_messages.PieceRequest) -> node_messages.PieceReply:
         """Answer a peer that asks for a piece."""
         if self.plan is None or self.manifest is None:
-            return piece_giver.NOTHING
+            return piece_server.NOTHING
         self.giver.note_serving(self.is_serving())
         return await self.giver.give(self.plan, self.manifest, request)
 
     def give_manifest(self, request: node_messages.ManifestRequest) -> node_messages.ManifestReply:
         """Answer a peer that asks for a manifest."""
-        return piece_giver.give_manifest(self.manifest, request)
+        return piece_server.give_manifest(self.manifest, request)
 
     def on_note(self, note: node_messages.PieceNotice | node_messages.PieceClaim) -> None:
         """Take a peer's word of a piece that it has just got, or begins to read."""
