--- a/src/merlinthread/nodes/piece_fetcher.py
+++ b/src/merlinthread/nodes/piece_fetcher.py
@@ -9,7 +9,7 @@
 
 from merlinthread import errors, logs, metrics
 from merlinthread.coordination import change_over, fetch, fetch_policies, fleet, pacing
-from merlinthread.nodes import engine_client, piece_store, weights_facts
+from merlinthread.nodes import engine_client, piece_store, weights_view
 from merlinthread.protocol import node_messages
 from merlinthread.transport import node_bus
 
@@ -45,7 +45,7 @@
 
     def __init__(
         self,
-        facts: weights_facts.WeightsFacts,
+        facts: weights_view.WeightsView,
         engine: engine_client.EngineClient,
         store: piece_store.PieceStore,
         caller: node_bus.RpcClient,
--- a/src/merlinthread/nodes/weights_task.py
+++ b/src/merlinthread/nodes/weights_task.py
@@ -18,7 +18,7 @@
     piece_fetcher,
     piece_server,
     piece_store,
-    weights_facts,
+    weights_view,
 )
 from merlinthread.protocol import node_messages
 from merlinthread.transport import node_bus
@@ -51,7 +51,7 @@
         self.engine = engine
         self.clock = clock
         self.rng = rng
-        self.facts = weights_facts.WeightsFacts(settings, watcher, clock)
+        self.facts = weights_view.WeightsView(settings, watcher, clock)
         self.manifests = manifest_finder.ManifestFinder(self.facts.me, engine, caller, clock, rng)
         self.store = piece_store.PieceStore(engine)
         self.fetcher = piece_fetcher.PieceFetcher(
--- a/src/merlinthread/nodes/weights_facts.py
+++ b/src/merlinthread/nodes/weights_view.py
@@ -6,7 +6,7 @@
 from merlinthread.nodes import news_watcher, node_settings
 
 
-class WeightsFacts:
+class WeightsView:
     """The facts, read from the watcher's news at each call; `me` is the agent's own "IP:port"."""
 
     def __init__(
