--- a/src/merlinthread/nodes/piece_server.py
+++ b/src/merlinthread/nodes/piece_server.py
@@ -9,7 +9,7 @@
 from merlinthread.protocol import node_messages
 
 # Share of the link that pieces may take on their way out: the engine's answers share it.
-OUT_SHARE = 0.85
+UPLOAD_SHARE = 0.85
 # An engine that serves nothing has no answers that pieces could hold up.
 OUT_SHARE_ALONE = 0.95
 # A peer that would have to wait longer is told when to come back: another may be free.
@@ -35,11 +35,11 @@
         self.clock = clock
         self.rng = rng
         self.link_bytes_per_s = link_bytes_per_s
-        self.outgoing = pacing.FeedbackPacer(OUT_SHARE * link_bytes_per_s, 0.0, SENT_TARGET_S)
+        self.outgoing = pacing.FeedbackPacer(UPLOAD_SHARE * link_bytes_per_s, 0.0, SENT_TARGET_S)
 
     def note_serving(self, is_serving: bool) -> None:
         """Set the pace by whether the engine serves requests beside the pieces."""
-        share = OUT_SHARE if is_serving else OUT_SHARE_ALONE
+        share = UPLOAD_SHARE if is_serving else OUT_SHARE_ALONE
         self.outgoing.set_full_rate(share * self.link_bytes_per_s)
 
     async def give(
