--- a/src/merlinthread/nodes/piece_server.py
+++ b/src/merlinthread/nodes/piece_server.py
@@ -11,7 +11,7 @@
 # Share of the link that pieces may take on their way out: the engine's answers share it.
 UPLOAD_SHARE = 0.85
 # An engine that serves nothing has no answers that pieces could hold up.
-OUT_SHARE_ALONE = 0.95
+IDLE_UPLOAD_SHARE = 0.95
 # A peer that would have to wait longer is told when to come back: another may be free.
 UPLOAD_WAIT_S_MAX = 0.15
 # A piece that took longer from here to its receiver shows that one of the two links carries less
@@ -39,7 +39,7 @@
 
     def note_serving(self, is_serving: bool) -> None:
         """Set the pace by whether the engine serves requests beside the pieces."""
-        share = UPLOAD_SHARE if is_serving else OUT_SHARE_ALONE
+        share = UPLOAD_SHARE if is_serving else IDLE_UPLOAD_SHARE
         self.outgoing.set_full_rate(share * self.link_bytes_per_s)
 
     async def give(
--- a/tests/test_weights_task.py
+++ b/tests/test_weights_task.py
@@ -431,7 +431,7 @@
         watcher.named_at["m"] = {2: asyncio.get_running_loop().time() - 60.0}
         assert not weights.is_serving()
         await weights.give(node_messages.PieceRequest("m", 1, b"\xff"))
-        alone = piece_server.OUT_SHARE_ALONE * link
+        alone = piece_server.IDLE_UPLOAD_SHARE * link
         assert weights.giver.outgoing.bytes_per_s == pytest.approx(alone)
 
     run(1, scenario)
