--- a/bench/transfer.py
+++ b/bench/transfer.py
@@ -99,7 +99,7 @@
             piece_fetcher.IN_SHARE * shape.link_rate, piece_fetcher.AHEAD_S
         )
         self.outgoing = pacing.FeedbackPacer(
-            piece_server.UPLOAD_SHARE * shape.link_rate, 0.0, piece_server.SENT_TARGET_S
+            piece_server.UPLOAD_SHARE * shape.link_rate, 0.0, piece_server.UPLOAD_TARGET_S
         )
         self.took_s: dict[str, float] = {}
         self.plan = fetch.POLICIES.get(shape.policy)(
--- a/src/merlinthread/nodes/piece_server.py
+++ b/src/merlinthread/nodes/piece_server.py
@@ -16,7 +16,7 @@
 UPLOAD_WAIT_S_MAX = 0.15
 # A piece that took longer from here to its receiver shows that one of the two links carries less
 # than it should (`piece_fetcher.TRANSFER_TARGET_S`).
-SENT_TARGET_S = 0.4
+UPLOAD_TARGET_S = 0.4
 
 NOTHING = node_messages.PieceReply(-1, b"", b"")
 
@@ -35,7 +35,7 @@
         self.clock = clock
         self.rng = rng
         self.link_bytes_per_s = link_bytes_per_s
-        self.outgoing = pacing.FeedbackPacer(UPLOAD_SHARE * link_bytes_per_s, 0.0, SENT_TARGET_S)
+        self.outgoing = pacing.FeedbackPacer(UPLOAD_SHARE * link_bytes_per_s, 0.0, UPLOAD_TARGET_S)
 
     def note_serving(self, is_serving: bool) -> None:
         """Set the pace by whether the engine serves requests beside the pieces."""
