--- a/src/merlinthread/nodes/piece_fetcher.py
+++ b/src/merlinthread/nodes/piece_fetcher.py
@@ -20,7 +20,7 @@
 ASKS_PER_PEER = 2
 ORIGIN_SLOTS = 1
 # Share of the link that pieces may take on their way in: the engine's requests share it.
-IN_SHARE = 0.93
+DOWNLOAD_SHARE = 0.93
 # An engine that serves nothing has no requests that pieces could hold up.
 IN_SHARE_ALONE = 1.0
 # How far a transfer may begin ahead of the pace: about one piece of 24 KB at 3.65 Mbit/s. In the
@@ -63,7 +63,7 @@
         self.took_s: dict[str, float] = {}
         self.window = pacing.TransferWindow(PARALLEL, TRANSFER_TARGET_S)
         self.link_bytes_per_s = facts.settings.link_bytes_per_s
-        self.incoming = pacing.Pacer(IN_SHARE * self.link_bytes_per_s, AHEAD_S)
+        self.incoming = pacing.Pacer(DOWNLOAD_SHARE * self.link_bytes_per_s, AHEAD_S)
 
     async def run(
         self,
@@ -104,7 +104,7 @@
         self, plan: fetch_policies.Zoned, manifest: fleet.Manifest, started: float, serves: bool
     ) -> None:
         """Tell the plan who is there and how fast it may go."""
-        share = IN_SHARE if serves else IN_SHARE_ALONE
+        share = DOWNLOAD_SHARE if serves else IN_SHARE_ALONE
         self.incoming.bytes_per_s = share * self.link_bytes_per_s
         plan.set_peers(self.facts.peers())
         plan.spare_every_s = self.spare_every_s(plan)
