--- a/src/merlinthread/nodes/piece_fetcher.py
+++ b/src/merlinthread/nodes/piece_fetcher.py
@@ -22,7 +22,7 @@
 # Share of the link that pieces may take on their way in: the engine's requests share it.
 DOWNLOAD_SHARE = 0.93
 # An engine that serves nothing has no requests that pieces could hold up.
-IN_SHARE_ALONE = 1.0
+IDLE_DOWNLOAD_SHARE = 1.0
 # How far a transfer may begin ahead of the pace: about one piece of 24 KB at 3.65 Mbit/s. In the
 # model (50 agents) 0.03, 0.06, 0.12 s give half of the engines at 1.33, 1.31, 1.29 of the bound,
 # and p95 of the waits of requests of 56, 61, 86 ms.
@@ -104,7 +104,7 @@
         self, plan: fetch_policies.Zoned, manifest: fleet.Manifest, started: float, serves: bool
     ) -> None:
         """Tell the plan who is there and how fast it may go."""
-        share = DOWNLOAD_SHARE if serves else IN_SHARE_ALONE
+        share = DOWNLOAD_SHARE if serves else IDLE_DOWNLOAD_SHARE
         self.incoming.bytes_per_s = share * self.link_bytes_per_s
         plan.set_peers(self.facts.peers())
         plan.spare_every_s = self.spare_every_s(plan)
