--- a/bench/transfer.py
+++ b/bench/transfer.py
@@ -96,7 +96,7 @@
         self.link_in = Link(rate)
         self.link_out = Link(rate)
         self.incoming = pacing.Pacer(
-            piece_fetcher.DOWNLOAD_SHARE * shape.link_rate, piece_fetcher.AHEAD_S
+            piece_fetcher.DOWNLOAD_SHARE * shape.link_rate, piece_fetcher.PACER_BURST_S
         )
         self.outgoing = pacing.FeedbackPacer(
             piece_server.UPLOAD_SHARE * shape.link_rate, 0.0, piece_server.UPLOAD_TARGET_S
--- a/src/merlinthread/nodes/piece_fetcher.py
+++ b/src/merlinthread/nodes/piece_fetcher.py
@@ -26,7 +26,7 @@
 # How far a transfer may begin ahead of the pace: about one piece of 24 KB at 3.65 Mbit/s. In the
 # model (50 agents) 0.03, 0.06, 0.12 s give half of the engines at 1.33, 1.31, 1.29 of the bound,
 # and p95 of the waits of requests of 56, 61, 86 ms.
-AHEAD_S = 0.06
+PACER_BURST_S = 0.06
 ORIGIN_WAIT_S = 0.3
 ORIGIN_GRACE_S = 0.8
 # A piece that took longer will not come: its sender stands still, and holds one of the places.
@@ -63,7 +63,7 @@
         self.took_s: dict[str, float] = {}
         self.window = pacing.TransferWindow(PARALLEL, TRANSFER_TARGET_S)
         self.link_bytes_per_s = facts.settings.link_bytes_per_s
-        self.incoming = pacing.Pacer(DOWNLOAD_SHARE * self.link_bytes_per_s, AHEAD_S)
+        self.incoming = pacing.Pacer(DOWNLOAD_SHARE * self.link_bytes_per_s, PACER_BURST_S)
 
     async def run(
         self,
