--- a/bench/transfer.py
+++ b/bench/transfer.py
@@ -114,7 +114,9 @@
         self.plan.origin_grace_s = piece_fetcher.ORIGIN_GRACE_S
         self.plan.requests_per_peer = piece_fetcher.ASKS_PER_PEER
         self.plan.readers_max = fetch.origin_reader_count(shape.origin_rate, shape.link_rate)
-        self.window = pacing.TransferWindow(piece_fetcher.PARALLEL, piece_fetcher.TRANSFER_TARGET_S)
+        self.window = pacing.TransferWindow(
+            piece_fetcher.TRANSFERS_MAX, piece_fetcher.TRANSFER_TARGET_S
+        )
         self.rate = pacing.RecentRate(piece_fetcher.RATE_WINDOW_S)
         self.began: dict[int, float] = {}
         self.whole_at: float | None = None
--- a/src/merlinthread/nodes/piece_fetcher.py
+++ b/src/merlinthread/nodes/piece_fetcher.py
@@ -13,7 +13,7 @@
 from merlinthread.protocol import node_messages
 from merlinthread.transport import node_bus
 
-PARALLEL = 8
+TRANSFERS_MAX = 8
 # A transfer that takes longer shows a link that carries less than it should: one piece takes 0.06 s
 # of a link of 3.65 Mbit/s and waits up to 0.15 s at its sender.
 TRANSFER_TARGET_S = 0.4
@@ -61,7 +61,7 @@
         self.rate = pacing.RecentRate(RATE_WINDOW_S)
         # How long the last piece from each peer took, until the peer is told.
         self.took_s: dict[str, float] = {}
-        self.window = pacing.TransferWindow(PARALLEL, TRANSFER_TARGET_S)
+        self.window = pacing.TransferWindow(TRANSFERS_MAX, TRANSFER_TARGET_S)
         self.link_bytes_per_s = facts.settings.link_bytes_per_s
         self.incoming = pacing.Pacer(DOWNLOAD_SHARE * self.link_bytes_per_s, PACER_BURST_S)
 
