--- a/bench/transfer.py
+++ b/bench/transfer.py
@@ -112,7 +112,7 @@
             random.Random(shape.seed * 1000 + number),
         )
         self.plan.origin_grace_s = piece_fetcher.ORIGIN_GRACE_S
-        self.plan.requests_per_peer = piece_fetcher.ASKS_PER_PEER
+        self.plan.requests_per_peer = piece_fetcher.REQUESTS_PER_PEER
         self.plan.readers_max = fetch.origin_reader_count(shape.origin_rate, shape.link_rate)
         self.window = pacing.TransferWindow(
             piece_fetcher.TRANSFERS_MAX, piece_fetcher.TRANSFER_TARGET_S
--- a/src/merlinthread/nodes/piece_fetcher.py
+++ b/src/merlinthread/nodes/piece_fetcher.py
@@ -17,7 +17,7 @@
 # A transfer that takes longer shows a link that carries less than it should: one piece takes 0.06 s
 # of a link of 3.65 Mbit/s and waits up to 0.15 s at its sender.
 TRANSFER_TARGET_S = 0.4
-ASKS_PER_PEER = 2
+REQUESTS_PER_PEER = 2
 ORIGIN_SLOTS = 1
 # Share of the link that pieces may take on their way in: the engine's requests share it.
 DOWNLOAD_SHARE = 0.93
--- a/src/merlinthread/nodes/weights_task.py
+++ b/src/merlinthread/nodes/weights_task.py
@@ -158,7 +158,7 @@
             self.rng,
         )
         plan.origin_grace_s = piece_fetcher.ORIGIN_GRACE_S
-        plan.requests_per_peer = piece_fetcher.ASKS_PER_PEER
+        plan.requests_per_peer = piece_fetcher.REQUESTS_PER_PEER
         plan.readers_max = fetch.origin_reader_count(
             self.facts.origin_bytes_per_s(), self.fetcher.link_bytes_per_s
         )
