--- a/bench/transfer.py
+++ b/bench/transfer.py
@@ -199,7 +199,7 @@
 
     def is_late(self, agent: Agent) -> bool:
         """Return whether an agent will not be whole in time at the rate seen so far."""
-        if self.now < piece_fetcher.RATE_AFTER_S:
+        if self.now < piece_fetcher.RATE_WARMUP_S:
             return False
         missing = self.shape.pieces - agent.plan.held.bit_count()
         return self.now + missing / max(agent.rate.per_s(), 1.0) > self.shape.due_s
--- a/src/merlinthread/nodes/piece_fetcher.py
+++ b/src/merlinthread/nodes/piece_fetcher.py
@@ -34,7 +34,7 @@
 IDLE_WAIT_S = 0.02
 PROGRESS_EVERY_S = 1.0
 # Whether a fetch will be late is judged by its rate of late, once it has got going.
-RATE_AFTER_S = 2.0
+RATE_WARMUP_S = 2.0
 RATE_WINDOW_S = 1.0
 
 Send = Callable[[str, node_messages.PieceNotice | node_messages.PieceClaim], None]
@@ -147,7 +147,7 @@
     def is_late(self, plan: fetch.FetchPlan, manifest: fleet.Manifest, started: float) -> bool:
         """Return whether the pieces would come too late at the rate seen so far."""
         now = self.clock()
-        if not self.facts.named(manifest.model) or now - started < RATE_AFTER_S:
+        if not self.facts.named(manifest.model) or now - started < RATE_WARMUP_S:
             return False
         missing = plan.chunk_count - plan.held.bit_count()
         leave_at = self.facts.bound_at(manifest) - change_over.EXPIRY_MARGIN_S
