--- a/bench/transfer.py
+++ b/bench/transfer.py
@@ -282,7 +282,7 @@
 
     def refused(self, agent: Agent, action: fetch.OriginRead) -> None:
         """Note that the origin gave nothing."""
-        agent.plan.on_origin_failed(self.now, piece_fetcher.ORIGIN_WAIT_S, action.index)
+        agent.plan.on_origin_failed(self.now, piece_fetcher.ORIGIN_RETRY_DELAY_S, action.index)
         self.end(agent, action, -1)
 
     def send(
--- a/src/merlinthread/nodes/piece_fetcher.py
+++ b/src/merlinthread/nodes/piece_fetcher.py
@@ -27,7 +27,7 @@
 # model (50 agents) 0.03, 0.06, 0.12 s give half of the engines at 1.33, 1.31, 1.29 of the bound,
 # and p95 of the waits of requests of 56, 61, 86 ms.
 PACER_BURST_S = 0.06
-ORIGIN_WAIT_S = 0.3
+ORIGIN_RETRY_DELAY_S = 0.3
 ORIGIN_GRACE_S = 0.8
 # A piece that took longer will not come: its sender stands still, and holds one of the places.
 PEER_TIMEOUT_S = 1.0
@@ -188,7 +188,7 @@
             data = await self.engine.piece(self.facts.origin(), manifest, action.index)
             await self.store.put(manifest.model, action.index, data)
         except errors.MerlinthreadError as error:
-            wait_s = max(ORIGIN_WAIT_S, engine_client.origin_rest_s(error))
+            wait_s = max(ORIGIN_RETRY_DELAY_S, engine_client.origin_rest_s(error))
             plan.on_origin_failed(self.clock(), wait_s, action.index)
             logs.debug(
                 "piece_failed",
