--- a/bench/transfer.py
+++ b/bench/transfer.py
@@ -22,7 +22,7 @@
 
 # The modules whose decorators fill `fetch.POLICIES`.
 POLICY_MODULES = (fetch_claimed, fetch_policies)
-STEP_S = piece_fetcher.IDLE_WAIT_S
+STEP_S = piece_fetcher.POLL_INTERVAL_S
 # One way: within a zone, between regions (large site).
 DELAY_S = (0.0005, 0.0005, 0.001)
 # What a TCP connection sends at a time before another one has its turn.
--- a/src/merlinthread/nodes/piece_fetcher.py
+++ b/src/merlinthread/nodes/piece_fetcher.py
@@ -31,7 +31,7 @@
 ORIGIN_GRACE_S = 0.8
 # A piece that took longer will not come: its sender stands still, and holds one of the places.
 PEER_TIMEOUT_S = 1.0
-IDLE_WAIT_S = 0.02
+POLL_INTERVAL_S = 0.02
 PROGRESS_EVERY_S = 1.0
 # Whether a fetch will be late is judged by its rate of late, once it has got going.
 RATE_WARMUP_S = 2.0
@@ -87,10 +87,10 @@
                     self.log_progress("weights_progress", plan, manifest, told_at - started)
                 self.begin_transfers(plan, manifest, running)
                 if not running:
-                    await asyncio.sleep(IDLE_WAIT_S)
+                    await asyncio.sleep(POLL_INTERVAL_S)
                     continue
                 done, running = await asyncio.wait(
-                    running, timeout=IDLE_WAIT_S, return_when=asyncio.FIRST_COMPLETED
+                    running, timeout=POLL_INTERVAL_S, return_when=asyncio.FIRST_COMPLETED
                 )
                 for task in done:
                     task.result()
