--- a/src/merlinthread/nodes/piece_store.py
+++ b/src/merlinthread/nodes/piece_store.py
@@ -9,7 +9,7 @@
 from merlinthread.nodes import engine_client
 
 # More than the link of an agent carries in the time that an engine takes to start.
-KEPT_BYTES_MAX = 8 * 1024 * 1024
+BUFFER_BYTES_MAX = 8 * 1024 * 1024
 
 
 class PieceStore:
@@ -26,7 +26,7 @@
 
     def is_full(self) -> bool:
         """Return whether no more may be kept here."""
-        return sum(map(len, self.kept.values())) >= KEPT_BYTES_MAX
+        return sum(map(len, self.kept.values())) >= BUFFER_BYTES_MAX
 
     async def put(self, model: str, index: int, data: bytes) -> None:
         """Stage a piece, or keep it while the engine has never answered.
--- a/tests/test_weights_task.py
+++ b/tests/test_weights_task.py
@@ -384,7 +384,7 @@
 def test_no_more_is_kept_than_its_bound():
     async def scenario():
         store = piece_store.PieceStore(engine_client.EngineClient(None, "127.0.0.1:1"))
-        await store.put("m", 0, bytes(piece_store.KEPT_BYTES_MAX - 1))
+        await store.put("m", 0, bytes(piece_store.BUFFER_BYTES_MAX - 1))
         assert not store.is_full()
         await store.put("m", 1, b"..")
         assert store.is_full()
