--- a/src/merlinthread/nodes/piece_store.py
+++ b/src/merlinthread/nodes/piece_store.py
@@ -18,15 +18,15 @@
     def __init__(self, engine: engine_client.EngineClient) -> None:
         self.engine = engine
         self.is_engine_seen = False
-        self.kept: dict[int, bytes] = {}
+        self.buffered: dict[int, bytes] = {}
 
     def clear(self) -> None:
         """Forget what is kept: another version is wanted."""
-        self.kept.clear()
+        self.buffered.clear()
 
     def is_full(self) -> bool:
         """Return whether no more may be kept here."""
-        return sum(map(len, self.kept.values())) >= BUFFER_BYTES_MAX
+        return sum(map(len, self.buffered.values())) >= BUFFER_BYTES_MAX
 
     async def put(self, model: str, index: int, data: bytes) -> None:
         """Stage a piece, or keep it while the engine has never answered.
@@ -36,18 +36,18 @@
         if self.is_engine_seen:
             await self.engine.stage(model, index, data)
         else:
-            self.kept[index] = data
+            self.buffered[index] = data
 
     async def get(self, manifest: fleet.Manifest, index: int) -> bytes | None:
         """Return a sound piece from here or from the engine, None if there is none."""
-        kept = self.kept.get(index)
+        kept = self.buffered.get(index)
         return kept if kept is not None else await self.engine.staged(manifest, index)
 
     async def flush(self, model: str) -> None:
         """Stage all that is kept; raises as `put` does."""
-        for index in sorted(self.kept):
-            data = self.kept.get(index)
+        for index in sorted(self.buffered):
+            data = self.buffered.get(index)
             if data is None:
                 continue
             await self.engine.stage(model, index, data)
-            self.kept.pop(index, None)
+            self.buffered.pop(index, None)
--- a/tests/test_weights_task.py
+++ b/tests/test_weights_task.py
@@ -349,13 +349,13 @@
         fleet.feed(1)
         weights = fleet.agents[1].weights
         await fleet_nodes.until(lambda: weights.plan is not None and weights.plan.is_complete())
-        assert len(weights.store.kept) == PIECES and not engine.staged
+        assert len(weights.store.buffered) == PIECES and not engine.staged
         # What is kept is given on, too.
         request = node_messages.PieceRequest("m", 1, b"\x01")
         assert (await weights.give(request)).data == make_pieces(1)[0]
         await engine.server.listen("127.0.0.1", port)
         await fleet.until_all_hold(1)
-        assert not weights.store.kept
+        assert not weights.store.buffered
 
     run(1, scenario)
 
