--- a/src/merlinthread/nodes/manifest_finder.py
+++ b/src/merlinthread/nodes/manifest_finder.py
@@ -78,7 +78,7 @@
         """
         is_new = self.missed != (model, version)
         if is_new:
-            ahead = ahead_in_zone(self.me, f"{model}@{version}", peers)
+            ahead = zone_predecessors(self.me, f"{model}@{version}", peers)
             manifest = await self.from_those_ahead(ahead, model, version)
             if manifest is not None:
                 return manifest
@@ -149,7 +149,7 @@
         return None
 
 
-def ahead_in_zone(me: str, manifest: str, peers: Sequence[fetch.Peer]) -> list[str]:
+def zone_predecessors(me: str, manifest: str, peers: Sequence[fetch.Peer]) -> list[str]:
     """Return the agents of this zone that come before `me` in a manifest's rendezvous order."""
     zone = [peer.name for peer in peers if peer.distance == fetch.SAME_ZONE] + [me]
     zone.sort(key=lambda name: fetch.rendezvous_weight(name, manifest, -1), reverse=True)
--- a/tests/test_weights_task.py
+++ b/tests/test_weights_task.py
@@ -147,7 +147,7 @@
         peers = [fetch.Peer(name, name, fetch.SAME_ZONE) for name in names]
         # The last one has the others ahead of it.
         orders = [
-            manifest_finder.ahead_in_zone(name, "m@2", [p for p in peers if p.name != name])
+            manifest_finder.zone_predecessors(name, "m@2", [p for p in peers if p.name != name])
             for name in names
         ]
         number = names.index(max(orders, key=len)[0])
