--- a/src/merlinthread/nodes/manifest_finder.py
+++ b/src/merlinthread/nodes/manifest_finder.py
@@ -97,7 +97,7 @@
             if manifest is not None:
                 return manifest
             await asyncio.sleep(AGAIN_EVERY_S)
-            may_try = self.clock() >= self.origin_rests_until and self.is_my_turn(peers)
+            may_try = self.clock() >= self.origin_rests_until and self.draw_origin_retry(peers)
         raise reason
 
     async def from_origin(self, origin: str, model: str, version: int) -> fleet.Manifest:
@@ -111,7 +111,7 @@
         except TimeoutError:
             raise errors.UnreachableError(f"{origin}: no manifest within {ORIGIN_TRY_S} s")
 
-    def is_my_turn(self, peers: Sequence[fetch.Peer]) -> bool:
+    def draw_origin_retry(self, peers: Sequence[fetch.Peer]) -> bool:
         """Return by lot whether to try the origin again: about one agent of a zone does."""
         zone = sum(peer.distance == fetch.SAME_ZONE for peer in peers) + 1
         return self.rng.random() * zone < 1
--- a/tests/test_manifest_spreads.py
+++ b/tests/test_manifest_spreads.py
@@ -85,7 +85,7 @@
         for name in world.names
     ]
     rounds = 200
-    turns = sum(f.is_my_turn(world.peers(f.me)) for f in finders for _ in range(rounds))
+    turns = sum(f.draw_origin_retry(world.peers(f.me)) for f in finders for _ in range(rounds))
     assert 0.8 * ZONES * rounds <= turns <= 1.2 * ZONES * rounds
 
 
