--- a/src/merlinthread/nodes/manifest_finder.py
+++ b/src/merlinthread/nodes/manifest_finder.py
@@ -59,7 +59,7 @@
         self.clock = clock
         self.rng = rng
         # The model and version that the origin did not give when it was last asked.
-        self.missed = ("", 0)
+        self.last_failed = ("", 0)
         # Until when the origin asked to be left alone.
         self.origin_rests_until = float("-inf")
 
@@ -76,7 +76,7 @@
         Raises the origin's error if neither it nor a peer gives it within GIVE_UP_S, or as soon as
         `is_wanted` tells that the version is not wanted any more.
         """
-        is_new = self.missed != (model, version)
+        is_new = self.last_failed != (model, version)
         if is_new:
             ahead = zone_predecessors(self.me, f"{model}@{version}", peers)
             manifest = await self.from_those_ahead(ahead, model, version)
@@ -90,7 +90,7 @@
                 if may_try:
                     return await self.from_origin(origin, model, version)
             except errors.MerlinthreadError as error:
-                self.missed = (model, version)
+                self.last_failed = (model, version)
                 self.origin_rests_until = self.clock() + engine_client.origin_rest_s(error)
                 reason = error
             manifest = await self.from_some(peers, model, version)
--- a/tests/test_manifest_spreads.py
+++ b/tests/test_manifest_spreads.py
@@ -53,7 +53,7 @@
         rng = random.Random(name)
         clock = asyncio.get_running_loop().time
         finder = manifest_finder.ManifestFinder(name, self, self, clock, rng)
-        finder.missed = ("m", 3)
+        finder.last_failed = ("m", 3)
         assert await finder.find("origin", "m", 3, self.peers(name)) is MANIFEST
         self.have.add(name)
 
@@ -97,7 +97,7 @@
         finder = manifest_finder.ManifestFinder(world.names[0], world, world, clock, rng)
         with pytest.raises(errors.UnreachableError):
             async with asyncio.timeout(0.5):
-                finder.missed = ("m", 3)
+                finder.last_failed = ("m", 3)
                 wanted = iter([True, True, False])
                 await finder.find(
                     "origin", "m", 3, world.peers(finder.me), lambda: next(wanted, False)
