--- a/src/merlinthread/nodes/manifest_finder.py
+++ b/src/merlinthread/nodes/manifest_finder.py
@@ -47,13 +47,13 @@
 
     def __init__(
         self,
-        me: str,
+        own_address: str,
         engine: engine_client.EngineClient,
         caller: node_bus.RpcClient,
         clock: Callable[[], float],
         rng: random.Random,
     ) -> None:
-        self.me = me
+        self.own_address = own_address
         self.engine = engine
         self.caller = caller
         self.clock = clock
@@ -78,7 +78,7 @@
         """
         is_new = self.last_failed != (model, version)
         if is_new:
-            ahead = zone_predecessors(self.me, f"{model}@{version}", peers)
+            ahead = zone_predecessors(self.own_address, f"{model}@{version}", peers)
             manifest = await self.from_those_ahead(ahead, model, version)
             if manifest is not None:
                 return manifest
@@ -149,8 +149,8 @@
         return None
 
 
-def zone_predecessors(me: str, manifest: str, peers: Sequence[fetch.Peer]) -> list[str]:
+def zone_predecessors(own_address: str, manifest: str, peers: Sequence[fetch.Peer]) -> list[str]:
     """Return the agents of this zone that come before `me` in a manifest's rendezvous order."""
-    zone = [peer.name for peer in peers if peer.distance == fetch.SAME_ZONE] + [me]
+    zone = [peer.name for peer in peers if peer.distance == fetch.SAME_ZONE] + [own_address]
     zone.sort(key=lambda name: fetch.rendezvous_weight(name, manifest, -1), reverse=True)
-    return zone[: zone.index(me)]
+    return zone[: zone.index(own_address)]
--- a/src/merlinthread/nodes/piece_fetcher.py
+++ b/src/merlinthread/nodes/piece_fetcher.py
@@ -133,7 +133,7 @@
     ) -> None:
         """Tell other readers of the origin which piece is being read."""
         claim = node_messages.PieceClaim(
-            manifest.model, manifest.version, self.facts.me, action.index
+            manifest.model, manifest.version, self.facts.own_address, action.index
         )
         for rival in plan.claim_recipients():
             self.send(rival, claim)
@@ -233,7 +233,7 @@
             manifest.model,
             manifest.version,
             fetch.bitset_to_bytes(action.wanted, count),
-            self.facts.me,
+            self.facts.own_address,
             fetch.bitset_to_bytes(plan.held, count),
             self.took_s.pop(action.peer, 0.0),
         )
@@ -250,7 +250,9 @@
         self, plan: fetch.FetchPlan, manifest: fleet.Manifest, action: fetch.Action, index: int
     ) -> None:
         """Tell those whom it concerns that a piece is here."""
-        note = node_messages.PieceNotice(manifest.model, manifest.version, self.facts.me, index)
+        note = node_messages.PieceNotice(
+            manifest.model, manifest.version, self.facts.own_address, index
+        )
         for peer in plan.announcement_recipients(action):
             self.send(peer, note)
 
--- a/src/merlinthread/nodes/weights_task.py
+++ b/src/merlinthread/nodes/weights_task.py
@@ -52,7 +52,9 @@
         self.clock = clock
         self.rng = rng
         self.facts = weights_view.WeightsView(settings, watcher, clock)
-        self.manifests = manifest_finder.ManifestFinder(self.facts.me, engine, caller, clock, rng)
+        self.manifests = manifest_finder.ManifestFinder(
+            self.facts.own_address, engine, caller, clock, rng
+        )
         self.store = piece_store.PieceStore(engine)
         self.fetcher = piece_fetcher.PieceFetcher(
             self.facts, engine, self.store, caller, clock, send
@@ -149,7 +151,7 @@
     def make_plan(self, manifest: fleet.Manifest) -> fetch_policies.Zoned:
         """Return the plan of a fetch that has nothing yet."""
         plan = self.make_plan_by(
-            self.facts.me,
+            self.facts.own_address,
             f"{manifest.model}@{manifest.version}",
             len(manifest.digests),
             0,
--- a/src/merlinthread/nodes/weights_view.py
+++ b/src/merlinthread/nodes/weights_view.py
@@ -18,7 +18,7 @@
         self.settings = settings
         self.watcher = watcher
         self.clock = clock
-        self.me = f"{settings.ip}:{settings.agent_port}"
+        self.own_address = f"{settings.ip}:{settings.agent_port}"
 
     def service(self) -> fleet.Service | None:
         """Return the service of the engine beside this agent."""
@@ -67,7 +67,7 @@
                 continue
             host, _ = node_settings.split_address(heartbeat.address)
             bus = f"{host}:{self.settings.agent_port}"
-            if bus != self.me:
+            if bus != self.own_address:
                 distance = self.settings.distance(heartbeat.zone)
                 found.append(fetch.Peer(bus, bus, distance, heartbeat.zone))
         return found
@@ -75,7 +75,9 @@
     def group(self) -> int:
         """Return the group in which this engine changes over."""
         engines = [(peer.zone, peer.name) for peer in self.peers()]
-        return change_over.group_of(self.me, [*engines, (self.settings.zone, self.me)])
+        return change_over.group_of(
+            self.own_address, [*engines, (self.settings.zone, self.own_address)]
+        )
 
     # Versions
 
--- a/tests/test_manifest_spreads.py
+++ b/tests/test_manifest_spreads.py
@@ -85,7 +85,9 @@
         for name in world.names
     ]
     rounds = 200
-    turns = sum(f.draw_origin_retry(world.peers(f.me)) for f in finders for _ in range(rounds))
+    turns = sum(
+        f.draw_origin_retry(world.peers(f.own_address)) for f in finders for _ in range(rounds)
+    )
     assert 0.8 * ZONES * rounds <= turns <= 1.2 * ZONES * rounds
 
 
@@ -100,7 +102,7 @@
                 finder.last_failed = ("m", 3)
                 wanted = iter([True, True, False])
                 await finder.find(
-                    "origin", "m", 3, world.peers(finder.me), lambda: next(wanted, False)
+                    "origin", "m", 3, world.peers(finder.own_address), lambda: next(wanted, False)
                 )
 
     asyncio.run(scenario())
