--- a/src/merlinthread/nodes/manifest_finder.py
+++ b/src/merlinthread/nodes/manifest_finder.py
@@ -33,7 +33,7 @@
 ASK_EVERY_S = 0.04
 # How many peers are asked for a manifest that the origin does not give, and how often.
 PEERS_ASKED = 3
-AGAIN_EVERY_S = 0.1
+PEER_RETRY_INTERVAL_S = 0.1
 PEER_TIMEOUT_S = 0.3
 # How long one try of the origin may take. Reckoned: a manifest of 6.5 KB takes 0.12 s of 4.38
 # Mbit/s that ten readers of pieces share.
@@ -96,7 +96,7 @@
             manifest = await self.from_some(peers, model, version)
             if manifest is not None:
                 return manifest
-            await asyncio.sleep(AGAIN_EVERY_S)
+            await asyncio.sleep(PEER_RETRY_INTERVAL_S)
             may_try = self.clock() >= self.origin_rests_until and self.draw_origin_retry(peers)
         raise reason
 
--- a/tests/test_manifest_spreads.py
+++ b/tests/test_manifest_spreads.py
@@ -60,7 +60,7 @@
 
 @pytest.fixture(autouse=True)
 def short_rounds(monkeypatch):
-    monkeypatch.setattr(manifest_finder, "AGAIN_EVERY_S", 0.002)
+    monkeypatch.setattr(manifest_finder, "PEER_RETRY_INTERVAL_S", 0.002)
 
 
 def test_about_one_agent_of_a_zone_tries_an_origin_that_is_away():
