--- a/src/merlinthread/nodes/agent_node.py
+++ b/src/merlinthread/nodes/agent_node.py
@@ -127,13 +127,13 @@
                 report = await self.engine.report()
                 self.note_life(report)
                 self.note_engine(True, "")
-                self.weights.note_report(report)
+                self.weights.on_engine_report(report)
                 report.ready_in_s = self.weights.ready_in_s()
                 self.ledger.apply_report(report.running + report.queued, self.clock())
                 self.tell(report)
             except errors.MerlinthreadError as error:
                 self.note_engine(False, error.message)
-                self.weights.note_report(None)
+                self.weights.on_engine_report(None)
                 self.told = None
             await asyncio.sleep(REPORT_EVERY_S)
 
@@ -145,7 +145,7 @@
         logs.event("engine_reborn", born_ms=report.born_ms, before_ms=before)
         self.ledger = load_ledger.LoadLedger()
         self.told = None
-        self.weights.note_report(None)
+        self.weights.on_engine_report(None)
 
     def note_engine(self, is_there: bool, reason: str) -> None:
         """Log that the engine was lost or is back."""
--- a/src/merlinthread/nodes/weights_task.py
+++ b/src/merlinthread/nodes/weights_task.py
@@ -166,7 +166,7 @@
         )
         return plan
 
-    def note_report(self, report: fleet.EngineReport | None) -> None:
+    def on_engine_report(self, report: fleet.EngineReport | None) -> None:
         """Take the engine's report, None if it gave none."""
         self.report = report
         if report is not None and not self.store.is_engine_seen:
