--- a/src/merlinthread/nodes/agent_node.py
+++ b/src/merlinthread/nodes/agent_node.py
@@ -125,7 +125,7 @@
         while True:
             try:
                 report = await self.engine.report()
-                self.note_life(report)
+                self.detect_restart(report)
                 self.note_engine(True, "")
                 self.weights.on_engine_report(report)
                 report.ready_in_s = self.weights.ready_in_s()
@@ -137,7 +137,7 @@
                 self.told = None
             await asyncio.sleep(REPORT_EVERY_S)
 
-    def note_life(self, report: fleet.EngineReport) -> None:
+    def detect_restart(self, report: fleet.EngineReport) -> None:
         """Forget what was known of the engine's former life, if this is another one."""
         before, self.born_ms = self.born_ms, report.born_ms
         if before in (0, report.born_ms):
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -175,10 +175,10 @@
 
     agent = agent_node.AgentNode.__new__(agent_node.AgentNode)
     agent.born_ms, agent.told, agent.weights = 0, fleet.EngineReport(), Weights()
-    agent.note_life(fleet.EngineReport(born_ms=BORN))
-    agent.note_life(fleet.EngineReport(born_ms=BORN))
+    agent.detect_restart(fleet.EngineReport(born_ms=BORN))
+    agent.detect_restart(fleet.EngineReport(born_ms=BORN))
     assert agent.weights.reports == []
-    agent.note_life(fleet.EngineReport(born_ms=BORN + 1))
+    agent.detect_restart(fleet.EngineReport(born_ms=BORN + 1))
     assert (agent.weights.reports, agent.told, agent.ledger.open) == ([None], None, {})
 
 
