--- a/src/merlinthread/nodes/agent_node.py
+++ b/src/merlinthread/nodes/agent_node.py
@@ -51,7 +51,7 @@
         )
         self.ledger = load_ledger.LoadLedger()
         self.subscribers: dict[str, float] = {}
-        self.told: fleet.EngineReport | None = None
+        self.last_report: fleet.EngineReport | None = None
         self.told_at = float("-inf")
         self.sequence = 0
         self.is_engine_lost = False
@@ -85,15 +85,15 @@
             self.on_attempt(message)
         elif isinstance(message, node_messages.PieceNotice | node_messages.PieceClaim):
             self.weights.on_note(message)
-        elif isinstance(message, node_messages.LoadQuery) and self.told is not None:
+        elif isinstance(message, node_messages.LoadQuery) and self.last_report is not None:
             others = self.ledger.outstanding(message.address, self.clock())
             answer = node_messages.LoadReply(
                 message.number,
                 others.attempts,
                 others.unread,
                 others.unread_tokens,
-                self.told.is_busy,
-                self.told.pace,
+                self.last_report.is_busy,
+                self.last_report.pace,
             )
             self.datagrams.send(message.address, answer)
 
@@ -134,7 +134,7 @@
             except errors.MerlinthreadError as error:
                 self.note_engine(False, error.message)
                 self.weights.on_engine_report(None)
-                self.told = None
+                self.last_report = None
             await asyncio.sleep(REPORT_EVERY_S)
 
     def detect_restart(self, report: fleet.EngineReport) -> None:
@@ -144,7 +144,7 @@
             return
         logs.event("engine_reborn", born_ms=report.born_ms, before_ms=before)
         self.ledger = load_ledger.LoadLedger()
-        self.told = None
+        self.last_report = None
         self.weights.on_engine_report(None)
 
     def note_engine(self, is_there: bool, reason: str) -> None:
@@ -156,11 +156,11 @@
 
     def is_due(self, report: fleet.EngineReport, now: float) -> bool:
         """Return whether a report is to be told now."""
-        if load_feed.is_urgent(report, self.told):
+        if load_feed.is_urgent(report, self.last_report):
             return True
         link = self.settings.link_bytes_per_s
         every_s = load_feed.report_interval_s(len(self.subscribers), link)
-        if report == self.told:
+        if report == self.last_report:
             every_s = max(every_s, REPEAT_EVERY_S)
         # A report is read each REPORT_EVERY_S: half of it is borne, or every second one is skipped.
         return now - self.told_at >= every_s - REPORT_EVERY_S / 2
@@ -170,7 +170,7 @@
         now = self.clock()
         if not self.is_due(report, now):
             return
-        self.told = report
+        self.last_report = report
         self.told_at = now
         for address, until in list(self.subscribers.items()):
             if until < now:
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -174,12 +174,12 @@
             self.reports.append(report)
 
     agent = agent_node.AgentNode.__new__(agent_node.AgentNode)
-    agent.born_ms, agent.told, agent.weights = 0, fleet.EngineReport(), Weights()
+    agent.born_ms, agent.last_report, agent.weights = 0, fleet.EngineReport(), Weights()
     agent.detect_restart(fleet.EngineReport(born_ms=BORN))
     agent.detect_restart(fleet.EngineReport(born_ms=BORN))
     assert agent.weights.reports == []
     agent.detect_restart(fleet.EngineReport(born_ms=BORN + 1))
-    assert (agent.weights.reports, agent.told, agent.ledger.open) == ([None], None, {})
+    assert (agent.weights.reports, agent.last_report, agent.ledger.open) == ([None], None, {})
 
 
 BODY = {
--- a/tests/test_weights_task.py
+++ b/tests/test_weights_task.py
@@ -269,7 +269,7 @@
 def test_an_agent_answers_an_entry_with_what_the_other_entries_have_on_its_engine():
     async def scenario(fleet):
         agent = fleet.agents[0]
-        await fleet_nodes.until(lambda: agent.told is not None)
+        await fleet_nodes.until(lambda: agent.last_report is not None)
         sent = []
         agent.datagrams.send = lambda address, message: sent.append((address, message))
         stage = node_messages.AttemptStage
@@ -288,7 +288,7 @@
         agent.on_datagram(node_messages.AttemptNotice("entry-1", 1, stage.ENDED))
         assert len(agent.ledger.open) == 1
         sent.clear()
-        agent.told = None
+        agent.last_report = None
         agent.on_datagram(node_messages.LoadQuery("entry-2", 8))
         assert not sent, "an agent that has lost its engine is silent"
 
@@ -490,7 +490,7 @@
         engine.carry_out = end_instead
         await fleet_nodes.until(lambda: agent.weights.ends_in_load == ends, 20)
         # The engine is back and everything lies there: a try that did not wait would come now.
-        await fleet_nodes.until(lambda: agent.told is not None)
+        await fleet_nodes.until(lambda: agent.last_report is not None)
         told_at = agent.told_at
         await fleet_nodes.until(lambda: agent.told_at > told_at + 1.0)
         assert len(engine.orders) == ends
