--- a/src/merlinthread/nodes/agent_node.py
+++ b/src/merlinthread/nodes/agent_node.py
@@ -52,7 +52,7 @@
         self.ledger = load_ledger.LoadLedger()
         self.subscribers: dict[str, float] = {}
         self.last_report: fleet.EngineReport | None = None
-        self.told_at = float("-inf")
+        self.last_sent_at = float("-inf")
         self.sequence = 0
         self.is_engine_lost = False
         self.born_ms = 0
@@ -163,7 +163,7 @@
         if report == self.last_report:
             every_s = max(every_s, REPEAT_EVERY_S)
         # A report is read each REPORT_EVERY_S: half of it is borne, or every second one is skipped.
-        return now - self.told_at >= every_s - REPORT_EVERY_S / 2
+        return now - self.last_sent_at >= every_s - REPORT_EVERY_S / 2
 
     def tell(self, report: fleet.EngineReport) -> None:
         """Tell entries the load if it has changed or was told long ago."""
@@ -171,7 +171,7 @@
         if not self.is_due(report, now):
             return
         self.last_report = report
-        self.told_at = now
+        self.last_sent_at = now
         for address, until in list(self.subscribers.items()):
             if until < now:
                 del self.subscribers[address]
--- a/tests/test_weights_task.py
+++ b/tests/test_weights_task.py
@@ -491,8 +491,8 @@
         await fleet_nodes.until(lambda: agent.weights.ends_in_load == ends, 20)
         # The engine is back and everything lies there: a try that did not wait would come now.
         await fleet_nodes.until(lambda: agent.last_report is not None)
-        told_at = agent.told_at
-        await fleet_nodes.until(lambda: agent.told_at > told_at + 1.0)
+        told_at = agent.last_sent_at
+        await fleet_nodes.until(lambda: agent.last_sent_at > told_at + 1.0)
         assert len(engine.orders) == ends
         # Another version comes at once all the same.
         engine.carry_out = carry_out
