--- a/src/merlinthread/nodes/weights_task.py
+++ b/src/merlinthread/nodes/weights_task.py
@@ -66,7 +66,7 @@
         self.found_at = float("-inf")
         self.settling: asyncio.Task | None = None
         # How often the engine ended during the load of the present manifest.
-        self.ends_in_load = 0
+        self.load_crashes = 0
 
     # What the engine holds
 
@@ -139,7 +139,7 @@
             self.found_at = self.clock() if plan.is_complete() else float("-inf")
         self.manifest = manifest
         self.plan = plan
-        self.ends_in_load = 0
+        self.load_crashes = 0
         logs.event(
             "weights_wanted",
             model=model,
@@ -229,10 +229,10 @@
 
     async def await_next_try(self, manifest: fleet.Manifest) -> None:
         """Wait before weights are ordered again under which the engine ended several times."""
-        wait_s = change_over.load_retry_delay_s(self.ends_in_load)
+        wait_s = change_over.load_retry_delay_s(self.load_crashes)
         if wait_s:
             logs.warning(
-                "load_put_off", version=manifest.version, ends=self.ends_in_load, wait_s=wait_s
+                "load_put_off", version=manifest.version, ends=self.load_crashes, wait_s=wait_s
             )
         until = self.clock() + wait_s
         while self.clock() < until and not self.facts.is_overtaken(manifest):
@@ -243,8 +243,8 @@
         deadline = self.clock() + ORDER_WAIT_S
         while not self.holds(manifest):
             if self.report is None:
-                self.ends_in_load += 1
-                logs.event("engine_lost_in_load", version=manifest.version, ends=self.ends_in_load)
+                self.load_crashes += 1
+                logs.event("engine_lost_in_load", version=manifest.version, ends=self.load_crashes)
                 return
             if self.report is not None and self.report.is_busy:
                 deadline = self.clock() + ORDER_WAIT_S
--- a/tests/test_weights_task.py
+++ b/tests/test_weights_task.py
@@ -488,7 +488,7 @@
 
         tasks = []
         engine.carry_out = end_instead
-        await fleet_nodes.until(lambda: agent.weights.ends_in_load == ends, 20)
+        await fleet_nodes.until(lambda: agent.weights.load_crashes == ends, 20)
         # The engine is back and everything lies there: a try that did not wait would come now.
         await fleet_nodes.until(lambda: agent.last_report is not None)
         told_at = agent.last_sent_at
@@ -499,7 +499,7 @@
         fleet.feed(2)
         await fleet.until_all_hold(2)
         assert len(engine.orders) == ends + 1
-        assert agent.weights.ends_in_load == 0
+        assert agent.weights.load_crashes == 0
 
     run(1, scenario)
 
