--- a/src/merlinthread/nodes/piece_fetcher.py
+++ b/src/merlinthread/nodes/piece_fetcher.py
@@ -52,7 +52,7 @@
         clock: Callable[[], float],
         send: Send,
     ) -> None:
-        self.facts = facts
+        self.view = facts
         self.engine = engine
         self.store = store
         self.caller = caller
@@ -80,7 +80,7 @@
         self.rate = pacing.RecentRate(RATE_WINDOW_S)
         running: set[asyncio.Task] = set()
         try:
-            while not plan.is_complete() and not self.facts.is_overtaken(manifest):
+            while not plan.is_complete() and not self.view.is_overtaken(manifest):
                 self.look_around(plan, manifest, started, is_serving())
                 if self.clock() >= told_at + PROGRESS_EVERY_S:
                     told_at = self.clock()
@@ -97,7 +97,7 @@
         finally:
             for task in running:
                 task.cancel()
-            self.engine.leave_origin(self.facts.origin())
+            self.engine.leave_origin(self.view.origin())
         self.log_progress("weights_fetched", plan, manifest, self.clock() - started)
 
     def look_around(
@@ -106,7 +106,7 @@
         """Tell the plan who is there and how fast it may go."""
         share = DOWNLOAD_SHARE if serves else IDLE_DOWNLOAD_SHARE
         self.incoming.bytes_per_s = share * self.link_bytes_per_s
-        plan.set_peers(self.facts.peers())
+        plan.set_peers(self.view.peers())
         plan.spare_every_s = self.spare_every_s(plan)
         self.rate.record(plan.held.bit_count(), self.clock())
         plan.is_late = self.is_late(plan, manifest, started)
@@ -125,7 +125,7 @@
             plan.on_action_started(action)
             if isinstance(action, fetch.OriginRead):
                 self.claim(plan, manifest, action)
-            self.incoming.reserve(self.facts.piece_bytes(), self.clock())
+            self.incoming.reserve(self.view.piece_bytes(), self.clock())
             running.add(loop.create_task(self.carry_out(plan, manifest, action)))
 
     def claim(
@@ -133,24 +133,24 @@
     ) -> None:
         """Tell other readers of the origin which piece is being read."""
         claim = node_messages.PieceClaim(
-            manifest.model, manifest.version, self.facts.own_address, action.index
+            manifest.model, manifest.version, self.view.own_address, action.index
         )
         for rival in plan.claim_recipients():
             self.send(rival, claim)
 
     def spare_every_s(self, plan: fetch_policies.Zoned) -> float:
         """Return how long the origin's link takes for one piece to each VM that reads it."""
-        link = self.facts.origin_bytes_per_s()
+        link = self.view.origin_bytes_per_s()
         readers = min(len(plan.participants), plan.readers_max)
-        return readers * self.facts.piece_bytes() / link if link else math.inf
+        return readers * self.view.piece_bytes() / link if link else math.inf
 
     def is_late(self, plan: fetch.FetchPlan, manifest: fleet.Manifest, started: float) -> bool:
         """Return whether the pieces would come too late at the rate seen so far."""
         now = self.clock()
-        if not self.facts.named(manifest.model) or now - started < RATE_WARMUP_S:
+        if not self.view.named(manifest.model) or now - started < RATE_WARMUP_S:
             return False
         missing = plan.chunk_count - plan.held.bit_count()
-        leave_at = self.facts.bound_at(manifest) - change_over.EXPIRY_MARGIN_S
+        leave_at = self.view.bound_at(manifest) - change_over.EXPIRY_MARGIN_S
         return now + missing / max(self.rate.per_s(), 1.0) > leave_at
 
     # One piece
@@ -169,7 +169,7 @@
         finally:
             plan.on_action_finished(action)
             if index < 0:
-                self.incoming.cancel_reservation(self.facts.piece_bytes())
+                self.incoming.cancel_reservation(self.view.piece_bytes())
         if index < 0:
             return
         is_from_origin = isinstance(action, fetch.OriginRead)
@@ -185,7 +185,7 @@
     ) -> int:
         """Get a piece from the origin and stage it; return its index, or -1."""
         try:
-            data = await self.engine.piece(self.facts.origin(), manifest, action.index)
+            data = await self.engine.piece(self.view.origin(), manifest, action.index)
             await self.store.put(manifest.model, action.index, data)
         except errors.MerlinthreadError as error:
             wait_s = max(ORIGIN_RETRY_DELAY_S, engine_client.origin_rest_s(error))
@@ -233,7 +233,7 @@
             manifest.model,
             manifest.version,
             fetch.bitset_to_bytes(action.wanted, count),
-            self.facts.own_address,
+            self.view.own_address,
             fetch.bitset_to_bytes(plan.held, count),
             self.took_s.pop(action.peer, 0.0),
         )
@@ -251,7 +251,7 @@
     ) -> None:
         """Tell those whom it concerns that a piece is here."""
         note = node_messages.PieceNotice(
-            manifest.model, manifest.version, self.facts.own_address, index
+            manifest.model, manifest.version, self.view.own_address, index
         )
         for peer in plan.announcement_recipients(action):
             self.send(peer, note)
--- a/src/merlinthread/nodes/weights_task.py
+++ b/src/merlinthread/nodes/weights_task.py
@@ -51,13 +51,13 @@
         self.engine = engine
         self.clock = clock
         self.rng = rng
-        self.facts = weights_view.WeightsView(settings, watcher, clock)
+        self.view = weights_view.WeightsView(settings, watcher, clock)
         self.manifests = manifest_finder.ManifestFinder(
-            self.facts.own_address, engine, caller, clock, rng
+            self.view.own_address, engine, caller, clock, rng
         )
         self.store = piece_store.PieceStore(engine)
         self.fetcher = piece_fetcher.PieceFetcher(
-            self.facts, engine, self.store, caller, clock, send
+            self.view, engine, self.store, caller, clock, send
         )
         self.giver = piece_server.PieceServer(self.store, clock, rng, settings.link_bytes_per_s)
         self.manifest: fleet.Manifest | None = None
@@ -75,7 +75,7 @@
         return self.report is not None and any(
             held.model == manifest.model
             and held.version == manifest.version
-            and held.is_whole(self.facts.layers())
+            and held.is_whole(self.view.layers())
             for held in self.report.weights
         )
 
@@ -83,8 +83,8 @@
         """Return whether the engine holds a version whole that may still be used."""
         return self.report is not None and any(
             held.version
-            and held.is_whole(self.facts.layers())
-            and self.facts.is_usable(held.model, held.version)
+            and held.is_whole(self.view.layers())
+            and self.view.is_usable(held.model, held.version)
             for held in self.report.weights
         )
 
@@ -109,12 +109,12 @@
 
     async def step(self) -> None:
         """Do what is due: read the manifest, fetch, order."""
-        model = self.facts.model()
-        if not model or not self.facts.origin():
+        model = self.view.model()
+        if not model or not self.view.origin():
             return
         if self.report is None and self.store.is_engine_seen:
             return
-        wanted = self.facts.named(model) or (self.manifest.version if self.manifest else 0)
+        wanted = self.view.named(model) or (self.manifest.version if self.manifest else 0)
         if self.manifest is None or (wanted and self.manifest.version != wanted):
             await self.begin(model, wanted)
         assert self.manifest is not None and self.plan is not None
@@ -127,9 +127,9 @@
     async def begin(self, model: str, version: int) -> None:
         """Read a version's manifest and find out which of its pieces lie here."""
         is_first = self.manifest is None
-        origin, peers = self.facts.origin(), self.facts.peers()
+        origin, peers = self.view.origin(), self.view.peers()
         manifest = await self.manifests.find(
-            origin, model, version, peers, lambda: self.facts.named(model) in (0, version)
+            origin, model, version, peers, lambda: self.view.named(model) in (0, version)
         )
         plan = self.make_plan(manifest)
         self.store.clear()
@@ -151,7 +151,7 @@
     def make_plan(self, manifest: fleet.Manifest) -> fetch_policies.Zoned:
         """Return the plan of a fetch that has nothing yet."""
         plan = self.make_plan_by(
-            self.facts.own_address,
+            self.view.own_address,
             f"{manifest.model}@{manifest.version}",
             len(manifest.digests),
             0,
@@ -162,7 +162,7 @@
         plan.origin_grace_s = piece_fetcher.ORIGIN_GRACE_S
         plan.requests_per_peer = piece_fetcher.REQUESTS_PER_PEER
         plan.readers_max = fetch.origin_reader_count(
-            self.facts.origin_bytes_per_s(), self.fetcher.link_bytes_per_s
+            self.view.origin_bytes_per_s(), self.fetcher.link_bytes_per_s
         )
         return plan
 
@@ -199,7 +199,7 @@
 
     async def order_load(self, plan: fetch_policies.Zoned, manifest: fleet.Manifest) -> None:
         """Check all pieces once more, then order the engine to take them."""
-        if not plan.is_complete() or self.facts.is_overtaken(manifest):
+        if not plan.is_complete() or self.view.is_overtaken(manifest):
             return
         await self.store.flush(manifest.model)
         if self.clock() - self.found_at > FOUND_FOR_S:
@@ -210,7 +210,7 @@
                 return
         await self.await_turn(manifest)
         await self.await_next_try(manifest)
-        if self.facts.is_overtaken(manifest) or self.report is None:
+        if self.view.is_overtaken(manifest) or self.report is None:
             return
         status = await self.engine.load(manifest.model, manifest.version, False)
         logs.event("engine_ordered", version=manifest.version, status=status)
@@ -223,7 +223,7 @@
         """Wait until this engine may change over; one that serves nothing yet does not wait."""
         if not self.is_serving():
             return
-        group, bound_at = self.facts.group(), self.facts.bound_at(manifest)
+        group, bound_at = self.view.group(), self.view.bound_at(manifest)
         turn_at = change_over.reload_time(group, self.clock(), bound_at)
         await asyncio.sleep(max(0.0, turn_at - self.clock()))
 
@@ -235,7 +235,7 @@
                 "load_put_off", version=manifest.version, ends=self.load_crashes, wait_s=wait_s
             )
         until = self.clock() + wait_s
-        while self.clock() < until and not self.facts.is_overtaken(manifest):
+        while self.clock() < until and not self.view.is_overtaken(manifest):
             await asyncio.sleep(LOOK_EVERY_S)
 
     async def await_loaded(self, manifest: fleet.Manifest) -> None:
