--- a/src/merlinthread/nodes/piece_fetcher.py
+++ b/src/merlinthread/nodes/piece_fetcher.py
@@ -45,14 +45,14 @@
 
     def __init__(
         self,
-        facts: weights_view.WeightsView,
+        view: weights_view.WeightsView,
         engine: engine_client.EngineClient,
         store: piece_store.PieceStore,
         caller: node_bus.RpcClient,
         clock: Callable[[], float],
         send: Send,
     ) -> None:
-        self.view = facts
+        self.view = view
         self.engine = engine
         self.store = store
         self.caller = caller
@@ -62,7 +62,7 @@
         # How long the last piece from each peer took, until the peer is told.
         self.took_s: dict[str, float] = {}
         self.window = pacing.TransferWindow(TRANSFERS_MAX, TRANSFER_TARGET_S)
-        self.link_bytes_per_s = facts.settings.link_bytes_per_s
+        self.link_bytes_per_s = view.settings.link_bytes_per_s
         self.incoming = pacing.Pacer(DOWNLOAD_SHARE * self.link_bytes_per_s, PACER_BURST_S)
 
     async def run(
