--- a/src/merlinthread/nodes/weights_task.py
+++ b/src/merlinthread/nodes/weights_task.py
@@ -59,7 +59,7 @@
         self.fetcher = piece_fetcher.PieceFetcher(
             self.view, engine, self.store, caller, clock, send
         )
-        self.giver = piece_server.PieceServer(self.store, clock, rng, settings.link_bytes_per_s)
+        self.server = piece_server.PieceServer(self.store, clock, rng, settings.link_bytes_per_s)
         self.manifest: fleet.Manifest | None = None
         self.plan: fetch_policies.Zoned | None = None
         self.report: fleet.EngineReport | None = None
@@ -258,8 +258,8 @@
         """Answer a peer that asks for a piece."""
         if self.plan is None or self.manifest is None:
             return piece_server.NOTHING
-        self.giver.note_serving(self.is_serving())
-        return await self.giver.give(self.plan, self.manifest, request)
+        self.server.note_serving(self.is_serving())
+        return await self.server.give(self.plan, self.manifest, request)
 
     def give_manifest(self, request: node_messages.ManifestRequest) -> node_messages.ManifestReply:
         """Answer a peer that asks for a manifest."""
