--- a/src/merlinthread/nodes/agent_node.py
+++ b/src/merlinthread/nodes/agent_node.py
@@ -47,7 +47,7 @@
             self.datagrams.send,
         )
         self.listener = node_bus.RpcServer(
-            codec, self.on_message, lambda: self.weights.server.outgoing.bytes_per_s
+            codec, self.on_message, lambda: self.weights.server.upload_pacer.bytes_per_s
         )
         self.ledger = load_ledger.LoadLedger()
         self.subscribers: dict[str, float] = {}
--- a/src/merlinthread/nodes/piece_server.py
+++ b/src/merlinthread/nodes/piece_server.py
@@ -35,12 +35,14 @@
         self.clock = clock
         self.rng = rng
         self.link_bytes_per_s = link_bytes_per_s
-        self.outgoing = pacing.FeedbackPacer(UPLOAD_SHARE * link_bytes_per_s, 0.0, UPLOAD_TARGET_S)
+        self.upload_pacer = pacing.FeedbackPacer(
+            UPLOAD_SHARE * link_bytes_per_s, 0.0, UPLOAD_TARGET_S
+        )
 
     def note_serving(self, is_serving: bool) -> None:
         """Set the pace by whether the engine serves requests beside the pieces."""
         share = UPLOAD_SHARE if is_serving else IDLE_UPLOAD_SHARE
-        self.outgoing.set_full_rate(share * self.link_bytes_per_s)
+        self.upload_pacer.set_full_rate(share * self.link_bytes_per_s)
 
     async def give(
         self, plan: fetch.FetchPlan, manifest: fleet.Manifest, request: node_messages.PieceRequest
@@ -51,7 +53,7 @@
         count = len(manifest.digests)
         held = fetch.bitset_to_bytes(plan.held, count)
         if request.took_s:
-            self.outgoing.record(request.sender, request.took_s)
+            self.upload_pacer.record(request.sender, request.took_s)
         if request.sender:
             plan.on_peer_report(
                 request.sender, fetch.bitset_from_bytes(request.held, count), self.clock()
@@ -60,7 +62,7 @@
         if not wanted:
             return node_messages.PieceReply(-1, b"", held)
         now = self.clock()
-        free_in_s = self.outgoing.wait_s(now)
+        free_in_s = self.upload_pacer.wait_s(now)
         if free_in_s > UPLOAD_WAIT_S_MAX:
             return node_messages.PieceReply(-1, b"", held, True, round(free_in_s, 3))
         index = self.rng.choice(wanted)
@@ -68,7 +70,7 @@
         if data is None:
             plan.held &= ~(1 << index)
             return node_messages.PieceReply(-1, b"", held)
-        await asyncio.sleep(self.outgoing.reserve(len(data), now))
+        await asyncio.sleep(self.upload_pacer.reserve(len(data), now))
         return node_messages.PieceReply(index, data, held)
 
 
--- a/tests/test_weights_task.py
+++ b/tests/test_weights_task.py
@@ -425,7 +425,7 @@
         link = weights.fetcher.link_bytes_per_s
         await fleet_nodes.until(weights.is_serving)
         await weights.give(node_messages.PieceRequest("m", 1, b"\xff"))
-        assert weights.server.outgoing.bytes_per_s == pytest.approx(
+        assert weights.server.upload_pacer.bytes_per_s == pytest.approx(
             piece_server.UPLOAD_SHARE * link
         )
         # A version that the origin does not give was named longer ago than the old one may serve.
@@ -434,7 +434,7 @@
         assert not weights.is_serving()
         await weights.give(node_messages.PieceRequest("m", 1, b"\xff"))
         alone = piece_server.IDLE_UPLOAD_SHARE * link
-        assert weights.server.outgoing.bytes_per_s == pytest.approx(alone)
+        assert weights.server.upload_pacer.bytes_per_s == pytest.approx(alone)
 
     run(1, scenario)
 
