--- a/src/merlinthread/nodes/piece_fetcher.py
+++ b/src/merlinthread/nodes/piece_fetcher.py
@@ -63,7 +63,7 @@
         self.took_s: dict[str, float] = {}
         self.window = pacing.TransferWindow(TRANSFERS_MAX, TRANSFER_TARGET_S)
         self.link_bytes_per_s = view.settings.link_bytes_per_s
-        self.incoming = pacing.Pacer(DOWNLOAD_SHARE * self.link_bytes_per_s, PACER_BURST_S)
+        self.download_pacer = pacing.Pacer(DOWNLOAD_SHARE * self.link_bytes_per_s, PACER_BURST_S)
 
     async def run(
         self,
@@ -105,7 +105,7 @@
     ) -> None:
         """Tell the plan who is there and how fast it may go."""
         share = DOWNLOAD_SHARE if serves else IDLE_DOWNLOAD_SHARE
-        self.incoming.bytes_per_s = share * self.link_bytes_per_s
+        self.download_pacer.bytes_per_s = share * self.link_bytes_per_s
         plan.set_peers(self.view.peers())
         plan.spare_every_s = self.spare_every_s(plan)
         self.rate.record(plan.held.bit_count(), self.clock())
@@ -116,7 +116,7 @@
     ) -> None:
         """Begin what the plan says, as long as window and pace allow."""
         loop = asyncio.get_running_loop()
-        while self.window.has_room(len(running)) and not self.incoming.wait_s(self.clock()):
+        while self.window.has_room(len(running)) and not self.download_pacer.wait_s(self.clock()):
             if self.store.is_full():
                 return
             action = plan.next_action(self.clock())
@@ -125,7 +125,7 @@
             plan.on_action_started(action)
             if isinstance(action, fetch.OriginRead):
                 self.claim(plan, manifest, action)
-            self.incoming.reserve(self.view.piece_bytes(), self.clock())
+            self.download_pacer.reserve(self.view.piece_bytes(), self.clock())
             running.add(loop.create_task(self.carry_out(plan, manifest, action)))
 
     def claim(
@@ -169,7 +169,7 @@
         finally:
             plan.on_action_finished(action)
             if index < 0:
-                self.incoming.cancel_reservation(self.view.piece_bytes())
+                self.download_pacer.cancel_reservation(self.view.piece_bytes())
         if index < 0:
             return
         is_from_origin = isinstance(action, fetch.OriginRead)
--- a/tests/test_weights_task.py
+++ b/tests/test_weights_task.py
@@ -408,12 +408,12 @@
         weights = fleet.agents[0].weights
         link = weights.fetcher.link_bytes_per_s
         await fleet_nodes.until(lambda: weights.plan is not None)
-        assert weights.fetcher.incoming.bytes_per_s == link
+        assert weights.fetcher.download_pacer.bytes_per_s == link
         await fleet.until_all_hold(1)
         fleet.feed(2)
         await fleet_nodes.until(lambda: weights.manifest.version == 2)
         await fleet.until_all_hold(2)
-        assert weights.fetcher.incoming.bytes_per_s < link
+        assert weights.fetcher.download_pacer.bytes_per_s < link
 
     run(2, scenario)
 
