--- a/src/merlinthread/nodes/agent_node.py
+++ b/src/merlinthread/nodes/agent_node.py
@@ -115,7 +115,7 @@
     async def on_message(self, message: Any) -> Any:
         """Answer another agent."""
         if isinstance(message, node_messages.PieceRequest):
-            return await self.weights.give(message)
+            return await self.weights.serve_piece(message)
         if isinstance(message, node_messages.ManifestRequest):
             return self.weights.give_manifest(message)
         raise errors.ProtocolError(f"an agent does not answer {type(message).__name__}")
--- a/src/merlinthread/nodes/piece_server.py
+++ b/src/merlinthread/nodes/piece_server.py
@@ -44,7 +44,7 @@
         share = UPLOAD_SHARE if is_serving else IDLE_UPLOAD_SHARE
         self.upload_pacer.set_full_rate(share * self.link_bytes_per_s)
 
-    async def give(
+    async def serve(
         self, plan: fetch.FetchPlan, manifest: fleet.Manifest, request: node_messages.PieceRequest
     ) -> node_messages.PieceReply:
         """Answer a peer that asks for one of some pieces of `manifest`."""
--- a/src/merlinthread/nodes/weights_task.py
+++ b/src/merlinthread/nodes/weights_task.py
@@ -254,12 +254,12 @@
 
     # Peers
 
-    async def give(self, request: node_messages.PieceRequest) -> node_messages.PieceReply:
+    async def serve_piece(self, request: node_messages.PieceRequest) -> node_messages.PieceReply:
         """Answer a peer that asks for a piece."""
         if self.plan is None or self.manifest is None:
             return piece_server.NOTHING
         self.server.note_serving(self.is_serving())
-        return await self.server.give(self.plan, self.manifest, request)
+        return await self.server.serve(self.plan, self.manifest, request)
 
     def give_manifest(self, request: node_messages.ManifestRequest) -> node_messages.ManifestReply:
         """Answer a peer that asks for a manifest."""
--- a/tests/test_weights_task.py
+++ b/tests/test_weights_task.py
@@ -196,7 +196,7 @@
 def test_what_a_peer_gives_spoilt_is_never_staged():
     async def scenario(fleet):
         spoilt = b"x" * 64
-        give = fleet.agents[0].weights.give
+        give = fleet.agents[0].weights.serve_piece
         given = []
 
         async def give_spoilt(request):
@@ -206,7 +206,7 @@
                 reply.data = spoilt
             return reply
 
-        fleet.agents[0].weights.give = give_spoilt
+        fleet.agents[0].weights.serve_piece = give_spoilt
         for engine in fleet.engines:
             engine.staged = StagedEver()
         await fleet.until_all_hold(1)
@@ -352,7 +352,7 @@
         assert len(weights.store.buffered) == PIECES and not engine.staged
         # What is kept is given on, too.
         request = node_messages.PieceRequest("m", 1, b"\x01")
-        assert (await weights.give(request)).data == make_pieces(1)[0]
+        assert (await weights.serve_piece(request)).data == make_pieces(1)[0]
         await engine.server.listen("127.0.0.1", port)
         await fleet.until_all_hold(1)
         assert not weights.store.buffered
@@ -424,7 +424,7 @@
         weights = fleet.agents[0].weights
         link = weights.fetcher.link_bytes_per_s
         await fleet_nodes.until(weights.is_serving)
-        await weights.give(node_messages.PieceRequest("m", 1, b"\xff"))
+        await weights.serve_piece(node_messages.PieceRequest("m", 1, b"\xff"))
         assert weights.server.upload_pacer.bytes_per_s == pytest.approx(
             piece_server.UPLOAD_SHARE * link
         )
@@ -432,7 +432,7 @@
         watcher = weights.view.watcher
         watcher.named_at["m"] = {2: asyncio.get_running_loop().time() - 60.0}
         assert not weights.is_serving()
-        await weights.give(node_messages.PieceRequest("m", 1, b"\xff"))
+        await weights.serve_piece(node_messages.PieceRequest("m", 1, b"\xff"))
         alone = piece_server.IDLE_UPLOAD_SHARE * link
         assert weights.server.upload_pacer.bytes_per_s == pytest.approx(alone)
 
