--- a/src/merlinthread/nodes/agent_node.py
+++ b/src/merlinthread/nodes/agent_node.py
@@ -117,7 +117,7 @@
         if isinstance(message, node_messages.PieceRequest):
             return await self.weights.serve_piece(message)
         if isinstance(message, node_messages.ManifestRequest):
-            return self.weights.give_manifest(message)
+            return self.weights.serve_manifest(message)
         raise errors.ProtocolError(f"an agent does not answer {type(message).__name__}")
 
     async def report(self) -> None:
--- a/src/merlinthread/nodes/piece_server.py
+++ b/src/merlinthread/nodes/piece_server.py
@@ -74,7 +74,7 @@
         return node_messages.PieceReply(index, data, held)
 
 
-def give_manifest(
+def serve_manifest(
     manifest: fleet.Manifest | None, request: node_messages.ManifestRequest
 ) -> node_messages.ManifestReply:
     """Answer a peer that asks for a manifest with the one that is here, if it is that one."""
--- a/src/merlinthread/nodes/weights_task.py
+++ b/src/merlinthread/nodes/weights_task.py
@@ -261,9 +261,9 @@
         self.server.note_serving(self.is_serving())
         return await self.server.serve(self.plan, self.manifest, request)
 
-    def give_manifest(self, request: node_messages.ManifestRequest) -> node_messages.ManifestReply:
+    def serve_manifest(self, request: node_messages.ManifestRequest) -> node_messages.ManifestReply:
         """Answer a peer that asks for a manifest."""
-        return piece_server.give_manifest(self.manifest, request)
+        return piece_server.serve_manifest(self.manifest, request)
 
     def on_note(self, note: node_messages.PieceNotice | node_messages.PieceClaim) -> None:
         """Take a peer's word of a piece that it has just got, or begins to read."""
