--- a/src/merlinthread/platform/bodies.py
+++ b/src/merlinthread/platform/bodies.py
@@ -175,7 +175,7 @@
 VERSION = msgspec.json.Decoder(VersionBody)
 
 
-def configuration(body: bytes) -> fleet.Configuration:
+def parse_configuration(body: bytes) -> fleet.Configuration:
     """Translate a configuration; raise ConfigurationError naming the field."""
     try:
         found = CONFIGURATION.decode(body)
--- a/src/merlinthread/platform/dialect.py
+++ b/src/merlinthread/platform/dialect.py
@@ -22,7 +22,7 @@
 
     def configuration(self, body: bytes) -> fleet.Configuration:
         """Read a configuration; raise ConfigurationError."""
-        return bodies.configuration(body)
+        return bodies.parse_configuration(body)
 
     # Operators and workers
 
@@ -32,7 +32,7 @@
         if path == names.CONFIGURATION_PATH and request.method == b"GET":
             return dialects.GetConfiguration()
         if path == names.CONFIGURATION_PATH and request.method == b"PUT":
-            found = bodies.configuration(request.body)
+            found = bodies.parse_configuration(request.body)
             route_table.validate(found)
             return dialects.PutConfiguration(found, request.body)
         if path == names.VERSION_PATH and request.method == b"POST":
--- a/tests/test_other_writers.py
+++ b/tests/test_other_writers.py
@@ -38,9 +38,9 @@
 @hypothesis.settings(max_examples=400)
 def test_a_configuration(field, value):
     whole = fleet_nodes.configuration(1, ["safe"], "model", "1.1.1.1:1")
-    refused_or_read(bodies.configuration, json.dumps(whole | {field: value}).encode())
+    refused_or_read(bodies.parse_configuration, json.dumps(whole | {field: value}).encode())
     bent = whole | {field: [*whole[field], value]} if isinstance(whole.get(field), list) else whole
-    refused_or_read(bodies.configuration, json.dumps(bent).encode())
+    refused_or_read(bodies.parse_configuration, json.dumps(bent).encode())
 
 
 @hypothesis.given(
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -87,7 +87,7 @@
 
 def test_a_configuration_keeps_what_decides():
     body = fleet_nodes.configuration(7, ["safe"], "model", "10.0.0.1:90")
-    found = bodies.configuration(json.dumps(body).encode())
+    found = bodies.parse_configuration(json.dumps(body).encode())
     route = found.routes[-1]
     assert (found.version, route.is_resumable, route.gap_s) == (7, True, 0.2)
     assert found.services[1].engine.chunks == 24
@@ -96,7 +96,7 @@
 
 @hypothesis.given(st.binary(max_size=300))
 def test_any_body_is_read_or_refused_clearly(data):
-    for read in (bodies.configuration, bodies.report, bodies.manifest):
+    for read in (bodies.parse_configuration, bodies.report, bodies.manifest):
         try:
             read(data)
         except errors.MerlinthreadError:
@@ -107,7 +107,7 @@
 def test_a_configuration_cut_short_anywhere_is_refused(cut):
     whole = json.dumps(fleet_nodes.configuration(7, ["safe", "unsafe"], "model")).encode()
     with pytest.raises(errors.ConfigurationError):
-        bodies.configuration(whole[: min(cut, len(whole) - 1)])
+        bodies.parse_configuration(whole[: min(cut, len(whole) - 1)])
 
 
 @pytest.mark.parametrize(
