--- a/src/merlinthread/platform/bodies.py
+++ b/src/merlinthread/platform/bodies.py
@@ -278,7 +278,7 @@
     logs.event("word_unreadable", field=field, value=repr(value), reason=reason)
 
 
-def heartbeat(id_: str, body: bytes) -> fleet.Heartbeat:
+def parse_heartbeat(id_: str, body: bytes) -> fleet.Heartbeat:
     """Translate a heartbeat; raise ProtocolError."""
     found = decode(HEARTBEAT, body)
     state = STATES.get(found.state)
--- a/tests/fleet_nodes.py
+++ b/tests/fleet_nodes.py
@@ -250,7 +250,7 @@
         self.sequence += 1
         instances = [
             instance_records.Instance(
-                dialect.bodies.heartbeat(
+                dialect.bodies.parse_heartbeat(
                     worker.instance,
                     json.dumps(
                         {
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -196,20 +196,20 @@
 def test_a_start_that_is_no_moment_is_logged_with_field_and_value_and_not_used(born, monkeypatch):
     lines = []
     monkeypatch.setattr(logs, "event", lambda name, **fields: lines.append(fields))
-    heartbeat = bodies.heartbeat("i", json.dumps(BODY | {"born": born}).encode())
+    heartbeat = bodies.parse_heartbeat("i", json.dumps(BODY | {"born": born}).encode())
     assert heartbeat.instance == "i"
     assert [(line["field"], line["value"]) for line in lines] == [("born", repr(born))]
 
 
 def test_a_heartbeat_in_a_state_that_is_not_known_names_no_back_end():
     with pytest.raises(errors.ProtocolError, match="state"):
-        bodies.heartbeat("i", json.dumps(BODY | {"state": "resting"}).encode())
+        bodies.parse_heartbeat("i", json.dumps(BODY | {"state": "resting"}).encode())
 
 
 def test_one_entry_that_can_not_be_read_does_not_void_its_neighbours():
     models = [{"name": "a", "version": 1}, {"name": 7}, "x", None, {"name": "b", "version": 2}]
     body = json.dumps(BODY | {"models": models}).encode()
-    assert [held.model for held in bodies.heartbeat("i", body).weights] == ["a", "b"]
+    assert [held.model for held in bodies.parse_heartbeat("i", body).weights] == ["a", "b"]
     body = json.dumps({"models": models}).encode()
     assert [held.model for held in bodies.report(body).weights] == ["a", "b"]
 
@@ -228,7 +228,11 @@
 @hypothesis.settings(max_examples=500)
 def test_whatever_others_write_is_read_or_refused_with_an_error_of_ours(changes, noise):
     for data in (json.dumps(BODY | changes).encode(), noise):
-        for read in (lambda data: bodies.heartbeat("i", data), bodies.report, bodies.manifest):
+        for read in (
+            lambda data: bodies.parse_heartbeat("i", data),
+            bodies.report,
+            bodies.manifest,
+        ):
             try:
                 read(data)
             except errors.MerlinthreadError:
--- a/tests/test_news_in_full.py
+++ b/tests/test_news_in_full.py
@@ -29,7 +29,7 @@
         "state": "ready",
         "sequence": 1,
     }
-    return instances.Instance(dialect.bodies.heartbeat(name, json.dumps(body).encode()))
+    return instances.Instance(dialect.bodies.parse_heartbeat(name, json.dumps(body).encode()))
 
 
 def news(feed: str, position: int, is_full: bool, names: list[str]) -> node_messages.WatchReply:
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -117,7 +117,7 @@
 def test_heartbeats_and_suspicions_grow_old_over_a_suspension(tmp_path):
     clock = fleet_nodes.JumpingClock()
     registry = instances.InstanceRegistry(1.2)
-    heartbeat = fleet_nodes.dialect.bodies.heartbeat(
+    heartbeat = fleet_nodes.dialect.bodies.parse_heartbeat(
         "i",
         b'{"service":"s","address":"1.1.1.1:1","zone":"z","slots":1,"state":"ready","sequence":1}',
     )
--- a/tests/test_weights_task.py
+++ b/tests/test_weights_task.py
@@ -85,7 +85,7 @@
                     "state": "ready",
                     "sequence": self.fed,
                 }
-                agent.watcher.instances[engine.instance] = dialect.bodies.heartbeat(
+                agent.watcher.instances[engine.instance] = dialect.bodies.parse_heartbeat(
                     engine.instance, json.dumps(heartbeat).encode()
                 )
             agent.watcher.named["m"] = version
