--- a/src/merlinthread/platform/bodies.py
+++ b/src/merlinthread/platform/bodies.py
@@ -300,7 +300,7 @@
     )
 
 
-def report(body: bytes) -> fleet.EngineReport:
+def parse_report(body: bytes) -> fleet.EngineReport:
     """Translate an engine's report; raise ProtocolError."""
     found = decode(REPORT, body)
     return fleet.EngineReport(
--- a/src/merlinthread/platform/dialect.py
+++ b/src/merlinthread/platform/dialect.py
@@ -140,7 +140,7 @@
 
     def report(self, body: bytes) -> fleet.EngineReport:
         """Read an engine's report; raise ProtocolError."""
-        return bodies.report(body)
+        return bodies.parse_report(body)
 
     def manifest_request(self, address: str, model: str, version: int) -> http_messages.Request:
         """Return the request for a version's manifest; version 0 is the newest."""
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -211,7 +211,7 @@
     body = json.dumps(BODY | {"models": models}).encode()
     assert [held.model for held in bodies.parse_heartbeat("i", body).weights] == ["a", "b"]
     body = json.dumps({"models": models}).encode()
-    assert [held.model for held in bodies.report(body).weights] == ["a", "b"]
+    assert [held.model for held in bodies.parse_report(body).weights] == ["a", "b"]
 
 
 JSON = st.recursive(
@@ -230,7 +230,7 @@
     for data in (json.dumps(BODY | changes).encode(), noise):
         for read in (
             lambda data: bodies.parse_heartbeat("i", data),
-            bodies.report,
+            bodies.parse_report,
             bodies.manifest,
         ):
             try:
