--- a/src/merlinthread/platform/bodies.py
+++ b/src/merlinthread/platform/bodies.py
@@ -316,7 +316,7 @@
     )
 
 
-def manifest(body: bytes) -> fleet.Manifest:
+def parse_manifest(body: bytes) -> fleet.Manifest:
     """Translate a manifest; raise ProtocolError."""
     found = decode(MANIFEST, body)
     return fleet.Manifest(found.model, found.version, found.layers, found.digests)
--- a/src/merlinthread/platform/dialect.py
+++ b/src/merlinthread/platform/dialect.py
@@ -151,7 +151,7 @@
 
     def manifest(self, body: bytes) -> fleet.Manifest:
         """Read a manifest; raise ProtocolError."""
-        return bodies.manifest(body)
+        return bodies.parse_manifest(body)
 
     def piece_request(
         self, address: str, model: str, version: int, index: int
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -231,7 +231,7 @@
         for read in (
             lambda data: bodies.parse_heartbeat("i", data),
             bodies.parse_report,
-            bodies.manifest,
+            bodies.parse_manifest,
         ):
             try:
                 read(data)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -96,7 +96,7 @@
 
 @hypothesis.given(st.binary(max_size=300))
 def test_any_body_is_read_or_refused_clearly(data):
-    for read in (bodies.parse_configuration, bodies.parse_report, bodies.manifest):
+    for read in (bodies.parse_configuration, bodies.parse_report, bodies.parse_manifest):
         try:
             read(data)
         except errors.MerlinthreadError:
