--- a/src/merlinthread/platform/dialect.py
+++ b/src/merlinthread/platform/dialect.py
@@ -13,7 +13,7 @@
 
 JSON_TYPE = (b"content-type", b"application/json")
 KNOWN_IN_ANSWERS = (
-    names.READ_IN_ANSWERS | names.UNUSED_IN_ANSWERS | names.OF_HTTP | {retry_after.HEADER}
+    names.READ_RESPONSE_HEADERS | names.UNUSED_IN_ANSWERS | names.OF_HTTP | {retry_after.HEADER}
 )
 
 
--- a/src/merlinthread/platform/names.py
+++ b/src/merlinthread/platform/names.py
@@ -21,7 +21,7 @@
 
 # What is read in a worker's answer, and what is known there and not used: where the version of the
 # weights changes, whom of a path to blame, how long a start lasts.
-READ_IN_ANSWERS = frozenset(
+READ_RESPONSE_HEADERS = frozenset(
     {REQUEST_ID, INSTANCE, STAMP, NOT_RUN, LEAVING, LIMIT, CONTENT_ENCODING}
 )
 UNUSED_IN_ANSWERS = frozenset(
