--- a/src/merlinthread/platform/dialect.py
+++ b/src/merlinthread/platform/dialect.py
@@ -13,7 +13,10 @@
 
 JSON_TYPE = (b"content-type", b"application/json")
 KNOWN_IN_ANSWERS = (
-    names.READ_RESPONSE_HEADERS | names.UNUSED_IN_ANSWERS | names.OF_HTTP | {retry_after.HEADER}
+    names.READ_RESPONSE_HEADERS
+    | names.IGNORED_RESPONSE_HEADERS
+    | names.OF_HTTP
+    | {retry_after.HEADER}
 )
 
 
--- a/src/merlinthread/platform/names.py
+++ b/src/merlinthread/platform/names.py
@@ -24,7 +24,7 @@
 READ_RESPONSE_HEADERS = frozenset(
     {REQUEST_ID, INSTANCE, STAMP, NOT_RUN, LEAVING, LIMIT, CONTENT_ENCODING}
 )
-UNUSED_IN_ANSWERS = frozenset(
+IGNORED_RESPONSE_HEADERS = frozenset(
     {b"x-merlinthread-weight-versions", b"at-server", b"x-merlinthread-cold-ms"}
 )
 # What HTTP itself says of an answer, for its reader and for caches.
--- a/tests/test_unread_words.py
+++ b/tests/test_unread_words.py
@@ -22,7 +22,9 @@
     assert unread_headers(headers) == {"server-mood"}
 
 
-@pytest.mark.parametrize("name", sorted(names.READ_RESPONSE_HEADERS | names.UNUSED_IN_ANSWERS))
+@pytest.mark.parametrize(
+    "name", sorted(names.READ_RESPONSE_HEADERS | names.IGNORED_RESPONSE_HEADERS)
+)
 def test_what_is_read_or_known_is_not_told(name):
     assert unread_headers([(name, b"1")]) == frozenset()
 
