--- a/src/merlinthread/platform/dialect.py
+++ b/src/merlinthread/platform/dialect.py
@@ -15,7 +15,7 @@
 KNOWN_IN_ANSWERS = (
     names.READ_RESPONSE_HEADERS
     | names.IGNORED_RESPONSE_HEADERS
-    | names.OF_HTTP
+    | names.HTTP_RESPONSE_HEADERS
     | {retry_after.HEADER}
 )
 
--- a/src/merlinthread/platform/names.py
+++ b/src/merlinthread/platform/names.py
@@ -28,7 +28,7 @@
     {b"x-merlinthread-weight-versions", b"at-server", b"x-merlinthread-cold-ms"}
 )
 # What HTTP itself says of an answer, for its reader and for caches.
-OF_HTTP = frozenset(
+HTTP_RESPONSE_HEADERS = frozenset(
     {
         b"accept-ranges",
         b"age",
