--- a/src/merlinthread/platform/dialect.py
+++ b/src/merlinthread/platform/dialect.py
@@ -93,7 +93,8 @@
         headers = [
             (key, value)
             for key, value in kept
-            if key.lower() not in names.SET_BY_SYSTEM and key.lower() != b"content-length"
+            if key.lower() not in names.RESERVED_REQUEST_HEADERS
+            and key.lower() != b"content-length"
         ]
         if target.last_event_id:
             headers = [item for item in headers if item[0].lower() != names.LAST_EVENT_ID]
--- a/src/merlinthread/platform/names.py
+++ b/src/merlinthread/platform/names.py
@@ -66,7 +66,7 @@
 STAGE_GET_PATH = "/stage-get/{model}"
 
 # Headers that the system sets itself, whatever a client sent, or that concern the client alone.
-SET_BY_SYSTEM = frozenset(
+RESERVED_REQUEST_HEADERS = frozenset(
     {API_KEY, TENANT, EXPECT_INSTANCE, EXPECT_VERSION, REQUEST_PRIORITY, DEADLINE}
 )
 SETTINGS_VARIABLE = "MERLINTHREAD_CONFIG"
