--- a/src/merlinthread/platform/dialect.py
+++ b/src/merlinthread/platform/dialect.py
@@ -193,7 +193,7 @@
 
 def rest_asked_for(status: int, headers: http_messages.Headers) -> retry_after.RetryAfter:
     """Return what a worker that turns a request away says of when to ask it again."""
-    if status not in names.STATUS_TURNED_AWAY:
+    if status not in names.REFUSAL_STATUSES:
         return retry_after.RetryAfter()
     value = http_messages.get_header(headers, retry_after.HEADER)
     return retry_after.parse(value, http_messages.get_header(headers, retry_after.DATE_HEADER))
--- a/src/merlinthread/platform/names.py
+++ b/src/merlinthread/platform/names.py
@@ -72,5 +72,5 @@
 SETTINGS_VARIABLE = "MERLINTHREAD_CONFIG"
 STATUS_MISDIRECTED = 421
 # With these a worker turns a request away, and may say for how long.
-STATUS_TURNED_AWAY = frozenset({429, 503})
+REFUSAL_STATUSES = frozenset({429, 503})
 LEAVING_VALUE = b"1"
