--- a/src/merlinthread/nodes/agent_node.py
+++ b/src/merlinthread/nodes/agent_node.py
@@ -1,4 +1,4 @@
-"""An agent: it stands beside one engine, tells entries its load and brings weights to it."""
+"""The agent node: reports the load of one local engine to entries and installs its weights."""
 
 import asyncio
 import random
@@ -13,14 +13,14 @@
 from merlinthread.protocol import node_messages
 from merlinthread.transport import node_bus
 
-REPORT_EVERY_S = 0.2
-# A load that has not changed is told this often all the same: it shows that the agent lives.
-REPEAT_EVERY_S = 0.4
-SUBSCRIBED_S = 3.5
+REPORT_INTERVAL_S = 0.2
+# An unchanged report is sent at this interval too, to show that the agent is alive.
+UNCHANGED_REPORT_INTERVAL_S = 0.4
+SUBSCRIPTION_TTL_S = 3.5
 
 
 class AgentNode:
-    """One agent."""
+    """Agent of the engine at `settings.engine`."""
 
     def __init__(
         self,
@@ -32,18 +32,20 @@
     ) -> None:
         self.settings = settings
         self.clock = clock
-        self.caller = node_bus.RpcClient(codec)
-        self.watcher = news_watcher.NewsWatcher(settings, dialect, self.caller, clock, lambda: None)
+        self.rpc_client = node_bus.RpcClient(codec)
+        self.watcher = news_watcher.NewsWatcher(
+            settings, dialect, self.rpc_client, clock, lambda: None
+        )
         self.engine = engine_client.EngineClient(dialect, settings.engine)
         self.datagrams = node_bus.DatagramEndpoint(codec, self.on_datagram)
         self.weights = weights_task.WeightsTask(
             settings,
             self.watcher,
             self.engine,
-            self.caller,
+            self.rpc_client,
             clock,
             rng,
-            self.tell,
+            self.send_load,
             self.datagrams.send,
         )
         self.listener = node_bus.RpcServer(
@@ -59,128 +61,128 @@
         self.tasks: list[asyncio.Task] = []
 
     async def start(self) -> None:
-        """Listen and start the tasks."""
+        """Start listening for other nodes, and start the background tasks."""
         await self.datagrams.listen(self.settings.ip, self.settings.agent_port)
         await self.listener.listen(self.settings.ip, self.settings.agent_port)
         loop = asyncio.get_running_loop()
         self.tasks = [
             loop.create_task(self.watcher.run()),
-            loop.create_task(self.report()),
+            loop.create_task(self.poll_engine()),
             loop.create_task(self.weights.run()),
         ]
 
     def reload(self, settings: node_settings.NodeSettings) -> None:
-        """Take other control VMs to start from."""
+        """Replace the addresses of the initial control VMs; other settings need a restart."""
         self.settings.control_ips = settings.control_ips
 
     async def leave(self) -> None:
-        """Stop to answer peers."""
+        """Stop accepting connections from peers."""
         self.listener.server.stop_accepting()
 
     def on_datagram(self, message: Any) -> None:
-        """Take a note of an entry or another agent, or answer an entry's question."""
+        """Handle a datagram from an entry or another agent."""
         if isinstance(message, node_messages.LoadSubscription):
-            self.subscribers[message.address] = self.clock() + SUBSCRIBED_S
+            self.subscribers[message.address] = self.clock() + SUBSCRIPTION_TTL_S
         elif isinstance(message, node_messages.AttemptNotice):
-            self.on_attempt(message)
+            self.on_attempt_notice(message)
         elif isinstance(message, node_messages.PieceNotice | node_messages.PieceClaim):
-            self.weights.on_note(message)
+            self.weights.on_notice(message)
         elif isinstance(message, node_messages.LoadQuery) and self.last_report is not None:
-            others = self.ledger.outstanding(message.address, self.clock())
+            outstanding = self.ledger.outstanding(message.address, self.clock())
             answer = node_messages.LoadReply(
                 message.number,
-                others.attempts,
-                others.unread,
-                others.unread_tokens,
+                outstanding.attempts,
+                outstanding.unread,
+                outstanding.unread_tokens,
                 self.last_report.is_busy,
                 self.last_report.pace,
             )
             self.datagrams.send(message.address, answer)
 
-    def on_attempt(self, note: node_messages.AttemptNotice) -> None:
-        """Keep account of an attempt on the engine."""
-        if note.stage is node_messages.AttemptStage.SENT:
-            self.ledger.record_start(note.entry, note.number, note.tokens, self.clock())
-        elif note.stage is node_messages.AttemptStage.READ:
-            self.ledger.record_first_byte(note.entry, note.number)
+    def on_attempt_notice(self, notice: node_messages.AttemptNotice) -> None:
+        """Record a state change of an attempt in the load ledger."""
+        if notice.stage is node_messages.AttemptStage.SENT:
+            self.ledger.record_start(notice.entry, notice.number, notice.tokens, self.clock())
+        elif notice.stage is node_messages.AttemptStage.READ:
+            self.ledger.record_first_byte(notice.entry, notice.number)
         else:
-            self.ledger.record_end(note.entry, note.number)
+            self.ledger.record_end(notice.entry, notice.number)
 
-    def load(self, report: fleet.EngineReport, entry: str) -> node_messages.LoadUpdate:
-        """Return the load as an entry is told it."""
+    def build_load_update(self, report: fleet.EngineReport, entry: str) -> node_messages.LoadUpdate:
+        """Return a load update for `entry`, which leaves out the entry's own attempts."""
         self.sequence += 1
-        others = self.ledger.outstanding(entry, self.clock())
-        return node_messages.LoadUpdate(self.settings.engine, self.sequence, report, others)
+        outstanding = self.ledger.outstanding(entry, self.clock())
+        return node_messages.LoadUpdate(self.settings.engine, self.sequence, report, outstanding)
 
     async def on_message(self, message: Any) -> Any:
-        """Answer another agent."""
+        """Handle a request from another agent; raise ProtocolError for other messages."""
         if isinstance(message, node_messages.PieceRequest):
             return await self.weights.serve_piece(message)
         if isinstance(message, node_messages.ManifestRequest):
             return self.weights.serve_manifest(message)
-        raise errors.ProtocolError(f"an agent does not answer {type(message).__name__}")
+        raise errors.ProtocolError(f"agent does not handle message type {type(message).__name__}")
 
-    async def report(self) -> None:
-        """Read the engine's report again and again, and tell it."""
+    async def poll_engine(self) -> None:
+        """Poll the engine's report and send it to the subscribed entries, forever."""
         while True:
             try:
                 report = await self.engine.report()
                 self.detect_restart(report)
-                self.note_engine(True, "")
+                self.set_engine_reachable(True, "")
                 self.weights.on_engine_report(report)
                 report.ready_in_s = self.weights.ready_in_s()
                 self.ledger.apply_report(report.running + report.queued, self.clock())
-                self.tell(report)
+                self.send_load(report)
             except errors.MerlinthreadError as error:
-                self.note_engine(False, error.message)
+                self.set_engine_reachable(False, error.message)
                 self.weights.on_engine_report(None)
                 self.last_report = None
-            await asyncio.sleep(REPORT_EVERY_S)
+            await asyncio.sleep(REPORT_INTERVAL_S)
 
     def detect_restart(self, report: fleet.EngineReport) -> None:
-        """Forget what was known of the engine's former life, if this is another one."""
-        before, self.born_ms = self.born_ms, report.born_ms
-        if before in (0, report.born_ms):
+        """Reset the state of the engine if its start time has changed."""
+        previous_ms, self.born_ms = self.born_ms, report.born_ms
+        if previous_ms in (0, report.born_ms):
             return
-        logs.event("engine_reborn", born_ms=report.born_ms, before_ms=before)
+        logs.event("engine_reborn", born_ms=report.born_ms, before_ms=previous_ms)
         self.ledger = load_ledger.LoadLedger()
         self.last_report = None
         self.weights.on_engine_report(None)
 
-    def note_engine(self, is_there: bool, reason: str) -> None:
-        """Log that the engine was lost or is back."""
-        if self.is_engine_lost == (not is_there):
+    def set_engine_reachable(self, is_reachable: bool, reason: str) -> None:
+        """Record whether the engine responds, and log a change."""
+        if self.is_engine_lost == (not is_reachable):
             return
-        self.is_engine_lost = not is_there
-        logs.event("engine_back" if is_there else "engine_lost", reason=reason)
+        self.is_engine_lost = not is_reachable
+        logs.event("engine_back" if is_reachable else "engine_lost", reason=reason)
 
-    def is_due(self, report: fleet.EngineReport, now: float) -> bool:
-        """Return whether a report is to be told now."""
+    def is_report_due(self, report: fleet.EngineReport, now: float) -> bool:
+        """Return whether a report must be sent now."""
         if load_feed.is_urgent(report, self.last_report):
             return True
         link = self.settings.link_bytes_per_s
-        every_s = load_feed.report_interval_s(len(self.subscribers), link)
+        interval_s = load_feed.report_interval_s(len(self.subscribers), link)
         if report == self.last_report:
-            every_s = max(every_s, REPEAT_EVERY_S)
-        # A report is read each REPORT_EVERY_S: half of it is borne, or every second one is skipped.
-        return now - self.last_sent_at >= every_s - REPORT_EVERY_S / 2
+            interval_s = max(interval_s, UNCHANGED_REPORT_INTERVAL_S)
+        # Tolerate polls that run early; otherwise every second report would be skipped.
+        return now - self.last_sent_at >= interval_s - REPORT_INTERVAL_S / 2
 
-    def tell(self, report: fleet.EngineReport) -> None:
-        """Tell entries the load if it has changed or was told long ago."""
+    def send_load(self, report: fleet.EngineReport) -> None:
+        """Send the load to all subscribers if it is due, and drop expired subscriptions."""
         now = self.clock()
-        if not self.is_due(report, now):
+        if not self.is_report_due(report, now):
             return
         self.last_report = report
         self.last_sent_at = now
-        for address, until in list(self.subscribers.items()):
-            if until < now:
+        for address, expires_at in list(self.subscribers.items()):
+            if expires_at < now:
                 del self.subscribers[address]
                 continue
-            self.datagrams.send(address, self.load(report, address))
+            self.datagrams.send(address, self.build_load_update(report, address))
 
 
 @node_roles.NODES.add("agent")
-def make(settings: node_settings.NodeSettings, dialect: dialects.Dialect) -> AgentNode:
-    """Return an agent on this process's clock."""
+def make_agent(settings: node_settings.NodeSettings, dialect: dialects.Dialect) -> AgentNode:
+    """Create an agent that uses the system clock."""
     codec = codecs.Codec([node_messages.MESSAGES], [])
     return AgentNode(settings, dialect, codec, clocks.now, random.Random())
