--- a/src/merlinthread/nodes/manifest_finder.py
+++ b/src/merlinthread/nodes/manifest_finder.py
@@ -1,16 +1,11 @@
-"""How an agent gets the manifest of a version: from the origin for its zone, else from a peer.
-
-All agents hear of a version within a tenth of a second. If each asked the origin, the manifests of
-60 agents (6.5 KB each) would take 0.4 s of its link, just when the first pieces are wanted, and
-more connections than it bears. So the agents of a zone have an order for each version: the first
-asks the origin, the others ask those ahead of them, and turn to the origin one after the other if
-that gives nothing (those ahead may stand still).
-
-While the origin is away all go on asking a few others, and about one of a zone tries the origin
-again every tenth of a second. Once one has the manifest, it passes on as an epidemic does (Demers
-et al. 1987): reckoned, three rounds or four for 40. When each agent tried and waited by itself,
-the last zone had it 1.2 s after the origin was back (log of the twin of a day on which the origin
-is away when a version is named).
+"""Lookup of the manifest of a version, from the origin or from a peer.
+
+All agents learn of a new version at about the same time. To limit the load on the origin, the
+agents of an availability zone are put in rendezvous order: the first reads from the origin, the
+others poll their predecessors and turn to the origin one by one if those don't have the manifest.
+
+While the origin is unavailable, agents query random peers, and on average one agent per zone and
+round retries the origin. The manifest then spreads by gossip (Demers et al. 1987).
 """
 
 import asyncio
@@ -24,44 +19,39 @@
 from merlinthread.protocol import node_messages
 from merlinthread.transport import node_bus
 
-# How much longer each one waits than the one ahead of it before it asks the origin itself: a
-# manifest takes 20 to 100 ms from an origin that answers.
-STAGGER_S = 0.25
-WAIT_S_MAX = 1.0
-# How many of those ahead are asked, and how often.
-AHEAD_ASKED = 3
-ASK_EVERY_S = 0.04
-# How many peers are asked for a manifest that the origin does not give, and how often.
-PEERS_ASKED = 3
+# Delay before an agent reads from the origin, per predecessor. It exceeds the time of a usual read.
+ORIGIN_STAGGER_S = 0.25
+PREDECESSOR_WAIT_MAX_S = 1.0
+PREDECESSORS_POLLED = 3
+PREDECESSOR_POLL_INTERVAL_S = 0.04
+PEERS_QUERIED = 3
 PEER_RETRY_INTERVAL_S = 0.1
 PEER_TIMEOUT_S = 0.3
-# How long one try of the origin may take. Reckoned: a manifest of 6.5 KB takes 0.12 s of 4.38
-# Mbit/s that ten readers of pieces share.
-ORIGIN_TRY_S = 0.5
-# After so long without a manifest the reason is logged.
-GIVE_UP_S = 2.0
+# Several times the transfer time of a manifest, since readers of pieces share the origin's link.
+ORIGIN_TIMEOUT_S = 0.5
+FIND_TIMEOUT_S = 2.0
 
 
 class ManifestFinder:
-    """Finds manifests for the agent at `me` ("IP:port")."""
+    """Finds manifests for the agent at `own_address` ("IP:port")."""
 
     def __init__(
         self,
         own_address: str,
         engine: engine_client.EngineClient,
-        caller: node_bus.RpcClient,
+        rpc_client: node_bus.RpcClient,
         clock: Callable[[], float],
         rng: random.Random,
     ) -> None:
         self.own_address = own_address
         self.engine = engine
-        self.caller = caller
+        self.rpc_client = rpc_client
         self.clock = clock
         self.rng = rng
-        # The model and version that the origin did not give when it was last asked.
+        # Model and version of the last failed read from the origin.
         self.last_failed = ("", 0)
-        # Until when the origin asked to be left alone.
-        self.origin_rests_until = float("-inf")
+        # Time of the next read that the origin allows (Retry-After).
+        self.origin_not_before = float("-inf")
 
     async def find(
         self,
@@ -73,76 +63,81 @@
     ) -> fleet.Manifest:
         """Return a version's manifest; version 0 is the newest one.
 
-        Raises the origin's error if neither it nor a peer gives it within GIVE_UP_S, or as soon as
-        `is_wanted` tells that the version is not wanted any more.
+        Raises the last error of the origin if no manifest is found within FIND_TIMEOUT_S or once
+        `is_wanted` returns false.
         """
         is_new = self.last_failed != (model, version)
         if is_new:
-            ahead = zone_predecessors(self.own_address, f"{model}@{version}", peers)
-            manifest = await self.from_those_ahead(ahead, model, version)
+            predecessors = zone_predecessors(self.own_address, f"{model}@{version}", peers)
+            manifest = await self.from_predecessors(predecessors, model, version)
             if manifest is not None:
                 return manifest
-        deadline = self.clock() + GIVE_UP_S
-        may_try = is_new and self.clock() >= self.origin_rests_until
-        reason: errors.MerlinthreadError = errors.UnreachableError(f"{origin}: not tried")
+        deadline = self.clock() + FIND_TIMEOUT_S
+        may_read_origin = is_new and self.clock() >= self.origin_not_before
+        reason: errors.MerlinthreadError = errors.UnreachableError(f"{origin}: not tried yet")
         while is_wanted() and self.clock() < deadline:
             try:
-                if may_try:
+                if may_read_origin:
                     return await self.from_origin(origin, model, version)
             except errors.MerlinthreadError as error:
                 self.last_failed = (model, version)
-                self.origin_rests_until = self.clock() + engine_client.origin_rest_s(error)
+                self.origin_not_before = self.clock() + engine_client.origin_rest_s(error)
                 reason = error
-            manifest = await self.from_some(peers, model, version)
+            manifest = await self.from_random_peers(peers, model, version)
             if manifest is not None:
                 return manifest
             await asyncio.sleep(PEER_RETRY_INTERVAL_S)
-            may_try = self.clock() >= self.origin_rests_until and self.draw_origin_retry(peers)
+            may_read_origin = self.clock() >= self.origin_not_before and self.draw_origin_retry(
+                peers
+            )
         raise reason
 
     async def from_origin(self, origin: str, model: str, version: int) -> fleet.Manifest:
-        """Return the manifest that the origin gives; raise its error, or that it takes too long.
+        """Read the manifest from the origin.
 
-        An origin that is back is busy with pieces at once: a peer gives the manifest sooner.
+        Raises UnreachableError after ORIGIN_TIMEOUT_S: an origin that has just recovered is busy
+        with pieces, and a peer is likely to respond sooner.
         """
         try:
-            async with asyncio.timeout(ORIGIN_TRY_S):
+            async with asyncio.timeout(ORIGIN_TIMEOUT_S):
                 return await self.engine.manifest(origin, model, version)
         except TimeoutError:
-            raise errors.UnreachableError(f"{origin}: no manifest within {ORIGIN_TRY_S} s")
+            raise errors.UnreachableError(
+                f"{origin}: no manifest received within {ORIGIN_TIMEOUT_S} s"
+            )
 
     def draw_origin_retry(self, peers: Sequence[fetch.Peer]) -> bool:
-        """Return by lot whether to try the origin again: about one agent of a zone does."""
-        zone = sum(peer.distance == fetch.SAME_ZONE for peer in peers) + 1
-        return self.rng.random() * zone < 1
+        """Return true with probability 1/n, where n is the number of agents in this zone."""
+        agent_count = sum(peer.distance == fetch.SAME_ZONE for peer in peers) + 1
+        return self.rng.random() * agent_count < 1
 
-    async def from_some(
+    async def from_random_peers(
         self, peers: Sequence[fetch.Peer], model: str, version: int
     ) -> fleet.Manifest | None:
-        """Return the manifest if one of a few peers, drawn by lot, has it."""
-        asked = self.rng.sample(peers, min(PEERS_ASKED, len(peers)))
-        found = await asyncio.gather(*(self.from_peer(p.bus, model, version) for p in asked))
-        return next((manifest for manifest in found if manifest is not None), None)
+        """Query PEERS_QUERIED random peers; return the manifest, or None if none of them has it."""
+        queried = self.rng.sample(peers, min(PEERS_QUERIED, len(peers)))
+        replies = await asyncio.gather(*(self.from_peer(p.bus, model, version) for p in queried))
+        return next((manifest for manifest in replies if manifest is not None), None)
 
-    async def from_those_ahead(
-        self, ahead: Sequence[str], model: str, version: int
+    async def from_predecessors(
+        self, predecessors: Sequence[str], model: str, version: int
     ) -> fleet.Manifest | None:
-        """Return the manifest as soon as one of those ahead has it; None if that takes long."""
-        deadline = self.clock() + min(WAIT_S_MAX, STAGGER_S * len(ahead))
+        """Poll the first predecessors for the manifest; return None after the timeout."""
+        deadline = self.clock() + min(PREDECESSOR_WAIT_MAX_S, ORIGIN_STAGGER_S * len(predecessors))
         while self.clock() < deadline:
-            asked = ahead[:AHEAD_ASKED]
-            found = await asyncio.gather(*(self.from_peer(a, model, version) for a in asked))
-            manifest = next((m for m in found if m is not None), None)
+            queried = predecessors[:PREDECESSORS_POLLED]
+            replies = await asyncio.gather(*(self.from_peer(a, model, version) for a in queried))
+            manifest = next((m for m in replies if m is not None), None)
             if manifest is not None:
                 return manifest
-            await asyncio.sleep(ASK_EVERY_S)
+            await asyncio.sleep(PREDECESSOR_POLL_INTERVAL_S)
         return None
 
     async def from_peer(self, peer: str, model: str, version: int) -> fleet.Manifest | None:
-        """Return the manifest that a peer has, or None."""
+        """Return the manifest from a peer, or None if it has none or the call fails."""
         request = node_messages.ManifestRequest(model, version)
         with contextlib.suppress(errors.MerlinthreadError):
-            reply = await self.caller.call(peer, request, PEER_TIMEOUT_S)
+            reply = await self.rpc_client.call(peer, request, PEER_TIMEOUT_S)
             if reply.manifest is not None:
                 logs.event("manifest_from_peer", version=version, peer=peer)
             return reply.manifest
@@ -150,7 +145,7 @@
 
 
 def zone_predecessors(own_address: str, manifest: str, peers: Sequence[fetch.Peer]) -> list[str]:
-    """Return the agents of this zone that come before `me` in a manifest's rendezvous order."""
-    zone = [peer.name for peer in peers if peer.distance == fetch.SAME_ZONE] + [own_address]
-    zone.sort(key=lambda name: fetch.rendezvous_weight(name, manifest, -1), reverse=True)
-    return zone[: zone.index(own_address)]
+    """Return the agents of this zone that precede `own_address` in rendezvous order."""
+    zone_agents = [peer.name for peer in peers if peer.distance == fetch.SAME_ZONE] + [own_address]
+    zone_agents.sort(key=lambda name: fetch.rendezvous_weight(name, manifest, -1), reverse=True)
+    return zone_agents[: zone_agents.index(own_address)]
