--- a/src/merlinthread/nodes/piece_fetcher.py
+++ b/src/merlinthread/nodes/piece_fetcher.py
@@ -1,6 +1,7 @@
-"""Fetches the pieces of a version of weights, as a plan says, and stages them at the engine.
+"""Download of the pieces of one version of weights, from the origin and from peers.
 
-Each piece is checked against the manifest before it is staged.
+A `fetch.FetchPlan` schedules the transfers. Each piece is verified against the manifest and then
+staged at the engine.
 """
 
 import asyncio
@@ -14,53 +15,51 @@
 from merlinthread.transport import node_bus
 
 TRANSFERS_MAX = 8
-# A transfer that takes longer shows a link that carries less than it should: one piece takes 0.06 s
-# of a link of 3.65 Mbit/s and waits up to 0.15 s at its sender.
+# A transfer that takes longer than its time on the link and in the sender's queue indicates a link
+# that is slower than configured.
 TRANSFER_TARGET_S = 0.4
 REQUESTS_PER_PEER = 2
 ORIGIN_SLOTS = 1
-# Share of the link that pieces may take on their way in: the engine's requests share it.
+# Share of the link for incoming pieces; requests to the engine use the rest.
 DOWNLOAD_SHARE = 0.93
-# An engine that serves nothing has no requests that pieces could hold up.
+# The same while the engine serves no requests.
 IDLE_DOWNLOAD_SHARE = 1.0
-# How far a transfer may begin ahead of the pace: about one piece of 24 KB at 3.65 Mbit/s. In the
-# model (50 agents) 0.03, 0.06, 0.12 s give half of the engines at 1.33, 1.31, 1.29 of the bound,
-# and p95 of the waits of requests of 56, 61, 86 ms.
+# A longer burst speeds up the download and delays requests to the engine.
 PACER_BURST_S = 0.06
 ORIGIN_RETRY_DELAY_S = 0.3
 ORIGIN_GRACE_S = 0.8
-# A piece that took longer will not come: its sender stands still, and holds one of the places.
+# A sender that is suspended must not occupy a transfer slot for longer.
 PEER_TIMEOUT_S = 1.0
 POLL_INTERVAL_S = 0.02
-PROGRESS_EVERY_S = 1.0
-# Whether a fetch will be late is judged by its rate of late, once it has got going.
+PROGRESS_LOG_INTERVAL_S = 1.0
+# Whether a download will be late is estimated from its recent rate, after a warm-up.
 RATE_WARMUP_S = 2.0
 RATE_WINDOW_S = 1.0
 
-Send = Callable[[str, node_messages.PieceNotice | node_messages.PieceClaim], None]
+SendNotice = Callable[[str, node_messages.PieceNotice | node_messages.PieceClaim], None]
 
 
 class PieceFetcher:
-    """Carries out the fetches of one agent, one version after the other."""
+    """Downloads versions of weights for one agent, one at a time."""
 
     def __init__(
         self,
         view: weights_view.WeightsView,
         engine: engine_client.EngineClient,
         store: piece_store.PieceStore,
-        caller: node_bus.RpcClient,
+        rpc_client: node_bus.RpcClient,
         clock: Callable[[], float],
-        send: Send,
+        send: SendNotice,
     ) -> None:
         self.view = view
         self.engine = engine
         self.store = store
-        self.caller = caller
+        self.rpc_client = rpc_client
         self.clock = clock
         self.send = send
         self.rate = pacing.RecentRate(RATE_WINDOW_S)
-        # How long the last piece from each peer took, until the peer is told.
-        self.took_s: dict[str, float] = {}
+        # Duration of the last transfer from each peer, until it is reported to the peer.
+        self.last_transfer_s: dict[str, float] = {}
         self.window = pacing.TransferWindow(TRANSFERS_MAX, TRANSFER_TARGET_S)
         self.link_bytes_per_s = view.settings.link_bytes_per_s
         self.download_pacer = pacing.Pacer(DOWNLOAD_SHARE * self.link_bytes_per_s, PACER_BURST_S)
@@ -71,21 +70,21 @@
         manifest: fleet.Manifest,
         is_serving: Callable[[], bool],
     ) -> None:
-        """Fetch what is missing, some pieces at a time, until all are here or others are named.
+        """Fetch the missing pieces, until the plan is complete or a newer version is published.
 
-        `is_serving` tells whether the engine serves an older version meanwhile.
+        `is_serving` returns whether the engine serves requests, with an older version.
         """
         started = self.clock()
-        told_at = started
+        logged_at = started
         self.rate = pacing.RecentRate(RATE_WINDOW_S)
         running: set[asyncio.Task] = set()
         try:
-            while not plan.is_complete() and not self.view.is_overtaken(manifest):
-                self.look_around(plan, manifest, started, is_serving())
-                if self.clock() >= told_at + PROGRESS_EVERY_S:
-                    told_at = self.clock()
-                    self.log_progress("weights_progress", plan, manifest, told_at - started)
-                self.begin_transfers(plan, manifest, running)
+            while not plan.is_complete() and not self.view.is_superseded(manifest):
+                self.update_plan(plan, manifest, started, is_serving())
+                if self.clock() >= logged_at + PROGRESS_LOG_INTERVAL_S:
+                    logged_at = self.clock()
+                    self.log_progress("weights_progress", plan, manifest, logged_at - started)
+                self.start_transfers(plan, manifest, running)
                 if not running:
                     await asyncio.sleep(POLL_INTERVAL_S)
                     continue
@@ -100,21 +99,21 @@
             self.engine.leave_origin(self.view.origin())
         self.log_progress("weights_fetched", plan, manifest, self.clock() - started)
 
-    def look_around(
-        self, plan: fetch_policies.Zoned, manifest: fleet.Manifest, started: float, serves: bool
+    def update_plan(
+        self, plan: fetch_policies.Zoned, manifest: fleet.Manifest, started: float, is_serving: bool
     ) -> None:
-        """Tell the plan who is there and how fast it may go."""
-        share = DOWNLOAD_SHARE if serves else IDLE_DOWNLOAD_SHARE
+        """Update the plan's peers and limits, and the rate of the download pacer."""
+        share = DOWNLOAD_SHARE if is_serving else IDLE_DOWNLOAD_SHARE
         self.download_pacer.bytes_per_s = share * self.link_bytes_per_s
         plan.set_peers(self.view.peers())
         plan.spare_every_s = self.spare_every_s(plan)
         self.rate.record(plan.held.bit_count(), self.clock())
         plan.is_late = self.is_late(plan, manifest, started)
 
-    def begin_transfers(
+    def start_transfers(
         self, plan: fetch_policies.Zoned, manifest: fleet.Manifest, running: set[asyncio.Task]
     ) -> None:
-        """Begin what the plan says, as long as window and pace allow."""
+        """Start transfers that the plan schedules, as far as window and pacer allow."""
         loop = asyncio.get_running_loop()
         while self.window.has_room(len(running)) and not self.download_pacer.wait_s(self.clock()):
             if self.store.is_full():
@@ -124,41 +123,44 @@
                 return
             plan.on_action_started(action)
             if isinstance(action, fetch.OriginRead):
-                self.claim(plan, manifest, action)
+                self.send_claims(plan, manifest, action)
             self.download_pacer.reserve(self.view.piece_bytes(), self.clock())
-            running.add(loop.create_task(self.carry_out(plan, manifest, action)))
+            running.add(loop.create_task(self.run_transfer(plan, manifest, action)))
 
-    def claim(
+    def send_claims(
         self, plan: fetch.FetchPlan, manifest: fleet.Manifest, action: fetch.OriginRead
     ) -> None:
-        """Tell other readers of the origin which piece is being read."""
+        """Notify other readers of the origin that this agent reads a piece."""
         claim = node_messages.PieceClaim(
             manifest.model, manifest.version, self.view.own_address, action.index
         )
-        for rival in plan.claim_recipients():
-            self.send(rival, claim)
+        for recipient in plan.claim_recipients():
+            self.send(recipient, claim)
 
     def spare_every_s(self, plan: fetch_policies.Zoned) -> float:
-        """Return how long the origin's link takes for one piece to each VM that reads it."""
+        """Return the time the origin's link takes to send one piece to each reader, in seconds.
+
+        Infinite if the link's bandwidth is not known.
+        """
         link = self.view.origin_bytes_per_s()
         readers = min(len(plan.participants), plan.readers_max)
         return readers * self.view.piece_bytes() / link if link else math.inf
 
     def is_late(self, plan: fetch.FetchPlan, manifest: fleet.Manifest, started: float) -> bool:
-        """Return whether the pieces would come too late at the rate seen so far."""
+        """Return whether the older weights are estimated to expire before the download ends."""
         now = self.clock()
-        if not self.view.named(manifest.model) or now - started < RATE_WARMUP_S:
+        if not self.view.newest_version(manifest.model) or now - started < RATE_WARMUP_S:
             return False
         missing = plan.chunk_count - plan.held.bit_count()
-        leave_at = self.view.bound_at(manifest) - change_over.EXPIRY_MARGIN_S
-        return now + missing / max(self.rate.per_s(), 1.0) > leave_at
+        expires_at = self.view.expires_at(manifest) - change_over.EXPIRY_MARGIN_S
+        return now + missing / max(self.rate.per_s(), 1.0) > expires_at
 
-    # One piece
+    # Transfer of one piece
 
-    async def carry_out(
+    async def run_transfer(
         self, plan: fetch.FetchPlan, manifest: fleet.Manifest, action: fetch.Action
     ) -> None:
-        """Get one piece, check it and stage it; tell the plan what came of it."""
+        """Fetch, verify and stage one piece, and report the outcome to the plan."""
         began = self.clock()
         index = -1
         try:
@@ -174,16 +176,16 @@
             return
         is_from_origin = isinstance(action, fetch.OriginRead)
         if isinstance(action, fetch.PeerRequest):
-            self.took_s[action.peer] = round(self.clock() - began, 3)
+            self.last_transfer_s[action.peer] = round(self.clock() - began, 3)
             self.window.record(self.clock() - began, self.clock())
         plan.on_chunk_received(index, is_from_origin, self.clock())
         metrics.pieces_total.labels("origin" if is_from_origin else "peer").inc()
-        self.announce(plan, manifest, action, index)
+        self.announce_piece(plan, manifest, action, index)
 
     async def from_origin(
         self, plan: fetch.FetchPlan, manifest: fleet.Manifest, action: fetch.OriginRead
     ) -> int:
-        """Get a piece from the origin and stage it; return its index, or -1."""
+        """Fetch a piece from the origin and stage it; return its index, or -1 on failure."""
         try:
             data = await self.engine.piece(self.view.origin(), manifest, action.index)
             await self.store.put(manifest.model, action.index, data)
@@ -203,8 +205,8 @@
     async def from_peer(
         self, plan: fetch.FetchPlan, manifest: fleet.Manifest, action: fetch.PeerRequest
     ) -> int:
-        """Get one of the wanted pieces from a peer and stage it; return its index, or -1."""
-        reply = await self.ask(plan, manifest, action)
+        """Fetch any wanted piece from a peer and stage it; return its index, or -1 on failure."""
+        reply = await self.request_piece(plan, manifest, action)
         if reply is None:
             return -1
         now = self.clock()
@@ -224,10 +226,10 @@
             return -1
         return reply.index
 
-    async def ask(
+    async def request_piece(
         self, plan: fetch.FetchPlan, manifest: fleet.Manifest, action: fetch.PeerRequest
     ) -> node_messages.PieceReply | None:
-        """Return a peer's answer, or None if it gave none."""
+        """Request a piece from a peer; return its reply, or None if the call failed."""
         count = len(manifest.digests)
         request = node_messages.PieceRequest(
             manifest.model,
@@ -235,10 +237,10 @@
             fetch.bitset_to_bytes(action.wanted, count),
             self.view.own_address,
             fetch.bitset_to_bytes(plan.held, count),
-            self.took_s.pop(action.peer, 0.0),
+            self.last_transfer_s.pop(action.peer, 0.0),
         )
         try:
-            reply = await self.caller.call(action.peer, request, PEER_TIMEOUT_S)
+            reply = await self.rpc_client.call(action.peer, request, PEER_TIMEOUT_S)
         except errors.MerlinthreadError as error:
             plan.on_peer_failed(action.peer, self.clock())
             logs.debug("peer_silent", peer=action.peer, reason=error.message)
@@ -246,20 +248,20 @@
         plan.on_peer_report(action.peer, fetch.bitset_from_bytes(reply.held, count), self.clock())
         return reply
 
-    def announce(
+    def announce_piece(
         self, plan: fetch.FetchPlan, manifest: fleet.Manifest, action: fetch.Action, index: int
     ) -> None:
-        """Tell those whom it concerns that a piece is here."""
-        note = node_messages.PieceNotice(
+        """Notify the peers that the plan selects that this agent holds a piece."""
+        notice = node_messages.PieceNotice(
             manifest.model, manifest.version, self.view.own_address, index
         )
         for peer in plan.announcement_recipients(action):
-            self.send(peer, note)
+            self.send(peer, notice)
 
     def log_progress(
         self, name: str, plan: fetch.FetchPlan, manifest: fleet.Manifest, seconds: float
     ) -> None:
-        """Log how far a fetch is after `seconds`, and where its pieces came from."""
+        """Log the progress of a download and its statistics, under the event `name`."""
         logs.event(
             name,
             version=manifest.version,
--- a/src/merlinthread/nodes/piece_server.py
+++ b/src/merlinthread/nodes/piece_server.py
@@ -1,4 +1,4 @@
-"""Gives pieces of an agent's weights, and their manifest, to its peers."""
+"""Serves the pieces and the manifest of an agent's weights to other agents."""
 
 import asyncio
 import random
@@ -8,21 +8,21 @@
 from merlinthread.nodes import piece_store
 from merlinthread.protocol import node_messages
 
-# Share of the link that pieces may take on their way out: the engine's answers share it.
+# Share of the link for outgoing pieces; the engine's responses use the rest.
 UPLOAD_SHARE = 0.85
-# An engine that serves nothing has no answers that pieces could hold up.
+# The same while the engine serves no requests.
 IDLE_UPLOAD_SHARE = 0.95
-# A peer that would have to wait longer is told when to come back: another may be free.
+# A request that would wait longer is refused as busy, so that the peer can try another agent.
 UPLOAD_WAIT_S_MAX = 0.15
-# A piece that took longer from here to its receiver shows that one of the two links carries less
-# than it should (`piece_fetcher.TRANSFER_TARGET_S`).
+# A slower transfer indicates that one of the two links is slower than configured (compare
+# `piece_fetcher.TRANSFER_TARGET_S`).
 UPLOAD_TARGET_S = 0.4
 
-NOTHING = node_messages.PieceReply(-1, b"", b"")
+EMPTY_REPLY = node_messages.PieceReply(-1, b"", b"")
 
 
 class PieceServer:
-    """Answers the peers of one agent; pieces leave at the pace of `outgoing`."""
+    """Serves pieces to peers at the rate of `upload_pacer`."""
 
     def __init__(
         self,
@@ -40,16 +40,20 @@
         )
 
     def note_serving(self, is_serving: bool) -> None:
-        """Set the pace by whether the engine serves requests beside the pieces."""
+        """Set the upload rate according to whether the engine serves requests."""
         share = UPLOAD_SHARE if is_serving else IDLE_UPLOAD_SHARE
         self.upload_pacer.set_full_rate(share * self.link_bytes_per_s)
 
     async def serve(
         self, plan: fetch.FetchPlan, manifest: fleet.Manifest, request: node_messages.PieceRequest
     ) -> node_messages.PieceReply:
-        """Answer a peer that asks for one of some pieces of `manifest`."""
+        """Return a random requested piece that is held.
+
+        The reply has the index -1 if there is none, or if the request is for another version than
+        that of `manifest`. It is marked as busy if the upload would wait too long.
+        """
         if (manifest.model, manifest.version) != (request.model, request.version):
-            return NOTHING
+            return EMPTY_REPLY
         count = len(manifest.digests)
         held = fetch.bitset_to_bytes(plan.held, count)
         if request.took_s:
@@ -77,7 +81,7 @@
 def serve_manifest(
     manifest: fleet.Manifest | None, request: node_messages.ManifestRequest
 ) -> node_messages.ManifestReply:
-    """Answer a peer that asks for a manifest with the one that is here, if it is that one."""
+    """Return a reply with `manifest` if it is the requested one, otherwise an empty reply."""
     if manifest is None or manifest.model != request.model:
         return node_messages.ManifestReply(None)
     if request.version not in (0, manifest.version):
--- a/src/merlinthread/nodes/weights_view.py
+++ b/src/merlinthread/nodes/weights_view.py
@@ -1,4 +1,4 @@
-"""What an agent knows of its engine's weights from the control VMs: what is named, whom to ask."""
+"""The part of the fleet state that concerns an engine's weights: versions, origin, peers."""
 
 from collections.abc import Callable
 
@@ -7,7 +7,7 @@
 
 
 class WeightsView:
-    """The facts, read from the watcher's news at each call; `me` is the agent's own "IP:port"."""
+    """A view of the watcher's current state; `own_address` is the agent's "IP:port"."""
 
     def __init__(
         self,
@@ -21,46 +21,46 @@
         self.own_address = f"{settings.ip}:{settings.agent_port}"
 
     def service(self) -> fleet.Service | None:
-        """Return the service of the engine beside this agent."""
+        """Return the service of the local engine, or None if it is not configured."""
         table = self.watcher.table
         return table.services.get(self.settings.engine_service) if table else None
 
     def model(self) -> str:
-        """Return the model that this engine runs, or nothing."""
+        """Return the model whose weights the local engine needs, or an empty string."""
         service = self.service()
         if service is None or service.engine is None or not service.engine.chunks:
             return ""
         return service.engine.models[0] if service.engine.models else ""
 
     def layers(self) -> int:
-        """Return how many layers the model has, 0 if that is not known."""
+        """Return the number of layers of the model, or 0 if it is not known."""
         service = self.service()
         return service.engine.layers if service is not None and service.engine else 0
 
     def piece_bytes(self) -> int:
-        """Return the size of a piece."""
+        """Return the size of a piece in bytes, or 0 if it is not known."""
         service = self.service()
         return service.engine.chunk_bytes if service is not None and service.engine else 0
 
-    # The origin and the peers
+    # Origin and peers
 
     def origin(self) -> str:
-        """Return the origin's address, or nothing."""
+        """Return the address of the origin, or an empty string if there is none."""
         service = self.origin_service()
         return service.origin if service else ""
 
     def origin_bytes_per_s(self) -> float:
-        """Return what the origin's link carries, 0 if that is not told."""
+        """Return the bandwidth of the origin's link, or 0 if it is not known."""
         service = self.origin_service()
         return service.link_bytes_per_s if service is not None else 0.0
 
     def origin_service(self) -> fleet.Service | None:
-        """Return the service that is the origin of weights."""
+        """Return the service that is the origin of weights, or None."""
         table = self.watcher.table
         return table.origin() if table else None
 
     def peers(self) -> list[fetch.Peer]:
-        """Return the other agents whose engines run the same service."""
+        """Return the other agents whose engines belong to the same service."""
         found = []
         for heartbeat in self.watcher.instances.values():
             if heartbeat.service != self.settings.engine_service:
@@ -72,8 +72,8 @@
                 found.append(fetch.Peer(bus, bus, distance, heartbeat.zone))
         return found
 
-    def group(self) -> int:
-        """Return the group in which this engine changes over."""
+    def reload_group(self) -> int:
+        """Return the reload group of the local engine (`change_over.group_of`)."""
         engines = [(peer.zone, peer.name) for peer in self.peers()]
         return change_over.group_of(
             self.own_address, [*engines, (self.settings.zone, self.own_address)]
@@ -81,20 +81,20 @@
 
     # Versions
 
-    def named(self, model: str) -> int:
-        """Return the newest version named of a model, or 0."""
+    def newest_version(self, model: str) -> int:
+        """Return the newest published version of a model, or 0 if there is none."""
         return self.watcher.named.get(model, 0)
 
-    def is_overtaken(self, manifest: fleet.Manifest) -> bool:
-        """Return whether a newer version than the manifest's was named meanwhile."""
-        return self.named(manifest.model) > manifest.version
+    def is_superseded(self, manifest: fleet.Manifest) -> bool:
+        """Return whether a newer version than the manifest's has been published."""
+        return self.newest_version(manifest.model) > manifest.version
 
     def is_usable(self, model: str, version: int) -> bool:
-        """Return whether entries still send requests to engines that hold a version."""
-        bound_s = self.settings.bounds.version_s - change_over.EXPIRY_MARGIN_S
-        return self.clock() < self.watcher.usable_until(model, version, bound_s)
+        """Return whether entries still send requests to engines with this version."""
+        validity_s = self.settings.bounds.version_s - change_over.EXPIRY_MARGIN_S
+        return self.clock() < self.watcher.usable_until(model, version, validity_s)
 
-    def bound_at(self, manifest: fleet.Manifest) -> float:
-        """Return until when older versions than the manifest's may be used."""
+    def expires_at(self, manifest: fleet.Manifest) -> float:
+        """Return when versions older than the manifest's expire."""
         named_at = self.watcher.named_at.get(manifest.model, {})
         return named_at.get(manifest.version, self.clock()) + self.settings.bounds.version_s
