--- a/src/merlinthread/nodes/weights_task.py
+++ b/src/merlinthread/nodes/weights_task.py
@@ -1,7 +1,7 @@
-"""An agent's weights: it brings its engine to the version named, and gives pieces to its peers.
+"""Installation of published weights on the local engine, and their distribution to peers.
 
-Pieces are kept where the engine stages them, never twice. Each is checked against the manifest
-before it is staged, before it is given on, and once more before the engine is ordered to take them.
+Pieces are kept in the engine's staging area, without a second copy. Each is verified against the
+manifest before it is staged, before it is sent to a peer, and before the engine loads the weights.
 """
 
 import asyncio
@@ -23,120 +23,119 @@
 from merlinthread.protocol import node_messages
 from merlinthread.transport import node_bus
 
-LOOK_EVERY_S = 0.1
-FAILED_WAIT_S = 0.3
-ORDER_WAIT_S = 0.2
-LOADED_LOOK_EVERY_S = 0.02
-# Pieces that were all read and checked so short a time ago are not read again before the order: it
-# takes 0.11 to 0.16 s (96 pieces, log of a start after a loss of power), while nothing is served.
-FOUND_FOR_S = 0.2
+POLL_INTERVAL_S = 0.1
+RETRY_DELAY_S = 0.3
+LOAD_START_TIMEOUT_S = 0.2
+LOAD_POLL_INTERVAL_S = 0.02
+# Pieces verified this recently are not verified again before the load, to shorten a restart.
+VERIFICATION_TTL_S = 0.2
 
 
 class WeightsTask:
-    """The weights of one engine."""
+    """Keeps the weights of one engine up to date."""
 
     def __init__(
         self,
         settings: node_settings.NodeSettings,
         watcher: news_watcher.NewsWatcher,
         engine: engine_client.EngineClient,
-        caller: node_bus.RpcClient,
+        rpc_client: node_bus.RpcClient,
         clock: Callable[[], float],
         rng: random.Random,
-        on_change: Callable[[fleet.EngineReport], None],
-        send: piece_fetcher.Send,
+        on_report_changed: Callable[[fleet.EngineReport], None],
+        send: piece_fetcher.SendNotice,
     ) -> None:
-        self.make_plan_by = fetch.POLICIES.get(settings.policy.fetch)
-        self.on_change = on_change
+        self.plan_class = fetch.POLICIES.get(settings.policy.fetch)
+        self.on_report_changed = on_report_changed
         self.engine = engine
         self.clock = clock
         self.rng = rng
         self.view = weights_view.WeightsView(settings, watcher, clock)
-        self.manifests = manifest_finder.ManifestFinder(
-            self.view.own_address, engine, caller, clock, rng
+        self.finder = manifest_finder.ManifestFinder(
+            self.view.own_address, engine, rpc_client, clock, rng
         )
         self.store = piece_store.PieceStore(engine)
         self.fetcher = piece_fetcher.PieceFetcher(
-            self.view, engine, self.store, caller, clock, send
+            self.view, engine, self.store, rpc_client, clock, send
         )
         self.server = piece_server.PieceServer(self.store, clock, rng, settings.link_bytes_per_s)
         self.manifest: fleet.Manifest | None = None
         self.plan: fetch_policies.Zoned | None = None
         self.report: fleet.EngineReport | None = None
-        self.found_at = float("-inf")
-        self.settling: asyncio.Task | None = None
-        # How often the engine ended during the load of the present manifest.
+        self.verified_at = float("-inf")
+        self.sync_task: asyncio.Task | None = None
+        # Crashes of the engine while it loaded the current manifest's version.
         self.load_crashes = 0
 
-    # What the engine holds
+    # State of the engine
 
-    def holds(self, manifest: fleet.Manifest) -> bool:
-        """Return whether the engine holds the manifest's version whole."""
+    def has_loaded(self, manifest: fleet.Manifest) -> bool:
+        """Return whether the engine has loaded all layers of the manifest's version."""
         return self.report is not None and any(
-            held.model == manifest.model
-            and held.version == manifest.version
-            and held.is_whole(self.view.layers())
-            for held in self.report.weights
+            weights.model == manifest.model
+            and weights.version == manifest.version
+            and weights.is_whole(self.view.layers())
+            for weights in self.report.weights
         )
 
     def is_serving(self) -> bool:
-        """Return whether the engine holds a version whole that may still be used."""
+        """Return whether the engine has loaded all layers of a version that has not expired."""
         return self.report is not None and any(
-            held.version
-            and held.is_whole(self.view.layers())
-            and self.view.is_usable(held.model, held.version)
-            for held in self.report.weights
+            weights.version
+            and weights.is_whole(self.view.layers())
+            and self.view.is_usable(weights.model, weights.version)
+            for weights in self.report.weights
         )
 
     def ready_in_s(self) -> float | None:
-        """Return when the engine will serve again as far as known, None if it does now."""
+        """Estimate the seconds until the engine serves; None if it does now or it is unknown."""
         if self.report is None or self.plan is None or self.is_serving():
             return None
         missing = self.plan.chunk_count - self.plan.held.bit_count()
         return change_over.ready_in_s(missing, self.fetcher.rate.per_s(), self.report.is_busy)
 
-    # What is wanted
+    # Update loop
 
     async def run(self) -> None:
-        """Bring the engine to the version named, for ever."""
+        """Keep the engine on the newest published version, forever."""
         while True:
             try:
-                await self.step()
+                await self.run_once()
             except errors.MerlinthreadError as error:
                 logs.event("weights_delayed", reason=error.message)
-                await asyncio.sleep(FAILED_WAIT_S)
-            await asyncio.sleep(LOOK_EVERY_S)
+                await asyncio.sleep(RETRY_DELAY_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
-    async def step(self) -> None:
-        """Do what is due: read the manifest, fetch, order."""
+    async def run_once(self) -> None:
+        """Fetch and load the newest version unless the engine has already loaded it."""
         model = self.view.model()
         if not model or not self.view.origin():
             return
         if self.report is None and self.store.is_engine_seen:
             return
-        wanted = self.view.named(model) or (self.manifest.version if self.manifest else 0)
+        wanted = self.view.newest_version(model) or (self.manifest.version if self.manifest else 0)
         if self.manifest is None or (wanted and self.manifest.version != wanted):
-            await self.begin(model, wanted)
+            await self.start_version(model, wanted)
         assert self.manifest is not None and self.plan is not None
-        if self.holds(self.manifest):
+        if self.has_loaded(self.manifest):
             return
         await self.fetcher.run(self.plan, self.manifest, self.is_serving)
         if self.report is not None:
-            await self.order_load(self.plan, self.manifest)
+            await self.load_weights(self.plan, self.manifest)
 
-    async def begin(self, model: str, version: int) -> None:
-        """Read a version's manifest and find out which of its pieces lie here."""
+    async def start_version(self, model: str, version: int) -> None:
+        """Get the manifest of a version and create the plan for its pieces."""
         is_first = self.manifest is None
         origin, peers = self.view.origin(), self.view.peers()
-        manifest = await self.manifests.find(
-            origin, model, version, peers, lambda: self.view.named(model) in (0, version)
+        manifest = await self.finder.find(
+            origin, model, version, peers, lambda: self.view.newest_version(model) in (0, version)
         )
         plan = self.make_plan(manifest)
         self.store.clear()
-        # What lies there after a restart may be of this version; later it is of the one before.
+        # After a restart of the agent, staged pieces may be of this version; later they are not.
         if is_first and self.store.is_engine_seen:
             plan.held = await self.find_staged(manifest)
-            self.found_at = self.clock() if plan.is_complete() else float("-inf")
+            self.verified_at = self.clock() if plan.is_complete() else float("-inf")
         self.manifest = manifest
         self.plan = plan
         self.load_crashes = 0
@@ -149,8 +148,8 @@
         )
 
     def make_plan(self, manifest: fleet.Manifest) -> fetch_policies.Zoned:
-        """Return the plan of a fetch that has nothing yet."""
-        plan = self.make_plan_by(
+        """Return a fetch plan without any held pieces."""
+        plan = self.plan_class(
             self.view.own_address,
             f"{manifest.model}@{manifest.version}",
             len(manifest.digests),
@@ -167,14 +166,14 @@
         return plan
 
     def on_engine_report(self, report: fleet.EngineReport | None) -> None:
-        """Take the engine's report, None if it gave none."""
+        """Record the engine's report, or None if the engine did not respond."""
         self.report = report
         if report is not None and not self.store.is_engine_seen:
             self.store.is_engine_seen = True
-            self.settling = asyncio.get_running_loop().create_task(self.settle())
+            self.sync_task = asyncio.get_running_loop().create_task(self.sync_with_engine())
 
-    async def settle(self) -> None:
-        """Stage what came before the engine answered, and find out what lay there already."""
+    async def sync_with_engine(self) -> None:
+        """Stage the buffered pieces, and add those that were staged already to the plan."""
         plan, manifest = self.plan, self.manifest
         if plan is None or manifest is None:
             return
@@ -188,91 +187,91 @@
         logs.event("pieces_settled", version=manifest.version, found=found.bit_count())
 
     async def find_staged(self, manifest: fleet.Manifest) -> int:
-        """Return the bit set of the pieces that lie sound at the engine."""
+        """Return the bit set of the staged pieces that match the manifest."""
         held = 0
         for index in range(len(manifest.digests)):
             if await self.engine.staged(manifest, index) is not None:
                 held |= 1 << index
         return held
 
-    # Ordering
+    # Loading
 
-    async def order_load(self, plan: fetch_policies.Zoned, manifest: fleet.Manifest) -> None:
-        """Check all pieces once more, then order the engine to take them."""
-        if not plan.is_complete() or self.view.is_overtaken(manifest):
+    async def load_weights(self, plan: fetch_policies.Zoned, manifest: fleet.Manifest) -> None:
+        """Verify all pieces, wait for the engine's reload time, and let it load them."""
+        if not plan.is_complete() or self.view.is_superseded(manifest):
             return
         await self.store.flush(manifest.model)
-        if self.clock() - self.found_at > FOUND_FOR_S:
+        if self.clock() - self.verified_at > VERIFICATION_TTL_S:
             held = await self.find_staged(manifest)
             if held != plan.all_chunks:
                 logs.event("pieces_rotten", count=(plan.all_chunks & ~held).bit_count())
                 plan.held = held
                 return
-        await self.await_turn(manifest)
-        await self.await_next_try(manifest)
-        if self.view.is_overtaken(manifest) or self.report is None:
+        await self.await_reload_time(manifest)
+        await self.await_load_retry(manifest)
+        if self.view.is_superseded(manifest) or self.report is None:
             return
         status = await self.engine.load(manifest.model, manifest.version, False)
         logs.event("engine_ordered", version=manifest.version, status=status)
         if self.report is not None and status == engine_client.STATUS_ACCEPTED:
             self.report.is_busy = True
-            self.on_change(self.report)
+            self.on_report_changed(self.report)
         await self.await_loaded(manifest)
 
-    async def await_turn(self, manifest: fleet.Manifest) -> None:
-        """Wait until this engine may change over; one that serves nothing yet does not wait."""
+    async def await_reload_time(self, manifest: fleet.Manifest) -> None:
+        """Wait for the reload time of this engine's group, unless the engine does not serve."""
         if not self.is_serving():
             return
-        group, bound_at = self.view.group(), self.view.bound_at(manifest)
-        turn_at = change_over.reload_time(group, self.clock(), bound_at)
-        await asyncio.sleep(max(0.0, turn_at - self.clock()))
+        group, expires_at = self.view.reload_group(), self.view.expires_at(manifest)
+        reload_at = change_over.reload_time(group, self.clock(), expires_at)
+        await asyncio.sleep(max(0.0, reload_at - self.clock()))
 
-    async def await_next_try(self, manifest: fleet.Manifest) -> None:
-        """Wait before weights are ordered again under which the engine ended several times."""
+    async def await_load_retry(self, manifest: fleet.Manifest) -> None:
+        """Delay the load of weights that crashed the engine repeatedly."""
         wait_s = change_over.load_retry_delay_s(self.load_crashes)
         if wait_s:
             logs.warning(
                 "load_put_off", version=manifest.version, ends=self.load_crashes, wait_s=wait_s
             )
         until = self.clock() + wait_s
-        while self.clock() < until and not self.view.is_overtaken(manifest):
-            await asyncio.sleep(LOOK_EVERY_S)
+        while self.clock() < until and not self.view.is_superseded(manifest):
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     async def await_loaded(self, manifest: fleet.Manifest) -> None:
-        """Wait until the engine tells that it holds the version, or is not at it any more."""
-        deadline = self.clock() + ORDER_WAIT_S
-        while not self.holds(manifest):
+        """Wait until the engine has loaded the version, or has stopped loading it."""
+        deadline = self.clock() + LOAD_START_TIMEOUT_S
+        while not self.has_loaded(manifest):
             if self.report is None:
                 self.load_crashes += 1
                 logs.event("engine_lost_in_load", version=manifest.version, ends=self.load_crashes)
                 return
             if self.report is not None and self.report.is_busy:
-                deadline = self.clock() + ORDER_WAIT_S
+                deadline = self.clock() + LOAD_START_TIMEOUT_S
             if self.clock() >= deadline:
                 return
-            await asyncio.sleep(LOADED_LOOK_EVERY_S)
+            await asyncio.sleep(LOAD_POLL_INTERVAL_S)
 
-    # Peers
+    # Messages from peers
 
     async def serve_piece(self, request: node_messages.PieceRequest) -> node_messages.PieceReply:
-        """Answer a peer that asks for a piece."""
+        """Return the reply to a peer's request for a piece."""
         if self.plan is None or self.manifest is None:
-            return piece_server.NOTHING
+            return piece_server.EMPTY_REPLY
         self.server.note_serving(self.is_serving())
         return await self.server.serve(self.plan, self.manifest, request)
 
     def serve_manifest(self, request: node_messages.ManifestRequest) -> node_messages.ManifestReply:
-        """Answer a peer that asks for a manifest."""
+        """Return the reply to a peer's request for a manifest."""
         return piece_server.serve_manifest(self.manifest, request)
 
-    def on_note(self, note: node_messages.PieceNotice | node_messages.PieceClaim) -> None:
-        """Take a peer's word of a piece that it has just got, or begins to read."""
+    def on_notice(self, notice: node_messages.PieceNotice | node_messages.PieceClaim) -> None:
+        """Record a peer's notice that it has received a piece or is reading it from the origin."""
         manifest = self.manifest
         if manifest is None or self.plan is None:
             return
-        if (manifest.model, manifest.version) != (note.model, note.version):
+        if (manifest.model, manifest.version) != (notice.model, notice.version):
             return
-        if isinstance(note, node_messages.PieceClaim):
-            self.plan.on_claim(note.index, self.clock())
+        if isinstance(notice, node_messages.PieceClaim):
+            self.plan.on_claim(notice.index, self.clock())
         else:
-            self.plan.on_announcement(note.sender, note.index)
+            self.plan.on_announcement(notice.sender, notice.index)
