--- a/src/merlinthread/platform/bodies.py
+++ b/src/merlinthread/platform/bodies.py
@@ -1,4 +1,4 @@
-"""The JSON bodies of the platform, validated, and their translation into the product's terms."""
+"""JSON bodies of the platform's HTTP interface, and their validation and conversion."""
 
 from typing import Annotated
 
@@ -7,23 +7,23 @@
 from merlinthread import errors, logs, metrics
 from merlinthread.coordination import fleet, incarnations
 
-MS = 1000.0
+MS_PER_S = 1000.0
 BYTES_PER_MEGABIT = 125_000.0
 Version = Annotated[int, msgspec.Meta(ge=0)]
-# The year 2100: no process was started later than that.
+# The year 2100 as Unix time; later start times are rejected.
 BORN_MS_MAX = 4_102_444_800_000
-STATES = {"ready": fleet.READY, "draining": fleet.DRAINING}
+HEARTBEAT_STATES = {"ready": fleet.READY, "draining": fleet.DRAINING}
 
 
 class SplitBody(msgspec.Struct):
-    """A service with its weight in a route."""
+    """A service and its weight in the traffic split of a route."""
 
     service: str
     weight: float
 
 
 class RouteBody(msgspec.Struct):
-    """A route."""
+    """A route of requests to services."""
 
     hostname: str
     path_prefix: str
@@ -41,20 +41,20 @@
 
 
 class ModelBody(msgspec.Struct):
-    """A model that an engine may run."""
+    """A model that the engines of a service may run."""
 
     name: str
 
 
-class UsualBody(msgspec.Struct):
-    """Mean tokens of a request."""
+class MeanTokensBody(msgspec.Struct):
+    """Mean numbers of prompt and answer tokens per request."""
 
     prompt: float = 0.0
     answer: float = 0.0
 
 
 class EngineBody(msgspec.Struct):
-    """The figures of a service's engines."""
+    """Properties of the engines of a service."""
 
     slots: int
     models: list[ModelBody] = []
@@ -64,11 +64,11 @@
     step_ms: float = 0.0
     stride: int = 1
     read_per_s: float = 0.0
-    usual: UsualBody = msgspec.field(default_factory=UsualBody)
+    usual: MeanTokensBody = msgspec.field(default_factory=MeanTokensBody)
 
 
 class ServiceBody(msgspec.Struct):
-    """A service."""
+    """A service, or an origin of weights if `origin` is set."""
 
     name: str
     health_check_path: str = ""
@@ -79,8 +79,8 @@
     link_mbps: float = 0.0
 
 
-class LimitsBody(msgspec.Struct):
-    """What clients may send."""
+class ClientLimitsBody(msgspec.Struct):
+    """Limits on the size and duration of client requests."""
 
     max_header_bytes: int = 16384
     max_body_bytes: int = 4194304
@@ -89,7 +89,7 @@
 
 
 class TenantBody(msgspec.Struct):
-    """A tenant with its keys."""
+    """A client account and its API keys."""
 
     name: str
     api_keys: list[str] = []
@@ -97,32 +97,32 @@
 
 
 class ConfigurationBody(msgspec.Struct):
-    """A whole configuration."""
+    """A complete configuration."""
 
     version: Version
     routes: list[RouteBody]
     services: list[ServiceBody]
-    limits: LimitsBody = msgspec.field(default_factory=LimitsBody)
+    limits: ClientLimitsBody = msgspec.field(default_factory=ClientLimitsBody)
     tenants: list[TenantBody] = []
 
 
 class LayersBody(msgspec.Struct):
-    """Layers that a worker holds; `target_version` is the first one not held."""
+    """Range of loaded layers, from `first` up to but excluding `target_version`."""
 
     first: int = msgspec.field(name="from", default=0)
     target_version: int = 0
     version: int = 0
 
 
-class HeldBody(msgspec.Struct):
-    """A model that a worker holds."""
+class LoadedModelBody(msgspec.Struct):
+    """A model that a back end has loaded, and the version of its weights."""
 
     name: str
     version: int = 0
 
 
 class HeartbeatBody(msgspec.Struct):
-    """What a worker tells of itself."""
+    """A heartbeat of a back end."""
 
     service: str
     address: str
@@ -137,7 +137,7 @@
 
 
 class ReportBody(msgspec.Struct):
-    """What an engine tells of its load."""
+    """A report of an engine on its load and weights."""
 
     models: list[msgspec.Raw] = []
     busy: bool = False
@@ -152,7 +152,7 @@
 
 
 class ManifestBody(msgspec.Struct):
-    """The digests of a version's pieces."""
+    """The digests of the pieces of one version of weights."""
 
     model: str
     version: int
@@ -161,43 +161,43 @@
 
 
 class VersionBody(msgspec.Struct):
-    """New weights."""
+    """Publication of a version of weights."""
 
     model: str
     version: int
 
 
-CONFIGURATION = msgspec.json.Decoder(ConfigurationBody)
-HEARTBEAT = msgspec.json.Decoder(HeartbeatBody)
-HELD = msgspec.json.Decoder(HeldBody)
-REPORT = msgspec.json.Decoder(ReportBody)
-MANIFEST = msgspec.json.Decoder(ManifestBody)
-VERSION = msgspec.json.Decoder(VersionBody)
+CONFIGURATION_DECODER = msgspec.json.Decoder(ConfigurationBody)
+HEARTBEAT_DECODER = msgspec.json.Decoder(HeartbeatBody)
+LOADED_MODEL_DECODER = msgspec.json.Decoder(LoadedModelBody)
+REPORT_DECODER = msgspec.json.Decoder(ReportBody)
+MANIFEST_DECODER = msgspec.json.Decoder(ManifestBody)
+VERSION_DECODER = msgspec.json.Decoder(VersionBody)
 
 
 def parse_configuration(body: bytes) -> fleet.Configuration:
-    """Translate a configuration; raise ConfigurationError naming the field."""
+    """Parse a configuration; raise ConfigurationError, which names the field, if it is invalid."""
     try:
-        found = CONFIGURATION.decode(body)
+        decoded = CONFIGURATION_DECODER.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise errors.ConfigurationError(f"the configuration can't be read whole: {error}")
+        raise errors.ConfigurationError(f"invalid configuration: {error}")
     limits = fleet.ClientLimits(
-        found.limits.max_header_bytes,
-        found.limits.max_body_bytes,
-        found.limits.header_timeout_ms / MS,
-        found.limits.idle_timeout_ms / MS,
+        decoded.limits.max_header_bytes,
+        decoded.limits.max_body_bytes,
+        decoded.limits.header_timeout_ms / MS_PER_S,
+        decoded.limits.idle_timeout_ms / MS_PER_S,
     )
     return fleet.Configuration(
-        found.version,
-        [route(item) for item in found.routes],
-        [service(item) for item in found.services],
-        [fleet.Account(item.name, item.api_keys, item.priority) for item in found.tenants],
+        decoded.version,
+        [translate_route(item) for item in decoded.routes],
+        [translate_service(item) for item in decoded.services],
+        [fleet.Account(item.name, item.api_keys, item.priority) for item in decoded.tenants],
         limits,
     )
 
 
-def route(body: RouteBody) -> fleet.Route:
-    """Translate a route."""
+def translate_route(body: RouteBody) -> fleet.Route:
+    """Convert a route to its internal type."""
     if body.traffic_split is not None:
         shares = [fleet.Share(item.service, item.weight) for item in body.traffic_split]
     else:
@@ -207,19 +207,19 @@
         body.hostname.lower(),
         body.path_prefix,
         body.route_type,
-        body.timeout_ms / MS,
-        body.target_latency_ms / MS,
+        body.timeout_ms / MS_PER_S,
+        body.target_latency_ms / MS_PER_S,
         body.priority,
         shares,
         body.max_attempts,
         body.public,
         body.resumable,
-        body.target_gap_ms / MS,
+        body.target_gap_ms / MS_PER_S,
     )
 
 
-def service(body: ServiceBody) -> fleet.Service:
-    """Translate a service."""
+def translate_service(body: ServiceBody) -> fleet.Service:
+    """Convert a service to its internal type."""
     engine = None
     if body.engine is not None:
         engine = fleet.Engine(
@@ -228,7 +228,7 @@
             body.engine.layers,
             body.engine.chunks,
             body.engine.chunk_bytes,
-            body.engine.step_ms / MS,
+            body.engine.step_ms / MS_PER_S,
             body.engine.stride,
             body.engine.read_per_s,
             body.engine.usual.prompt,
@@ -245,86 +245,86 @@
     )
 
 
-def held_weights(entries: list[msgspec.Raw], layers: LayersBody | None) -> list[fleet.Weights]:
-    """Translate the models that a worker holds, with the layers that it tells.
+def parse_weights(entries: list[msgspec.Raw], layers: LayersBody | None) -> list[fleet.Weights]:
+    """Parse the models that a back end has loaded, and the layers of each.
 
-    An entry that can't be read names no model; the others hold.
+    Invalid entries are logged and skipped.
     """
     models = []
     for entry in entries:
         try:
-            models.append(HELD.decode(entry))
+            models.append(LOADED_MODEL_DECODER.decode(entry))
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
-            note_unreadable("models", bytes(entry)[:80], str(error))
+            record_unreadable("models", bytes(entry)[:80], str(error))
     if layers is None:
         return [fleet.Weights(model.name, model.version) for model in models]
     count = layers.target_version - layers.first
     return [fleet.Weights(model.name, layers.version, count) for model in models]
 
 
-def born_ms(value: object) -> int:
-    """Return when a worker's life began, 0 if that is not told or is no moment of the past."""
+def parse_born_ms(value: object) -> int:
+    """Return the start time of a back end in Unix milliseconds, or 0 if missing or invalid."""
     if value is None:
         return 0
     if isinstance(value, int) and not isinstance(value, bool) and 0 < value <= BORN_MS_MAX:
         return value
-    note_unreadable("born", value, "no Unix millisecond; the worker counts as one that tells none")
+    record_unreadable("born", value, "not a Unix time in milliseconds; treated as missing")
     return 0
 
 
-def note_unreadable(field: str, value: object, reason: str) -> None:
-    """Log and count a word of a worker that can't be used."""
+def record_unreadable(field: str, value: object, reason: str) -> None:
+    """Log and count a field value of a back end that is ignored because it is invalid."""
     metrics.unreadable_words_total.labels(field).inc()
     logs.event("word_unreadable", field=field, value=repr(value), reason=reason)
 
 
 def parse_heartbeat(id_: str, body: bytes) -> fleet.Heartbeat:
-    """Translate a heartbeat; raise ProtocolError."""
-    found = decode(HEARTBEAT, body)
-    state = STATES.get(found.state)
+    """Parse the heartbeat of the back end `id_`; raise ProtocolError if it is invalid."""
+    decoded = decode(HEARTBEAT_DECODER, body)
+    state = HEARTBEAT_STATES.get(decoded.state)
     if state is None:
-        note_unreadable("state", found.state, "not a state that workers have")
+        record_unreadable("state", decoded.state, "unknown state")
         raise errors.ProtocolError(
-            f"state: {found.state!r} is neither ready nor draining", field="state"
+            f"state: {decoded.state!r} is neither 'ready' nor 'draining'", field="state"
         )
     return fleet.Heartbeat(
-        incarnations.Incarnation(id_, born_ms(found.born)).name(),
-        found.service,
-        found.address,
-        found.zone,
-        found.slots,
+        incarnations.Incarnation(id_, parse_born_ms(decoded.born)).name(),
+        decoded.service,
+        decoded.address,
+        decoded.zone,
+        decoded.slots,
         state,
-        found.sequence,
-        found.cold_remaining_ms / MS,
-        held_weights(found.models, found.layers),
+        decoded.sequence,
+        decoded.cold_remaining_ms / MS_PER_S,
+        parse_weights(decoded.models, decoded.layers),
     )
 
 
 def parse_report(body: bytes) -> fleet.EngineReport:
-    """Translate an engine's report; raise ProtocolError."""
-    found = decode(REPORT, body)
+    """Parse an engine's report; raise ProtocolError if it is invalid."""
+    decoded = decode(REPORT_DECODER, body)
     return fleet.EngineReport(
-        found.busy,
-        found.sequence,
-        found.queued,
-        found.running,
-        found.kv_used,
-        found.kv_total,
-        found.pace,
-        held_weights(found.models, found.layers),
-        born_ms=born_ms(found.born),
+        decoded.busy,
+        decoded.sequence,
+        decoded.queued,
+        decoded.running,
+        decoded.kv_used,
+        decoded.kv_total,
+        decoded.pace,
+        parse_weights(decoded.models, decoded.layers),
+        born_ms=parse_born_ms(decoded.born),
     )
 
 
 def parse_manifest(body: bytes) -> fleet.Manifest:
-    """Translate a manifest; raise ProtocolError."""
-    found = decode(MANIFEST, body)
-    return fleet.Manifest(found.model, found.version, found.layers, found.digests)
+    """Parse a manifest; raise ProtocolError if it is invalid."""
+    decoded = decode(MANIFEST_DECODER, body)
+    return fleet.Manifest(decoded.model, decoded.version, decoded.layers, decoded.digests)
 
 
 def decode(decoder: msgspec.json.Decoder, body: bytes) -> msgspec.Struct:
-    """Return a decoded body; raise ProtocolError."""
+    """Decode a JSON body; raise ProtocolError if it is invalid."""
     try:
         return decoder.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise errors.ProtocolError(f"a body can't be read: {error}")
+        raise errors.ProtocolError(f"invalid body: {error}")
--- a/src/merlinthread/platform/dialect.py
+++ b/src/merlinthread/platform/dialect.py
@@ -1,4 +1,4 @@
-"""The platform's calls and headers, as `nodes.dialect.Dialect` asks for them."""
+"""HTTP calls and headers of the platform; implements `nodes.dialect.Dialect`."""
 
 import urllib.parse
 
@@ -12,7 +12,7 @@
 from merlinthread.transport import http_messages
 
 JSON_TYPE = (b"content-type", b"application/json")
-KNOWN_IN_ANSWERS = (
+KNOWN_RESPONSE_HEADERS = (
     names.READ_RESPONSE_HEADERS
     | names.IGNORED_RESPONSE_HEADERS
     | names.HTTP_RESPONSE_HEADERS
@@ -21,26 +21,26 @@
 
 
 class PlatformDialect:
-    """The translations of the platform's wire."""
+    """Converts between the platform's HTTP messages and internal types."""
 
     def configuration(self, body: bytes) -> fleet.Configuration:
-        """Read a configuration; raise ConfigurationError."""
+        """Parse a configuration; raise ConfigurationError if it is invalid."""
         return bodies.parse_configuration(body)
 
-    # Operators and workers
+    # Operators and back ends
 
     def control_call(self, request: http_messages.Request) -> dialects.ControlCall:
-        """Read a call of an operator or worker; raise MerlinthreadError."""
+        """Parse a call of an operator or back end; raise MerlinthreadError if it is invalid."""
         path = request.target.split(b"?")[0]
         if path == names.CONFIGURATION_PATH and request.method == b"GET":
             return dialects.GetConfiguration()
         if path == names.CONFIGURATION_PATH and request.method == b"PUT":
-            found = bodies.parse_configuration(request.body)
-            route_table.validate(found)
-            return dialects.PutConfiguration(found, request.body)
+            configuration = bodies.parse_configuration(request.body)
+            route_table.validate(configuration)
+            return dialects.PutConfiguration(configuration, request.body)
         if path == names.VERSION_PATH and request.method == b"POST":
-            named = bodies.decode(bodies.VERSION, request.body)
-            return dialects.NameVersion(named.model, named.version)
+            version_body = bodies.decode(bodies.VERSION_DECODER, request.body)
+            return dialects.NameVersion(version_body.model, version_body.version)
         if path.startswith(names.INSTANCES_PATH):
             instance = path[len(names.INSTANCES_PATH) :].decode("ascii", "replace")
             if request.method == b"PUT":
@@ -48,51 +48,51 @@
             if request.method == b"DELETE":
                 return dialects.Leave(instance)
         raise errors.RequestError(
-            f"no such call: {request.method.decode()} {path.decode('ascii', 'replace')}",
+            f"unknown call: {request.method.decode()} {path.decode('ascii', 'replace')}",
             kind=errors.ErrorKind.UNKNOWN_ROUTE,
         )
 
     def is_ready_call(self, request: http_messages.Request) -> bool:
-        """Return whether a request asks if the node is ready."""
+        """Return whether a request is a readiness check."""
         return request.target.split(b"?")[0] == names.READY_PATH
 
     # Clients
 
     def client_call(self, request: http_messages.Request) -> fleet.RequestHead:
-        """Read the head of a client's request; raise RequestError."""
-        found = {key.lower(): value for key, value in request.headers}
-        host = found.get(b"host", b"").decode("latin-1").lower().split(":")[0]
-        prompt, answer = token_usage(found.get(names.TOKEN_USAGE, b""))
+        """Parse the head of a client's request."""
+        headers = {key.lower(): value for key, value in request.headers}
+        host = headers.get(b"host", b"").decode("latin-1").lower().split(":")[0]
+        prompt, answer = parse_token_usage(headers.get(names.TOKEN_USAGE, b""))
         return fleet.RequestHead(
-            found.get(names.REQUEST_ID, b"").decode("latin-1"),
+            headers.get(names.REQUEST_ID, b"").decode("latin-1"),
             request.method,
             request.target,
             host,
-            found.get(names.API_KEY, b"").decode("latin-1"),
-            deadline_s(found.get(names.DEADLINE)),
-            found.get(names.MODEL, b"").decode("latin-1"),
+            headers.get(names.API_KEY, b"").decode("latin-1"),
+            parse_deadline_s(headers.get(names.DEADLINE)),
+            headers.get(names.MODEL, b"").decode("latin-1"),
             prompt,
             answer,
-            found.get(names.PROMPT_PREFIX, b"").decode("latin-1"),
-            found.get(names.LAST_EVENT_ID, b"").decode("latin-1"),
+            headers.get(names.PROMPT_PREFIX, b"").decode("latin-1"),
+            headers.get(names.LAST_EVENT_ID, b"").decode("latin-1"),
         )
 
     def refusal_headers(self, call: fleet.RequestHead | None) -> http_messages.Headers:
-        """Return the headers of an answer of the node's own."""
+        """Return the additional headers of an error response that the node itself sends."""
         if call is None or not call.request_id:
             return []
         return [(names.REQUEST_ID, call.request_id.encode("latin-1"))]
 
-    # Workers' answers
+    # Requests to back ends and their responses
 
     def target_request(
         self, request: http_messages.Request, target: fleet.Target
     ) -> http_messages.Request:
-        """Return the request as a worker gets it."""
-        kept = http_messages.end_to_end_headers(request.headers)
+        """Return the request to forward to `target`."""
+        forwarded = http_messages.end_to_end_headers(request.headers)
         headers = [
             (key, value)
-            for key, value in kept
+            for key, value in forwarded
             if key.lower() not in names.RESERVED_REQUEST_HEADERS
             and key.lower() != b"content-length"
         ]
@@ -114,11 +114,11 @@
         return http_messages.Request(request.method, request.target, headers, request.body)
 
     def answer_facts(self, status: int, headers: http_messages.Headers) -> fleet.ResponseHead:
-        """Read the head of a worker's answer."""
+        """Parse the head of a back end's response."""
         request_id = http_messages.get_header(headers, names.REQUEST_ID)
         not_run = http_messages.get_header(headers, names.NOT_RUN) is not None
         instance = http_messages.get_header(headers, names.INSTANCE) or b""
-        rest = rest_asked_for(status, headers)
+        retry = parse_retry_after(status, headers)
         limit = rate_limit.parse(http_messages.get_header(headers, names.LIMIT))
         return fleet.ResponseHead(
             request_id.decode("latin-1") if request_id is not None else None,
@@ -128,111 +128,116 @@
             instance.decode("latin-1"),
             (http_messages.get_header(headers, names.LEAVING) or b"").strip()
             == names.LEAVING_VALUE,
-            rest.seconds,
-            rest.problem,
+            retry.seconds,
+            retry.problem,
             status == names.STATUS_MISDIRECTED,
             limit.per_s,
             limit.problem,
-            unread_names(headers),
+            unknown_header_names(headers),
         )
 
-    # Engines and the origin
+    # Engine and origin
 
     def report_request(self, address: str) -> http_messages.Request:
-        """Return the request for an engine's report."""
-        return http_messages.Request(b"GET", names.REPORT_PATH, host(address))
+        """Return the request for the report of an engine."""
+        return http_messages.Request(b"GET", names.REPORT_PATH, host_header(address))
 
     def report(self, body: bytes) -> fleet.EngineReport:
-        """Read an engine's report; raise ProtocolError."""
+        """Parse an engine's report; raise ProtocolError if it is invalid."""
         return bodies.parse_report(body)
 
     def manifest_request(self, address: str, model: str, version: int) -> http_messages.Request:
-        """Return the request for a version's manifest; version 0 is the newest."""
+        """Return the request for the manifest of a version, or of the newest one if it is 0."""
         query = {"version": version} if version else {}
         return http_messages.Request(
-            b"GET", target(names.MANIFEST_PATH, model, query), host(address)
+            b"GET", request_target(names.MANIFEST_PATH, model, query), host_header(address)
         )
 
     def manifest(self, body: bytes) -> fleet.Manifest:
-        """Read a manifest; raise ProtocolError."""
+        """Parse a manifest; raise ProtocolError if it is invalid."""
         return bodies.parse_manifest(body)
 
     def piece_request(
         self, address: str, model: str, version: int, index: int
     ) -> http_messages.Request:
-        """Return the request for a piece from the origin."""
+        """Return the request that reads a piece from the origin."""
         query = {"sample_count": index, "version": version}
-        return http_messages.Request(b"GET", target(names.PIECE_PATH, model, query), host(address))
+        return http_messages.Request(
+            b"GET", request_target(names.PIECE_PATH, model, query), host_header(address)
+        )
 
     def stage_request(
         self, address: str, model: str, index: int, data: bytes
     ) -> http_messages.Request:
-        """Return the request that lays a piece at an engine."""
-        path = target(names.STAGE_PUT_PATH, model, {"sample_count": index})
-        return http_messages.Request(b"PUT", path, with_body(address, data), data)
+        """Return the request that stages a piece at an engine."""
+        path = request_target(names.STAGE_PUT_PATH, model, {"sample_count": index})
+        return http_messages.Request(b"PUT", path, body_headers(address, data), data)
 
     def staged_request(self, address: str, model: str, index: int) -> http_messages.Request:
-        """Return the request for a piece that lies at an engine."""
-        path = target(names.STAGE_GET_PATH, model, {"sample_count": index})
-        return http_messages.Request(b"GET", path, host(address))
+        """Return the request that reads a staged piece back from an engine."""
+        path = request_target(names.STAGE_GET_PATH, model, {"sample_count": index})
+        return http_messages.Request(b"GET", path, host_header(address))
 
     def load_request(
         self, address: str, model: str, version: int, cuts_streams: bool
     ) -> http_messages.Request:
-        """Return the order that makes an engine take the staged weights."""
-        order = {
+        """Return the request that makes an engine load the staged weights.
+
+        With `cuts_streams` the engine truncates running responses; otherwise the load is queued.
+        """
+        load_order = {
             "operation": "start",
             "model": model,
             "version": version,
             "manner": "truncate" if cuts_streams else "queue",
         }
-        body = msgspec.json.encode(order)
-        headers = [*with_body(address, body), JSON_TYPE]
+        body = msgspec.json.encode(load_order)
+        headers = [*body_headers(address, body), JSON_TYPE]
         return http_messages.Request(b"POST", names.ORDER_PATH, headers, body)
 
 
-def rest_asked_for(status: int, headers: http_messages.Headers) -> retry_after.RetryAfter:
-    """Return what a worker that turns a request away says of when to ask it again."""
+def parse_retry_after(status: int, headers: http_messages.Headers) -> retry_after.RetryAfter:
+    """Parse the Retry-After header of a back end's refusal; other statuses have none."""
     if status not in names.REFUSAL_STATUSES:
         return retry_after.RetryAfter()
     value = http_messages.get_header(headers, retry_after.HEADER)
     return retry_after.parse(value, http_messages.get_header(headers, retry_after.DATE_HEADER))
 
 
-def unread_names(headers: http_messages.Headers) -> frozenset[str]:
-    """Return the names of an answer's headers that nobody here reads."""
-    unread = {name.lower() for name, _ in headers} - KNOWN_IN_ANSWERS
-    return frozenset(name.decode("latin-1") for name in unread)
+def unknown_header_names(headers: http_messages.Headers) -> frozenset[str]:
+    """Return the names of response headers that are not known."""
+    unknown = {name.lower() for name, _ in headers} - KNOWN_RESPONSE_HEADERS
+    return frozenset(name.decode("latin-1") for name in unknown)
 
 
-def host(address: str) -> http_messages.Headers:
-    """Return the header that names the server."""
+def host_header(address: str) -> http_messages.Headers:
+    """Return the Host header for an address."""
     return [(b"host", address.encode("ascii"))]
 
 
-def with_body(address: str, body: bytes) -> http_messages.Headers:
-    """Return the headers of a request with a body."""
-    return [*host(address), (b"content-length", b"%d" % len(body))]
+def body_headers(address: str, body: bytes) -> http_messages.Headers:
+    """Return the Host and Content-Length headers of a request with a body."""
+    return [*host_header(address), (b"content-length", b"%d" % len(body))]
 
 
-def target(path: str, model: str, query: dict[str, int]) -> bytes:
-    """Return a path with its query."""
-    text = path.format(model=urllib.parse.quote(model, safe=""))
+def request_target(path: str, model: str, query: dict[str, int]) -> bytes:
+    """Return a request target: `path` with the model filled in, and the query."""
+    target = path.format(model=urllib.parse.quote(model, safe=""))
     if query:
-        text += "?" + urllib.parse.urlencode(query)
-    return text.encode("ascii")
+        target += "?" + urllib.parse.urlencode(query)
+    return target.encode("ascii")
 
 
-def token_usage(value: bytes) -> tuple[int, int]:
-    """Return the prompt's and the answer's tokens in a header, or zeros."""
+def parse_token_usage(value: bytes) -> tuple[int, int]:
+    """Parse the numbers of prompt and answer tokens; a missing or invalid one is 0."""
     prompt, _, answer = value.partition(b",")
     if not prompt.isdigit():
         return 0, 0
     return int(prompt), int(answer) if answer.isdigit() else 0
 
 
-def deadline_s(value: bytes | None) -> float | None:
-    """Return the seconds in a deadline header, or None."""
+def parse_deadline_s(value: bytes | None) -> float | None:
+    """Parse a deadline in milliseconds; return seconds, or None if missing or invalid."""
     if value is None or not value.strip().isdigit():
         return None
     return int(value) / 1000
--- a/src/merlinthread/platform/settings_file.py
+++ b/src/merlinthread/platform/settings_file.py
@@ -1,4 +1,4 @@
-"""The platform's settings file, translated into `nodes.node_settings`."""
+"""The platform's settings file, and its conversion to `nodes.node_settings`."""
 
 import pathlib
 
@@ -8,12 +8,12 @@
 from merlinthread.nodes import node_policy, node_settings
 from merlinthread.platform import bodies
 
-MS = bodies.MS
-MEGABYTE = 1024 * 1024
+MS_PER_S = bodies.MS_PER_S
+BYTES_PER_MEGABYTE = 1024 * 1024
 
 
 class BoundsBody(msgspec.Struct):
-    """The deployment's bounds."""
+    """Time limits and retry budget of the deployment."""
 
     contact_ms: float = 3000.0
     ack_ms: float = 4000.0
@@ -28,21 +28,21 @@
     pass_ms: float = 120.0
 
 
-class LimitsBody(msgspec.Struct):
-    """The machine's limits."""
+class MachineLimitsBody(msgspec.Struct):
+    """Memory and link bandwidth of the VM."""
 
     memory_mb: float = 256.0
     link_mbps: float = 1000.0
 
 
 class ToleranceBody(msgspec.Struct):
-    """What may be lost at once."""
+    """Number of VMs that may fail at the same time."""
 
     machines: int = 1
 
 
 class SettingsBody(msgspec.Struct):
-    """The settings file; unknown fields are ignored."""
+    """Content of the settings file; unknown fields are ignored."""
 
     node_name: str
     ip: str
@@ -53,7 +53,7 @@
     zones: dict[str, str] = {}
     listen: dict[str, str] = {}
     bootstrap: bool = False
-    limits: LimitsBody = msgspec.field(default_factory=LimitsBody)
+    limits: MachineLimitsBody = msgspec.field(default_factory=MachineLimitsBody)
     data_dir: str | None = None
     heartbeat_ms: float = 1200.0
     fault_tolerance: ToleranceBody = msgspec.field(default_factory=ToleranceBody)
@@ -65,26 +65,28 @@
 def load(
     path: pathlib.Path, policy: node_policy.NodePolicy | None = None
 ) -> node_settings.NodeSettings:
-    """Read the settings file; raise SettingsError naming what is wrong.
+    """Read the settings file; raise SettingsError if it is unreadable or invalid.
 
-    `policy` is how the node decides, None for the ways that hold by default.
+    `policy` selects the algorithms of the node; None selects the defaults.
     """
     try:
         body = msgspec.json.decode(path.read_bytes(), type=SettingsBody)
     except OSError as error:
-        raise errors.SettingsError(f"{path}: {error.strerror}; name a file that can be read")
+        raise errors.SettingsError(f"{path}: {error.strerror}; set the path of a readable file")
     except msgspec.DecodeError as error:
-        raise errors.SettingsError(f"{path}: {error}; correct the field")
+        raise errors.SettingsError(f"{path}: {error}; correct the file")
     settings = translate(body)
     settings.policy = policy or node_policy.NodePolicy()
     return settings
 
 
 def translate(body: SettingsBody) -> node_settings.NodeSettings:
-    """Return the settings in the product's terms."""
+    """Convert the settings file to node settings; raise SettingsError if it is invalid."""
     first = body.port_range[0]
     if body.port_range[1] < first + 2:
-        raise errors.SettingsError("port_range: needs three ports; widen it", field="port_range")
+        raise errors.SettingsError(
+            "port_range: fewer than three ports; widen the range", field="port_range"
+        )
     bounds = body.bounds
     return node_settings.NodeSettings(
         body.node_name,
@@ -104,20 +106,20 @@
         body.data_dir or "",
         body.bootstrap,
         body.fault_tolerance.machines,
-        body.heartbeat_ms / MS,
-        int(body.limits.memory_mb * MEGABYTE),
+        body.heartbeat_ms / MS_PER_S,
+        int(body.limits.memory_mb * BYTES_PER_MEGABYTE),
         body.limits.link_mbps * bodies.BYTES_PER_MEGABIT,
         node_settings.Bounds(
-            bounds.contact_ms / MS,
-            bounds.ack_ms / MS,
+            bounds.contact_ms / MS_PER_S,
+            bounds.ack_ms / MS_PER_S,
             bounds.catch_up_s,
-            bounds.drain_ms / MS,
+            bounds.drain_ms / MS_PER_S,
             bounds.grace_s,
-            bounds.config_apply_ms / MS,
-            bounds.version_ms / MS,
+            bounds.config_apply_ms / MS_PER_S,
+            bounds.version_ms / MS_PER_S,
             bounds.retry_budget_ratio,
             bounds.budget_window_s,
             bounds.budget_slack,
-            bounds.pass_ms / MS,
+            bounds.pass_ms / MS_PER_S,
         ),
     )
