--- a/src/merlinthread/platform/__init__.py
+++ b/src/merlinthread/platform/__init__.py
@@ -1,4 +1,5 @@
-"""The users' platform: all that translates between its names and the product's, and nothing else.
+"""Adapter to the users' platform: translates its HTTP interface and settings to internal types.
 
-Nothing outside this package knows the names in it; it decides nothing and holds no state.
+Names of the platform's interface occur only in this package, which is stateless and contains no
+decision logic.
 """
--- a/src/merlinthread/platform/main.py
+++ b/src/merlinthread/platform/main.py
@@ -1,4 +1,4 @@
-"""The composition root on the users' platform: `node.py ROLE [METRICS_PORT [POLICY_FILE]]`."""
+"""Entry point of a node on the platform: `node.py ROLE [METRICS_PORT [POLICY_FILE]]`."""
 
 import functools
 import gc
@@ -13,7 +13,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Run the node that the arguments and the settings name; return the exit code."""
+    """Run a node of the given role; return the exit code of the process."""
     role, port, policy_path = [*arguments, "", "", ""][:3]
     port = port or "0"
     if role not in node_roles.MODULES or not port.isdigit():
--- a/src/merlinthread/platform/names.py
+++ b/src/merlinthread/platform/names.py
@@ -1,4 +1,7 @@
-"""The platform's header names and paths; lower case, as they are compared."""
+"""Header names, paths and statuses of the platform's HTTP interface.
+
+Header names are in lower case, so that received names can be compared after lowering.
+"""
 
 REQUEST_ID = b"x-merlinthread-request-id"
 DEADLINE = b"x-merlinthread-deadline-ms"
@@ -19,15 +22,14 @@
 LIMIT = b"server-limit"
 CONTENT_ENCODING = b"content-encoding"
 
-# What is read in a worker's answer, and what is known there and not used: where the version of the
-# weights changes, whom of a path to blame, how long a start lasts.
+# Response headers of back ends that are read, and those that are known but ignored.
 READ_RESPONSE_HEADERS = frozenset(
     {REQUEST_ID, INSTANCE, STAMP, NOT_RUN, LEAVING, LIMIT, CONTENT_ENCODING}
 )
 IGNORED_RESPONSE_HEADERS = frozenset(
     {b"x-merlinthread-weight-versions", b"at-server", b"x-merlinthread-cold-ms"}
 )
-# What HTTP itself says of an answer, for its reader and for caches.
+# Standard HTTP response headers, which are known as well.
 HTTP_RESPONSE_HEADERS = frozenset(
     {
         b"accept-ranges",
@@ -65,12 +67,12 @@
 STAGE_PUT_PATH = "/stage-put/{model}"
 STAGE_GET_PATH = "/stage-get/{model}"
 
-# Headers that the system sets itself, whatever a client sent, or that concern the client alone.
+# Request headers of clients that are removed or replaced before a request is forwarded.
 RESERVED_REQUEST_HEADERS = frozenset(
     {API_KEY, TENANT, EXPECT_INSTANCE, EXPECT_VERSION, REQUEST_PRIORITY, DEADLINE}
 )
 SETTINGS_VARIABLE = "MERLINTHREAD_CONFIG"
 STATUS_MISDIRECTED = 421
-# With these a worker turns a request away, and may say for how long.
+# Statuses with which a back end refuses a request; the response may have a Retry-After header.
 REFUSAL_STATUSES = frozenset({429, 503})
 LEAVING_VALUE = b"1"
