--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The platform's folder: only it knows the platform's names; bodies and settings are checked."""
+"""The platform package: encapsulation of its names, and validation of bodies and settings."""
 
 import json
 import pathlib
@@ -20,7 +20,7 @@
     + [b"path_prefix", b"api_keys", b"traffic_split", b"target_latency_ms", b"sample_count"]
     + [b"cold_remaining_ms", b"heartbeat_url", b"MERLINTHREAD_CONFIG", b"port_range"]
 )
-# Words of HTTP and of the field that the product uses on its own.
+# Names that other packages use with the same spelling, independently of the platform.
 COMMON = {b"last-event-id", b"content-encoding", b"/instances/"}
 
 
@@ -29,10 +29,10 @@
         if "platform" in path.parts[len(SOURCES.parts) :]:
             continue
         text = path.read_bytes()
-        # Headers are the same in any case; other names are not.
+        # Header names are case-insensitive; other names are not.
         for word in PLATFORM_WORDS:
             found = word in (text.lower() if word.startswith(b"x-") else text)
-            assert word in COMMON or not found, f"{path} names {word!r}"
+            assert word in COMMON or not found, f"{path} contains {word!r}"
 
 
 def test_the_folder_is_imported_by_nothing_of_the_product():
@@ -60,20 +60,24 @@
 
 
 def test_settings_are_translated_and_unknown_fields_ignored():
-    found = settings_file.translate(
+    settings = settings_file.translate(
         msgspec.json.decode(json.dumps(SETTINGS), type=settings_file.SettingsBody)
     )
-    assert found.control_nodes() == ["10.1.0.2:7700", "10.2.0.2:7700"]
-    assert (found.bounds.drain_s, found.bounds.version_s, found.bounds.grace_s) == (1.5, 9.0, 6.0)
-    assert found.link_bytes_per_s == 1e6
+    assert settings.control_nodes() == ["10.1.0.2:7700", "10.2.0.2:7700"]
+    assert (settings.bounds.drain_s, settings.bounds.version_s, settings.bounds.grace_s) == (
+        1.5,
+        9.0,
+        6.0,
+    )
+    assert settings.link_bytes_per_s == 1e6
 
 
 def test_every_bound_may_be_a_fraction():
     names = [field.name for field in msgspec.structs.fields(settings_file.BoundsBody)]
-    fractions = {name: 2.5 for name in names}
-    body = msgspec.json.encode(SETTINGS | {"bounds": fractions})
-    found = settings_file.translate(msgspec.json.decode(body, type=settings_file.SettingsBody))
-    assert (found.bounds.retry_slack, found.bounds.catch_up_s) == (2.5, 2.5)
+    bounds = {name: 2.5 for name in names}
+    body = msgspec.json.encode(SETTINGS | {"bounds": bounds})
+    settings = settings_file.translate(msgspec.json.decode(body, type=settings_file.SettingsBody))
+    assert (settings.bounds.retry_slack, settings.bounds.catch_up_s) == (2.5, 2.5)
 
 
 @pytest.mark.parametrize("change", [{"ip": None}, {"seeds": "x"}, {"port_range": [1]}])
@@ -87,11 +91,11 @@
 
 def test_a_configuration_keeps_what_decides():
     body = fleet_nodes.configuration(7, ["safe"], "model", "10.0.0.1:90")
-    found = bodies.parse_configuration(json.dumps(body).encode())
-    route = found.routes[-1]
-    assert (found.version, route.is_resumable, route.gap_s) == (7, True, 0.2)
-    assert found.services[1].engine.chunks == 24
-    assert found.accounts[0].keys == ["key-1"]
+    configuration = bodies.parse_configuration(json.dumps(body).encode())
+    route = configuration.routes[-1]
+    assert (configuration.version, route.is_resumable, route.gap_s) == (7, True, 0.2)
+    assert configuration.services[1].engine.chunks == 24
+    assert configuration.accounts[0].keys == ["key-1"]
 
 
 @hypothesis.given(st.binary(max_size=300))
