--- a/tests/test_weights_failures.py
+++ b/tests/test_weights_failures.py
@@ -1,4 +1,4 @@
-"""Weights under failure, with real agents, engines, origin and links."""
+"""Distribution of weights under failures, with real agents, engines, origin and links."""
 
 import threading
 
@@ -20,12 +20,12 @@
 )
 
 
-def disturb(fleet: fleets.Fleet, url: str, **wanted: object) -> None:
-    fleet.http.request_ok("POST", f"{url}/disturb", msgspec.json.encode(wanted))
+def inject_fault(fleet: fleets.Fleet, url: str, **faults: object) -> None:
+    fleet.http.request_ok("POST", f"{url}/disturb", msgspec.json.encode(faults))
 
 
-def served_contents(fleet: fleets.Fleet) -> set[tuple[str, str]]:
-    """Return every (digest, hash of the bytes really read) that any engine answered from."""
+def served_versions(fleet: fleets.Fleet) -> set[tuple[str, str]]:
+    """Return the pairs of digest and content hash that any engine has served requests from."""
     found = set()
     for name, url in fleet.target_urls.items():
         if name.startswith("engine"):
@@ -34,17 +34,19 @@
     return found
 
 
-def content_of(fleet: fleets.Fleet, name: str) -> str:
+def object_hash(fleet: fleets.Fleet, name: str) -> str:
     import blake3
 
     return blake3.blake3((fleet.folder / "origin" / "objects" / name).read_bytes()).hexdigest()
 
 
-def copies(fleet: fleets.Fleet, name: str) -> float:
+def origin_read_ratio(fleet: fleets.Fleet, name: str) -> float:
     return fleet.get(fleet.origin_url, "/stats")["by_object"].get(name, 0) / OBJECT_BYTES
 
 
-def all_serve(fleet: fleets.Fleet, digest: str, count: int, timeout_s: float = 30.0) -> None:
+def wait_until_serving(
+    fleet: fleets.Fleet, digest: str, count: int, timeout_s: float = 30.0
+) -> None:
     processes.wait_for(
         f"{count} engines with {digest[:8]}",
         lambda: fleet.serving("hint").get(digest, 0) >= count,
@@ -52,19 +54,19 @@
     )
 
 
-class Asking:
-    """Callers that ask every entry all the time and keep what was wrong."""
+class RequestLoad:
+    """Sends requests to every entry continuously and records failed ones."""
 
     def __init__(self, fleet: fleets.Fleet) -> None:
         self.fleet = fleet
         self.stopping = threading.Event()
-        self.answered = 0
-        self.wrong: list[str] = []
+        self.succeeded = 0
+        self.failures: list[str] = []
         self.threads = [
             threading.Thread(target=self.run, args=(vm.http,)) for vm in fleet.entries()
         ]
 
-    def __enter__(self) -> "Asking":
+    def __enter__(self) -> "RequestLoad":
         for thread in self.threads:
             thread.start()
         return self
@@ -78,63 +80,68 @@
         while not self.stopping.is_set():
             answer = calls.ask(address)
             if answer.status != 200 or not answer.is_whole():
-                self.wrong.append(f"{answer.status} {answer.body[:300]!r}")
+                self.failures.append(f"{answer.status} {answer.body[:300]!r}")
             else:
-                self.answered += 1
+                self.succeeded += 1
 
 
 def test_versions_never_mix_while_a_roll_and_a_rollback_pass_under_load(make_fleet):
     fleet = make_fleet(SHAPE)
-    one = fleet.publish("hint-1", OBJECT_BYTES, CHUNK_BYTES)
-    two = fleet.publish("hint-2", OBJECT_BYTES, CHUNK_BYTES)
-    ana = operators.Operator(fleet)
-    ana.bring_in(fleets.simple_bundle(1, {"hint": (one, 100)}))
-    all_serve(fleet, one, 6)
+    first_digest = fleet.publish("hint-1", OBJECT_BYTES, CHUNK_BYTES)
+    second_digest = fleet.publish("hint-2", OBJECT_BYTES, CHUNK_BYTES)
+    operator = operators.Operator(fleet)
+    operator.bring_in(fleets.simple_bundle(1, {"hint": (first_digest, 100)}))
+    wait_until_serving(fleet, first_digest, 6)
     processes.wait_for(
         "entries", lambda: all(fleet.get(v.http, "/readyz") for v in fleet.entries())
     )
-    with Asking(fleet) as asking:
-        ana.bring_in(fleets.simple_bundle(2, {"hint": (two, 100)}))
-        all_serve(fleet, two, 6)
-        ana.roll(1, is_back=True)
-        all_serve(fleet, one, 6)
-    assert asking.wrong == []
-    assert asking.answered > 20
-    allowed = {(one, content_of(fleet, "hint-1")), (two, content_of(fleet, "hint-2"))}
-    assert served_contents(fleet) <= allowed
-    assert copies(fleet, "hint-1") == pytest.approx(1.0, abs=0.05), "the rollback moves no byte"
-    assert copies(fleet, "hint-2") == pytest.approx(1.0, abs=0.05)
+    with RequestLoad(fleet) as load:
+        operator.bring_in(fleets.simple_bundle(2, {"hint": (second_digest, 100)}))
+        wait_until_serving(fleet, second_digest, 6)
+        operator.roll(1, is_back=True)
+        wait_until_serving(fleet, first_digest, 6)
+    assert load.failures == []
+    assert load.succeeded > 20
+    allowed = {
+        (first_digest, object_hash(fleet, "hint-1")),
+        (second_digest, object_hash(fleet, "hint-2")),
+    }
+    assert served_versions(fleet) <= allowed
+    assert origin_read_ratio(fleet, "hint-1") == pytest.approx(
+        1.0, abs=0.05
+    ), "rollback must not fetch"
+    assert origin_read_ratio(fleet, "hint-2") == pytest.approx(1.0, abs=0.05)
 
 
 def test_corruption_on_the_origin_s_and_the_peers_links_is_found_and_read_again(make_fleet):
     fleet = make_fleet(SHAPE)
     digest = fleet.publish("hint-1", OBJECT_BYTES, CHUNK_BYTES)
-    disturb(fleet, fleet.origin_url, corrupt_next=5)
+    inject_fault(fleet, fleet.origin_url, corrupt_next=5)
     operators.Operator(fleet).bring_in(fleets.simple_bundle(1, {"hint": (digest, 100)}))
-    all_serve(fleet, digest, 6)
-    assert 1.0 < copies(fleet, "hint-1") <= 1.0 + 6 * CHUNK_BYTES / OBJECT_BYTES
+    wait_until_serving(fleet, digest, 6)
+    assert 1.0 < origin_read_ratio(fleet, "hint-1") <= 1.0 + 6 * CHUNK_BYTES / OBJECT_BYTES
     calls.ask(fleet.entries()[0].http)
-    assert served_contents(fleet) <= {(digest, content_of(fleet, "hint-1"))}
+    assert served_versions(fleet) <= {(digest, object_hash(fleet, "hint-1"))}
 
 
 def test_an_object_that_changes_mid_transfer_pauses_the_roll_and_the_old_version_serves(make_fleet):
     fleet = make_fleet(SHAPE)
-    one = fleet.publish("hint-1", OBJECT_BYTES, CHUNK_BYTES)
-    two = fleet.publish("hint-2", OBJECT_BYTES, CHUNK_BYTES)
-    ana = operators.Operator(fleet)
-    ana.bring_in(fleets.simple_bundle(1, {"hint": (one, 100)}))
-    all_serve(fleet, one, 6)
-    disturb(fleet, fleet.origin_url, bytes_per_s=OBJECT_BYTES / 2)
-    ana.bring_in(fleets.simple_bundle(2, {"hint": (two, 100)}))
-    processes.wait_for("a first part", lambda: copies(fleet, "hint-2") > 0.2)
+    first_digest = fleet.publish("hint-1", OBJECT_BYTES, CHUNK_BYTES)
+    second_digest = fleet.publish("hint-2", OBJECT_BYTES, CHUNK_BYTES)
+    operator = operators.Operator(fleet)
+    operator.bring_in(fleets.simple_bundle(1, {"hint": (first_digest, 100)}))
+    wait_until_serving(fleet, first_digest, 6)
+    inject_fault(fleet, fleet.origin_url, bytes_per_s=OBJECT_BYTES / 2)
+    operator.bring_in(fleets.simple_bundle(2, {"hint": (second_digest, 100)}))
+    processes.wait_for("a first part", lambda: origin_read_ratio(fleet, "hint-2") > 0.2)
     path = fleet.folder / "origin" / "objects" / "hint-2"
     path.write_bytes(bytes(OBJECT_BYTES))
-    disturb(fleet, fleet.origin_url, bytes_per_s=1e9)
+    inject_fault(fleet, fleet.origin_url, bytes_per_s=1e9)
     paused = processes.wait_for("a pause", lambda: fleet.status().get("paused"), 20)
     assert "origin_changed" in paused
-    assert fleet.serving("hint") == {one: 6}
+    assert fleet.serving("hint") == {first_digest: 6}
     answer = calls.ask(fleet.entries()[0].http)
-    assert answer.is_whole() and answer.digest == one
+    assert answer.is_whole() and answer.digest == first_digest
     done = fleet.command("bundle", "rollback", "1", "-o", "ana", "--wait")
     assert done.returncode == 0, done.stderr
     assert not fleet.status()["paused"]
@@ -142,37 +149,37 @@
 
 def test_an_engine_that_refuses_a_load_pauses_the_roll_with_its_reason(make_fleet):
     fleet = make_fleet(SHAPE)
-    one = fleet.publish("hint-1", OBJECT_BYTES, CHUNK_BYTES)
-    two = fleet.publish("hint-2", OBJECT_BYTES, CHUNK_BYTES)
-    ana = operators.Operator(fleet)
-    ana.bring_in(fleets.simple_bundle(1, {"hint": (one, 100)}))
-    all_serve(fleet, one, 6)
-    bad = next(iter(fleet.target_urls))
-    disturb(fleet, fleet.target_urls[bad], refuse_loads="no memory left")
-    done = fleet.roll(fleets.simple_bundle(2, {"hint": (two, 100)}), wait=False)
+    first_digest = fleet.publish("hint-1", OBJECT_BYTES, CHUNK_BYTES)
+    second_digest = fleet.publish("hint-2", OBJECT_BYTES, CHUNK_BYTES)
+    operator = operators.Operator(fleet)
+    operator.bring_in(fleets.simple_bundle(1, {"hint": (first_digest, 100)}))
+    wait_until_serving(fleet, first_digest, 6)
+    rejecting = next(iter(fleet.target_urls))
+    inject_fault(fleet, fleet.target_urls[rejecting], refuse_loads="no memory left")
+    done = fleet.roll(fleets.simple_bundle(2, {"hint": (second_digest, 100)}), wait=False)
     assert done["generation"] == 2
     paused = processes.wait_for("a pause", lambda: fleet.status().get("paused"), 20)
-    assert bad in paused and "no memory left" in paused
-    assert fleet.serving("hint").get(one, 0) >= 1
+    assert rejecting in paused and "no memory left" in paused
+    assert fleet.serving("hint").get(first_digest, 0) >= 1
 
 
 def test_killed_frozen_and_joining_vms_do_not_stop_a_roll(make_fleet):
     fleet = make_fleet(SHAPE)
     digest = fleet.publish("hint-1", OBJECT_BYTES, CHUNK_BYTES)
-    disturb(fleet, fleet.origin_url, bytes_per_s=OBJECT_BYTES / 3)
+    inject_fault(fleet, fleet.origin_url, bytes_per_s=OBJECT_BYTES / 3)
     names = [name for name in fleet.target_urls if name.startswith("engine")]
     operators.Operator(fleet).bring_in(fleets.simple_bundle(1, {"hint": (digest, 100)}))
-    processes.wait_for("a first part", lambda: copies(fleet, "hint-1") > 0.1)
+    processes.wait_for("a first part", lambda: origin_read_ratio(fleet, "hint-1") > 0.1)
     fleet.processes[names[0]].kill()
     fleet.processes[names[3]].freeze()
     joined = fleet.add_engine("zone-a", 3)
-    disturb(fleet, fleet.origin_url, bytes_per_s=1e9)
-    all_serve(fleet, digest, 5, 60)
+    inject_fault(fleet, fleet.origin_url, bytes_per_s=1e9)
+    wait_until_serving(fleet, digest, 5, 60)
     assert joined.name in {agent["name"] for agent in fleet.status()["agents"]}
-    assert copies(fleet, "hint-1") <= 1.5
+    assert origin_read_ratio(fleet, "hint-1") <= 1.5
     fleet.processes[names[3]].thaw()
     fleet.restart(names[0])
-    all_serve(fleet, digest, 7, 60)
+    wait_until_serving(fleet, digest, 7, 60)
 
 
 def test_a_restarted_agent_with_a_folder_reads_nothing_again(make_fleet):
@@ -180,14 +187,14 @@
     fleet = make_fleet(shape)
     digest = fleet.publish("hint-1", OBJECT_BYTES, CHUNK_BYTES)
     operators.Operator(fleet).bring_in(fleets.simple_bundle(1, {"hint": (digest, 100)}))
-    all_serve(fleet, digest, 2)
+    wait_until_serving(fleet, digest, 2)
     for name in list(fleet.target_urls):
         fleet.processes[name].kill()
         fleet.processes[f"{name}-target"].kill()
         fleet.restart(f"{name}-target")
         fleet.restart(name)
-    all_serve(fleet, digest, 2, 30)
-    assert copies(fleet, "hint-1") == pytest.approx(1.0, abs=0.05)
+    wait_until_serving(fleet, digest, 2, 30)
+    assert origin_read_ratio(fleet, "hint-1") == pytest.approx(1.0, abs=0.05)
 
 
 def test_a_restarted_agent_does_not_order_below_what_its_engine_obeyed(make_fleet):
@@ -195,7 +202,7 @@
     fleet = make_fleet(shape)
     digest = fleet.publish("hint-1", OBJECT_BYTES, CHUNK_BYTES)
     operators.Operator(fleet).bring_in(fleets.simple_bundle(1, {"hint": (digest, 100)}))
-    all_serve(fleet, digest, 1)
+    wait_until_serving(fleet, digest, 1)
     name, url = next(iter(fleet.target_urls.items()))
     order = {"action": "unload", "name": "other", "generation": 9, "epoch": 2**60}
     fleet.http.request_ok("POST", f"{url}/v1/orders", msgspec.json.encode(order))
