--- a/tests/test_news_in_full.py
+++ b/tests/test_news_in_full.py
@@ -1,12 +1,6 @@
-"""What an entry does when a control VM that tells all does not know some back ends.
-
-What was seen: two of six back ends, alive all the time, got nothing for 30 s; their service was
-refused whole. How it came about: right after the start of all an entry asked a control VM that had
-not heard them yet, which told all that it knew, and turned back to one that had told them before.
-Cause: that one had nothing new to tell of them, so they were dropped as missing after four
-heartbeats; the memory of what had been told, emptied then, was filled again in the same moment.
-What proved it: the entry's log says `news_in_full` with three absent, then `missing` for just
-these, and never `instance` again, while both control VMs logged their heartbeats.
+"""A full update from a control VM that lacks some back ends must not remove them for good.
+
+Guards against losing live back ends after switching between control VMs that send only changes.
 """
 
 import asyncio
@@ -17,7 +11,7 @@
 from merlinthread.protocol import node_messages
 from tests import fleet_nodes
 
-KNOWS, NEW = "knows:1", "new:1"
+INFORMED, NEWLY_STARTED = "knows:1", "new:1"
 
 
 def heartbeat(name: str) -> instances.Instance:
@@ -32,18 +26,20 @@
     return instances.Instance(dialect.bodies.parse_heartbeat(name, json.dumps(body).encode()))
 
 
-def news(feed: str, position: int, is_full: bool, names: list[str]) -> node_messages.WatchReply:
-    told = [heartbeat(name) for name in names]
-    return node_messages.WatchReply(feed, position, is_full, told, [], [], 0, b"", [], 0.0)
+def make_reply(
+    feed: str, position: int, is_full: bool, names: list[str]
+) -> node_messages.WatchReply:
+    entries = [heartbeat(name) for name in names]
+    return node_messages.WatchReply(feed, position, is_full, entries, [], [], 0, b"", [], 0.0)
 
 
 def test_a_back_end_that_one_control_vm_does_not_know_is_asked_for_at_the_others():
     watcher = fleet_nodes.make_watcher(fleet_nodes.make_settings("entry"))
-    watcher.take(news("feed-a", 5, True, ["a", "b"]), KNOWS)
-    assert watcher.told[KNOWS].position == 5
-    watcher.take(news("feed-b", 1, True, []), NEW)
-    assert KNOWS not in watcher.told, "it would tell only what is new"
-    watcher.take(news("feed-a", 5, True, ["a", "b"]), KNOWS)
+    watcher.take(make_reply("feed-a", 5, True, ["a", "b"]), INFORMED)
+    assert watcher.told[INFORMED].position == 5
+    watcher.take(make_reply("feed-b", 1, True, []), NEWLY_STARTED)
+    assert INFORMED not in watcher.told, "it would send only changes"
+    watcher.take(make_reply("feed-a", 5, True, ["a", "b"]), INFORMED)
     assert not watcher.missing and set(watcher.instances) == {"a", "b"}
 
 
@@ -51,12 +47,12 @@
     watcher = fleet_nodes.make_watcher(fleet_nodes.make_settings("entry"))
     times = [100.0]
     watcher.clock = lambda: times[0]
-    watcher.take(news("feed-a", 5, True, ["a"]), KNOWS)
-    watcher.take(news("feed-b", 1, True, []), NEW)
+    watcher.take(make_reply("feed-a", 5, True, ["a"]), INFORMED)
+    watcher.take(make_reply("feed-b", 1, True, []), NEWLY_STARTED)
     times[0] += 100.0
-    watcher.take(news("feed-b", 2, False, []), NEW)
+    watcher.take(make_reply("feed-b", 2, False, []), NEWLY_STARTED)
     assert not watcher.instances
-    assert not watcher.told, "who holds a position is told only what is new"
+    assert not watcher.told, "with a position, a control VM would send only changes"
 
 
 def test_a_search_that_ends_with_a_back_end_dropped_asks_for_all_anew(monkeypatch):
@@ -64,16 +60,16 @@
         watcher = fleet_nodes.make_watcher(fleet_nodes.make_settings("entry"))
         times = [100.0]
         watcher.clock = lambda: times[0]
-        watcher.take(news("feed-a", 5, True, ["a"]), KNOWS)
-        watcher.take(news("feed-b", 1, True, []), NEW)
+        watcher.take(make_reply("feed-a", 5, True, ["a"]), INFORMED)
+        watcher.take(make_reply("feed-b", 1, True, []), NEWLY_STARTED)
         times[0] += 100.0
 
         async def find_control():
-            watcher.take(news("feed-b", 2, False, []), NEW)
-            return NEW
+            watcher.take(make_reply("feed-b", 2, False, []), NEWLY_STARTED)
+            return NEWLY_STARTED
 
         monkeypatch.setattr(watcher, "find_control", find_control)
         await watcher.search()
-        assert watcher.current == NEW and watcher.told[NEW].position == 0
+        assert watcher.current == NEWLY_STARTED and watcher.told[NEWLY_STARTED].position == 0
 
     asyncio.run(scenario())
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -1,4 +1,4 @@
-"""VMs that are suspended: their clock jumps ahead while their timers stood still."""
+"""Suspended VMs: the clock advances during the suspension, timers don't."""
 
 import asyncio
 import pathlib
@@ -54,8 +54,10 @@
     asyncio.run(scenario())
 
 
-async def make(clock: fleet_nodes.JumpingClock) -> tuple[fleet_nodes.Entry, fleet_worker.Worker]:
-    """Return an entry with one worker of the service "safe"."""
+async def start_entry(
+    clock: fleet_nodes.JumpingClock,
+) -> tuple[fleet_nodes.Entry, fleet_worker.Worker]:
+    """Start an entry with one back end of the service "safe"."""
     entry = fleet_nodes.Entry(clock=clock)
     await entry.start()
     worker = fleet_worker.Worker("i-0")
@@ -67,7 +69,7 @@
 def test_an_entry_that_wakes_up_does_not_take_its_configuration_as_the_newest():
     async def scenario():
         clock = fleet_nodes.JumpingClock()
-        entry, _ = await make(clock)
+        entry, _ = await start_entry(clock)
         assert (await entry.ask("/added-later/", "id-1")).status == 404
         clock.suspended_s = 5.0
         assert (await entry.ask("/added-later/", "id-2")).status == 503
@@ -78,7 +80,7 @@
 def test_a_request_whose_time_ran_out_during_the_suspension_is_not_sent():
     async def scenario():
         clock = fleet_nodes.JumpingClock()
-        entry, worker = await make(clock)
+        entry, worker = await start_entry(clock)
         pool = entry.node.pool
         choose = pool.choose
 
@@ -96,10 +98,10 @@
 def test_weights_fall_due_budgets_refill_and_reports_grow_old_over_a_suspension():
     async def scenario():
         clock = fleet_nodes.JumpingClock()
-        entry, _ = await make(clock)
+        entry, _ = await start_entry(clock)
         watcher, pool = entry.node.watcher, entry.node.pool
-        named = [node_messages.NamedVersion("m", 2, 0.0)]
-        watcher.take(node_messages.WatchReply("f", 9, False, [], [], named, 0, b"", [], 0.0))
+        published = [node_messages.NamedVersion("m", 2, 0.0)]
+        watcher.take(node_messages.WatchReply("f", 9, False, [], [], published, 0, b"", [], 0.0))
         assert pool.required_version("m", clock()) == 0
         (backend,) = pool.backends.values()
         backend.answered_at = clock()
