--- a/src/merlinthread/nodes/piece_fetcher.py
+++ b/src/merlinthread/nodes/piece_fetcher.py
@@ -32,7 +32,7 @@
 PEER_TIMEOUT_S = 1.0
 POLL_INTERVAL_S = 0.02
 PROGRESS_LOG_INTERVAL_S = 1.0
-# Whether a download will be late is estimated from its recent rate, after a warm-up.
+# The recent rate is used to estimate whether a download will be late, after a warm-up.
 RATE_WARMUP_S = 2.0
 RATE_WINDOW_S = 1.0
 
