--- a/bench/transfer.py
+++ b/bench/transfer.py
@@ -17,12 +17,12 @@
 from collections.abc import Callable
 
 from merlinthread.coordination import fetch, fetch_claimed, fetch_policies, pacing
-from merlinthread.nodes import piece_fetcher, piece_giver
+from merlinthread.nodes import piece_fetcher, piece_server
 from merlinthread.transport import node_bus
 
 # The modules whose decorators fill `fetch.POLICIES`.
 POLICY_MODULES = (fetch_claimed, fetch_policies)
-STEP_S = piece_fetcher.IDLE_WAIT_S
+STEP_S = piece_fetcher.POLL_INTERVAL_S
 # One way: within a zone, between regions (large site).
 DELAY_S = (0.0005, 0.0005, 0.001)
 # What a TCP connection sends at a time before another one has its turn.
@@ -96,10 +96,10 @@
         self.link_in = Link(rate)
         self.link_out = Link(rate)
         self.incoming = pacing.Pacer(
-            piece_fetcher.IN_SHARE * shape.link_rate, piece_fetcher.AHEAD_S
+            piece_fetcher.DOWNLOAD_SHARE * shape.link_rate, piece_fetcher.PACER_BURST_S
         )
         self.outgoing = pacing.FeedbackPacer(
-            piece_giver.OUT_SHARE * shape.link_rate, 0.0, piece_giver.SENT_TARGET_S
+            piece_server.UPLOAD_SHARE * shape.link_rate, 0.0, piece_server.UPLOAD_TARGET_S
         )
         self.took_s: dict[str, float] = {}
         self.plan = fetch.POLICIES.get(shape.policy)(
@@ -112,9 +112,11 @@
             random.Random(shape.seed * 1000 + number),
         )
         self.plan.origin_grace_s = piece_fetcher.ORIGIN_GRACE_S
-        self.plan.requests_per_peer = piece_fetcher.ASKS_PER_PEER
+        self.plan.requests_per_peer = piece_fetcher.REQUESTS_PER_PEER
         self.plan.readers_max = fetch.origin_reader_count(shape.origin_rate, shape.link_rate)
-        self.window = pacing.TransferWindow(piece_fetcher.PARALLEL, piece_fetcher.TRANSFER_TARGET_S)
+        self.window = pacing.TransferWindow(
+            piece_fetcher.TRANSFERS_MAX, piece_fetcher.TRANSFER_TARGET_S
+        )
         self.rate = pacing.RecentRate(piece_fetcher.RATE_WINDOW_S)
         self.began: dict[int, float] = {}
         self.whole_at: float | None = None
@@ -197,7 +199,7 @@
 
     def is_late(self, agent: Agent) -> bool:
         """Return whether an agent will not be whole in time at the rate seen so far."""
-        if self.now < piece_fetcher.RATE_AFTER_S:
+        if self.now < piece_fetcher.RATE_WARMUP_S:
             return False
         missing = self.shape.pieces - agent.plan.held.bit_count()
         return self.now + missing / max(agent.rate.per_s(), 1.0) > self.shape.due_s
@@ -280,7 +282,7 @@
 
     def refused(self, agent: Agent, action: fetch.OriginRead) -> None:
         """Note that the origin gave nothing."""
-        agent.plan.on_origin_failed(self.now, piece_fetcher.ORIGIN_WAIT_S, action.index)
+        agent.plan.on_origin_failed(self.now, piece_fetcher.ORIGIN_RETRY_DELAY_S, action.index)
         self.end(agent, action, -1)
 
     def send(
@@ -331,7 +333,7 @@
         wanted = fetch.bit_positions(action.wanted & peer.plan.held)
         told = peer.plan.held
         free_in_s = peer.outgoing.wait_s(self.now) if wanted else 0.0
-        if not wanted or free_in_s > piece_giver.UPLOAD_WAIT_S_MAX:
+        if not wanted or free_in_s > piece_server.UPLOAD_WAIT_S_MAX:
             left = peer.link_out.carry(ANSWER_BYTES, self.now)
             self.at(left + delay, lambda: self.nothing(agent, action, told, free_in_s))
             return
--- a/tests/test_manifest_spreads.py
+++ b/tests/test_manifest_spreads.py
@@ -53,14 +53,14 @@
         rng = random.Random(name)
         clock = asyncio.get_running_loop().time
         finder = manifest_finder.ManifestFinder(name, self, self, clock, rng)
-        finder.missed = ("m", 3)
+        finder.last_failed = ("m", 3)
         assert await finder.find("origin", "m", 3, self.peers(name)) is MANIFEST
         self.have.add(name)
 
 
 @pytest.fixture(autouse=True)
 def short_rounds(monkeypatch):
-    monkeypatch.setattr(manifest_finder, "AGAIN_EVERY_S", 0.002)
+    monkeypatch.setattr(manifest_finder, "PEER_RETRY_INTERVAL_S", 0.002)
 
 
 def test_about_one_agent_of_a_zone_tries_an_origin_that_is_away():
@@ -85,7 +85,9 @@
         for name in world.names
     ]
     rounds = 200
-    turns = sum(f.is_my_turn(world.peers(f.me)) for f in finders for _ in range(rounds))
+    turns = sum(
+        f.draw_origin_retry(world.peers(f.own_address)) for f in finders for _ in range(rounds)
+    )
     assert 0.8 * ZONES * rounds <= turns <= 1.2 * ZONES * rounds
 
 
@@ -97,10 +99,10 @@
         finder = manifest_finder.ManifestFinder(world.names[0], world, world, clock, rng)
         with pytest.raises(errors.UnreachableError):
             async with asyncio.timeout(0.5):
-                finder.missed = ("m", 3)
+                finder.last_failed = ("m", 3)
                 wanted = iter([True, True, False])
                 await finder.find(
-                    "origin", "m", 3, world.peers(finder.me), lambda: next(wanted, False)
+                    "origin", "m", 3, world.peers(finder.own_address), lambda: next(wanted, False)
                 )
 
     asyncio.run(scenario())
