--- a/src/merlinthread/cli/main.py
+++ b/src/merlinthread/cli/main.py
@@ -23,7 +23,7 @@
 }
 
 
-def load_command(module: str, name: str) -> object:
+def load(module: str, name: str) -> object:
     """Import the module of a command and return an instance of it."""
     import importlib
 
@@ -36,7 +36,7 @@
     application.set_command_loader(
         FactoryCommandLoader(
             {
-                name: lambda module=module, class_name=class_name: load_command(module, class_name)
+                name: lambda module=module, class_name=class_name: load(module, class_name)
                 for name, (module, class_name) in COMMANDS.items()
             }
         )
