--- a/tests/test_unread_words.py
+++ b/tests/test_unread_words.py
@@ -8,7 +8,7 @@
 import pytest
 
 from merlinthread import logs, metrics
-from merlinthread.nodes import signal_taker
+from merlinthread.nodes import signal_recorder
 from merlinthread.platform import dialect, names
 from tests import fed_fleet
 
@@ -47,8 +47,8 @@
 def test_a_back_end_that_makes_up_names_fills_neither_memory_nor_log(monkeypatch):
     events = []
     monkeypatch.setattr(logs, "event", lambda name, **fields: events.append(name))
-    recorder = signal_taker.SignalTaker(None, None, lambda: 0.0)  # type: ignore[arg-type]
-    for number in range(10 * signal_taker.UNREAD_MAX):
+    recorder = signal_recorder.SignalTaker(None, None, lambda: 0.0)  # type: ignore[arg-type]
+    for number in range(10 * signal_recorder.UNREAD_MAX):
         recorder.note_unread([f"x-{number}"], "i-0", "id-1")
-    assert len(recorder.unread) == len(events) == signal_taker.UNREAD_MAX
-    assert metrics.unread_words._value.get() == signal_taker.UNREAD_MAX
+    assert len(recorder.unread) == len(events) == signal_recorder.UNREAD_MAX
+    assert metrics.unread_words._value.get() == signal_recorder.UNREAD_MAX
