--- a/src/merlinthread/nodes/backend_pool.py
+++ b/src/merlinthread/nodes/backend_pool.py
@@ -22,7 +22,7 @@
 from merlinthread.nodes import (
     backend_connections,
     crash_watch,
-    limit_teller,
+    limit_reporter,
     load_prober,
     news_watcher,
     node_settings,
@@ -75,7 +75,7 @@
         crashes: crash_watch.CrashWatch,
         permits: permits.Permits,
         signals: backend_signals.BackendSignals,
-        teller: limit_teller.LimitTeller,
+        teller: limit_reporter.LimitTeller,
     ) -> None:
         self.settings = settings
         self.permits = permits
--- a/src/merlinthread/nodes/signal_recorder.py
+++ b/src/merlinthread/nodes/signal_recorder.py
@@ -4,7 +4,7 @@
 
 from merlinthread import logs, metrics
 from merlinthread.coordination import backend_signals, limit_ledger
-from merlinthread.nodes import limit_teller
+from merlinthread.nodes import limit_reporter
 
 # Names of headers that are remembered; a back end may make up any number of them.
 UNREAD_MAX = 64
@@ -16,7 +16,7 @@
     def __init__(
         self,
         signals: backend_signals.BackendSignals,
-        teller: limit_teller.LimitTeller,
+        teller: limit_reporter.LimitTeller,
         clock: Callable[[], float],
     ) -> None:
         self.signals = signals
