--- a/src/merlinthread/nodes/attempts.py
+++ b/src/merlinthread/nodes/attempts.py
@@ -16,7 +16,7 @@
 from merlinthread.coordination import backend_record, dispatch, fleet
 from merlinthread.nodes import (
     answer_relay,
-    attempt_notes,
+    attempt_descriptions,
     backend_pool,
     crash_watch,
     permits,
@@ -210,7 +210,7 @@
         facts = self.dialect.answer_facts(head.status_code, headers)
         if facts.request_id is not None and facts.request_id != self.facts.call.request_id:
             raise errors.ProtocolError(f"an answer to another request: {facts.request_id}")
-        self.told = attempt_notes.told_of_itself(facts)
+        self.told = attempt_descriptions.told_of_itself(facts)
         self.heed(facts)
         is_success = 200 <= head.status_code < 300
         if is_success and (not facts.is_signed or facts.is_encoded):
--- a/src/merlinthread/nodes/request_task.py
+++ b/src/merlinthread/nodes/request_task.py
@@ -11,7 +11,7 @@
 from merlinthread.coordination import backend_record, dispatch, fleet, return_times, route_table
 from merlinthread.nodes import (
     answer_relay,
-    attempt_notes,
+    attempt_descriptions,
     attempts,
     backend_pool,
     permits,
@@ -148,7 +148,7 @@
 
     def belief(self, choice: dispatch.Choice) -> str:
         """Return what is believed of a back end, for the log."""
-        return attempt_notes.belief(choice, self.permit, self.arrived, self.clock())
+        return attempt_descriptions.belief(choice, self.permit, self.arrived, self.clock())
 
     def may_repeat(self, outcome: attempts.Outcome) -> bool:
         """Return whether another attempt is allowed; it is taken out of the budget."""
