--- a/src/merlinthread/nodes/attempts.py
+++ b/src/merlinthread/nodes/attempts.py
@@ -20,7 +20,7 @@
     backend_pool,
     crash_watch,
     permits,
-    request_facts,
+    request_context,
 )
 from merlinthread.nodes import dialect as dialects
 from merlinthread.protocol import event_stream
@@ -68,7 +68,7 @@
 
     def __init__(
         self,
-        facts: request_facts.Facts,
+        facts: request_context.Facts,
         relay: answer_relay.Relay,
         dialect: dialects.Dialect,
         pool: backend_pool.BackendPool,
--- a/src/merlinthread/nodes/request_task.py
+++ b/src/merlinthread/nodes/request_task.py
@@ -15,7 +15,7 @@
     attempts,
     backend_pool,
     permits,
-    request_facts,
+    request_context,
     route_finder,
 )
 from merlinthread.nodes import dialect as dialects
@@ -53,7 +53,7 @@
         self.clock = pool.clock
         self.arrived = arrived
         self.call: fleet.RequestHead | None = None
-        self.facts: request_facts.Facts | None = None
+        self.facts: request_context.Facts | None = None
         self.service = ""
         self.relay = answer_relay.Relay(exchange, pool.clock, arrived, self.on_answered)
         self.tried: set[str] = set()
@@ -87,7 +87,7 @@
             limit = min(limit, self.call.deadline_s - DEADLINE_MARGIN_S)
         deadline = self.arrived + max(0.0, limit)
         body = self.exchange.request.body
-        self.facts = request_facts.Facts(self.call, route, account, deadline, body)
+        self.facts = request_context.Facts(self.call, route, account, deadline, body)
         self.check_not_held()
         self.pool.budget(self.service).record_first_attempt(self.arrived)
 
