--- a/src/merlinthread/nodes/attempts.py
+++ b/src/merlinthread/nodes/attempts.py
@@ -15,12 +15,12 @@
 from merlinthread import errors, metrics
 from merlinthread.coordination import backend_record, dispatch, fleet
 from merlinthread.nodes import (
-    answer_relay,
     attempt_descriptions,
     backend_pool,
     crash_watch,
     permits,
     request_context,
+    response_relay,
 )
 from merlinthread.nodes import dialect as dialects
 from merlinthread.protocol import event_stream
@@ -69,7 +69,7 @@
     def __init__(
         self,
         facts: request_context.Facts,
-        relay: answer_relay.Relay,
+        relay: response_relay.Relay,
         dialect: dialects.Dialect,
         pool: backend_pool.BackendPool,
         backend: backend_record.Backend,
--- a/src/merlinthread/nodes/request_task.py
+++ b/src/merlinthread/nodes/request_task.py
@@ -10,12 +10,12 @@
 from merlinthread import errors, logs, metrics
 from merlinthread.coordination import backend_record, dispatch, fleet, return_times, route_table
 from merlinthread.nodes import (
-    answer_relay,
     attempt_descriptions,
     attempts,
     backend_pool,
     permits,
     request_context,
+    response_relay,
     route_finder,
 )
 from merlinthread.nodes import dialect as dialects
@@ -55,7 +55,7 @@
         self.call: fleet.RequestHead | None = None
         self.facts: request_context.Facts | None = None
         self.service = ""
-        self.relay = answer_relay.Relay(exchange, pool.clock, arrived, self.on_answered)
+        self.relay = response_relay.Relay(exchange, pool.clock, arrived, self.on_answered)
         self.tried: set[str] = set()
         self.attempts: list[attempts.Attempt] = []
         # Leave to send the next attempt to a back end that named a limit.
