--- a/src/merlinthread/nodes/agent_node.py
+++ b/src/merlinthread/nodes/agent_node.py
@@ -8,7 +8,7 @@
 from merlinthread import clocks, errors, logs
 from merlinthread.coordination import fleet, load_feed, load_ledger
 from merlinthread.nodes import dialect as dialects
-from merlinthread.nodes import engine_client, news_watcher, node_roles, node_settings, weights_task
+from merlinthread.nodes import engine_client, fleet_watcher, node_roles, node_settings, weights_task
 from merlinthread.protocol import codec as codecs
 from merlinthread.protocol import node_messages
 from merlinthread.transport import node_bus
@@ -33,7 +33,9 @@
         self.settings = settings
         self.clock = clock
         self.caller = node_bus.RpcClient(codec)
-        self.watcher = news_watcher.NewsWatcher(settings, dialect, self.caller, clock, lambda: None)
+        self.watcher = fleet_watcher.NewsWatcher(
+            settings, dialect, self.caller, clock, lambda: None
+        )
         self.engine = engine_client.EngineClient(dialect, settings.engine)
         self.datagrams = node_bus.DatagramEndpoint(codec, self.on_datagram)
         self.weights = weights_task.WeightsTask(
--- a/src/merlinthread/nodes/backend_pool.py
+++ b/src/merlinthread/nodes/backend_pool.py
@@ -22,9 +22,9 @@
 from merlinthread.nodes import (
     backend_connections,
     crash_watch,
+    fleet_watcher,
     limit_reporter,
     load_prober,
-    news_watcher,
     node_settings,
     permits,
     signal_recorder,
@@ -68,7 +68,7 @@
     def __init__(
         self,
         settings: node_settings.NodeSettings,
-        watcher: news_watcher.NewsWatcher,
+        watcher: fleet_watcher.NewsWatcher,
         clock: Callable[[], float],
         rng: random.Random,
         prober: load_prober.LoadProber,
--- a/src/merlinthread/nodes/crash_watch.py
+++ b/src/merlinthread/nodes/crash_watch.py
@@ -12,7 +12,7 @@
 
 from merlinthread import errors, logs, metrics
 from merlinthread.coordination import backend_record, crash_ledger
-from merlinthread.nodes import news_watcher
+from merlinthread.nodes import fleet_watcher
 from merlinthread.protocol import node_messages
 from merlinthread.transport import node_bus, stream_client
 
@@ -54,7 +54,7 @@
     def __init__(
         self,
         name: str,
-        watcher: news_watcher.NewsWatcher,
+        watcher: fleet_watcher.NewsWatcher,
         ledger: crash_ledger.CrashLedger,
         caller: node_bus.RpcClient,
         clock: Callable[[], float],
--- a/src/merlinthread/nodes/entry_node.py
+++ b/src/merlinthread/nodes/entry_node.py
@@ -10,9 +10,9 @@
 from merlinthread.nodes import (
     backend_pool,
     crash_watch,
+    fleet_watcher,
     limit_reporter,
     load_prober,
-    news_watcher,
     node_roles,
     node_settings,
     permits,
@@ -46,7 +46,7 @@
         self.caller = node_bus.RpcClient(codec)
         suspects = crash_ledger.CrashLedger()
         signals = backend_signals.BackendSignals()
-        self.watcher = news_watcher.NewsWatcher(
+        self.watcher = fleet_watcher.NewsWatcher(
             settings, dialect, self.caller, clock, self.on_news, suspects, signals
         )
         self.crashes = crash_watch.CrashWatch(
--- a/src/merlinthread/nodes/limit_reporter.py
+++ b/src/merlinthread/nodes/limit_reporter.py
@@ -4,7 +4,7 @@
 
 from merlinthread import errors, logs
 from merlinthread.coordination import limit_ledger
-from merlinthread.nodes import news_watcher
+from merlinthread.nodes import fleet_watcher
 from merlinthread.protocol import node_messages
 from merlinthread.transport import node_bus
 
@@ -15,7 +15,7 @@
     """One entry's reports; `name` is the entry's."""
 
     def __init__(
-        self, name: str, watcher: news_watcher.NewsWatcher, caller: node_bus.RpcClient
+        self, name: str, watcher: fleet_watcher.NewsWatcher, caller: node_bus.RpcClient
     ) -> None:
         self.name = name
         self.watcher = watcher
--- a/src/merlinthread/nodes/permits.py
+++ b/src/merlinthread/nodes/permits.py
@@ -12,7 +12,7 @@
 
 from merlinthread import logs, metrics
 from merlinthread.coordination import backend_record, permit_turns, rate_limits
-from merlinthread.nodes import news_watcher
+from merlinthread.nodes import fleet_watcher
 from merlinthread.protocol import node_messages
 
 # How long the leader may take to answer, in seconds: ten times the way there and back between
@@ -58,7 +58,7 @@
     def __init__(
         self,
         address: str,
-        watcher: news_watcher.NewsWatcher,
+        watcher: fleet_watcher.NewsWatcher,
         send: Send,
         clock: Callable[[], float],
         rng: random.Random,
--- a/src/merlinthread/nodes/route_finder.py
+++ b/src/merlinthread/nodes/route_finder.py
@@ -4,7 +4,7 @@
 from merlinthread.coordination import fleet, route_table
 
 # When to come back to a node that may not know the newest configuration: it finds another control
-# VM within 1.1 s (`news_watcher.WATCH_TIMEOUT_S`); a group without a leader elects one in 1.5 s.
+# VM within 1.1 s (`fleet_watcher.WATCH_TIMEOUT_S`); a group without a leader elects one in 1.5 s.
 UNSURE_WAIT_S = 1.0
 
 
--- a/src/merlinthread/nodes/weights_facts.py
+++ b/src/merlinthread/nodes/weights_facts.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 
 from merlinthread.coordination import change_over, fetch, fleet
-from merlinthread.nodes import news_watcher, node_settings
+from merlinthread.nodes import fleet_watcher, node_settings
 
 
 class WeightsFacts:
@@ -12,7 +12,7 @@
     def __init__(
         self,
         settings: node_settings.NodeSettings,
-        watcher: news_watcher.NewsWatcher,
+        watcher: fleet_watcher.NewsWatcher,
         clock: Callable[[], float],
     ) -> None:
         self.settings = settings
--- a/src/merlinthread/nodes/weights_task.py
+++ b/src/merlinthread/nodes/weights_task.py
@@ -12,8 +12,8 @@
 from merlinthread.coordination import change_over, fetch, fetch_policies, fleet
 from merlinthread.nodes import (
     engine_client,
+    fleet_watcher,
     manifest_finder,
-    news_watcher,
     node_settings,
     piece_fetcher,
     piece_giver,
@@ -38,7 +38,7 @@
     def __init__(
         self,
         settings: node_settings.NodeSettings,
-        watcher: news_watcher.NewsWatcher,
+        watcher: fleet_watcher.NewsWatcher,
         engine: engine_client.EngineClient,
         caller: node_bus.RpcClient,
         clock: Callable[[], float],
--- a/tests/fleet_nodes.py
+++ b/tests/fleet_nodes.py
@@ -12,7 +12,7 @@
 from merlinthread import clocks
 from merlinthread.coordination import instances as instance_records
 from merlinthread.coordination import raft_messages
-from merlinthread.nodes import control_node, entry_node, news_watcher, node_settings
+from merlinthread.nodes import control_node, entry_node, fleet_watcher, node_settings
 from merlinthread.platform import dialect
 from merlinthread.protocol import codec as codecs
 from merlinthread.protocol import node_messages
@@ -56,9 +56,9 @@
     return codecs.Codec([raft_messages.MESSAGES, node_messages.MESSAGES], [])
 
 
-def make_watcher(settings: node_settings.NodeSettings) -> news_watcher.NewsWatcher:
+def make_watcher(settings: node_settings.NodeSettings) -> fleet_watcher.NewsWatcher:
     """Return a watcher that is not running."""
-    return news_watcher.NewsWatcher(
+    return fleet_watcher.NewsWatcher(
         settings,
         dialect.PlatformDialect(),
         node_bus.RpcClient(make_codec()),
--- a/tests/test_control_nodes.py
+++ b/tests/test_control_nodes.py
@@ -10,7 +10,7 @@
 
 from merlinthread import errors
 from merlinthread.coordination import fleet, fleet_state, instances, levels
-from merlinthread.nodes import news_watcher
+from merlinthread.nodes import fleet_watcher
 from merlinthread.platform import dialect
 from merlinthread.protocol import node_messages
 from merlinthread.state import journal
@@ -216,7 +216,7 @@
 
 def test_a_watcher_does_not_go_back_when_an_older_control_vm_answers():
     settings = fleet_nodes.make_settings("entry")
-    watcher = news_watcher.NewsWatcher(
+    watcher = fleet_watcher.NewsWatcher(
         settings, dialect.PlatformDialect(), None, lambda: 0.0, lambda: None
     )
     entry = fleet_nodes.Entry()
--- a/tests/test_return_of_all.py
+++ b/tests/test_return_of_all.py
@@ -10,7 +10,7 @@
 import collections
 
 from merlinthread import errors
-from merlinthread.nodes import news_watcher
+from merlinthread.nodes import fleet_watcher
 from merlinthread.protocol import node_messages
 from tests import fleet_nodes
 
@@ -39,7 +39,7 @@
         )
 
 
-def make(number: int, answers: Answers) -> news_watcher.NewsWatcher:
+def make(number: int, answers: Answers) -> fleet_watcher.NewsWatcher:
     settings = fleet_nodes.make_settings(f"entry-{number}", control_port=1, control_ips=CONTROLS)
     watcher = fleet_nodes.make_watcher(settings)
     watcher.caller = answers
@@ -81,7 +81,7 @@
         task = asyncio.get_running_loop().create_task(watcher.run())
         await fleet_nodes.until(lambda: watcher.current)
         answers.leader_age_s = 0.0
-        async with asyncio.timeout(2 * news_watcher.SEARCH_EVERY_S):
+        async with asyncio.timeout(2 * fleet_watcher.SEARCH_EVERY_S):
             await fleet_nodes.until(lambda: watcher.is_fresh)
         task.cancel()
 
