--- a/src/merlinthread/nodes/backend_pool.py
+++ b/src/merlinthread/nodes/backend_pool.py
@@ -90,7 +90,7 @@
         self.by_address: dict[str, backend_record.Backend] = {}
         self.heard: dict[str, list[backend_record.Backend]] = {}
         self.signals = signals
-        self.words = signal_recorder.SignalTaker(signals, teller, clock)
+        self.words = signal_recorder.SignalRecorder(signals, teller, clock)
         self.usual_work: dict[str, backend_record.ResponseTime] = {}
         self.rooms: dict[str, wait_queue.WaitQueue] = {}
         self.budgets: dict[str, retry_budget.RetryBudget] = {}
--- a/src/merlinthread/nodes/signal_recorder.py
+++ b/src/merlinthread/nodes/signal_recorder.py
@@ -10,7 +10,7 @@
 UNREAD_MAX = 64
 
 
-class SignalTaker:
+class SignalRecorder:
     """One entry's account; `teller` tells the other entries what concerns them."""
 
     def __init__(
--- a/tests/test_unread_words.py
+++ b/tests/test_unread_words.py
@@ -47,7 +47,7 @@
 def test_a_back_end_that_makes_up_names_fills_neither_memory_nor_log(monkeypatch):
     events = []
     monkeypatch.setattr(logs, "event", lambda name, **fields: events.append(name))
-    recorder = signal_recorder.SignalTaker(None, None, lambda: 0.0)  # type: ignore[arg-type]
+    recorder = signal_recorder.SignalRecorder(None, None, lambda: 0.0)  # type: ignore[arg-type]
     for number in range(10 * signal_recorder.UNREAD_MAX):
         recorder.note_unread([f"x-{number}"], "i-0", "id-1")
     assert len(recorder.unread) == len(events) == signal_recorder.UNREAD_MAX
