--- a/src/merlinthread/nodes/attempts.py
+++ b/src/merlinthread/nodes/attempts.py
@@ -237,7 +237,7 @@
         """
         request_id = self.facts.call.request_id
         if facts.unread:
-            self.pool.words.note_unread(facts.unread, self.backend.instance, request_id)
+            self.pool.words.record_unread_headers(facts.unread, self.backend.instance, request_id)
         is_its_own = not facts.is_other and (facts.request_id is not None or facts.is_signed)
         if facts.is_leaving and is_its_own:
             self.pool.note_leaving(self.backend, request_id)
--- a/src/merlinthread/nodes/signal_recorder.py
+++ b/src/merlinthread/nodes/signal_recorder.py
@@ -24,7 +24,7 @@
         self.clock = clock
         self.unread: set[str] = set()
 
-    def note_unread(self, names: Collection[str], instance: str, request_id: str) -> None:
+    def record_unread_headers(self, names: Collection[str], instance: str, request_id: str) -> None:
         """Note headers of an answer that nobody here reads, each name once.
 
         What back ends begin to say may bind all VMs: an operator learns of it here first.
