--- a/src/merlinthread/nodes/backend_pool.py
+++ b/src/merlinthread/nodes/backend_pool.py
@@ -75,7 +75,7 @@
         crashes: crash_watch.CrashWatch,
         permits: permits.Permits,
         signals: backend_signals.BackendSignals,
-        teller: limit_reporter.LimitTeller,
+        teller: limit_reporter.LimitReporter,
     ) -> None:
         self.settings = settings
         self.permits = permits
--- a/src/merlinthread/nodes/limit_reporter.py
+++ b/src/merlinthread/nodes/limit_reporter.py
@@ -11,7 +11,7 @@
 TIMEOUT_S = 0.9
 
 
-class LimitTeller:
+class LimitReporter:
     """One entry's reports; `name` is the entry's."""
 
     def __init__(
--- a/src/merlinthread/nodes/signal_recorder.py
+++ b/src/merlinthread/nodes/signal_recorder.py
@@ -16,7 +16,7 @@
     def __init__(
         self,
         signals: backend_signals.BackendSignals,
-        teller: limit_reporter.LimitTeller,
+        teller: limit_reporter.LimitReporter,
         clock: Callable[[], float],
     ) -> None:
         self.signals = signals
