--- a/src/merlinthread/nodes/agent_node.py
+++ b/src/merlinthread/nodes/agent_node.py
@@ -33,7 +33,7 @@
         self.settings = settings
         self.clock = clock
         self.caller = node_bus.RpcClient(codec)
-        self.watcher = fleet_watcher.NewsWatcher(
+        self.watcher = fleet_watcher.FleetWatcher(
             settings, dialect, self.caller, clock, lambda: None
         )
         self.engine = engine_client.EngineClient(dialect, settings.engine)
--- a/src/merlinthread/nodes/backend_pool.py
+++ b/src/merlinthread/nodes/backend_pool.py
@@ -68,7 +68,7 @@
     def __init__(
         self,
         settings: node_settings.NodeSettings,
-        watcher: fleet_watcher.NewsWatcher,
+        watcher: fleet_watcher.FleetWatcher,
         clock: Callable[[], float],
         rng: random.Random,
         prober: load_prober.LoadProber,
--- a/src/merlinthread/nodes/crash_watch.py
+++ b/src/merlinthread/nodes/crash_watch.py
@@ -54,7 +54,7 @@
     def __init__(
         self,
         name: str,
-        watcher: fleet_watcher.NewsWatcher,
+        watcher: fleet_watcher.FleetWatcher,
         ledger: crash_ledger.CrashLedger,
         caller: node_bus.RpcClient,
         clock: Callable[[], float],
--- a/src/merlinthread/nodes/entry_node.py
+++ b/src/merlinthread/nodes/entry_node.py
@@ -46,7 +46,7 @@
         self.caller = node_bus.RpcClient(codec)
         suspects = crash_ledger.CrashLedger()
         signals = backend_signals.BackendSignals()
-        self.watcher = fleet_watcher.NewsWatcher(
+        self.watcher = fleet_watcher.FleetWatcher(
             settings, dialect, self.caller, clock, self.on_news, suspects, signals
         )
         self.crashes = crash_watch.CrashWatch(
--- a/src/merlinthread/nodes/fleet_watcher.py
+++ b/src/merlinthread/nodes/fleet_watcher.py
@@ -49,7 +49,7 @@
     limits: int = 0
 
 
-class NewsWatcher:
+class FleetWatcher:
     """The state and the task of watching.
 
     `suspects` takes what is told of requests, `signals` what is told of back ends' limits.
--- a/src/merlinthread/nodes/limit_reporter.py
+++ b/src/merlinthread/nodes/limit_reporter.py
@@ -15,7 +15,7 @@
     """One entry's reports; `name` is the entry's."""
 
     def __init__(
-        self, name: str, watcher: fleet_watcher.NewsWatcher, caller: node_bus.RpcClient
+        self, name: str, watcher: fleet_watcher.FleetWatcher, caller: node_bus.RpcClient
     ) -> None:
         self.name = name
         self.watcher = watcher
--- a/src/merlinthread/nodes/permits.py
+++ b/src/merlinthread/nodes/permits.py
@@ -58,7 +58,7 @@
     def __init__(
         self,
         address: str,
-        watcher: fleet_watcher.NewsWatcher,
+        watcher: fleet_watcher.FleetWatcher,
         send: Send,
         clock: Callable[[], float],
         rng: random.Random,
--- a/src/merlinthread/nodes/weights_facts.py
+++ b/src/merlinthread/nodes/weights_facts.py
@@ -12,7 +12,7 @@
     def __init__(
         self,
         settings: node_settings.NodeSettings,
-        watcher: fleet_watcher.NewsWatcher,
+        watcher: fleet_watcher.FleetWatcher,
         clock: Callable[[], float],
     ) -> None:
         self.settings = settings
--- a/src/merlinthread/nodes/weights_task.py
+++ b/src/merlinthread/nodes/weights_task.py
@@ -38,7 +38,7 @@
     def __init__(
         self,
         settings: node_settings.NodeSettings,
-        watcher: fleet_watcher.NewsWatcher,
+        watcher: fleet_watcher.FleetWatcher,
         engine: engine_client.EngineClient,
         caller: node_bus.RpcClient,
         clock: Callable[[], float],
--- a/tests/fleet_nodes.py
+++ b/tests/fleet_nodes.py
@@ -56,9 +56,9 @@
     return codecs.Codec([raft_messages.MESSAGES, node_messages.MESSAGES], [])
 
 
-def make_watcher(settings: node_settings.NodeSettings) -> fleet_watcher.NewsWatcher:
+def make_watcher(settings: node_settings.NodeSettings) -> fleet_watcher.FleetWatcher:
     """Return a watcher that is not running."""
-    return fleet_watcher.NewsWatcher(
+    return fleet_watcher.FleetWatcher(
         settings,
         dialect.PlatformDialect(),
         node_bus.RpcClient(make_codec()),
--- a/tests/test_control_nodes.py
+++ b/tests/test_control_nodes.py
@@ -216,7 +216,7 @@
 
 def test_a_watcher_does_not_go_back_when_an_older_control_vm_answers():
     settings = fleet_nodes.make_settings("entry")
-    watcher = fleet_watcher.NewsWatcher(
+    watcher = fleet_watcher.FleetWatcher(
         settings, dialect.PlatformDialect(), None, lambda: 0.0, lambda: None
     )
     entry = fleet_nodes.Entry()
--- a/tests/test_return_of_all.py
+++ b/tests/test_return_of_all.py
@@ -39,7 +39,7 @@
         )
 
 
-def make(number: int, answers: Answers) -> fleet_watcher.NewsWatcher:
+def make(number: int, answers: Answers) -> fleet_watcher.FleetWatcher:
     settings = fleet_nodes.make_settings(f"entry-{number}", control_port=1, control_ips=CONTROLS)
     watcher = fleet_nodes.make_watcher(settings)
     watcher.caller = answers
