--- a/src/merlinthread/nodes/backend_pool.py
+++ b/src/merlinthread/nodes/backend_pool.py
@@ -73,7 +73,7 @@
         rng: random.Random,
         prober: load_prober.LoadProber,
         crashes: crash_watch.CrashWatch,
-        permits: permits.Permits,
+        permits: permits.PermitClient,
         signals: backend_signals.BackendSignals,
         teller: limit_reporter.LimitReporter,
     ) -> None:
--- a/src/merlinthread/nodes/entry_node.py
+++ b/src/merlinthread/nodes/entry_node.py
@@ -55,7 +55,9 @@
         self.address = f"{settings.ip}:{settings.entry_port}"
         self.datagrams = node_bus.DatagramEndpoint(codec, self.on_datagram)
         self.prober = load_prober.LoadProber(self.address, self.datagrams.send)
-        self.permits = permits.Permits(self.address, self.watcher, self.datagrams.send, clock, rng)
+        self.permits = permits.PermitClient(
+            self.address, self.watcher, self.datagrams.send, clock, rng
+        )
         self.teller = limit_reporter.LimitReporter(settings.name, self.watcher, self.caller)
         self.pool = backend_pool.BackendPool(
             settings,
--- a/src/merlinthread/nodes/permits.py
+++ b/src/merlinthread/nodes/permits.py
@@ -52,7 +52,7 @@
     told_by: str
 
 
-class Permits:
+class PermitClient:
     """One entry's questions; `address` is where it takes the answers."""
 
     def __init__(
--- a/tests/permit_net.py
+++ b/tests/permit_net.py
@@ -48,7 +48,7 @@
 class Entry:
     """An entry's permit client and its record of the rate-limited back end."""
 
-    permits: permits.Permits
+    permits: permits.PermitClient
     backend: backend_record.Backend
 
 
@@ -81,7 +81,7 @@
     def entry(self, address: str) -> Entry:
         """Return an entry that knows the limit."""
         clock = self.random_clock()
-        client = permits.Permits(
+        client = permits.PermitClient(
             address,
             Watcher(list(CONTROLS), self.rng.choice(CONTROLS)),
             lambda control, query: self.send_datagram(self.receive_query, address, control, query),
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -101,7 +101,7 @@
     return backend_record.Backend("i", "s", "a:1", "zone", 0, 8, availability=availability)
 
 
-def make_permits() -> tuple[permits.Permits, list]:
+def make_permits() -> tuple[permits.PermitClient, list]:
     """Return a permit client that gets no answers, and the list of its sent messages."""
     sent: list = []
     clock = asyncio.get_running_loop().time
@@ -109,7 +109,7 @@
     def send(*message):
         sent.append(message)
 
-    return permits.Permits("e:1", Watcher(), send, clock, random.Random(1)), sent
+    return permits.PermitClient("e:1", Watcher(), send, clock, random.Random(1)), sent
 
 
 def test_while_nobody_answers_one_question_is_open_at_a_time_and_turns_decide():
