--- a/src/merlinthread/nodes/attempts.py
+++ b/src/merlinthread/nodes/attempts.py
@@ -207,7 +207,7 @@
         """Read the answer, and relay it if it counts; return what came of it and its headers."""
         head = await self.read_head(connection)
         headers = list(head.headers.raw_items())
-        facts = self.dialect.answer_facts(head.status_code, headers)
+        facts = self.dialect.response_head(head.status_code, headers)
         if facts.request_id is not None and facts.request_id != self.facts.call.request_id:
             raise errors.ProtocolError(f"an answer to another request: {facts.request_id}")
         self.told = attempt_descriptions.told_of_itself(facts)
--- a/src/merlinthread/nodes/dialect.py
+++ b/src/merlinthread/nodes/dialect.py
@@ -69,7 +69,7 @@
     ) -> http_messages.Request:
         """Return the request as a back end gets it."""
 
-    def answer_facts(self, status: int, headers: http_messages.Headers) -> fleet.ResponseHead:
+    def response_head(self, status: int, headers: http_messages.Headers) -> fleet.ResponseHead:
         """Read the head of a back end's answer."""
 
     def refusal_headers(self, call: fleet.RequestHead | None) -> http_messages.Headers:
--- a/src/merlinthread/platform/dialect.py
+++ b/src/merlinthread/platform/dialect.py
@@ -109,7 +109,7 @@
             headers.append((names.REQUEST_PRIORITY, b"%d" % target.urgency))
         return http_messages.Request(request.method, request.target, headers, request.body)
 
-    def answer_facts(self, status: int, headers: http_messages.Headers) -> fleet.ResponseHead:
+    def response_head(self, status: int, headers: http_messages.Headers) -> fleet.ResponseHead:
         """Read the head of a worker's answer."""
         request_id = http_messages.get_header(headers, names.REQUEST_ID)
         not_run = http_messages.get_header(headers, names.NOT_RUN) is not None
