--- a/src/merlinthread/nodes/dialect.py
+++ b/src/merlinthread/nodes/dialect.py
@@ -61,7 +61,7 @@
     def client_call(self, request: http_messages.Request) -> fleet.RequestHead:
         """Read the head of a client's request; raise RequestError."""
 
-    def is_ready_call(self, request: http_messages.Request) -> bool:
+    def is_readiness_check(self, request: http_messages.Request) -> bool:
         """Return whether a request asks if the node is ready."""
 
     def target_request(
--- a/src/merlinthread/nodes/entry_node.py
+++ b/src/merlinthread/nodes/entry_node.py
@@ -129,7 +129,7 @@
 
     async def serve_ready(self, exchange: stream_server.Exchange) -> None:
         """Answer whether this entry is ready."""
-        is_known = self.dialect.is_ready_call(exchange.request)
+        is_known = self.dialect.is_readiness_check(exchange.request)
         status = 404 if not is_known else 200 if self.is_ready() else 503
         await exchange.respond(http_messages.Response(status, []))
 
--- a/src/merlinthread/platform/dialect.py
+++ b/src/merlinthread/platform/dialect.py
@@ -49,7 +49,7 @@
             kind=errors.ErrorKind.UNKNOWN_ROUTE,
         )
 
-    def is_ready_call(self, request: http_messages.Request) -> bool:
+    def is_readiness_check(self, request: http_messages.Request) -> bool:
         """Return whether a request asks if the node is ready."""
         return request.target.split(b"?")[0] == names.READY_PATH
 
