--- a/src/merlinthread/nodes/dialect.py
+++ b/src/merlinthread/nodes/dialect.py
@@ -72,7 +72,7 @@
     def response_head(self, status: int, headers: http_messages.Headers) -> fleet.ResponseHead:
         """Read the head of a back end's answer."""
 
-    def refusal_headers(self, call: fleet.RequestHead | None) -> http_messages.Headers:
+    def error_headers(self, call: fleet.RequestHead | None) -> http_messages.Headers:
         """Return the headers of an answer of the node's own."""
 
     def report_request(self, address: str) -> http_messages.Request:
--- a/src/merlinthread/nodes/request_task.py
+++ b/src/merlinthread/nodes/request_task.py
@@ -360,7 +360,7 @@
             self.log("broken_off", 0)
             self.exchange.abort()
             return
-        headers = self.dialect.refusal_headers(self.call)
+        headers = self.dialect.error_headers(self.call)
         wait_s = error.retry_after_s if error.retry_after_s is not None else entry.retry_after_s
         if wait_s is not None:
             headers.append((b"retry-after", b"%g" % wait_s))
--- a/src/merlinthread/platform/dialect.py
+++ b/src/merlinthread/platform/dialect.py
@@ -74,7 +74,7 @@
             found.get(names.LAST_EVENT_ID, b"").decode("latin-1"),
         )
 
-    def refusal_headers(self, call: fleet.RequestHead | None) -> http_messages.Headers:
+    def error_headers(self, call: fleet.RequestHead | None) -> http_messages.Headers:
         """Return the headers of an answer of the node's own."""
         if call is None or not call.request_id:
             return []
