--- a/src/merlinthread/nodes/control_calls.py
+++ b/src/merlinthread/nodes/control_calls.py
@@ -60,7 +60,7 @@
 
     async def handle(self, call: dialects.ControlCall) -> http_messages.Response:
         """Do what a call asks for; return its answer."""
-        if isinstance(call, dialects.TakeHeartbeat):
+        if isinstance(call, dialects.ReceiveHeartbeat):
             return await self.on_heartbeat(call.heartbeat)
         if isinstance(call, dialects.Leave):
             await self.depart_for_good(self.registry.latest(call.instance), fleet.GONE)
--- a/src/merlinthread/nodes/dialect.py
+++ b/src/merlinthread/nodes/dialect.py
@@ -33,7 +33,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class TakeHeartbeat:
+class ReceiveHeartbeat:
     """A back end tells that it lives, or that it drains."""
 
     heartbeat: fleet.Heartbeat
@@ -46,7 +46,7 @@
     instance: str
 
 
-ControlCall = PutConfiguration | GetConfiguration | NameVersion | TakeHeartbeat | Leave
+ControlCall = PutConfiguration | GetConfiguration | NameVersion | ReceiveHeartbeat | Leave
 
 
 class Dialect(Protocol):
--- a/src/merlinthread/platform/dialect.py
+++ b/src/merlinthread/platform/dialect.py
@@ -41,7 +41,7 @@
         if path.startswith(names.INSTANCES_PATH):
             instance = path[len(names.INSTANCES_PATH) :].decode("ascii", "replace")
             if request.method == b"PUT":
-                return dialects.TakeHeartbeat(bodies.heartbeat(instance, request.body))
+                return dialects.ReceiveHeartbeat(bodies.heartbeat(instance, request.body))
             if request.method == b"DELETE":
                 return dialects.Leave(instance)
         raise errors.RequestError(
