--- a/src/merlinthread/nodes/engine_client.py
+++ b/src/merlinthread/nodes/engine_client.py
@@ -52,7 +52,7 @@
             )
         return self.dialect.manifest(whole(answer).body)
 
-    def leave_origin(self, origin: str) -> None:
+    def close_idle_origin_connections(self, origin: str) -> None:
         """Close idle connections to the origin: it bears few, and counts those of lost machines."""
         self.pool.close_idle(origin)
 
--- a/src/merlinthread/nodes/piece_fetcher.py
+++ b/src/merlinthread/nodes/piece_fetcher.py
@@ -97,7 +97,7 @@
         finally:
             for task in running:
                 task.cancel()
-            self.engine.leave_origin(self.facts.origin())
+            self.engine.close_idle_origin_connections(self.facts.origin())
         self.log_progress("weights_fetched", plan, manifest, self.clock() - started)
 
     def look_around(
