--- a/src/merlinthread/nodes/engine_client.py
+++ b/src/merlinthread/nodes/engine_client.py
@@ -103,6 +103,6 @@
     raise errors.ProtocolError(f"HTTP status {answer.status}", retry_after_s=rest_s)
 
 
-def origin_rest_s(error: errors.MerlinthreadError) -> float:
+def origin_retry_delay_s(error: errors.MerlinthreadError) -> float:
     """Return how long the origin wants to be left alone, by the error of a call to it."""
     return min(ORIGIN_REST_S_MAX, error.retry_after_s or 0.0)
--- a/src/merlinthread/nodes/manifest_finder.py
+++ b/src/merlinthread/nodes/manifest_finder.py
@@ -91,7 +91,7 @@
                     return await self.from_origin(origin, model, version)
             except errors.MerlinthreadError as error:
                 self.missed = (model, version)
-                self.origin_rests_until = self.clock() + engine_client.origin_rest_s(error)
+                self.origin_rests_until = self.clock() + engine_client.origin_retry_delay_s(error)
                 reason = error
             manifest = await self.from_some(peers, model, version)
             if manifest is not None:
--- a/src/merlinthread/nodes/piece_fetcher.py
+++ b/src/merlinthread/nodes/piece_fetcher.py
@@ -188,7 +188,7 @@
             data = await self.engine.piece(self.facts.origin(), manifest, action.index)
             await self.store.put(manifest.model, action.index, data)
         except errors.MerlinthreadError as error:
-            wait_s = max(ORIGIN_WAIT_S, engine_client.origin_rest_s(error))
+            wait_s = max(ORIGIN_WAIT_S, engine_client.origin_retry_delay_s(error))
             plan.on_origin_failed(self.clock(), wait_s, action.index)
             logs.debug(
                 "piece_failed",
