--- a/src/merlinthread/nodes/engine_client.py
+++ b/src/merlinthread/nodes/engine_client.py
@@ -22,7 +22,7 @@
 STATUS_GONE = 410
 
 
-def digest_of(data: bytes) -> str:
+def sha256_hex(data: bytes) -> str:
     """Return the SHA-256 of a piece in hex."""
     return hashlib.sha256(data).hexdigest()
 
@@ -66,7 +66,7 @@
                 kind=errors.ErrorKind.ORIGIN_CHANGED,
             )
         body = whole(answer).body
-        if digest_of(body) != manifest.digests[index]:
+        if sha256_hex(body) != manifest.digests[index]:
             raise errors.WeightsError(f"piece {index} from the origin is corrupt")
         return body
 
@@ -79,7 +79,7 @@
         """Return a piece that lies at the engine, or None if it is missing or not sound."""
         request = self.dialect.staged_request(self.engine, manifest.model, index)
         answer = await self.pool.request(self.engine, request, LOCAL_TIMEOUT_S)
-        if answer.status != 200 or digest_of(answer.body) != manifest.digests[index]:
+        if answer.status != 200 or sha256_hex(answer.body) != manifest.digests[index]:
             return None
         return answer.body
 
--- a/src/merlinthread/nodes/piece_fetcher.py
+++ b/src/merlinthread/nodes/piece_fetcher.py
@@ -214,7 +214,7 @@
         if reply.index < 0:
             plan.on_peer_empty(action.peer, now)
             return -1
-        if engine_client.digest_of(reply.data) != manifest.digests[reply.index]:
+        if engine_client.sha256_hex(reply.data) != manifest.digests[reply.index]:
             plan.on_corrupt_chunk(action.peer, now)
             return -1
         try:
