--- a/src/merlinthread/nodes/fleet_watcher.py
+++ b/src/merlinthread/nodes/fleet_watcher.py
@@ -161,7 +161,7 @@
         wait_s = WATCH_WAIT_S if self.is_fresh else STALE_WAIT_S
         news = await self.ask(self.current, wait_s, WATCH_TIMEOUT_S)
         if news is None:
-            self.lose("no answer")
+            self.disconnect("no answer")
             return
         self.take(news, self.current)
         if news.leader_age_s > STALE_S:
@@ -188,7 +188,7 @@
             self.search_at = self.clock()
         self.is_fresh = False
 
-    def lose(self, reason: str) -> None:
+    def disconnect(self, reason: str) -> None:
         """Leave the present control VM."""
         self.note_stale(reason)
         self.current = ""
--- a/tests/test_entry_node.py
+++ b/tests/test_entry_node.py
@@ -159,7 +159,7 @@
             assert float(http_messages.get_header(answer.headers, b"retry-after")) > 0
         entry.feed(body, {})
         assert (await entry.ask("/nowhere/", "id-2")).status == 404
-        entry.node.watcher.lose("its control VM is silent")
+        entry.node.watcher.disconnect("its control VM is silent")
         assert (await entry.ask("/nowhere/", "id-3")).status == 503
 
     asyncio.run(scenario())
--- a/tests/test_log_repair.py
+++ b/tests/test_log_repair.py
@@ -109,7 +109,7 @@
         for ip in controls.ips[1:]:
             await controls.start(ip)
         await fleet_nodes.until(controls.leader)
-        watcher.lose("another one is asked")
+        watcher.disconnect("another one is asked")
         await watcher.find_control()
         assert watcher.is_fresh
 
--- a/tests/test_return_of_all.py
+++ b/tests/test_return_of_all.py
@@ -93,7 +93,7 @@
         answers = Answers(addresses(), 0.0)
         watcher = make(1, answers)
         watcher.current = await watcher.find_control()
-        watcher.lose("no answer")
+        watcher.disconnect("no answer")
         answers.asked.clear()
         await watcher.find_control()
         assert {watch.feed for _, watch in answers.asked} == {""}
