--- a/src/merlinthread/nodes/entry_node.py
+++ b/src/merlinthread/nodes/entry_node.py
@@ -103,7 +103,7 @@
         elif isinstance(message, node_messages.LoadReply) and message.permit is not None:
             self.permits.take(message.number, message.permit)
         elif isinstance(message, node_messages.LoadReply):
-            self.prober.take(message)
+            self.prober.receive(message)
 
     def on_news(self) -> None:
         """Take over what the control VMs tell."""
--- a/src/merlinthread/nodes/load_prober.py
+++ b/src/merlinthread/nodes/load_prober.py
@@ -42,7 +42,7 @@
             agent: future.result() if future.done() else None for agent, future in futures.items()
         }
 
-    def take(self, answer: node_messages.LoadReply) -> None:
+    def receive(self, answer: node_messages.LoadReply) -> None:
         """Take an agent's answer; one that comes too late is dropped."""
         future = self.waiting.pop(answer.number, None)
         if future is not None and not future.done():
--- a/tests/test_load_prober.py
+++ b/tests/test_load_prober.py
@@ -27,7 +27,7 @@
         while len(sent) < 2:
             await asyncio.sleep(0)
         for agent, query in reversed(sent):
-            prober.take(answer(query, 10.0 if agent == "a" else 20.0))
+            prober.receive(answer(query, 10.0 if agent == "a" else 20.0))
         assert await asyncio.wait_for(task, 5.0) == {
             "a": engine_now(10.0),
             "b": engine_now(20.0),
@@ -41,7 +41,7 @@
     async def scenario(prober, sent):
         found = await prober.ask(["a"], 0.01)
         assert found == {"a": None}
-        prober.take(answer(sent[0][1], 10.0))
+        prober.receive(answer(sent[0][1], 10.0))
         assert not prober.waiting
         assert await prober.ask([], 60.0) == {}
 
