--- a/src/merlinthread/nodes/backend_pool.py
+++ b/src/merlinthread/nodes/backend_pool.py
@@ -179,7 +179,7 @@
         """Return when the first back end of a service takes requests again, if all are closed."""
         return dispatch.available_at(self.by_service.get(service, []), self.clock())
 
-    def take_load(self, load: node_messages.LoadUpdate) -> None:
+    def apply_load_update(self, load: node_messages.LoadUpdate) -> None:
         """Take an agent's report of its engine."""
         backend = self.by_address.get(load.address)
         if backend is None or not is_of(load.report, backend):
--- a/src/merlinthread/nodes/entry_node.py
+++ b/src/merlinthread/nodes/entry_node.py
@@ -99,7 +99,7 @@
     def on_datagram(self, message: Any) -> None:
         """Take an agent's report, or an answer to a question of this entry."""
         if isinstance(message, node_messages.LoadUpdate):
-            self.pool.take_load(message)
+            self.pool.apply_load_update(message)
         elif isinstance(message, node_messages.LoadReply) and message.permit is not None:
             self.permits.take(message.number, message.permit)
         elif isinstance(message, node_messages.LoadReply):
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -159,7 +159,7 @@
         pool.update()
         for born, expected in ((BORN, 0), (BORN + 1, 3), (0, 4)):
             report = fleet.EngineReport(running=max(3, expected), born_ms=born)
-            pool.take_load(node_messages.LoadUpdate("1.1.1.1:1", 1, report))
+            pool.apply_load_update(node_messages.LoadUpdate("1.1.1.1:1", 1, report))
             assert pool.backends[beat(BORN + 1).instance].others == expected
 
     asyncio.run(scenario())
