--- a/src/merlinthread/nodes/entry_node.py
+++ b/src/merlinthread/nodes/entry_node.py
@@ -101,7 +101,7 @@
         if isinstance(message, node_messages.LoadUpdate):
             self.pool.apply_load_update(message)
         elif isinstance(message, node_messages.LoadReply) and message.permit is not None:
-            self.permits.take(message.number, message.permit)
+            self.permits.receive(message.number, message.permit)
         elif isinstance(message, node_messages.LoadReply):
             self.prober.receive(message)
 
--- a/src/merlinthread/nodes/permits.py
+++ b/src/merlinthread/nodes/permits.py
@@ -235,7 +235,7 @@
         finally:
             del self.waiting[number]
 
-    def take(self, number: int, answer: node_messages.PermitReply) -> None:
+    def receive(self, number: int, answer: node_messages.PermitReply) -> None:
         """Take an answer; one that comes too late is dropped, with its permit."""
         answered = self.waiting.get(number)
         if answered is not None and not answered.done():
--- a/tests/permit_net.py
+++ b/tests/permit_net.py
@@ -104,7 +104,7 @@
         """Let a control VM answer a query, if it is alive."""
         if control in self.alive:
             answer = self.offices[control].answer(query)
-            self.send_datagram(self.entries[entry].permits.take, query.number, answer)
+            self.send_datagram(self.entries[entry].permits.receive, query.number, answer)
 
     def lose_leader(self) -> None:
         """Stop the leader, leaving no leader."""
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -150,7 +150,7 @@
         client, sent = make_permits()
         await client.acquire("s", "a", 0.0, [limited_backend(0.01)])
         decision = rate_limits.Decision("i", 0.0, [1.0])
-        client.take(sent[0][1].number, node_messages.PermitReply(decision, "", 3, 1, 0.0))
+        client.receive(sent[0][1].number, node_messages.PermitReply(decision, "", 3, 1, 0.0))
         assert not client.leader and not client.waiting
 
     asyncio.run(scenario())
