--- a/src/merlinthread/nodes/fleet_watcher.py
+++ b/src/merlinthread/nodes/fleet_watcher.py
@@ -127,7 +127,7 @@
                 news = task.result()
                 if news is None:
                     continue
-                self.take(news, asked[task])
+                self.apply(news, asked[task])
                 if news.leader_age_s < STALE_S:
                     for other in pending:
                         other.cancel()
@@ -163,7 +163,7 @@
         if news is None:
             self.disconnect("no answer")
             return
-        self.take(news, self.current)
+        self.apply(news, self.current)
         if news.leader_age_s > STALE_S:
             self.note_stale("cut off from the majority")
             await asyncio.sleep(PAUSE_S)
@@ -200,7 +200,7 @@
 
     # Taking news
 
-    def take(self, news: node_messages.WatchReply, address: str = "") -> None:
+    def apply(self, news: node_messages.WatchReply, address: str = "") -> None:
         """Take news of the control VM at `address` in; older ones change nothing."""
         now = self.clock()
         if news.leader_age_s <= STALE_S:
--- a/tests/fleet_nodes.py
+++ b/tests/fleet_nodes.py
@@ -279,7 +279,7 @@
             [],
             leader_age_s,
         )
-        self.node.watcher.take(news)
+        self.node.watcher.apply(news)
 
     async def ask(
         self, path: str, request_id: str, body: bytes = b"", **headers
--- a/tests/test_control_nodes.py
+++ b/tests/test_control_nodes.py
@@ -364,7 +364,7 @@
     def tell(instance: str, age_s: float, gone: list[str]) -> None:
         beat = dialect.bodies.heartbeat(instance, json.dumps(heartbeat(instance)).encode())
         told = [instances.Instance(beat, age_s)]
-        watcher.take(node_messages.WatchReply("f", 1, False, told, gone, [], 0, b"", [], 0.0))
+        watcher.apply(node_messages.WatchReply("f", 1, False, told, gone, [], 0, b"", [], 0.0))
 
     tell("new", 0.5, [])
     tell("old", 0.0, [])
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -85,9 +85,9 @@
     async def scenario():
         watcher = fleet_nodes.make_watcher(fleet_nodes.make_settings("entry"))
         told = [instances.Instance(beat(sequence=50, state=fleet.DRAINING))]
-        watcher.take(node_messages.WatchReply("f", 1, False, told, [], [], 0, b"", [], 0.0))
+        watcher.apply(node_messages.WatchReply("f", 1, False, told, [], [], 0, b"", [], 0.0))
         told = [instances.Instance(beat(BORN + 1, address="2.2.2.2:2"))]
-        watcher.take(node_messages.WatchReply("f", 2, False, told, [], [], 0, b"", [], 0.0))
+        watcher.apply(node_messages.WatchReply("f", 2, False, told, [], [], 0, b"", [], 0.0))
         assert [known.state for known in watcher.instances.values()] == [fleet.READY]
 
     asyncio.run(scenario())
--- a/tests/test_news_in_full.py
+++ b/tests/test_news_in_full.py
@@ -39,11 +39,11 @@
 
 def test_a_back_end_that_one_control_vm_does_not_know_is_asked_for_at_the_others():
     watcher = fleet_nodes.make_watcher(fleet_nodes.make_settings("entry"))
-    watcher.take(news("feed-a", 5, True, ["a", "b"]), KNOWS)
+    watcher.apply(news("feed-a", 5, True, ["a", "b"]), KNOWS)
     assert watcher.told[KNOWS].position == 5
-    watcher.take(news("feed-b", 1, True, []), NEW)
+    watcher.apply(news("feed-b", 1, True, []), NEW)
     assert KNOWS not in watcher.told, "it would tell only what is new"
-    watcher.take(news("feed-a", 5, True, ["a", "b"]), KNOWS)
+    watcher.apply(news("feed-a", 5, True, ["a", "b"]), KNOWS)
     assert not watcher.missing and set(watcher.instances) == {"a", "b"}
 
 
@@ -51,10 +51,10 @@
     watcher = fleet_nodes.make_watcher(fleet_nodes.make_settings("entry"))
     times = [100.0]
     watcher.clock = lambda: times[0]
-    watcher.take(news("feed-a", 5, True, ["a"]), KNOWS)
-    watcher.take(news("feed-b", 1, True, []), NEW)
+    watcher.apply(news("feed-a", 5, True, ["a"]), KNOWS)
+    watcher.apply(news("feed-b", 1, True, []), NEW)
     times[0] += 100.0
-    watcher.take(news("feed-b", 2, False, []), NEW)
+    watcher.apply(news("feed-b", 2, False, []), NEW)
     assert not watcher.instances
     assert not watcher.told, "who holds a position is told only what is new"
 
@@ -64,12 +64,12 @@
         watcher = fleet_nodes.make_watcher(fleet_nodes.make_settings("entry"))
         times = [100.0]
         watcher.clock = lambda: times[0]
-        watcher.take(news("feed-a", 5, True, ["a"]), KNOWS)
-        watcher.take(news("feed-b", 1, True, []), NEW)
+        watcher.apply(news("feed-a", 5, True, ["a"]), KNOWS)
+        watcher.apply(news("feed-b", 1, True, []), NEW)
         times[0] += 100.0
 
         async def find_control():
-            watcher.take(news("feed-b", 2, False, []), NEW)
+            watcher.apply(news("feed-b", 2, False, []), NEW)
             return NEW
 
         monkeypatch.setattr(watcher, "find_control", find_control)
--- a/tests/test_other_writers.py
+++ b/tests/test_other_writers.py
@@ -100,7 +100,7 @@
 def test_news_with_a_configuration_that_can_not_be_read_keeps_the_one_held(noise, is_compressed):
     watcher = fleet_nodes.make_watcher(fleet_nodes.make_settings("entry"))
     good = zlib.compress(json.dumps(fleet_nodes.configuration(1, ["safe"])).encode())
-    watcher.take(node_messages.WatchReply("f", 1, True, [], [], [], 1, good, [], 0.0))
+    watcher.apply(node_messages.WatchReply("f", 1, True, [], [], [], 1, good, [], 0.0))
     bad = zlib.compress(noise) if is_compressed else noise
-    watcher.take(node_messages.WatchReply("f", 2, True, [], [], [], 2, bad, [], 0.0))
+    watcher.apply(node_messages.WatchReply("f", 2, True, [], [], [], 2, bad, [], 0.0))
     assert watcher.version == 1 and watcher.table is not None
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -99,7 +99,7 @@
         entry, _ = await make(clock)
         watcher, pool = entry.node.watcher, entry.node.pool
         named = [node_messages.NamedVersion("m", 2, 0.0)]
-        watcher.take(node_messages.WatchReply("f", 9, False, [], [], named, 0, b"", [], 0.0))
+        watcher.apply(node_messages.WatchReply("f", 9, False, [], [], named, 0, b"", [], 0.0))
         assert pool.required_version("m", clock()) == 0
         (backend,) = pool.backends.values()
         backend.answered_at = clock()
