--- a/src/merlinthread/nodes/crash_watch.py
+++ b/src/merlinthread/nodes/crash_watch.py
@@ -134,7 +134,7 @@
         kept = [known for known in self.unproven if now - known.at <= LATE_PROOF_S]
         self.unproven = [*kept, *found][-UNPROVEN_KEPT:]
 
-    def on_news(self) -> None:
+    def on_update(self) -> None:
         """Look for late proofs, and tell all again to a control VM that has just started."""
         if self.unproven:
             self.prove_late()
--- a/src/merlinthread/nodes/entry_node.py
+++ b/src/merlinthread/nodes/entry_node.py
@@ -47,7 +47,7 @@
         suspects = crash_ledger.CrashLedger()
         signals = backend_signals.BackendSignals()
         self.watcher = fleet_watcher.FleetWatcher(
-            settings, dialect, self.caller, clock, self.on_news, suspects, signals
+            settings, dialect, self.caller, clock, self.on_update, suspects, signals
         )
         self.crashes = crash_watch.CrashWatch(
             settings.name, self.watcher, suspects, self.caller, clock
@@ -105,10 +105,10 @@
         elif isinstance(message, node_messages.LoadReply):
             self.prober.receive(message)
 
-    def on_news(self) -> None:
+    def on_update(self) -> None:
         """Take over what the control VMs tell."""
         self.pool.update()
-        self.crashes.on_news()
+        self.crashes.on_update()
         table = self.watcher.table
         if table is not None:
             limits = table.limits
--- a/src/merlinthread/nodes/fleet_watcher.py
+++ b/src/merlinthread/nodes/fleet_watcher.py
@@ -61,7 +61,7 @@
         dialect: dialects.Dialect,
         caller: node_bus.RpcClient,
         clock: Callable[[], float],
-        on_news: Callable[[], None],
+        on_update: Callable[[], None],
         suspects: crash_ledger.CrashLedger | None = None,
         signals: backend_signals.BackendSignals | None = None,
     ) -> None:
@@ -69,7 +69,7 @@
         self.dialect = dialect
         self.caller = caller
         self.clock = clock
-        self.on_news = on_news
+        self.on_update = on_update
         self.suspects = suspects
         self.signals = signals
         self.table: route_table.RouteTable | None = None
@@ -225,7 +225,7 @@
             for limit in news.limits:
                 self.signals.merge_reported_limit(limit, now)
         self.count()
-        self.on_news()
+        self.on_update()
 
     def count(self) -> None:
         """Set the figures that operators see."""
--- a/tests/test_leaving_answers.py
+++ b/tests/test_leaving_answers.py
@@ -83,7 +83,7 @@
         asked = asyncio.create_task(fleet_.ask())
         await fleet_nodes.until(lambda: leaver.runs)
         del fleet_.entry.node.watcher.instances[leaver.instance]
-        fleet_.entry.node.on_news()
+        fleet_.entry.node.on_update()
         fleet_.feed(fleet_.workers)
         assert (await asked).status == 200
         assert (await fleet_.ask()).status == 503
@@ -113,7 +113,7 @@
             watcher.instances[leaver.instance], instance=f"{leaver.instance}@1767000000001"
         )
         watcher.take_instance(instances.Instance(later), watcher.clock())
-        watcher.on_news()
+        watcher.on_update()
         assert await fleet_.is_used(leaver)
 
     asyncio.run(scenario())
--- a/tests/test_rest.py
+++ b/tests/test_rest.py
@@ -140,14 +140,14 @@
         before = worker.refusals
         watcher = fleet.entry.node.watcher
         known = watcher.instances.pop(worker.instance)
-        watcher.on_news()
+        watcher.on_update()
         assert (await fleet.ask()).status == 503
         fleet.feed(fleet.workers)
         assert (await fleet.ask()).status == 503
         assert worker.refusals == before
         later = dataclasses.replace(known, instance=f"{worker.instance}@1767000000001")
         watcher.take_instance(instances.Instance(later), watcher.clock())
-        watcher.on_news()
+        watcher.on_update()
         worker.behaviour.is_full = False
         assert (await fleet.ask()).status == 200
 
