--- a/src/merlinthread/nodes/fleet_watcher.py
+++ b/src/merlinthread/nodes/fleet_watcher.py
@@ -287,7 +287,7 @@
         for instance in news.gone:
             self.forget(instance)
         for told in news.instances:
-            self.take_instance(told, now)
+            self.apply_instance(told, now)
         if news.is_full:
             present = {told.heartbeat.instance for told in news.instances}
             absent = sorted(set(self.instances) - present)
@@ -300,7 +300,7 @@
                 self.told = {address: self.told[address]}
         self.drop_missing(now)
 
-    def take_instance(self, told: instances.Instance, now: float) -> None:
+    def apply_instance(self, told: instances.Instance, now: float) -> None:
         """Take one back end over."""
         heartbeat = told.heartbeat
         if heartbeat.instance in self.gone:
--- a/tests/test_leaving_answers.py
+++ b/tests/test_leaving_answers.py
@@ -112,7 +112,7 @@
         later = dataclasses.replace(
             watcher.instances[leaver.instance], instance=f"{leaver.instance}@1767000000001"
         )
-        watcher.take_instance(instances.Instance(later), watcher.clock())
+        watcher.apply_instance(instances.Instance(later), watcher.clock())
         watcher.on_update()
         assert await fleet_.is_used(leaver)
 
--- a/tests/test_rest.py
+++ b/tests/test_rest.py
@@ -146,7 +146,7 @@
         assert (await fleet.ask()).status == 503
         assert worker.refusals == before
         later = dataclasses.replace(known, instance=f"{worker.instance}@1767000000001")
-        watcher.take_instance(instances.Instance(later), watcher.clock())
+        watcher.apply_instance(instances.Instance(later), watcher.clock())
         watcher.on_update()
         worker.behaviour.is_full = False
         assert (await fleet.ask()).status == 200
--- a/tests/test_rivals.py
+++ b/tests/test_rivals.py
@@ -72,7 +72,7 @@
     watcher = fleet_nodes.make_watcher(fleet_nodes.make_settings("entry"))
     parsed = count_parsed(monkeypatch)
     for number in range(BACKENDS):
-        watcher.take_instance(instances.Instance(beat(f"i-{number}@1", f"h:{number}")), 0.0)
+        watcher.apply_instance(instances.Instance(beat(f"i-{number}@1", f"h:{number}")), 0.0)
     assert len(watcher.instances) == BACKENDS
     assert len(parsed) <= PARSED_MAX * BACKENDS
 
@@ -81,10 +81,10 @@
     watcher = fleet_nodes.make_watcher(fleet_nodes.make_settings("entry"))
     reported = [beat("i-1", "h:2", sequence=5), beat("i-1", "h:1", sequence=4)]
     for heartbeat in reported:
-        watcher.take_instance(instances.Instance(heartbeat), 0.0)
+        watcher.apply_instance(instances.Instance(heartbeat), 0.0)
     assert watcher.instances["i-1"].address == "h:2"
     leaving = beat("i-1", "h:1", sequence=3)
     leaving.state = fleet.DRAINING
-    watcher.take_instance(instances.Instance(leaving), 0.0)
+    watcher.apply_instance(instances.Instance(leaving), 0.0)
     known = watcher.instances["i-1"]
     assert (known.address, known.state) == ("h:2", fleet.DRAINING)
