--- a/src/merlinthread/nodes/fleet_watcher.py
+++ b/src/merlinthread/nodes/fleet_watcher.py
@@ -101,7 +101,7 @@
 
     async def search(self) -> None:
         """Turn to a control VM that is joined to a majority, or to any if there is none such."""
-        answered = await self.find_control()
+        answered = await self.find_control_vm()
         self.search_at = self.clock() + SEARCH_EVERY_S
         if self.is_fresh:
             self.current = answered
@@ -109,7 +109,7 @@
             self.told = {answered: self.told.get(answered, Told())}
         self.current = self.current or answered
 
-    async def find_control(self) -> str:
+    async def find_control_vm(self) -> str:
         """Return the control VM that answers first and is joined to a majority.
 
         If none is joined, return any that answers, else an empty string. All are asked at once, so
--- a/tests/test_log_repair.py
+++ b/tests/test_log_repair.py
@@ -104,13 +104,13 @@
             "entry", control_port=controls.port, control_ips=controls.ips
         )
         watcher = fleet_nodes.make_watcher(settings)
-        assert await watcher.find_control() == f"{controls.ips[0]}:{controls.port}"
+        assert await watcher.find_control_vm() == f"{controls.ips[0]}:{controls.port}"
         assert not watcher.is_fresh
         for ip in controls.ips[1:]:
             await controls.start(ip)
         await fleet_nodes.until(controls.leader)
         watcher.disconnect("another one is asked")
-        await watcher.find_control()
+        await watcher.find_control_vm()
         assert watcher.is_fresh
 
     run(tmp_path, scenario)
--- a/tests/test_return_of_all.py
+++ b/tests/test_return_of_all.py
@@ -55,7 +55,7 @@
         near = addresses()[3]
         answers = Answers(addresses(), 0.0, near)
         watcher = make(1, answers)
-        assert await watcher.find_control() == near
+        assert await watcher.find_control_vm() == near
 
     asyncio.run(scenario())
 
@@ -92,10 +92,10 @@
     async def scenario():
         answers = Answers(addresses(), 0.0)
         watcher = make(1, answers)
-        watcher.current = await watcher.find_control()
+        watcher.current = await watcher.find_control_vm()
         watcher.disconnect("no answer")
         answers.asked.clear()
-        await watcher.find_control()
+        await watcher.find_control_vm()
         assert {watch.feed for _, watch in answers.asked} == {""}
 
     asyncio.run(scenario())
