--- a/src/merlinthread/nodes/permits.py
+++ b/src/merlinthread/nodes/permits.py
@@ -17,7 +17,7 @@
 
 # How long the leader may take to answer, in seconds: ten times the way there and back between
 # regions. A question may be lost, so it is sent a second time after a third of that.
-ANSWER_S = 0.06
+ANSWER_TIMEOUT_S = 0.06
 AGAIN_S = 0.02
 # After it did not answer, one question is sent in so long, in seconds; the others wait for nothing.
 SILENCE_S = 0.25
@@ -223,7 +223,7 @@
         self.waiting[number] = answered
         query = node_messages.LoadQuery(self.address, number, request)
         try:
-            for wait_s in (AGAIN_S, ANSWER_S - AGAIN_S):
+            for wait_s in (AGAIN_S, ANSWER_TIMEOUT_S - AGAIN_S):
                 self.send(address, query)
                 done, _ = await asyncio.wait([answered], timeout=wait_s)
                 if done:
