--- a/src/merlinthread/nodes/request_task.py
+++ b/src/merlinthread/nodes/request_task.py
@@ -27,7 +27,7 @@
 PATIENCE_SHARE = 0.12
 # Share of the objective within which the first byte must be expected for a place to be taken. The
 # request's own prompt is left out, so that large requests are not refused more often.
-ADMIT_SHARE = 0.7
+ADMISSION_SHARE = 0.7
 # The same for a client that was probably refused before, having so little of its time left.
 ADMIT_AGAIN_SHARE = 0.85
 SECOND_TRY_SHARE = 0.8
@@ -304,7 +304,7 @@
         assert self.facts is not None
         if self.exchange.is_started:
             return self.facts.deadline
-        share = ADMIT_AGAIN_SHARE if self.is_second_try() else ADMIT_SHARE
+        share = ADMIT_AGAIN_SHARE if self.is_second_try() else ADMISSION_SHARE
         return self.arrived + share * self.facts.route.objective_s
 
     def is_second_try(self) -> bool:
--- a/tests/test_entry_node.py
+++ b/tests/test_entry_node.py
@@ -404,7 +404,7 @@
         backend = entry.node.pool.backends[worker.instance]
         report = fleet.EngineReport(weights=[fleet.Weights("m", 1, 16)])
         # As after connections that timed out: the time for admission is over.
-        monkeypatch.setattr(request_task, "ADMIT_SHARE", -1.0)
+        monkeypatch.setattr(request_task, "ADMISSION_SHARE", -1.0)
         backend.apply_report(report, entry.node.clock())
         assert (await entry.ask("/model/", "id-1", **STREAM)).status == 200
         # Where others wait, it would only make them late too.
