--- a/src/merlinthread/nodes/backend_connections.py
+++ b/src/merlinthread/nodes/backend_connections.py
@@ -22,7 +22,7 @@
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self.clock = clock
-        self.kept = stream_client.ConnectionPool(KEEP_S, CONNECT_TIMEOUT_S, USER_TIMEOUT_S)
+        self.pool = stream_client.ConnectionPool(KEEP_S, CONNECT_TIMEOUT_S, USER_TIMEOUT_S)
 
     async def connect(
         self, backend: backend_record.Backend, may_repeat: bool
@@ -33,9 +33,9 @@
         may be closing it just now.
         """
         idle_s = SAFE_IDLE_S_MAX if may_repeat else UNSAFE_IDLE_S_MAX
-        kept = self.kept.acquire(backend.instance, self.clock(), idle_s)
-        if kept is not None:
-            return kept
+        pool = self.pool.acquire(backend.instance, self.clock(), idle_s)
+        if pool is not None:
+            return pool
         return await stream_client.connect_hedged(
             backend.address, CONNECT_AGAIN_S, CONNECT_TIMEOUT_S, USER_TIMEOUT_S
         )
@@ -48,12 +48,12 @@
     ) -> None:
         """Keep a connection for the next request."""
         keep_s = stream_client.keep_alive_timeout_s(headers, KEEP_S)
-        self.kept.release(backend.instance, connection, self.clock(), keep_s)
+        self.pool.release(backend.instance, connection, self.clock(), keep_s)
 
     def note_silence(self, instance: str, connection: stream_client.ClientConnection) -> None:
         """Note that nothing came over a connection in time."""
-        self.kept.handle_timeout(instance, connection)
+        self.pool.handle_timeout(instance, connection)
 
     def drop(self, instance: str) -> None:
         """Close the connections to a back end that rest."""
-        self.kept.close_idle(instance)
+        self.pool.close_idle(instance)
--- a/tests/test_entry_node.py
+++ b/tests/test_entry_node.py
@@ -383,7 +383,7 @@
     async def scenario():
         entry, workers, _ = await make("model", 1, "m")
         await asyncio.gather(*(entry.ask("/model/", f"id-{n}", **STREAM) for n in range(3)))
-        pool = entry.node.pool.connections.kept
+        pool = entry.node.pool.connections.pool
         assert len(pool.idle["i-0"]) == 3
         workers[0].behaviour.is_mute = True
         monkeypatch.setattr(attempts, "FIRST_EVENT_MIN_S", 0.05)
