--- a/src/merlinthread/nodes/backend_pool.py
+++ b/src/merlinthread/nodes/backend_pool.py
@@ -88,7 +88,7 @@
         self.backends: dict[str, backend_record.Backend] = {}
         self.by_service: dict[str, list[backend_record.Backend]] = {}
         self.by_address: dict[str, backend_record.Backend] = {}
-        self.heard: dict[str, list[backend_record.Backend]] = {}
+        self.subscribed: dict[str, list[backend_record.Backend]] = {}
         self.signals = signals
         self.words = signal_recorder.SignalRecorder(signals, teller, clock)
         self.usual_work: dict[str, backend_record.ResponseTime] = {}
@@ -119,13 +119,13 @@
 
     def update_heard(self) -> None:
         """Choose the engines that this entry hears unasked, by service."""
-        before = self.heard
-        self.heard = {
+        before = self.subscribed
+        self.subscribed = {
             service: load_feed.engines_to_subscribe(self.settings.name, backends)
             for service, backends in self.by_service.items()
             if self.engine_of(service) is not None
         }
-        kept = {backend.instance for heard in self.heard.values() for backend in heard}
+        kept = {backend.instance for heard in self.subscribed.values() for backend in heard}
         for heard in before.values():
             for backend in heard:
                 if backend.instance not in kept:
@@ -236,7 +236,7 @@
         backends = self.by_service.get(demand.service, [])
         if engine is None or not self.settings.agent_port:
             return dispatch.choose(backends, demand, engine, self.clock(), self.rng, wait_s_max)
-        heard = self.heard.get(demand.service, [])
+        heard = self.subscribed.get(demand.service, [])
         asked = dispatch.shortlist(heard, demand, engine, self.clock(), self.rng, PROBED)
         await self.ask_loads(asked)
         choice = dispatch.choose_best(asked, demand, engine, self.clock())
@@ -278,7 +278,7 @@
 
         Only those that are heard unasked tell it, 16 of 41 where there are so many.
         """
-        return dispatch.half_ready_in_s(self.heard.get(service, []), self.clock())
+        return dispatch.half_ready_in_s(self.subscribed.get(service, []), self.clock())
 
     def engine_of(self, service_name: str) -> fleet.Engine | None:
         """Return the engine that a service's back ends run, or None for a plain service."""
@@ -343,7 +343,7 @@
     async def subscribe(self, send: Callable[[str], None], every_s: float) -> None:
         """Ask the agents beside engines for their load, again and again."""
         while True:
-            for backends in self.heard.values():
+            for backends in self.subscribed.values():
                 for backend in backends:
                     with contextlib.suppress(OSError):
                         send(self.agent_of(backend))
--- a/tests/test_entry_node.py
+++ b/tests/test_entry_node.py
@@ -423,7 +423,7 @@
         entry.node.settings.agent_port = 1
         heard, silent = (pool.backends[worker.instance] for worker in workers)
         pool.agent_of = lambda backend: backend.instance
-        pool.heard = {"model": [heard]}
+        pool.subscribed = {"model": [heard]}
         report = fleet.EngineReport(running=8, queued=4, weights=[fleet.Weights("m", 1, 16)])
         heard.apply_report(report, pool.clock())
 
@@ -435,7 +435,7 @@
         entry.node.prober.ask = answers_of_the_heard_one
         choice = await pool.choose(dispatch.Demand("model", "m", 1), 0.2)
         assert choice.backend is heard, "nothing is known of the other one"
-        pool.heard = {"model": []}
+        pool.subscribed = {"model": []}
         choice = await pool.choose(dispatch.Demand("model", "m", 1, tried={heard.instance}), 0.2)
         assert choice.backend is silent
 
@@ -448,7 +448,7 @@
         entry, workers, _ = await make("model", 5, "m")
         pool = entry.node.pool
         heard = [pool.backends[worker.instance] for worker in workers[:2]]
-        pool.heard = {"model": heard}
+        pool.subscribed = {"model": heard}
         for engine in heard:
             engine.apply_report(fleet.EngineReport(ready_in_s=3.0), pool.clock())
         assert pool.ready_in_s("model") == pytest.approx(3.0, abs=0.2)
