--- a/src/merlinthread/nodes/crash_watch.py
+++ b/src/merlinthread/nodes/crash_watch.py
@@ -65,7 +65,7 @@
         self.caller = caller
         self.clock = clock
         self.breaks: dict[str, list[Break]] = {}
-        self.unproven: list[Break] = []
+        self.unconfirmed: list[Break] = []
         self.proofs: dict[str, asyncio.Task[None]] = {}
         self.unreported: dict[str, None] = {}
         self.has_unreported = asyncio.Event()
@@ -131,12 +131,12 @@
     def wait_for_proof(self, found: list[Break]) -> None:
         """Keep breaks until another instance shows at their address, or for so long."""
         now = self.clock()
-        kept = [known for known in self.unproven if now - known.at <= LATE_PROOF_S]
-        self.unproven = [*kept, *found][-UNPROVEN_KEPT:]
+        kept = [known for known in self.unconfirmed if now - known.at <= LATE_PROOF_S]
+        self.unconfirmed = [*kept, *found][-UNPROVEN_KEPT:]
 
     def on_update(self) -> None:
         """Look for late proofs, and tell all again to a control VM that has just started."""
-        if self.unproven:
+        if self.unconfirmed:
             self.prove_late()
         feed = self.watcher.feed()
         if feed and feed != self.reported_feed:
@@ -161,11 +161,11 @@
         """Note the ends of back ends at whose address another instance is now."""
         present = self.present_at()
         ended, kept = [], []
-        for found in self.unproven:
+        for found in self.unconfirmed:
             backend = found.backend
             is_there = present.get(backend.address, backend.instance) == backend.instance
             (kept if is_there else ended).append(found)
-        self.unproven = kept
+        self.unconfirmed = kept
         if ended:
             self.note_ends(ended, REPLACED)
 
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -174,12 +174,12 @@
         # Its VM falls dark: nothing answers, and the attempt ends by its own time.
         worker.is_away = True
         await task
-        assert crashes.unproven and not crashes.ledger.records
+        assert crashes.unconfirmed and not crashes.ledger.records
         worker.behaviour.is_mute = False
         worker.end()
         await worker.begin_again()
         await fleet_nodes.until(lambda: crashes.ledger.records)
-        assert not crashes.unproven
+        assert not crashes.unconfirmed
 
     run(tmp_path, scenario, entries=1, workers=2)
 
