--- a/src/merlinthread/nodes/crash_watch.py
+++ b/src/merlinthread/nodes/crash_watch.py
@@ -66,7 +66,7 @@
         self.clock = clock
         self.breaks: dict[str, list[Break]] = {}
         self.unconfirmed: list[Break] = []
-        self.proofs: dict[str, asyncio.Task[None]] = {}
+        self.checks: dict[str, asyncio.Task[None]] = {}
         self.unreported: dict[str, None] = {}
         self.has_unreported = asyncio.Event()
         self.reported_feed = ""
@@ -94,9 +94,9 @@
         known = self.breaks.setdefault(backend.instance, [])
         known[:] = [other for other in known if found.at - other.at <= BREAK_KEPT_S]
         known.append(found)
-        if backend.instance not in self.proofs:
+        if backend.instance not in self.checks:
             task = asyncio.get_running_loop().create_task(self.prove(backend))
-            self.proofs[backend.instance] = task
+            self.checks[backend.instance] = task
 
     async def prove(self, backend: backend_record.Backend) -> None:
         """Connect once more: a refusal proves that the process has ended."""
@@ -111,11 +111,11 @@
         except errors.UnreachableError as error:
             self.judge(backend, False, error.message)
         finally:
-            del self.proofs[backend.instance]
+            del self.checks[backend.instance]
 
     async def settled(self, backend: backend_record.Backend) -> None:
         """Return once no connection is under way that shows whether a back end has ended."""
-        task = self.proofs.get(backend.instance)
+        task = self.checks.get(backend.instance)
         if task is not None:
             await asyncio.wait([task])
 
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -155,7 +155,7 @@
         for worker in fleet.workers:
             worker.behaviour.closes_without_answer = False
         crashes = fleet.entries[0].node.crashes
-        await fleet_nodes.until(lambda: not crashes.proofs)
+        await fleet_nodes.until(lambda: not crashes.checks)
         assert not crashes.ledger.records
         assert (await fleet.ask(0, b"same")).status == 200
 
