--- a/tests/test_news_in_full.py
+++ b/tests/test_news_in_full.py
@@ -72,7 +72,7 @@
             watcher.apply(news("feed-b", 2, False, []), NEW)
             return NEW
 
-        monkeypatch.setattr(watcher, "find_control", find_control_vm)
+        monkeypatch.setattr(watcher, "find_control_vm", find_control_vm)
         await watcher.search()
         assert watcher.current == NEW and watcher.told[NEW].position == 0
 
