--- a/src/merlinthread/nodes/fleet_watcher.py
+++ b/src/merlinthread/nodes/fleet_watcher.py
@@ -84,7 +84,7 @@
         self.named_at: dict[str, dict[int, float]] = {}
         self.controls: list[str] = settings.control_nodes()
         self.current = ""
-        self.told: dict[str, Told] = {}
+        self.positions: dict[str, Told] = {}
         self.search_at = float("-inf")
         self.fresh_at = float("-inf")
         self.is_fresh = False
@@ -106,7 +106,7 @@
         if self.is_fresh:
             self.current = answered
             # The others tell all anew, should one of them be turned to later.
-            self.told = {answered: self.told.get(answered, Told())}
+            self.positions = {answered: self.positions.get(answered, Told())}
         self.current = self.current or answered
 
     async def find_control_vm(self) -> str:
@@ -144,7 +144,7 @@
         self, address: str, wait_s: float, timeout_s: float
     ) -> node_messages.WatchReply | None:
         """Return a control VM's news, or None if it does not answer."""
-        told = self.told.get(address, Told())
+        told = self.positions.get(address, Told())
         suspicions = told.suspicions if self.suspects is not None else -1
         limits = told.limits if self.signals is not None else -1
         watch = node_messages.WatchRequest(
@@ -192,11 +192,11 @@
         """Leave the present control VM."""
         self.note_stale(reason)
         self.current = ""
-        self.told = {}
+        self.positions = {}
 
     def feed(self) -> str:
         """Return the feed of the present control VM, or an empty string."""
-        return self.told.get(self.current, Told()).feed
+        return self.positions.get(self.current, Told()).feed
 
     # Taking news
 
@@ -212,7 +212,7 @@
         if news.controls:
             self.controls = news.controls
         # Before what is told is taken, which may ask for all anew.
-        self.told[address] = Told(
+        self.positions[address] = Told(
             news.feed, news.position, news.suspicion_revision, news.limit_revision
         )
         self.take_configuration(news)
@@ -297,7 +297,7 @@
             if absent:
                 # One that has just started may not have heard them; the others have told them and
                 # would tell nothing more.
-                self.told = {address: self.told[address]}
+                self.positions = {address: self.positions[address]}
         self.drop_missing(now)
 
     def apply_instance(self, told: instances.Instance, now: float) -> None:
@@ -353,6 +353,6 @@
         for instance, since in list(self.missing.items()):
             if now - since > grace_s:
                 del self.missing[instance]
-                self.told = {}
+                self.positions = {}
                 self.drop(instance)
                 logs.event("instance", instance=instance, state="missing", since_s=now - since)
--- a/tests/test_news_in_full.py
+++ b/tests/test_news_in_full.py
@@ -40,9 +40,9 @@
 def test_a_back_end_that_one_control_vm_does_not_know_is_asked_for_at_the_others():
     watcher = fleet_nodes.make_watcher(fleet_nodes.make_settings("entry"))
     watcher.apply(news("feed-a", 5, True, ["a", "b"]), KNOWS)
-    assert watcher.told[KNOWS].position == 5
+    assert watcher.positions[KNOWS].position == 5
     watcher.apply(news("feed-b", 1, True, []), NEW)
-    assert KNOWS not in watcher.told, "it would tell only what is new"
+    assert KNOWS not in watcher.positions, "it would tell only what is new"
     watcher.apply(news("feed-a", 5, True, ["a", "b"]), KNOWS)
     assert not watcher.missing and set(watcher.instances) == {"a", "b"}
 
@@ -56,7 +56,7 @@
     times[0] += 100.0
     watcher.apply(news("feed-b", 2, False, []), NEW)
     assert not watcher.instances
-    assert not watcher.told, "who holds a position is told only what is new"
+    assert not watcher.positions, "who holds a position is told only what is new"
 
 
 def test_a_search_that_ends_with_a_back_end_dropped_asks_for_all_anew(monkeypatch):
@@ -74,6 +74,6 @@
 
         monkeypatch.setattr(watcher, "find_control_vm", find_control_vm)
         await watcher.search()
-        assert watcher.current == NEW and watcher.told[NEW].position == 0
+        assert watcher.current == NEW and watcher.positions[NEW].position == 0
 
     asyncio.run(scenario())
