--- a/src/merlinthread/nodes/fleet_watcher.py
+++ b/src/merlinthread/nodes/fleet_watcher.py
@@ -32,7 +32,7 @@
 FIRST_TIMEOUT_S = 0.4
 PAUSE_S = 0.1
 # How often another control VM is looked for while none is known to be joined to a majority.
-SEARCH_EVERY_S = 0.4
+SEARCH_INTERVAL_S = 0.4
 STALE_S = 1.6
 MISSING_BEATS = 4
 # An age that differs by less is no better known: news are up to WATCH_TIMEOUT_S on their way.
@@ -102,7 +102,7 @@
     async def search(self) -> None:
         """Turn to a control VM that is joined to a majority, or to any if there is none such."""
         answered = await self.find_control_vm()
-        self.search_at = self.clock() + SEARCH_EVERY_S
+        self.search_at = self.clock() + SEARCH_INTERVAL_S
         if self.is_fresh:
             self.current = answered
             # The others tell all anew, should one of them be turned to later.
--- a/tests/test_return_of_all.py
+++ b/tests/test_return_of_all.py
@@ -81,7 +81,7 @@
         task = asyncio.get_running_loop().create_task(watcher.run())
         await fleet_nodes.until(lambda: watcher.current)
         answers.leader_age_s = 0.0
-        async with asyncio.timeout(2 * fleet_watcher.SEARCH_EVERY_S):
+        async with asyncio.timeout(2 * fleet_watcher.SEARCH_INTERVAL_S):
             await fleet_nodes.until(lambda: watcher.is_fresh)
         task.cancel()
 
