--- a/src/merlinthread/nodes/dialect.py
+++ b/src/merlinthread/nodes/dialect.py
@@ -1,7 +1,7 @@
-"""What a deployment's platform must translate for the nodes; `merlinthread.platform` holds one.
+"""The interface between the nodes and the wire formats of a platform.
 
-Nodes know only these calls and the types of `protocol.fleet`. A dialect has no state and decides
-nothing.
+Nodes use only these calls and the types of `coordination.fleet`. A dialect is stateless and makes
+no decisions. `merlinthread.platform` has an implementation.
 """
 
 import dataclasses
@@ -13,7 +13,7 @@
 
 @dataclasses.dataclass(slots=True)
 class PutConfiguration:
-    """An operator puts a configuration in force; `body` is kept as it was sent."""
+    """Replace the configuration; `body` is stored as received."""
 
     configuration: fleet.Configuration
     body: bytes
@@ -21,12 +21,12 @@
 
 @dataclasses.dataclass(slots=True)
 class GetConfiguration:
-    """An operator reads the newest configuration back."""
+    """Return the newest configuration."""
 
 
 @dataclasses.dataclass(slots=True)
 class NameVersion:
-    """An operator names new weights."""
+    """Announce a new version of a model's weights."""
 
     model: str
     version: int
@@ -34,14 +34,14 @@
 
 @dataclasses.dataclass(slots=True)
 class ReceiveHeartbeat:
-    """A back end tells that it lives, or that it drains."""
+    """Process a back end's heartbeat, which says whether it is ready or draining."""
 
     heartbeat: fleet.Heartbeat
 
 
 @dataclasses.dataclass(slots=True)
 class Leave:
-    """A back end ends."""
+    """Remove a back end that has stopped."""
 
     instance: str
 
@@ -50,57 +50,57 @@
 
 
 class Dialect(Protocol):
-    """The translations that the nodes ask for."""
+    """Conversions between wire formats and the types of the nodes."""
 
     def configuration(self, body: bytes) -> fleet.Configuration:
-        """Read a configuration; raise ConfigurationError."""
+        """Parse a configuration; raise ConfigurationError if it is invalid."""
 
     def control_call(self, request: http_messages.Request) -> ControlCall:
-        """Read a call of an operator or back end; raise MerlinthreadError."""
+        """Parse a call of an operator or back end; raise MerlinthreadError if it is invalid."""
 
     def client_call(self, request: http_messages.Request) -> fleet.RequestHead:
-        """Read the head of a client's request; raise RequestError."""
+        """Parse the head of a client's request; raise RequestError if it is invalid."""
 
     def is_readiness_check(self, request: http_messages.Request) -> bool:
-        """Return whether a request asks if the node is ready."""
+        """Return whether a request is a readiness check of the node."""
 
     def target_request(
         self, request: http_messages.Request, target: fleet.Target
     ) -> http_messages.Request:
-        """Return the request as a back end gets it."""
+        """Return the request to send to a back end."""
 
     def response_head(self, status: int, headers: http_messages.Headers) -> fleet.ResponseHead:
-        """Read the head of a back end's answer."""
+        """Parse the head of a back end's response."""
 
     def error_headers(self, call: fleet.RequestHead | None) -> http_messages.Headers:
-        """Return the headers of an answer of the node's own."""
+        """Return the headers of an error response that the node itself sends."""
 
     def report_request(self, address: str) -> http_messages.Request:
-        """Return the request for an engine's report."""
+        """Return the request for an engine's status report."""
 
     def report(self, body: bytes) -> fleet.EngineReport:
-        """Read an engine's report; raise ProtocolError."""
+        """Parse an engine's status report; raise ProtocolError if it is invalid."""
 
     def manifest_request(self, address: str, model: str, version: int) -> http_messages.Request:
-        """Return the request for a version's manifest."""
+        """Return the request to the origin for the manifest of a version."""
 
     def manifest(self, body: bytes) -> fleet.Manifest:
-        """Read a manifest; raise ProtocolError."""
+        """Parse a manifest; raise ProtocolError if it is invalid."""
 
     def piece_request(
         self, address: str, model: str, version: int, index: int
     ) -> http_messages.Request:
-        """Return the request for a piece from the origin."""
+        """Return the request to the origin for one piece of the weights."""
 
     def stage_request(
         self, address: str, model: str, index: int, data: bytes
     ) -> http_messages.Request:
-        """Return the request that lays a piece at an engine."""
+        """Return the request that uploads a piece to an engine's staging area."""
 
     def staged_request(self, address: str, model: str, index: int) -> http_messages.Request:
-        """Return the request for a piece that lies at an engine."""
+        """Return the request for a piece in an engine's staging area."""
 
     def load_request(
         self, address: str, model: str, version: int, cuts_streams: bool
     ) -> http_messages.Request:
-        """Return the order that makes an engine take the staged weights."""
+        """Return the request that makes an engine load the staged weights."""
--- a/src/merlinthread/nodes/engine_client.py
+++ b/src/merlinthread/nodes/engine_client.py
@@ -1,4 +1,4 @@
-"""Calls of an agent to the engine beside it and to the origin of weights."""
+"""HTTP client of an agent for its local engine and the origin of the weights."""
 
 import hashlib
 
@@ -8,101 +8,109 @@
 from merlinthread.protocol import retry_after
 from merlinthread.transport import http_messages, stream_client
 
-KEEP_S = 2.0
+KEEP_ALIVE_S = 2.0
 CONNECT_TIMEOUT_S = 0.5
 USER_TIMEOUT_S = 2.0
 LOCAL_TIMEOUT_S = 1.0
 MANIFEST_TIMEOUT_S = 2.0
 PIECE_TIMEOUT_S = 3.0
-# The longest rest that an origin is given, in seconds: all weights come from there, so it is asked
-# again by each agent that often, whatever it said.
-ORIGIN_REST_S_MAX = 30.0
+# Upper bound for Retry-After of the origin, the only source of new weights.
+ORIGIN_RETRY_DELAY_S_MAX = 30.0
 
 STATUS_ACCEPTED = 202
 STATUS_GONE = 410
 
 
 def sha256_hex(data: bytes) -> str:
-    """Return the SHA-256 of a piece in hex."""
+    """Return the SHA-256 digest of `data` in hexadecimal."""
     return hashlib.sha256(data).hexdigest()
 
 
 class EngineClient:
-    """The calls; each raises UnreachableError or ProtocolError if it fails."""
+    """Sends requests; each method raises UnreachableError or ProtocolError on failure."""
 
     def __init__(self, dialect: dialects.Dialect, engine: str) -> None:
         self.dialect = dialect
         self.engine = engine
-        self.pool = stream_client.ConnectionPool(KEEP_S, CONNECT_TIMEOUT_S, USER_TIMEOUT_S)
+        self.pool = stream_client.ConnectionPool(KEEP_ALIVE_S, CONNECT_TIMEOUT_S, USER_TIMEOUT_S)
 
     async def report(self) -> fleet.EngineReport:
-        """Return the engine's report."""
+        """Return the engine's status report."""
         request = self.dialect.report_request(self.engine)
-        answer = await self.pool.request(self.engine, request, LOCAL_TIMEOUT_S)
-        return self.dialect.report(whole(answer).body)
+        response = await self.pool.request(self.engine, request, LOCAL_TIMEOUT_S)
+        return self.dialect.report(require_success(response).body)
 
     async def manifest(self, origin: str, model: str, version: int) -> fleet.Manifest:
-        """Return a version's manifest; version 0 is the newest named."""
+        """Return the manifest of a version, 0 for the newest announced.
+
+        Raises WeightsError if the origin no longer has the version.
+        """
         request = self.dialect.manifest_request(origin, model, version)
-        answer = await self.pool.request(origin, request, MANIFEST_TIMEOUT_S)
-        if answer.status == STATUS_GONE:
+        response = await self.pool.request(origin, request, MANIFEST_TIMEOUT_S)
+        if response.status == STATUS_GONE:
             raise errors.WeightsError(
                 f"{model} version {version} is no longer at the origin",
                 kind=errors.ErrorKind.ORIGIN_CHANGED,
             )
-        return self.dialect.manifest(whole(answer).body)
+        return self.dialect.manifest(require_success(response).body)
 
     def close_idle_origin_connections(self, origin: str) -> None:
-        """Close idle connections to the origin: it bears few, and counts those of lost machines."""
+        """Close idle connections to the origin, which accepts only a few.
+
+        It counts connections of VMs that have failed, too.
+        """
         self.pool.close_idle(origin)
 
     async def piece(self, origin: str, manifest: fleet.Manifest, index: int) -> bytes:
-        """Return a piece from the origin, checked."""
+        """Return a piece from the origin.
+
+        Raises WeightsError if its digest is wrong or the origin no longer has the version.
+        """
         request = self.dialect.piece_request(origin, manifest.model, manifest.version, index)
-        answer = await self.pool.request(origin, request, PIECE_TIMEOUT_S)
-        if answer.status == STATUS_GONE:
+        response = await self.pool.request(origin, request, PIECE_TIMEOUT_S)
+        if response.status == STATUS_GONE:
             raise errors.WeightsError(
                 f"{manifest.model} version {manifest.version} is no longer at the origin",
                 kind=errors.ErrorKind.ORIGIN_CHANGED,
             )
-        body = whole(answer).body
+        body = require_success(response).body
         if sha256_hex(body) != manifest.digests[index]:
-            raise errors.WeightsError(f"piece {index} from the origin is corrupt")
+            raise errors.WeightsError(f"piece {index} from the origin has a wrong digest")
         return body
 
     async def stage(self, model: str, index: int, data: bytes) -> None:
-        """Lay a piece at the engine."""
+        """Upload a piece to the engine's staging area."""
         request = self.dialect.stage_request(self.engine, model, index, data)
-        whole(await self.pool.request(self.engine, request, LOCAL_TIMEOUT_S))
+        require_success(await self.pool.request(self.engine, request, LOCAL_TIMEOUT_S))
 
     async def staged(self, manifest: fleet.Manifest, index: int) -> bytes | None:
-        """Return a piece that lies at the engine, or None if it is missing or not sound."""
+        """Return a piece from the engine's staging area, or None if it is missing or corrupt."""
         request = self.dialect.staged_request(self.engine, manifest.model, index)
-        answer = await self.pool.request(self.engine, request, LOCAL_TIMEOUT_S)
-        if answer.status != 200 or sha256_hex(answer.body) != manifest.digests[index]:
+        response = await self.pool.request(self.engine, request, LOCAL_TIMEOUT_S)
+        if response.status != 200 or sha256_hex(response.body) != manifest.digests[index]:
             return None
-        return answer.body
+        return response.body
 
     async def load(self, model: str, version: int, cuts_streams: bool) -> int:
-        """Order the engine to take the staged weights; return the status of its answer."""
+        """Make the engine load the staged weights; return the HTTP status of its response."""
         request = self.dialect.load_request(self.engine, model, version, cuts_streams)
-        answer = await self.pool.request(self.engine, request, LOCAL_TIMEOUT_S)
-        return answer.status
+        response = await self.pool.request(self.engine, request, LOCAL_TIMEOUT_S)
+        return response.status
 
 
-def whole(answer: http_messages.Response) -> http_messages.Response:
-    """Return an answer that is a success; raise ProtocolError otherwise.
+def require_success(response: http_messages.Response) -> http_messages.Response:
+    """Return `response` if it is a success; raise ProtocolError otherwise.
 
-    The error says when the server wants to be asked again, if the answer does.
+    The error has the retry delay that the server asks for, if any.
     """
-    if 200 <= answer.status < 300:
-        return answer
-    value = http_messages.get_header(answer.headers, retry_after.HEADER)
-    date = http_messages.get_header(answer.headers, retry_after.DATE_HEADER)
-    rest_s = retry_after.parse(value, date).seconds
-    raise errors.ProtocolError(f"HTTP status {answer.status}", retry_after_s=rest_s)
+    if 200 <= response.status < 300:
+        return response
+    value = http_messages.get_header(response.headers, retry_after.HEADER)
+    date = http_messages.get_header(response.headers, retry_after.DATE_HEADER)
+    retry_after_s = retry_after.parse(value, date).seconds
+    raise errors.ProtocolError(f"HTTP status {response.status}", retry_after_s=retry_after_s)
 
 
 def origin_retry_delay_s(error: errors.MerlinthreadError) -> float:
-    """Return how long the origin wants to be left alone, by the error of a call to it."""
-    return min(ORIGIN_REST_S_MAX, error.retry_after_s or 0.0)
+    """Return the retry delay that the origin asked for, from the error of a call to it."""
+    return min(ORIGIN_RETRY_DELAY_S_MAX, error.retry_after_s or 0.0)
