--- a/src/merlinthread/nodes/attempt_descriptions.py
+++ b/src/merlinthread/nodes/attempt_descriptions.py
@@ -1,13 +1,16 @@
-"""What the log says of an attempt: what was believed of its back end, what that said of itself."""
+"""Descriptions of attempts for the request log.
+
+They show the state on which a back end was chosen and what its response said about itself.
+"""
 
 from merlinthread.coordination import backend_record, dispatch, fleet
 from merlinthread.nodes import permits
 
 
-def belief(
+def describe_choice(
     choice: dispatch.Choice, permit: permits.Permit | None, arrived: float, now: float
 ) -> str:
-    """Return what is believed of a back end for a request that arrived at `arrived`."""
+    """Describe the known state of a back end chosen for a request that arrived at `arrived`."""
     backend = choice.backend
     age_ms = round(1000 * (now - backend.load_updated_at())) if backend.has_fresh_load(now) else -1
     waited_ms = round(1000 * (now - arrived))
@@ -16,38 +19,38 @@
     return (
         f"{backend.instance} after {waited_ms} ms, load {backend.load(now)}, "
         f"unread {unread}, pace {backend.pace:.2g}, age {age_ms} ms, "
-        f"first byte expected in {expected_ms} ms{belief_of_limit(backend, permit, now)}"
+        f"first byte expected in {expected_ms} ms{describe_limit(backend, permit, now)}"
     )
 
 
-def belief_of_limit(
+def describe_limit(
     backend: backend_record.Backend, permit: permits.Permit | None, now: float
 ) -> str:
-    """Return what is believed of a back end's limit, empty if it named none."""
+    """Describe a back end's rate limit and the permit used; return "" if it has no limit."""
     availability = backend.availability
     if availability.limit_per_s is None:
         return ""
-    told_by = permit.told_by if permit is not None else "nobody"
-    heard_ms = round(1000 * (now - availability.limit_heard_at))
+    source = permit.source if permit is not None else "nobody"
+    age_ms = round(1000 * (now - availability.limit_heard_at))
     return (
-        f", limit {availability.limit_per_s:g} a second heard {heard_ms} ms ago, "
-        f"permit by {told_by}"
+        f", limit {availability.limit_per_s:g} per second received {age_ms} ms ago, "
+        f"permit from {source}"
     )
 
 
-def told_of_itself(facts: fleet.ResponseHead) -> str:
-    """Return what an answer says of the back end that gave it."""
+def describe_signals(head: fleet.ResponseHead) -> str:
+    """Describe what a response says about the back end that sent it."""
     parts = []
-    if facts.is_leaving:
-        parts.append("says that it leaves")
-    if facts.rest_s is not None:
-        parts.append(f"asks for {facts.rest_s:g} s of rest")
-    if facts.rest_problem:
-        parts.append(f"asks for a rest that can't be obeyed: {facts.rest_problem}")
-    if facts.limit_per_s is not None:
-        parts.append(f"takes {facts.limit_per_s:g} requests a second")
-    if facts.limit_problem:
-        parts.append(f"names a limit that can't be obeyed: {facts.limit_problem}")
-    if parts and facts.request_id is None:
-        parts.append("without the request's id")
+    if head.is_leaving:
+        parts.append("says that it is leaving")
+    if head.rest_s is not None:
+        parts.append(f"asks for {head.rest_s:g} s of rest")
+    if head.rest_problem:
+        parts.append(f"asks for a rest with an invalid duration: {head.rest_problem}")
+    if head.limit_per_s is not None:
+        parts.append(f"accepts {head.limit_per_s:g} requests per second")
+    if head.limit_problem:
+        parts.append(f"advertises an invalid limit: {head.limit_problem}")
+    if parts and head.request_id is None:
+        parts.append("without the request id")
     return ", ".join(parts)
--- a/src/merlinthread/nodes/attempts.py
+++ b/src/merlinthread/nodes/attempts.py
@@ -1,8 +1,7 @@
-"""One attempt of a client's request on one back end.
+"""One attempt to run a client's request on a back end.
 
-What is known of an attempt is typed: whether it was sent, whether it surely did not run, whether
-its answer has begun. An attempt judges its back end by what came of it; what follows for the
-request is decided in `request_task`.
+An attempt records in its back end's state how it ended. Its `State` says what is known about the
+request: whether it was sent, and whether it may have run. `request_task` decides on retries.
 """
 
 import asyncio
@@ -26,29 +25,32 @@
 from merlinthread.protocol import event_stream
 from merlinthread.transport import http_messages, stream_client
 
-FIRST_EVENT_OBJECTIVES = 2.0
+# Timeouts for the first event and between events, as multiples of the route's values.
+FIRST_EVENT_OBJECTIVE_FACTOR = 2.0
 FIRST_EVENT_MIN_S = 0.8
-GAP_SHARE = 2.0
-SILENCE_MIN_S = 0.6
+GAP_FACTOR = 2.0
+GAP_MIN_S = 0.6
 
 
-class SilentError(errors.UnreachableError):
-    """A back end said nothing for too long."""
+class ResponseTimeoutError(errors.UnreachableError):
+    """A back end did not send the next part of its response in time."""
 
 
-class OverdueError(errors.UnreachableError):
-    """An attempt has not begun by the time after which its version may not begin any more."""
+class VersionExpiredError(errors.UnreachableError):
+    """An attempt had no first event before its weights version expired."""
 
 
-class ClosedError(errors.UnreachableError):
-    """A back end said, after it had been chosen, that it takes no requests."""
+class UnavailableError(errors.UnreachableError):
+    """A back end became unavailable after it was chosen."""
 
 
 class State(enum.Enum):
-    """How far an attempt came."""
+    """How an attempt ended."""
 
     UNSENT = "unsent"
+    # The back end said that it has not run the request.
     NOT_RUN = "not_run"
+    # The request was sent, but there is no complete response.
     UNKNOWN = "unknown"
     FAILED = "failed"
     DONE = "done"
@@ -56,256 +58,269 @@
 
 @dataclasses.dataclass(slots=True)
 class Outcome:
-    """What came of one attempt; `answer` is the back end's where there is a whole one."""
+    """The result of one attempt; `response` is the back end's if it is complete."""
 
     state: State
     reason: str
-    answer: http_messages.Response | None = None
+    response: http_messages.Response | None = None
 
 
 class Attempt:
-    """One attempt; `is_sent` tells whether the request left for the back end."""
+    """One attempt; `is_sent` is set once the request has been sent to the back end."""
 
     def __init__(
         self,
-        facts: request_context.Facts,
-        relay: response_relay.Relay,
+        context: request_context.RequestContext,
+        relay: response_relay.ResponseRelay,
         dialect: dialects.Dialect,
         pool: backend_pool.BackendPool,
         backend: backend_record.Backend,
         permit: permits.Permit | None = None,
     ) -> None:
-        self.facts = facts
+        self.context = context
         self.permit = permit
         self.relay = relay
         self.dialect = dialect
         self.pool = pool
         self.clock = pool.clock
         self.backend = backend
-        self.place = pool.occupy(backend, facts.call.prompt_tokens)
+        self.reservation = pool.reserve(backend, context.call.prompt_tokens)
         self.is_sent = False
         self.sent_at = float("-inf")
-        # What the back end said of itself in its answer, for the log.
-        self.told = ""
+        # The back end's availability signals in the response, for the log.
+        self.signals_text = ""
 
     async def run(self) -> Outcome:
-        """Send the request and relay the answer if it is whole; return what came of it."""
+        """Send the request and relay a successful response; return the outcome."""
         connection: stream_client.ClientConnection | None = None
         try:
             connection = await self.pool.connections.connect(
-                self.backend, self.facts.is_idempotent()
+                self.backend, self.context.is_idempotent()
             )
-            self.check_open()
+            self.check_available()
             connection.send(self.request())
             self.is_sent = True
             self.sent_at = self.clock()
-            async with asyncio.timeout_at(self.loop_time(self.facts.deadline)):
-                outcome, headers = await self.converse(connection)
+            async with asyncio.timeout_at(self.loop_time(self.context.deadline)):
+                outcome, headers = await self.receive_response(connection)
             if outcome.state in (State.DONE, State.FAILED, State.NOT_RUN):
-                self.pool.connections.give_back(self.backend, connection, headers)
+                self.pool.connections.release(self.backend, connection, headers)
                 connection = None
-            self.judge(outcome)
+            self.record_outcome(outcome)
             return outcome
         except TimeoutError:
-            self.note_silence(connection)
+            self.handle_timeout(connection)
             if not self.relay.exchange.is_started:
                 dispatch.record_failure(self.backend, self.clock())
-            self.note_break(True)
-            return Outcome(State.UNKNOWN, "the time is over")
+            self.record_break(True)
+            return Outcome(State.UNKNOWN, "deadline exceeded")
         except errors.MerlinthreadError as error:
-            if isinstance(error, SilentError):
-                self.note_silence(connection)
-            if not isinstance(error, OverdueError | ClosedError):
+            if isinstance(error, ResponseTimeoutError):
+                self.handle_timeout(connection)
+            if not isinstance(error, VersionExpiredError | UnavailableError):
                 dispatch.record_failure(self.backend, self.clock())
             if self.is_sent:
-                self.note_break(isinstance(error, SilentError | OverdueError))
+                self.record_break(isinstance(error, ResponseTimeoutError | VersionExpiredError))
                 return Outcome(State.UNKNOWN, error.message)
             return Outcome(State.UNSENT, f"unsent: {error.message}")
         finally:
-            self.pool.release(self.place)
+            self.pool.release(self.reservation)
             if connection is not None:
                 connection.close()
 
-    def check_open(self) -> None:
-        """Raise ClosedError if the back end takes nothing any more.
+    def check_available(self) -> None:
+        """Raise UnavailableError if the back end may not get this request.
 
-        All ways lead through here: first and later attempts, resumed streams, the last resort. What
-        an answer said while this one waited for its connection counts.
+        Every attempt checks this just before sending, since another response may have changed the
+        availability while the connection was being opened.
         """
         now = self.clock()
         availability = self.pool.signals.availability_of(self.backend.instance)
         if availability.is_unavailable(now):
-            raise ClosedError(
-                "it said that it leaves" if availability.is_leaving else "it is at rest"
+            raise UnavailableError(
+                "the back end is leaving" if availability.is_leaving else "the back end is resting"
             )
         if not availability.is_limited():
             return
         if self.permit is None or not self.permit.is_valid(self.backend.instance, now):
-            raise ClosedError("it named a limit, and there is no permit for this request")
-
-    def note_break(self, is_silent: bool) -> None:
-        """Note that the request left and no whole answer came."""
-        found = crash_watch.Break(
-            self.facts.fingerprint(),
-            self.facts.label(),
-            self.facts.account.name if self.facts.account is not None else "",
-            self.facts.call.request_id,
+            raise UnavailableError("the back end has a rate limit and there is no valid permit")
+
+    def record_break(self, is_silent: bool) -> None:
+        """Record that the request was sent and got no complete response."""
+        broken = crash_watch.BrokenAttempt(
+            self.context.fingerprint(),
+            self.context.label(),
+            self.context.account.name if self.context.account is not None else "",
+            self.context.call.request_id,
             self.backend,
-            self.place.started,
+            self.reservation.started,
             self.clock(),
         )
-        self.pool.crashes.note_break(found, is_silent)
+        self.pool.crashes.record_break(broken, is_silent)
 
-    def note_silence(self, connection: stream_client.ClientConnection | None) -> None:
-        """Note that nothing came over the connection in time."""
+    def handle_timeout(self, connection: stream_client.ClientConnection | None) -> None:
+        """Handle a timeout of the connection, if there is one."""
         if connection is not None:
-            self.pool.connections.note_silence(self.backend.instance, connection)
+            self.pool.connections.handle_timeout(self.backend.instance, connection)
 
     def loop_time(self, at: float) -> float:
-        """Return `at` as a time of the event loop."""
+        """Convert a time of this node's clock to the event loop's clock."""
         return asyncio.get_running_loop().time() + (at - self.clock())
 
-    def judge(self, outcome: Outcome) -> None:
-        """Note what an attempt tells of its back end."""
+    def record_outcome(self, outcome: Outcome) -> None:
+        """Update the back end's state after a complete response."""
         now = self.clock()
         if outcome.state is State.DONE:
-            dispatch.record_success(self.backend, now - self.place.started)
+            dispatch.record_success(self.backend, now - self.reservation.started)
             if self.pool.crashes.ledger.records:
-                self.pool.crashes.note_whole_answer(self.facts.fingerprint())
+                self.pool.crashes.record_success(self.context.fingerprint())
         elif outcome.state is State.NOT_RUN:
             dispatch.record_full(self.backend, now)
 
     def request(self) -> http_messages.Request:
-        """Return the request as the back end gets it."""
+        """Return the request to send to the back end."""
         remaining_s = None
-        if self.facts.call.deadline_s is not None:
-            remaining_s = self.facts.deadline - self.clock()
+        if self.context.call.deadline_s is not None:
+            remaining_s = self.context.deadline - self.clock()
         target = fleet.Target(
             self.backend.instance,
-            self.facts.account.name if self.facts.account else "",
+            self.context.account.name if self.context.account else "",
             remaining_s,
-            self.facts.account is not None,
+            self.context.account is not None,
             self.expected_version(),
             self.relay.last_event_id,
-            self.facts.urgency(),
+            self.context.urgency(),
         )
         return self.dialect.target_request(self.relay.exchange.request, target)
 
     def expected_version(self) -> int | None:
-        """Return the version of the weights that must run the request, None if any may.
+        """Return the weights version that must run the request, or None if any may.
 
-        That is the one that the engine is known to hold: it may be newer than the one that is due.
+        This is the version that the engine has loaded, which may be newer than the required one.
         """
-        model = self.facts.call.model
+        model = self.context.call.model
         if not model or not self.pool.required_version(model, self.clock()):
             return None
-        return self.pool.held_version(self.backend, model)
+        return self.pool.loaded_version(self.backend, model)
 
-    async def converse(
+    async def receive_response(
         self, connection: stream_client.ClientConnection
     ) -> tuple[Outcome, http_messages.Headers]:
-        """Read the answer, and relay it if it counts; return what came of it and its headers."""
+        """Read the response, relaying it if successful; return the outcome and the headers.
+
+        Raises ProtocolError if the response is for another request or is not a valid success.
+        """
         head = await self.read_head(connection)
         headers = list(head.headers.raw_items())
-        facts = self.dialect.response_head(head.status_code, headers)
-        if facts.request_id is not None and facts.request_id != self.facts.call.request_id:
-            raise errors.ProtocolError(f"an answer to another request: {facts.request_id}")
-        self.told = attempt_descriptions.told_of_itself(facts)
-        self.heed(facts)
+        response_head = self.dialect.response_head(head.status_code, headers)
+        if (
+            response_head.request_id is not None
+            and response_head.request_id != self.context.call.request_id
+        ):
+            raise errors.ProtocolError(
+                f"the response has another request id: {response_head.request_id}"
+            )
+        self.signals_text = attempt_descriptions.describe_signals(response_head)
+        self.record_signals(response_head)
         is_success = 200 <= head.status_code < 300
-        if is_success and (not facts.is_signed or facts.is_encoded):
-            raise errors.ProtocolError("a success without a signature, or encoded")
-        if is_success and self.facts.route.kind == fleet.STREAMING:
-            answer = http_messages.Response(head.status_code, headers)
-            return await self.relay_stream(connection, answer), headers
+        if is_success and (not response_head.is_signed or response_head.is_encoded):
+            raise errors.ProtocolError(
+                "a successful response is unsigned or has a content encoding"
+            )
+        if is_success and self.context.route.kind == fleet.STREAMING:
+            response = http_messages.Response(head.status_code, headers)
+            return await self.relay_stream(connection, response), headers
         body = await self.read_body(connection)
-        answer = http_messages.Response(head.status_code, headers, body)
-        if facts.is_not_run:
-            return Outcome(State.NOT_RUN, f"{head.status_code} not run", answer), headers
+        response = http_messages.Response(head.status_code, headers, body)
+        if response_head.is_not_run:
+            return Outcome(State.NOT_RUN, f"{head.status_code} not run", response), headers
         if not is_success:
-            return Outcome(State.FAILED, f"status {head.status_code}", answer), headers
-        await self.relay.give(answer)
-        return Outcome(State.DONE, "answered", answer), headers
+            return Outcome(State.FAILED, f"status {head.status_code}", response), headers
+        await self.relay.send_response(response)
+        return Outcome(State.DONE, "answered", response), headers
 
-    def heed(self, facts: fleet.ResponseHead) -> None:
-        """Take over what an answer says of the back end itself.
+    def record_signals(self, response_head: fleet.ResponseHead) -> None:
+        """Record the back end's availability signals in a response.
 
-        That it leaves holds for all its life, and a limit until it says otherwise, so the answer
-        must surely be its own: it repeats the request's id or is signed, and is not another's
-        refusal of what was meant for this one. A rest is short, so whoever answers at the address
-        may ask for it.
+        Leaving and limits have lasting effects, so they are accepted only from a response that
+        repeats the request id or is signed, and that was not sent by another instance. A rest is
+        short and is accepted from whatever answers at the address.
         """
-        request_id = self.facts.call.request_id
-        if facts.unread:
-            self.pool.words.record_unread_headers(facts.unread, self.backend.instance, request_id)
-        is_its_own = not facts.is_other and (facts.request_id is not None or facts.is_signed)
-        if facts.is_leaving and is_its_own:
-            self.pool.note_leaving(self.backend, request_id)
-        if facts.limit_problem:
+        request_id = self.context.call.request_id
+        if response_head.unread:
+            self.pool.recorder.record_unread_headers(
+                response_head.unread, self.backend.instance, request_id
+            )
+        is_authentic = not response_head.is_other and (
+            response_head.request_id is not None or response_head.is_signed
+        )
+        if response_head.is_leaving and is_authentic:
+            self.pool.record_leaving(self.backend, request_id)
+        if response_head.limit_problem:
             metrics.unreadable_words_total.labels("limit").inc()
-        elif is_its_own:
-            self.pool.words.note_limit(
-                self.backend.instance, facts.limit_per_s, self.sent_at, request_id
+        elif is_authentic:
+            self.pool.recorder.record_limit(
+                self.backend.instance, response_head.limit_per_s, self.sent_at, request_id
             )
-        if facts.rest_s is not None:
-            self.pool.words.note_rest(self.backend.instance, facts.rest_s, request_id)
-        elif facts.rest_problem:
+        if response_head.rest_s is not None:
+            self.pool.recorder.record_rest(self.backend.instance, response_head.rest_s, request_id)
+        elif response_head.rest_problem:
             metrics.unreadable_words_total.labels("retry-after").inc()
 
     async def read_head(self, connection: stream_client.ClientConnection) -> h11.Response:
-        """Return the head of the answer; a stream's must come within bounds."""
+        """Return the response head, skipping informational responses."""
         event = await self.first_event(connection)
         while isinstance(event, h11.InformationalResponse):
             event = await self.first_event(connection)
         if not isinstance(event, h11.Response):
-            raise errors.ProtocolError(f"{type(event).__name__} came before an answer's head")
+            raise errors.ProtocolError(f"{type(event).__name__} received before a response head")
         return event
 
     async def first_event(self, connection: stream_client.ClientConnection) -> h11.Event:
-        """Return the next event of an answer whose stream has not begun yet.
+        """Return the next event before the first data of a stream; other responses have no timeout.
 
-        Raises OverdueError if the back end holds an old version and its bound comes before.
+        Raises ResponseTimeoutError, or VersionExpiredError if the loaded version expires earlier.
         """
-        if self.facts.route.kind != fleet.STREAMING:
+        if self.context.route.kind != fleet.STREAMING:
             return await connection.next_event()
-        limit_s = self.first_limit_s()
-        overdue_s = self.pool.begin_by(self.backend, self.facts.call.model) - self.clock()
-        if limit_s <= overdue_s:
-            return await self.next_event(connection, limit_s)
+        timeout_s = self.first_event_timeout_s()
+        expiry_s = self.pool.start_deadline(self.backend, self.context.call.model) - self.clock()
+        if timeout_s <= expiry_s:
+            return await self.next_event(connection, timeout_s)
         try:
-            return await self.next_event(connection, max(0.0, overdue_s))
-        except SilentError:
-            raise OverdueError("not begun when the bound of its old version came")
+            return await self.next_event(connection, max(0.0, expiry_s))
+        except ResponseTimeoutError:
+            raise VersionExpiredError("no response before the loaded weights version expired")
 
-    def first_limit_s(self) -> float:
-        """Return how long a back end may be silent before its first event."""
-        if not self.facts.is_idempotent():
+    def first_event_timeout_s(self) -> float:
+        """Return the timeout for the first event, in seconds; infinite if it can't be retried."""
+        if not self.context.is_idempotent():
             return math.inf
-        return max(FIRST_EVENT_MIN_S, FIRST_EVENT_OBJECTIVES * self.facts.route.objective_s)
+        return max(FIRST_EVENT_MIN_S, FIRST_EVENT_OBJECTIVE_FACTOR * self.context.route.objective_s)
 
-    def pause_limit_s(self) -> float:
-        """Return how long a back end may be silent between two events."""
-        if not self.facts.is_idempotent() or not self.facts.route.gap_s:
-            return self.first_limit_s()
-        return max(SILENCE_MIN_S, GAP_SHARE * self.facts.route.gap_s)
+    def event_gap_timeout_s(self) -> float:
+        """Return the timeout between two events, in seconds."""
+        if not self.context.is_idempotent() or not self.context.route.gap_s:
+            return self.first_event_timeout_s()
+        return max(GAP_MIN_S, GAP_FACTOR * self.context.route.gap_s)
 
     async def next_event(
-        self, connection: stream_client.ClientConnection, limit_s: float
+        self, connection: stream_client.ClientConnection, timeout_s: float
     ) -> h11.Event:
-        """Return the next event of the answer; raise SilentError after `limit_s`."""
-        if limit_s == math.inf:
+        """Return the next event; raise ResponseTimeoutError after `timeout_s` seconds."""
+        if timeout_s == math.inf:
             return await connection.next_event()
-        timeout = asyncio.timeout(limit_s)
+        timeout = asyncio.timeout(timeout_s)
         try:
             async with timeout:
                 return await connection.next_event()
         except TimeoutError:
             if timeout.expired():
-                raise SilentError(f"silent for {limit_s:.2f} s")
+                raise ResponseTimeoutError(f"no data received for {timeout_s:.2f} s")
             raise
 
     async def read_body(self, connection: stream_client.ClientConnection) -> bytes:
-        """Return the whole body."""
+        """Return the complete body."""
         parts = []
         while isinstance(event := await connection.next_event(), h11.Data):
             parts.append(bytes(event.data))
@@ -316,19 +331,22 @@
         connection: stream_client.ClientConnection,
         head: http_messages.Response,
     ) -> Outcome:
-        """Send events on as they come, whole ones only; go on after a break elsewhere."""
+        """Relay complete events of a stream as they arrive.
+
+        Partial events are dropped, so that another attempt can resume a broken stream.
+        """
         splitter = event_stream.EventSplitter()
         while isinstance(event := await self.stream_event(connection), h11.Data):
             for item in splitter.feed(bytes(event.data)):
-                self.pool.note_first(self.place)
-                await self.relay.give_event(item, head)
+                self.pool.record_prompt_read(self.reservation)
+                await self.relay.send_event(item, head)
         if splitter.buffer.strip():
             raise errors.ProtocolError("the stream ended inside an event")
         await self.relay.finish(head)
         return Outcome(State.DONE, "answered", head)
 
     async def stream_event(self, connection: stream_client.ClientConnection) -> h11.Event:
-        """Return the next event of a stream; raise UnreachableError if it is silent for long."""
-        if not self.place.is_read:
+        """Return the next event of a stream, with the timeout that applies to it."""
+        if not self.reservation.is_read:
             return await self.first_event(connection)
-        return await self.next_event(connection, self.pause_limit_s())
+        return await self.next_event(connection, self.event_gap_timeout_s())
--- a/src/merlinthread/nodes/crash_watch.py
+++ b/src/merlinthread/nodes/crash_watch.py
@@ -1,9 +1,9 @@
-"""What was running at a back end when its process ended, as one entry sees it.
+"""Detection of backend crashes and of the requests that were running at the time.
 
-A connection that breaks is not yet a process that ended: connections are reset, answers cut short,
-links go silent. Two things prove an end: nothing listens at the address any more, or another
-instance does soon after. What an entry sees it tells a control VM, and hears from there what the
-others saw.
+A broken connection alone does not show that a process has crashed: connections may be reset,
+responses truncated and packets lost. A crash is confirmed if nothing listens at the back end's
+address any more, or if another instance soon appears there. An entry reports its observations to
+the control VMs, which relay those of other entries to it.
 """
 
 import asyncio
@@ -16,24 +16,23 @@
 from merlinthread.protocol import node_messages
 from merlinthread.transport import node_bus, stream_client
 
-# A dead port answers within the way there and back (1 to 6 ms between regions); a VM that is dark
-# or cut off does not answer, and then proves nothing.
-PROOF_CONNECT_S = 0.3
+# A closed port refuses a connection within one round trip; a timeout confirms nothing.
+CHECK_TIMEOUT_S = 0.3
 USER_TIMEOUT_S = 1.0
-# Attempts that broke this long ago, or less, were there when the process ended.
-BREAK_KEPT_S = 1.0
-# A process that ended with its VM shows only by the next instance at its address, seconds later.
-LATE_PROOF_S = 15.0
-# Breaks that wait for a late proof: those of about 64 back ends with all their slots taken.
-UNPROVEN_KEPT = 1024
-REPLACED = "another instance is at its address"
+# Attempts that broke within this time are attributed to the same crash.
+BREAK_WINDOW_S = 1.0
+# If a whole VM fails, only a new instance at its address confirms the crash, seconds later.
+UNCONFIRMED_EXPIRY_S = 15.0
+# Bounds the memory for attempts without a confirmed crash.
+UNCONFIRMED_MAX = 1024
+REPLACED_REASON = "another instance is at its address"
 REPORT_TIMEOUT_S = 0.9
-REPORT_AGAIN_S = 0.1
+REPORT_RETRY_S = 0.1
 
 
 @dataclasses.dataclass(slots=True)
-class Break:
-    """An attempt that began at `began_at` and broke off at `at`; `label` tells what it asks."""
+class BrokenAttempt:
+    """An attempt that began at `began_at` and broke at `at`; `label` describes its request."""
 
     fingerprint: str
     label: str
@@ -43,13 +42,13 @@
     began_at: float
     at: float
 
-    def end(self) -> crash_ledger.Crash:
-        """Return the end of the back end's process, once it is proven."""
+    def crash(self) -> crash_ledger.Crash:
+        """Return the crash to record once it is confirmed."""
         return crash_ledger.Crash(self.at, self.backend.instance, self.began_at)
 
 
 class CrashWatch:
-    """Finds out which back ends ended under which requests; `run` tells the control VMs."""
+    """Records crashes of back ends during requests; `run` reports them to the control VMs."""
 
     def __init__(
         self,
@@ -64,173 +63,184 @@
         self.ledger = ledger
         self.caller = caller
         self.clock = clock
-        self.breaks: dict[str, list[Break]] = {}
-        self.unconfirmed: list[Break] = []
+        self.broken: dict[str, list[BrokenAttempt]] = {}
+        self.unconfirmed: list[BrokenAttempt] = []
         self.checks: dict[str, asyncio.Task[None]] = {}
-        self.unreported: dict[str, None] = {}
-        self.has_unreported = asyncio.Event()
-        self.reported_feed = ""
-        self.counted_revision = 0
+        self.pending_reports: dict[str, None] = {}
+        self.has_pending_reports = asyncio.Event()
+        self.last_feed = ""
+        self.metrics_revision = 0
 
-    # What is seen
+    # Detection
 
-    def note_break(self, found: Break, is_silent: bool) -> None:
-        """Note an attempt that got no whole answer, and find out whether its back end has ended.
+    def record_break(self, attempt: BrokenAttempt, is_silent: bool) -> None:
+        """Record an attempt without a complete response, and check whether its back end crashed.
 
-        Where the back end was leaving, its end was planned. One that fell silent is not asked: that
-        would cost a connection for each answer that is late.
+        Back ends that were leaving are ignored, since they were expected to stop. After a timeout
+        (`is_silent`) there is no check, to avoid a connection for each late response.
         """
-        backend = found.backend
+        backend = attempt.backend
         if backend.is_draining:
             return
         if self.is_replaced(backend):
-            self.note_ends([found], REPLACED)
+            self.record_crashes([attempt], REPLACED_REASON)
             return
         if backend.instance in self.watcher.gone:
             return
         if is_silent:
-            self.wait_for_proof([found])
+            self.keep_unconfirmed([attempt])
             return
-        known = self.breaks.setdefault(backend.instance, [])
-        known[:] = [other for other in known if found.at - other.at <= BREAK_KEPT_S]
-        known.append(found)
+        recent = self.broken.setdefault(backend.instance, [])
+        recent[:] = [other for other in recent if attempt.at - other.at <= BREAK_WINDOW_S]
+        recent.append(attempt)
         if backend.instance not in self.checks:
-            task = asyncio.get_running_loop().create_task(self.prove(backend))
+            task = asyncio.get_running_loop().create_task(self.check_process(backend))
             self.checks[backend.instance] = task
 
-    async def prove(self, backend: backend_record.Backend) -> None:
-        """Connect once more: a refusal proves that the process has ended."""
+    async def check_process(self, backend: backend_record.Backend) -> None:
+        """Open a connection; a refusal confirms that the process has stopped."""
         try:
             connection = await stream_client.connect(
-                backend.address, PROOF_CONNECT_S, USER_TIMEOUT_S
+                backend.address, CHECK_TIMEOUT_S, USER_TIMEOUT_S
             )
             connection.close()
-            self.judge(backend, False, "it takes connections")
+            self.apply_check(backend, False, "it accepts connections")
         except errors.NotListeningError as error:
-            self.judge(backend, True, error.message)
+            self.apply_check(backend, True, error.message)
         except errors.UnreachableError as error:
-            self.judge(backend, False, error.message)
+            self.apply_check(backend, False, error.message)
         finally:
             del self.checks[backend.instance]
 
-    async def settled(self, backend: backend_record.Backend) -> None:
-        """Return once no connection is under way that shows whether a back end has ended."""
+    async def wait_for_check(self, backend: backend_record.Backend) -> None:
+        """Wait for the check of a back end that is in progress, if any."""
         task = self.checks.get(backend.instance)
         if task is not None:
             await asyncio.wait([task])
 
-    def judge(self, backend: backend_record.Backend, has_ended: bool, proof: str) -> None:
-        """Take in what a new connection to a back end showed."""
-        found = self.breaks.pop(backend.instance, [])
-        if has_ended:
-            self.note_ends(found, proof)
+    def apply_check(self, backend: backend_record.Backend, has_crashed: bool, reason: str) -> None:
+        """Record the result of a check for the broken attempts of a back end."""
+        attempts = self.broken.pop(backend.instance, [])
+        if has_crashed:
+            self.record_crashes(attempts, reason)
         else:
-            self.wait_for_proof(found)
-            log_breaks(found, False, proof)
+            self.keep_unconfirmed(attempts)
+            log_broken_attempts(attempts, False, reason)
 
-    def wait_for_proof(self, found: list[Break]) -> None:
-        """Keep breaks until another instance shows at their address, or for so long."""
+    def keep_unconfirmed(self, attempts: list[BrokenAttempt]) -> None:
+        """Keep attempts until another instance replaces their back end, or until they expire."""
         now = self.clock()
-        kept = [known for known in self.unconfirmed if now - known.at <= LATE_PROOF_S]
-        self.unconfirmed = [*kept, *found][-UNPROVEN_KEPT:]
+        remaining = [
+            attempt for attempt in self.unconfirmed if now - attempt.at <= UNCONFIRMED_EXPIRY_S
+        ]
+        self.unconfirmed = [*remaining, *attempts][-UNCONFIRMED_MAX:]
 
     def on_update(self) -> None:
-        """Look for late proofs, and tell all again to a control VM that has just started."""
+        """Confirm crashes of replaced back ends; report all records again after a change of feed.
+
+        A control VM that has restarted has a new feed and may have lost the records.
+        """
         if self.unconfirmed:
-            self.prove_late()
+            self.confirm_replaced()
         feed = self.watcher.feed()
-        if feed and feed != self.reported_feed:
-            self.reported_feed = feed
+        if feed and feed != self.last_feed:
+            self.last_feed = feed
             for record in self.ledger.records.values():
-                self.unreported[record.fingerprint] = None
-            self.has_unreported.set()
-        # Counting takes some ms where thousands of requests are known, and news come often.
-        if self.ledger.revision != self.counted_revision:
-            self.counted_revision = self.ledger.revision
+                self.pending_reports[record.fingerprint] = None
+            self.has_pending_reports.set()
+        # Counting is slow with many records, and updates are frequent.
+        if self.ledger.revision != self.metrics_revision:
+            self.metrics_revision = self.ledger.revision
             metrics.held_requests.set(len(self.ledger.held()))
 
     def is_replaced(self, backend: backend_record.Backend) -> bool:
-        """Return whether another instance is at a back end's address now."""
-        return self.present_at().get(backend.address, backend.instance) != backend.instance
-
-    def present_at(self) -> dict[str, str]:
-        """Return the instance at each address."""
-        return {known.address: known.instance for known in self.watcher.instances.values()}
-
-    def prove_late(self) -> None:
-        """Note the ends of back ends at whose address another instance is now."""
-        present = self.present_at()
-        ended, kept = [], []
-        for found in self.unconfirmed:
-            backend = found.backend
-            is_there = present.get(backend.address, backend.instance) == backend.instance
-            (kept if is_there else ended).append(found)
-        self.unconfirmed = kept
-        if ended:
-            self.note_ends(ended, REPLACED)
-
-    def note_ends(self, found: list[Break], proof: str) -> None:
-        """Note that the processes under some attempts have ended."""
-        log_breaks(found, True, proof)
-        for known in found:
-            if self.ledger.record_crash(known.fingerprint, known.label, known.end(), known.account):
-                self.report(known.fingerprint)
-
-    def note_whole_answer(self, fingerprint: str) -> None:
-        """Note that a back end lived through a request: no other end was its doing."""
+        """Return whether another instance is present at a back end's address."""
+        return (
+            self.instances_by_address().get(backend.address, backend.instance) != backend.instance
+        )
+
+    def instances_by_address(self) -> dict[str, str]:
+        """Return the instance present at each address."""
+        return {
+            heartbeat.address: heartbeat.instance for heartbeat in self.watcher.instances.values()
+        }
+
+    def confirm_replaced(self) -> None:
+        """Record crashes of back ends that another instance has replaced at their address."""
+        by_address = self.instances_by_address()
+        replaced, remaining = [], []
+        for attempt in self.unconfirmed:
+            backend = attempt.backend
+            is_present = by_address.get(backend.address, backend.instance) == backend.instance
+            (remaining if is_present else replaced).append(attempt)
+        self.unconfirmed = remaining
+        if replaced:
+            self.record_crashes(replaced, REPLACED_REASON)
+
+    def record_crashes(self, attempts: list[BrokenAttempt], reason: str) -> None:
+        """Record confirmed crashes during some attempts, and queue reports of new ones."""
+        log_broken_attempts(attempts, True, reason)
+        for attempt in attempts:
+            if self.ledger.record_crash(
+                attempt.fingerprint, attempt.label, attempt.crash(), attempt.account
+            ):
+                self.queue_report(attempt.fingerprint)
+
+    def record_success(self, fingerprint: str) -> None:
+        """Record a complete response, which clears a suspect request."""
         if self.ledger.is_suspect(fingerprint) and self.ledger.clear(fingerprint, self.clock()):
             logs.event("request_cleared", fingerprint=fingerprint)
-            self.report(fingerprint)
+            self.queue_report(fingerprint)
 
-    # What is told
+    # Reports
 
-    def report(self, fingerprint: str) -> None:
-        """Tell a control VM of a request, as soon as it can be reached."""
-        self.unreported[fingerprint] = None
-        self.has_unreported.set()
+    def queue_report(self, fingerprint: str) -> None:
+        """Queue a report of a request for the next control VM that can be reached."""
+        self.pending_reports[fingerprint] = None
+        self.has_pending_reports.set()
 
     async def run(self) -> None:
-        """Tell the control VMs what this entry sees, for ever."""
+        """Send queued reports to the control VMs until cancelled."""
         while True:
-            await self.has_unreported.wait()
-            self.has_unreported.clear()
+            await self.has_pending_reports.wait()
+            self.has_pending_reports.clear()
             if not await self.send_reports():
-                await asyncio.sleep(REPORT_AGAIN_S)
-                self.has_unreported.set()
+                await asyncio.sleep(REPORT_RETRY_S)
+                self.has_pending_reports.set()
 
     async def send_reports(self) -> bool:
-        """Send what was not told yet to one control VM; return whether it was taken."""
+        """Send the queued reports to one control VM; return whether none is left to retry."""
         control = self.watcher.current
         if not control:
-            return not self.unreported
-        # What is seen while this is on its way belongs to the next report.
-        told, self.unreported = self.unreported, {}
+            return not self.pending_reports
+        # Reports queued during the call belong to the next one.
+        sent, self.pending_reports = self.pending_reports, {}
         now = self.clock()
-        records = [self.ledger.records.get(fingerprint) for fingerprint in told]
-        suspicions = [self.ledger.report_of(record, now) for record in records if record]
-        if not suspicions:
+        records = [self.ledger.records.get(fingerprint) for fingerprint in sent]
+        reports = [self.ledger.report_of(record, now) for record in records if record]
+        if not reports:
             return True
-        report = node_messages.CrashReport(self.name, suspicions)
+        report = node_messages.CrashReport(self.name, reports)
         try:
             await self.caller.call(control, report, REPORT_TIMEOUT_S)
         except errors.MerlinthreadError as error:
             logs.debug("crash_report_lost", control=control, reason=error.message)
-            self.unreported = told | self.unreported
+            self.pending_reports = sent | self.pending_reports
             return False
         return True
 
 
-def log_breaks(found: list[Break], has_ended: bool, proof: str) -> None:
-    """Log what ran where connections broke, and whether the process has ended."""
-    metrics.breaks_total.labels("ended" if has_ended else "unproven").inc(len(found))
-    for instance in dict.fromkeys(known.backend.instance for known in found):
-        there = [known for known in found if known.backend.instance == instance]
+def log_broken_attempts(attempts: list[BrokenAttempt], has_crashed: bool, reason: str) -> None:
+    """Log broken attempts by instance, with whether its process has crashed and why."""
+    metrics.breaks_total.labels("ended" if has_crashed else "unproven").inc(len(attempts))
+    for instance in dict.fromkeys(attempt.backend.instance for attempt in attempts):
+        at_instance = [attempt for attempt in attempts if attempt.backend.instance == instance]
         logs.event(
             "connections_broke",
             instance=instance,
-            service=there[0].backend.service,
-            address=there[0].backend.address,
-            has_ended=has_ended,
-            proof=proof,
-            requests=[[known.request_id, known.fingerprint] for known in there],
+            service=at_instance[0].backend.service,
+            address=at_instance[0].backend.address,
+            has_ended=has_crashed,
+            proof=reason,
+            requests=[[attempt.request_id, attempt.fingerprint] for attempt in at_instance],
         )
--- a/src/merlinthread/nodes/entry_node.py
+++ b/src/merlinthread/nodes/entry_node.py
@@ -1,4 +1,4 @@
-"""An entry: it answers clients with what back ends give, as the configuration in force says."""
+"""The entry node: serves client requests by forwarding them to back ends."""
 
 import asyncio
 import random
@@ -23,14 +23,14 @@
 from merlinthread.protocol import node_messages
 from merlinthread.transport import http_messages, node_bus, stream_server
 
-SUBSCRIBE_EVERY_S = 1.0
-# The platform asks every second and takes a node out after two misses.
-UNREADY_BEFORE_CLOSE_S = 2.6
-LEAVE_MARGIN_S = 0.6
+SUBSCRIBE_INTERVAL_S = 1.0
+# Time for the platform to notice failed readiness checks before the server stops accepting.
+UNREADY_PERIOD_S = 2.6
+SHUTDOWN_MARGIN_S = 0.6
 
 
 class EntryNode:
-    """One entry."""
+    """One entry: its servers, tasks and connections to the other nodes."""
 
     def __init__(
         self,
@@ -44,13 +44,13 @@
         self.dialect = dialect
         self.clock = clock
         self.caller = node_bus.RpcClient(codec)
-        suspects = crash_ledger.CrashLedger()
+        suspect_ledger = crash_ledger.CrashLedger()
         signals = backend_signals.BackendSignals()
         self.watcher = fleet_watcher.FleetWatcher(
-            settings, dialect, self.caller, clock, self.on_update, suspects, signals
+            settings, dialect, self.caller, clock, self.on_update, suspect_ledger, signals
         )
         self.crashes = crash_watch.CrashWatch(
-            settings.name, self.watcher, suspects, self.caller, clock
+            settings.name, self.watcher, suspect_ledger, self.caller, clock
         )
         self.address = f"{settings.ip}:{settings.entry_port}"
         self.datagrams = node_bus.DatagramEndpoint(codec, self.on_datagram)
@@ -58,7 +58,7 @@
         self.permits = permits.PermitClient(
             self.address, self.watcher, self.datagrams.send, clock, rng
         )
-        self.teller = limit_reporter.LimitReporter(settings.name, self.watcher, self.caller)
+        self.reporter = limit_reporter.LimitReporter(settings.name, self.watcher, self.caller)
         self.pool = backend_pool.BackendPool(
             settings,
             self.watcher,
@@ -68,7 +68,7 @@
             self.crashes,
             self.permits,
             signals,
-            self.teller,
+            self.reporter,
         )
         self.server = stream_server.Server(self.serve)
         self.ready_server = stream_server.Server(self.serve_ready)
@@ -77,7 +77,7 @@
         self.tasks: list[asyncio.Task] = []
 
     async def start(self) -> None:
-        """Listen and start the tasks."""
+        """Open the listening sockets and start the background tasks."""
         await self.datagrams.listen(self.settings.ip, self.settings.entry_port)
         await self.server.listen(*node_settings.split_address(self.settings.client_address))
         await self.ready_server.listen(*node_settings.split_address(self.settings.ready_address))
@@ -85,19 +85,19 @@
         self.tasks = [
             loop.create_task(self.watcher.run()),
             loop.create_task(self.crashes.run()),
-            loop.create_task(self.pool.subscribe(self.subscribe, SUBSCRIBE_EVERY_S)),
+            loop.create_task(self.pool.subscribe(self.subscribe, SUBSCRIBE_INTERVAL_S)),
         ]
 
     def reload(self, settings: node_settings.NodeSettings) -> None:
-        """Take other control VMs to start from."""
+        """Apply a changed list of control VMs; other settings need a restart."""
         self.settings.control_ips = settings.control_ips
 
     def subscribe(self, agent: str) -> None:
-        """Ask one agent for its engine's load."""
+        """Subscribe to the load reports of one agent."""
         self.datagrams.send(agent, node_messages.LoadSubscription(self.address))
 
     def on_datagram(self, message: Any) -> None:
-        """Take an agent's report, or an answer to a question of this entry."""
+        """Dispatch a load report, or a reply to a query of this entry."""
         if isinstance(message, node_messages.LoadUpdate):
             self.pool.apply_load_update(message)
         elif isinstance(message, node_messages.LoadReply) and message.permit is not None:
@@ -106,7 +106,7 @@
             self.prober.receive(message)
 
     def on_update(self) -> None:
-        """Take over what the control VMs tell."""
+        """Apply an update of the fleet state."""
         self.pool.update()
         self.crashes.on_update()
         table = self.watcher.table
@@ -120,7 +120,7 @@
             )
 
     def is_ready(self) -> bool:
-        """Return whether this entry can serve anything."""
+        """Return whether this entry can serve requests, and log changes."""
         is_ready = not self.is_leaving and self.watcher.table is not None
         if is_ready != self.was_ready:
             self.was_ready = is_ready
@@ -128,27 +128,27 @@
         return is_ready
 
     async def serve_ready(self, exchange: stream_server.Exchange) -> None:
-        """Answer whether this entry is ready."""
-        is_known = self.dialect.is_readiness_check(exchange.request)
-        status = 404 if not is_known else 200 if self.is_ready() else 503
+        """Answer a readiness check: 200 if ready, otherwise 503."""
+        is_check = self.dialect.is_readiness_check(exchange.request)
+        status = 404 if not is_check else 200 if self.is_ready() else 503
         await exchange.respond(http_messages.Response(status, []))
 
     async def serve(self, exchange: stream_server.Exchange) -> None:
-        """Serve one client's request."""
+        """Serve one client request."""
         task = request_task.RequestTask(
             exchange, self.dialect, self.pool, self.watcher.table, self.clock()
         )
         await task.run()
 
     async def leave(self) -> None:
-        """Say that this entry is not ready, finish what is in progress, and stop."""
-        deadline = self.clock() + self.settings.bounds.grace_s - LEAVE_MARGIN_S
+        """Report this entry as not ready, finish the requests in progress, and stop."""
+        deadline = self.clock() + self.settings.bounds.grace_s - SHUTDOWN_MARGIN_S
         self.is_leaving = True
         self.is_ready()
         self.server.begin_draining()
-        await asyncio.sleep(UNREADY_BEFORE_CLOSE_S)
+        await asyncio.sleep(UNREADY_PERIOD_S)
         self.server.stop_accepting()
-        # Also connections whose last answer has not left yet are waited for.
+        # Connections are counted instead of requests, since a last response may still be unsent.
         while self.server.connections and self.clock() < deadline:
             await asyncio.sleep(0.05)
         if self.server.count_active_requests():
@@ -157,6 +157,6 @@
 
 @node_roles.NODES.add("entry")
 def make(settings: node_settings.NodeSettings, dialect: dialects.Dialect) -> EntryNode:
-    """Return an entry on this process's clock."""
+    """Create an entry node that uses the clock of this process."""
     codec = codecs.Codec([node_messages.MESSAGES], [])
     return EntryNode(settings, dialect, codec, clocks.now, random.Random())
--- a/src/merlinthread/nodes/fleet_watcher.py
+++ b/src/merlinthread/nodes/fleet_watcher.py
@@ -1,8 +1,9 @@
-"""What an entry or agent knows from the control VMs: configuration, back ends, named weights.
+"""A local copy of the fleet state for entries and agents: configuration, back ends and versions.
 
-It keeps one question open at one control VM and goes to another when that one is silent or is cut
-off from the majority. What it holds never goes back: versions only grow, and an instance that left
-stays so. When no control VM answers it goes on with what it holds.
+A watcher keeps a long poll open at one control VM, and moves to another one if it does not answer
+or has lost contact with the majority. Updates are monotonic: versions only increase, and an
+instance that has left never returns. While no control VM answers, the last known state remains in
+use.
 """
 
 import asyncio
@@ -27,21 +28,21 @@
 
 WATCH_WAIT_S = 0.6
 WATCH_TIMEOUT_S = 1.1
-# The same while the control VM asked is not joined to a majority: it tells soon that it is again.
+# Shorter wait while the control VM is cut off from the majority, to notice its recovery.
 STALE_WAIT_S = 0.2
-FIRST_TIMEOUT_S = 0.4
-PAUSE_S = 0.1
-# How often another control VM is looked for while none is known to be joined to a majority.
+SEARCH_TIMEOUT_S = 0.4
+RETRY_DELAY_S = 0.1
+# Time between searches while no control VM in contact with a majority is known.
 SEARCH_INTERVAL_S = 0.4
-STALE_S = 1.6
-MISSING_BEATS = 4
-# An age that differs by less is no better known: news are up to WATCH_TIMEOUT_S on their way.
-AGE_DOUBT_S = 2.0
+STALE_AFTER_S = 1.6
+MISSING_HEARTBEATS = 4
+# Smaller differences between reported ages may be due to latency, up to WATCH_TIMEOUT_S.
+AGE_TOLERANCE_S = 2.0
 
 
 @dataclasses.dataclass(slots=True)
-class Told:
-    """How far a control VM has told its news: its feed and the positions in it."""
+class FeedPosition:
+    """The position in a control VM's feed up to which changes have been received."""
 
     feed: str = ""
     position: int = 0
@@ -50,9 +51,10 @@
 
 
 class FleetWatcher:
-    """The state and the task of watching.
+    """Watches the fleet state through the control VMs.
 
-    `suspects` takes what is told of requests, `signals` what is told of back ends' limits.
+    `on_update` is called after each update. Reports of suspect requests are merged into
+    `suspect_ledger` and those of rate limits into `signals`, if given.
     """
 
     def __init__(
@@ -62,7 +64,7 @@
         caller: node_bus.RpcClient,
         clock: Callable[[], float],
         on_update: Callable[[], None],
-        suspects: crash_ledger.CrashLedger | None = None,
+        suspect_ledger: crash_ledger.CrashLedger | None = None,
         signals: backend_signals.BackendSignals | None = None,
     ) -> None:
         self.settings = settings
@@ -70,7 +72,7 @@
         self.caller = caller
         self.clock = clock
         self.on_update = on_update
-        self.suspects = suspects
+        self.suspect_ledger = suspect_ledger
         self.signals = signals
         self.table: route_table.RouteTable | None = None
         self.version = 0
@@ -84,71 +86,79 @@
         self.named_at: dict[str, dict[int, float]] = {}
         self.controls: list[str] = settings.control_nodes()
         self.current = ""
-        self.positions: dict[str, Told] = {}
-        self.search_at = float("-inf")
-        self.fresh_at = float("-inf")
+        self.positions: dict[str, FeedPosition] = {}
+        self.next_search_at = float("-inf")
+        self.confirmed_at = float("-inf")
         self.is_fresh = False
 
     async def run(self) -> None:
-        """Watch for ever."""
+        """Watch until cancelled."""
         while True:
-            if not self.current or (not self.is_fresh and self.clock() >= self.search_at):
-                await self.search()
+            if not self.current or (not self.is_fresh and self.clock() >= self.next_search_at):
+                await self.select_control_vm()
             if not self.current:
-                await asyncio.sleep(PAUSE_S)
+                await asyncio.sleep(RETRY_DELAY_S)
                 continue
-            await self.watch_once()
+            await self.poll()
 
-    async def search(self) -> None:
-        """Turn to a control VM that is joined to a majority, or to any if there is none such."""
-        answered = await self.find_control_vm()
-        self.search_at = self.clock() + SEARCH_INTERVAL_S
+    async def select_control_vm(self) -> None:
+        """Select a control VM in contact with a majority, or any that answers if there is none."""
+        found = await self.find_control_vm()
+        self.next_search_at = self.clock() + SEARCH_INTERVAL_S
         if self.is_fresh:
-            self.current = answered
-            # The others tell all anew, should one of them be turned to later.
-            self.positions = {answered: self.positions.get(answered, Told())}
-        self.current = self.current or answered
+            self.current = found
+            # Any other control VM must send its full state if it is selected later.
+            self.positions = {found: self.positions.get(found, FeedPosition())}
+        self.current = self.current or found
 
     async def find_control_vm(self) -> str:
-        """Return the control VM that answers first and is joined to a majority.
+        """Return the first control VM that answers and is in contact with a majority.
 
-        If none is joined, return any that answers, else an empty string. All are asked at once, so
-        that it is a near one: news then cross no region (what that saves was not told apart).
+        If there is none, return any that answers, or an empty string. All are queried at once, so
+        that the nearest one is preferred.
         """
-        asked = {
-            asyncio.get_running_loop().create_task(self.ask(address, 0.0, FIRST_TIMEOUT_S)): address
-            for address in self.others()
+        addresses_by_task = {
+            asyncio.get_running_loop().create_task(
+                self.ask(address, 0.0, SEARCH_TIMEOUT_S)
+            ): address
+            for address in self.other_control_vms()
         }
-        second = ""
-        pending = set(asked)
+        fallback = ""
+        pending = set(addresses_by_task)
         while pending:
             done, pending = await asyncio.wait(pending, return_when=asyncio.FIRST_COMPLETED)
             for task in done:
-                news = task.result()
-                if news is None:
+                reply = task.result()
+                if reply is None:
                     continue
-                self.apply(news, asked[task])
-                if news.leader_age_s < STALE_S:
+                self.apply(reply, addresses_by_task[task])
+                if reply.leader_age_s < STALE_AFTER_S:
                     for other in pending:
                         other.cancel()
-                    return asked[task]
-                second = second or asked[task]
-        return second
+                    return addresses_by_task[task]
+                fallback = fallback or addresses_by_task[task]
+        return fallback
 
-    def others(self) -> list[str]:
-        """Return the control VMs but the present one."""
+    def other_control_vms(self) -> list[str]:
+        """Return the addresses of the control VMs other than the current one."""
         known = dict.fromkeys([*self.controls, *self.settings.control_nodes()])
         return [address for address in known if address != self.current]
 
     async def ask(
         self, address: str, wait_s: float, timeout_s: float
     ) -> node_messages.WatchReply | None:
-        """Return a control VM's news, or None if it does not answer."""
-        told = self.positions.get(address, Told())
-        suspicions = told.suspicions if self.suspects is not None else -1
-        limits = told.limits if self.signals is not None else -1
+        """Query a control VM for changes; return None if it does not answer."""
+        position = self.positions.get(address, FeedPosition())
+        suspicions = position.suspicions if self.suspect_ledger is not None else -1
+        limits = position.limits if self.signals is not None else -1
         watch = node_messages.WatchRequest(
-            self.settings.name, told.feed, told.position, self.version, wait_s, suspicions, limits
+            self.settings.name,
+            position.feed,
+            position.position,
+            self.version,
+            wait_s,
+            suspicions,
+            limits,
         )
         try:
             return await self.caller.call(address, watch, timeout_s)
@@ -156,108 +166,107 @@
             logs.debug("control_silent", control=address, reason=error.message)
             return None
 
-    async def watch_once(self) -> None:
-        """Ask the present control VM and take what it tells."""
+    async def poll(self) -> None:
+        """Poll the current control VM once and apply its reply."""
         wait_s = WATCH_WAIT_S if self.is_fresh else STALE_WAIT_S
-        news = await self.ask(self.current, wait_s, WATCH_TIMEOUT_S)
-        if news is None:
+        reply = await self.ask(self.current, wait_s, WATCH_TIMEOUT_S)
+        if reply is None:
             self.disconnect("no answer")
             return
-        self.apply(news, self.current)
-        if news.leader_age_s > STALE_S:
-            self.note_stale("cut off from the majority")
-            await asyncio.sleep(PAUSE_S)
+        self.apply(reply, self.current)
+        if reply.leader_age_s > STALE_AFTER_S:
+            self.mark_stale("cut off from the majority")
+            await asyncio.sleep(RETRY_DELAY_S)
 
-    def is_sure(self) -> bool:
-        """Return whether what this node holds is surely what a majority held just now.
+    def is_current(self) -> bool:
+        """Return whether the state was recently confirmed by a control VM with a majority.
 
-        The age counts as well as the last answer: a VM that was suspended wakes up with the last
-        answer good and old.
+        The time of the last confirmation matters too, since this VM may have been suspended.
         """
-        return self.is_fresh and self.clock() - self.fresh_at <= STALE_S
+        return self.is_fresh and self.clock() - self.confirmed_at <= STALE_AFTER_S
 
-    def note_stale(self, reason: str) -> None:
-        """Note that the present control VM does not surely hold what a majority holds.
+    def mark_stale(self, reason: str) -> None:
+        """Record that the current control VM may lack changes that a majority has.
 
-        It is still asked for what is new while no other one does better: after a loss of all there
-        is none that does for a second, and to be told all anew ten times a second would keep them
-        from finding a leader.
+        It stays in use until a better one is found. Right after a restart of all control VMs none
+        is better, and repeated requests for the full state would delay the election of a leader.
         """
         if self.is_fresh:
             logs.event("control_lost", control=self.current, reason=reason)
-            self.search_at = self.clock()
+            self.next_search_at = self.clock()
         self.is_fresh = False
 
     def disconnect(self, reason: str) -> None:
-        """Leave the present control VM."""
-        self.note_stale(reason)
+        """Stop using the current control VM; the next one must send its full state."""
+        self.mark_stale(reason)
         self.current = ""
         self.positions = {}
 
     def feed(self) -> str:
-        """Return the feed of the present control VM, or an empty string."""
-        return self.positions.get(self.current, Told()).feed
+        """Return the feed of the current control VM, or an empty string."""
+        return self.positions.get(self.current, FeedPosition()).feed
 
-    # Taking news
+    # Updates
 
-    def apply(self, news: node_messages.WatchReply, address: str = "") -> None:
-        """Take news of the control VM at `address` in; older ones change nothing."""
+    def apply(self, reply: node_messages.WatchReply, address: str = "") -> None:
+        """Apply a reply of the control VM at `address`; outdated parts have no effect."""
         now = self.clock()
-        if news.leader_age_s <= STALE_S:
-            self.fresh_at = now
+        if reply.leader_age_s <= STALE_AFTER_S:
+            self.confirmed_at = now
             if not self.is_fresh:
                 self.is_fresh = True
-                version = news.configuration_version
-                logs.event("control_found", leader_age_s=news.leader_age_s, version=version)
-        if news.controls:
-            self.controls = news.controls
-        # Before what is told is taken, which may ask for all anew.
-        self.positions[address] = Told(
-            news.feed, news.position, news.suspicion_revision, news.limit_revision
+                version = reply.configuration_version
+                logs.event("control_found", leader_age_s=reply.leader_age_s, version=version)
+        if reply.controls:
+            self.controls = reply.controls
+        # Set first, since the following updates may discard positions to get the full state.
+        self.positions[address] = FeedPosition(
+            reply.feed, reply.position, reply.suspicion_revision, reply.limit_revision
         )
-        self.take_configuration(news)
-        self.take_versions(news, now)
-        self.take_instances(news, address, now)
-        if self.suspects is not None:
-            for suspicion in news.suspicions:
-                self.suspects.merge(suspicion, now)
+        self.apply_configuration(reply)
+        self.apply_versions(reply, now)
+        self.apply_instances(reply, address, now)
+        if self.suspect_ledger is not None:
+            for suspicion in reply.suspicions:
+                self.suspect_ledger.merge(suspicion, now)
         if self.signals is not None:
-            for limit in news.limits:
+            for limit in reply.limits:
                 self.signals.merge_reported_limit(limit, now)
-        self.count()
+        self.update_metrics()
         self.on_update()
 
-    def count(self) -> None:
-        """Set the figures that operators see."""
+    def update_metrics(self) -> None:
+        """Update the metrics of the fleet state."""
         metrics.configuration_version.set(self.version)
-        metrics.control_age_seconds.set(self.clock() - self.fresh_at)
+        metrics.control_age_seconds.set(self.clock() - self.confirmed_at)
         for state in (fleet.READY, fleet.DRAINING):
             number = sum(1 for known in self.instances.values() if known.state == state)
             metrics.backends.labels(state).set(number)
 
-    def take_configuration(self, news: node_messages.WatchReply) -> None:
-        """Take a newer configuration over."""
-        if news.configuration_version <= self.version or not news.configuration:
+    def apply_configuration(self, reply: node_messages.WatchReply) -> None:
+        """Apply the configuration if it is newer; keep the old one if it is invalid."""
+        if reply.configuration_version <= self.version or not reply.configuration:
             return
         try:
-            body = zlib.decompress(news.configuration)
+            body = zlib.decompress(reply.configuration)
             self.table = route_table.RouteTable(self.dialect.configuration(body))
         except (errors.MerlinthreadError, zlib.error) as error:
             logs.warning("configuration_unreadable", reason=str(error))
             return
-        old, self.version = self.version, news.configuration_version
+        old, self.version = self.version, reply.configuration_version
         logs.event(
-            "configuration", version=self.version, before=old, leader_age_s=news.leader_age_s
+            "configuration", version=self.version, before=old, leader_age_s=reply.leader_age_s
         )
 
-    def take_versions(self, news: node_messages.WatchReply, now: float) -> None:
-        """Take named weights over, with the earliest time at which they may have been acknowledged.
+    def apply_versions(self, reply: node_messages.WatchReply, now: float) -> None:
+        """Apply announced weights versions, with the earliest time of their acknowledgement.
 
-        A control VM that was away tells too great an age; one that was not puts it right.
+        A control VM that was disconnected may report too high an age, which is corrected by a lower
+        one from another control VM.
         """
-        for named in news.named:
+        for named in reply.named:
             named_at = self.named_at.setdefault(named.model, {})
-            if now - named.age_s > named_at.get(named.version, math.inf) + AGE_DOUBT_S:
+            if now - named.age_s > named_at.get(named.version, math.inf) + AGE_TOLERANCE_S:
                 named_at[named.version] = now - named.age_s
             if named.version <= self.named.get(named.model, 0):
                 continue
@@ -266,43 +275,43 @@
             logs.event("weights_named", model=named.model, version=named.version, age_s=named.age_s)
 
     def version_due(self, model: str, now: float, bound_s: float) -> int:
-        """Return the newest version of a model's weights named `bound_s` ago or earlier, or 0.
+        """Return the newest version of a model announced at least `bound_s` seconds ago, or 0.
 
-        Each version has its own bound: a newer one does not put off the one before it.
+        A newer announcement does not postpone the time at which an earlier version is required.
         """
         named_at = self.named_at.get(model, {})
         return max((version for version, at in named_at.items() if now - at >= bound_s), default=0)
 
     def usable_until(self, model: str, version: int, bound_s: float) -> float:
-        """Return until when a request may begin on `version` of a model's weights.
+        """Return until when a request may begin on a version of a model's weights.
 
-        That is `bound_s` after the first newer version was named.
+        This is `bound_s` seconds after the first newer version was announced.
         """
         named_at = self.named_at.get(model, {})
         newer = [at for named, at in named_at.items() if named > version]
         return min(newer, default=float("inf")) + bound_s
 
-    def take_instances(self, news: node_messages.WatchReply, address: str, now: float) -> None:
-        """Take changes of back ends over."""
-        for instance in news.gone:
-            self.forget(instance)
-        for told in news.instances:
-            self.apply_instance(told, now)
-        if news.is_full:
-            present = {told.heartbeat.instance for told in news.instances}
+    def apply_instances(self, reply: node_messages.WatchReply, address: str, now: float) -> None:
+        """Apply changes of back ends; a full reply also shows which ones are missing."""
+        for instance in reply.gone:
+            self.mark_gone(instance)
+        for record in reply.instances:
+            self.apply_instance(record, now)
+        if reply.is_full:
+            present = {record.heartbeat.instance for record in reply.instances}
             absent = sorted(set(self.instances) - present)
-            logs.event("news_in_full", told=len(present), gone=len(news.gone), absent=absent[:8])
+            logs.event("news_in_full", told=len(present), gone=len(reply.gone), absent=absent[:8])
             for instance in absent:
                 self.missing.setdefault(instance, now)
             if absent:
-                # One that has just started may not have heard them; the others have told them and
-                # would tell nothing more.
+                # A control VM that has just started may not know them yet. Others would not send
+                # them again without a reset of their positions.
                 self.positions = {address: self.positions[address]}
-        self.drop_missing(now)
+        self.remove_missing(now)
 
-    def apply_instance(self, told: instances.Instance, now: float) -> None:
-        """Take one back end over."""
-        heartbeat = told.heartbeat
+    def apply_instance(self, record: instances.Instance, now: float) -> None:
+        """Apply the state of one back end; draining and gone are final."""
+        heartbeat = record.heartbeat
         if heartbeat.instance in self.gone:
             return
         self.missing.pop(heartbeat.instance, None)
@@ -320,39 +329,39 @@
                 service=heartbeat.service,
                 address=heartbeat.address,
                 state=heartbeat.state,
-                age_s=told.age_s,
+                age_s=record.age_s,
             )
-        self.heard_at[heartbeat.instance] = now - told.age_s
+        self.heard_at[heartbeat.instance] = now - record.age_s
         for name in self.index.conflicts(heartbeat):
-            # Two at one address, or of one id: the one heard of last is there.
-            if self.heard_at[name] > now - told.age_s:
+            # Of instances with the same address or id, the one with the latest heartbeat wins.
+            if self.heard_at[name] > now - record.age_s:
                 return
-            # Not for good: a late heartbeat may have misled the control VM for a moment.
-            self.drop(name)
+            # Not marked as gone, since a late heartbeat may have caused the conflict.
+            self.remove(name)
             logs.event("instance", instance=name, state="replaced", by=heartbeat.instance)
         self.instances[heartbeat.instance] = heartbeat
         self.index.put(heartbeat)
-        self.cold_until[heartbeat.instance] = now + heartbeat.cold_s - told.age_s
+        self.cold_until[heartbeat.instance] = now + heartbeat.cold_s - record.age_s
 
-    def drop(self, instance: str) -> bool:
-        """Hold a back end for absent; return whether it was there."""
+    def remove(self, instance: str) -> bool:
+        """Remove a back end; return whether it was present."""
         self.index.discard(instance)
         return self.instances.pop(instance, None) is not None
 
-    def forget(self, instance: str) -> None:
-        """Note that a back end has left for good."""
+    def mark_gone(self, instance: str) -> None:
+        """Remove a back end permanently."""
         self.gone.add(instance)
         self.missing.pop(instance, None)
         self.cold_until.pop(instance, None)
-        if self.drop(instance):
+        if self.remove(instance):
             logs.event("instance", instance=instance, state=fleet.GONE)
 
-    def drop_missing(self, now: float) -> None:
-        """Drop back ends that no control VM has told of for long; they may come back."""
-        grace_s = MISSING_BEATS * self.settings.heartbeat_s
+    def remove_missing(self, now: float) -> None:
+        """Remove back ends that have been missing for several heartbeats; they may return."""
+        grace_s = MISSING_HEARTBEATS * self.settings.heartbeat_s
         for instance, since in list(self.missing.items()):
             if now - since > grace_s:
                 del self.missing[instance]
                 self.positions = {}
-                self.drop(instance)
+                self.remove(instance)
                 logs.event("instance", instance=instance, state="missing", since_s=now - since)
--- a/src/merlinthread/nodes/limit_reporter.py
+++ b/src/merlinthread/nodes/limit_reporter.py
@@ -1,4 +1,4 @@
-"""An entry tells the control VMs of limits that it has heard from back ends, and of their end."""
+"""Reports of the rate limits that back ends advertise to an entry, sent to the control VMs."""
 
 import asyncio
 
@@ -12,7 +12,7 @@
 
 
 class LimitReporter:
-    """One entry's reports; `name` is the entry's."""
+    """Reports changed limits on behalf of the entry called `name`."""
 
     def __init__(
         self, name: str, watcher: fleet_watcher.FleetWatcher, caller: node_bus.RpcClient
@@ -20,20 +20,23 @@
         self.name = name
         self.watcher = watcher
         self.caller = caller
-        self.telling: set[asyncio.Task[None]] = set()
+        self.tasks: set[asyncio.Task[None]] = set()
 
-    def tell(self, told: limit_ledger.LimitReport) -> None:
-        """Tell a control VM of what was heard just now, beside other work."""
+    def report(self, limit: limit_ledger.LimitReport) -> None:
+        """Start a task that reports a limit, unless no control VM is known."""
         if not self.watcher.current:
             return
-        task = asyncio.get_running_loop().create_task(self.report(told))
-        self.telling.add(task)
-        task.add_done_callback(self.telling.discard)
+        task = asyncio.get_running_loop().create_task(self.send(limit))
+        self.tasks.add(task)
+        task.add_done_callback(self.tasks.discard)
 
-    async def report(self, told: limit_ledger.LimitReport) -> None:
-        """Tell a control VM; who is not told hears it with a first answer of its own."""
-        report = node_messages.CrashReport(self.name, [], limits=[told])
+    async def send(self, limit: limit_ledger.LimitReport) -> None:
+        """Send a limit to a control VM, without retries.
+
+        If the report is lost, each entry learns the limit from its own first response.
+        """
+        report = node_messages.CrashReport(self.name, [], limits=[limit])
         try:
             await self.caller.call(self.watcher.current, report, TIMEOUT_S)
         except errors.MerlinthreadError as error:
-            logs.debug("limit_not_told", instance=told.instance, reason=error.message)
+            logs.debug("limit_not_told", instance=limit.instance, reason=error.message)
--- a/src/merlinthread/nodes/load_prober.py
+++ b/src/merlinthread/nodes/load_prober.py
@@ -1,7 +1,7 @@
-"""Asks agents for their engines' load at the moment of a decision, and notes attempts at them.
+"""Load queries and attempt notices from an entry to agents.
 
-Both go by single datagrams that may be lost: an agent that does not answer in time is judged by its
-last report, and its ledger forgets what is never noted as over.
+Both are single datagrams that may be lost. An agent that does not answer in time is judged by its
+last load report, and its ledger expires attempts whose end it did not receive.
 """
 
 import asyncio
@@ -16,41 +16,41 @@
 
 
 class LoadProber:
-    """One entry's questions to agents; `address` is the entry's own."""
+    """Queries agents on behalf of the entry at `address`."""
 
     def __init__(self, address: str, send: Send) -> None:
         self.address = address
         self.send = send
-        self.numbers = itertools.count(1)
+        self.query_numbers = itertools.count(1)
         self.waiting: dict[int, asyncio.Future[load_ledger.EngineLoad]] = {}
 
     async def ask(
         self, agents: Sequence[str], wait_s: float
     ) -> dict[str, load_ledger.EngineLoad | None]:
-        """Ask agents for their loads; return what each tells within `wait_s`, or None."""
+        """Query agents for their engines' loads; the load is None without a reply in `wait_s`."""
         loop = asyncio.get_running_loop()
-        asked = {agent: next(self.numbers) for agent in agents}
+        numbers = {agent: next(self.query_numbers) for agent in agents}
         futures = {agent: loop.create_future() for agent in agents}
-        for agent, number in asked.items():
+        for agent, number in numbers.items():
             self.waiting[number] = futures[agent]
             self.send(agent, node_messages.LoadQuery(self.address, number))
         if futures:
             await asyncio.wait(futures.values(), timeout=wait_s)
-        for number in asked.values():
+        for number in numbers.values():
             self.waiting.pop(number, None)
         return {
             agent: future.result() if future.done() else None for agent, future in futures.items()
         }
 
-    def receive(self, answer: node_messages.LoadReply) -> None:
-        """Take an agent's answer; one that comes too late is dropped."""
-        future = self.waiting.pop(answer.number, None)
+    def receive(self, reply: node_messages.LoadReply) -> None:
+        """Accept an agent's reply, or drop it if the query has timed out."""
+        future = self.waiting.pop(reply.number, None)
         if future is not None and not future.done():
-            others = load_ledger.Outstanding(answer.attempts, answer.unread, answer.tokens)
-            future.set_result(load_ledger.EngineLoad(others, answer.is_busy, answer.pace))
+            others = load_ledger.Outstanding(reply.attempts, reply.unread, reply.tokens)
+            future.set_result(load_ledger.EngineLoad(others, reply.is_busy, reply.pace))
 
-    def note(
+    def send_notice(
         self, agent: str, number: int, stage: node_messages.AttemptStage, tokens: float
     ) -> None:
-        """Note at an agent how far an attempt is."""
+        """Notify an agent of the stage that an attempt has reached."""
         self.send(agent, node_messages.AttemptNotice(self.address, number, stage, tokens))
--- a/src/merlinthread/nodes/permits.py
+++ b/src/merlinthread/nodes/permits.py
@@ -1,6 +1,7 @@
-"""An entry's permits for back ends that take only so many requests a second from all VMs together.
+"""Permits for requests to back ends with a rate limit that all VMs share.
 
-The control VM that leads gives them out. While it does not answer, entries take turns.
+The leader of the control VMs grants them. While it does not answer, entries use time slots instead
+(`coordination.permit_turns`).
 """
 
 import asyncio
@@ -15,45 +16,47 @@
 from merlinthread.nodes import fleet_watcher
 from merlinthread.protocol import node_messages
 
-# How long the leader may take to answer, in seconds: ten times the way there and back between
-# regions. A question may be lost, so it is sent a second time after a third of that.
+# Timeout of a query, several network round trips; the query is sent again in case it was lost.
 ANSWER_TIMEOUT_S = 0.06
-AGAIN_S = 0.02
-# After it did not answer, one question is sent in so long, in seconds; the others wait for nothing.
-SILENCE_S = 0.25
-# How many back ends one question names: it fits one datagram.
-NAMED_MAX = 8
-# How long a permit holds, in seconds, from when it may be used: connecting takes up to 0.3 s.
-VALID_S = 0.5
+RETRANSMIT_AFTER_S = 0.02
+# Time between searches for the leader; requests use time slots meanwhile.
+SEARCH_BACKOFF_S = 0.25
+# Bounds the size of a query, which must fit into one datagram.
+LIMITS_PER_QUERY_MAX = 8
+# Leaves time to connect to the back end.
+PERMIT_VALIDITY_S = 0.5
 
-FIRST_NUMBERS = 2**30
+FIRST_NUMBER_MAX = 2**30
 
 Send = Callable[[str, Any], None]
 
 
 @dataclasses.dataclass(slots=True)
 class Permit:
-    """Leave to send one request to a back end before `until`; `told_by` says who gave it."""
+    """Permission to send one request to a back end until `until`.
+
+    `source` is the address of the leader that granted it, or describes the time slot, for the log.
+    """
 
     instance: str
     until: float
-    told_by: str
+    source: str
 
     def is_valid(self, instance: str, now: float) -> bool:
-        """Return whether a request may be sent there now."""
+        """Return whether a request may be sent to `instance` now."""
         return self.instance == instance and now <= self.until
 
 
 @dataclasses.dataclass(slots=True)
 class Denial:
-    """There is no permit in time; one is expected in `back_in_s`."""
+    """The refusal of a permit; one is expected to be available in `back_in_s` seconds."""
 
     back_in_s: float
-    told_by: str
+    source: str
 
 
 class PermitClient:
-    """One entry's questions; `address` is where it takes the answers."""
+    """Acquires permits for one entry, which receives replies at `address`."""
 
     def __init__(
         self,
@@ -68,17 +71,17 @@
         self.send = send
         self.clock = clock
         self.rng = rng
-        # Not from 1: an entry that starts again must not get the answers of its former life.
-        self.numbers = itertools.count(rng.randrange(FIRST_NUMBERS))
+        # Random, so that replies to an earlier process of this entry are not accepted.
+        self.numbers = itertools.count(rng.randrange(FIRST_NUMBER_MAX))
         self.waiting: dict[int, asyncio.Future[node_messages.PermitReply]] = {}
-        # The control VM that answered last, empty while none does.
+        # The control VM that grants permits, empty if none answers.
         self.leader = ""
-        # When none answered last, and until when none is looked for again.
-        self.silent_at = float("-inf")
-        self.silent_until = float("-inf")
-        # Set once the search that is under way has ended.
-        self.searched: asyncio.Event | None = None
-        self.turns = permit_turns.PermitSlots(rng.randrange(permit_turns.DEFAULT_ENTRIES))
+        # When a query of the leader last failed, and when the next search may start.
+        self.unanswered_at = float("-inf")
+        self.search_not_before = float("-inf")
+        # Set when the current search ends; None if there is none.
+        self.search_done: asyncio.Event | None = None
+        self.slots = permit_turns.PermitSlots(rng.randrange(permit_turns.DEFAULT_ENTRIES))
 
     async def acquire(
         self,
@@ -87,147 +90,156 @@
         patience_s: float,
         backends: Sequence[backend_record.Backend],
     ) -> Permit | Denial:
-        """Return a permit for one of some back ends, once it may be used.
+        """Wait for a permit for one of `backends`, in order of preference, and return it.
 
-        They are named in the order of preference; each is noted when it has its next permit.
+        Return a Denial if none is available within `patience_s` seconds. Record in each back end
+        when its next permit is available.
         """
         now = self.clock()
-        named = [named_limit(backend, now) for backend in backends[:NAMED_MAX]]
-        request = rate_limits.PermitRequest(service, account, patience_s, named)
-        decision = await self.ask_leader(request)
-        by, told_by = "leader", self.leader
+        limits = [advertised_limit(backend, now) for backend in backends[:LIMITS_PER_QUERY_MAX]]
+        request = rate_limits.PermitRequest(service, account, patience_s, limits)
+        decision = await self.query_leader(request)
+        by, source = "leader", self.leader
         if decision is None:
-            by, told_by = "turns", f"turn {self.turns.rank} of {self.turns.entries}"
-            decision = self.by_turns(request, self.clock())
+            by, source = "turns", f"slot {self.slots.rank} of {self.slots.entries}"
+            decision = self.decide_by_slot(request, self.clock())
         metrics.permits_asked_total.labels("given" if decision.instance else "denied", by).inc()
         now = self.clock()
         for backend, free_in_s in zip(backends, decision.free_in_s, strict=False):
             backend.availability.next_permit_at = now + free_in_s
         if not decision.instance:
-            return Denial(decision.back_in_s, told_by)
+            return Denial(decision.back_in_s, source)
         if decision.start_in_s > 0:
             await asyncio.sleep(decision.start_in_s)
-        return Permit(decision.instance, self.clock() + VALID_S, told_by)
+        return Permit(decision.instance, self.clock() + PERMIT_VALIDITY_S, source)
 
-    def by_turns(self, request: rate_limits.PermitRequest, now: float) -> rate_limits.Decision:
-        """Return what this entry's turns allow.
+    def decide_by_slot(
+        self, request: rate_limits.PermitRequest, now: float
+    ) -> rate_limits.Decision:
+        """Decide by this entry's time slots.
 
-        A leader may be found before the next turn: no back end counts as spent for longer than
-        until one is looked for again.
+        Permits are recorded as unavailable only until the next search: a leader may then grant one
+        before the next slot.
         """
-        decision = self.turns.decide(request, now)
-        looked_in_s = max(0.0, self.silent_until - now)
-        decision.free_in_s = [min(free_in_s, looked_in_s) for free_in_s in decision.free_in_s]
+        decision = self.slots.decide(request, now)
+        search_in_s = max(0.0, self.search_not_before - now)
+        decision.free_in_s = [min(free_in_s, search_in_s) for free_in_s in decision.free_in_s]
         return decision
 
-    async def ask_leader(self, request: rate_limits.PermitRequest) -> rate_limits.Decision | None:
-        """Return the leader's decision, None if it does not answer."""
+    async def query_leader(self, request: rate_limits.PermitRequest) -> rate_limits.Decision | None:
+        """Return the leader's decision, or None if no leader answers."""
         while not self.leader:
-            if self.clock() < self.silent_until:
+            if self.clock() < self.search_not_before:
                 return None
-            if self.searched is None:
-                return await self.search(request)
-            # Whoever searches may leave before it is known.
-            await self.searched.wait()
+            if self.search_done is None:
+                return await self.find_leader(request)
+            # The searching task may be cancelled, so check again afterwards.
+            await self.search_done.wait()
         leader = self.leader
-        decision = await self.decision_of([leader], request)
+        decision = await self.request_decision([leader], request)
         if decision is None and self.leader == leader:
-            self.note_silence()
+            self.mark_leader_lost()
         return decision
 
-    async def search(self, request: rate_limits.PermitRequest) -> rate_limits.Decision | None:
-        """Look for the leader; return its decision, None if there is none.
+    async def find_leader(self, request: rate_limits.PermitRequest) -> rate_limits.Decision | None:
+        """Search for the leader; return its decision, or None if none is found.
 
-        For a moment after one was not found, others go by their turns and wait for nothing. A
-        silence that is older than the next leader waits says nothing of now: they wait for this
-        search then, since turns beside a leader's permits are more than is allowed.
+        If the leader was lost recently, other requests use time slots during the search. If not,
+        there may be a new leader that already grants permits. Slots in addition to those would
+        exceed the limit, so other requests wait for the search.
         """
-        self.silent_until = min(
-            self.clock() + SILENCE_S, self.silent_at + rate_limits.LEADER_DISCOVERY_S
+        self.search_not_before = min(
+            self.clock() + SEARCH_BACKOFF_S, self.unanswered_at + rate_limits.LEADER_DISCOVERY_S
         )
-        self.searched = asyncio.Event()
+        self.search_done = asyncio.Event()
         try:
-            decision = await self.decision_of(self.controls(), request)
+            decision = await self.request_decision(self.control_vms(), request)
             if decision is None:
-                self.note_silence()
+                self.mark_leader_lost()
             return decision
         finally:
-            self.searched.set()
-            self.searched = None
+            self.search_done.set()
+            self.search_done = None
 
-    async def decision_of(
+    async def request_decision(
         self, addresses: list[str], request: rate_limits.PermitRequest
     ) -> rate_limits.Decision | None:
-        """Return the decision of the leader, which is one of those asked or known to one."""
+        """Query some control VMs, follow one redirect to the leader, and return its decision."""
         for _ in range(2):
-            address, answer = await self.ask_any(addresses, request)
-            if answer is None or answer.leader in addresses:
+            address, reply = await self.query_any(addresses, request)
+            if reply is None or reply.leader in addresses:
                 return None
-            if answer.decision is not None:
-                self.note_leader(address, answer)
-                return answer.decision
-            addresses = [answer.leader]
+            if reply.decision is not None:
+                self.set_leader(address, reply)
+                return reply.decision
+            addresses = [reply.leader]
         return None
 
-    def controls(self) -> list[str]:
-        """Return the control VMs that are known.
+    def control_vms(self) -> list[str]:
+        """Return the addresses of the known control VMs.
 
-        All are asked while the leader is not known: who asks one by one may meet a lost one again
-        and again, and goes on with its turns while the next leader counts for the others.
+        A search queries all of them at once. Queried in turn, failed ones would delay it while a
+        new leader already grants permits to other entries.
         """
         known = dict.fromkeys([*self.watcher.controls, self.watcher.current])
         return [address for address in known if address]
 
-    def note_leader(self, address: str, answer: node_messages.PermitReply) -> None:
-        """Note who gives out permits, and which turn this entry has when it does not."""
+    def set_leader(self, address: str, reply: node_messages.PermitReply) -> None:
+        """Record the leader, and the time slots to use if it stops answering."""
         if self.leader != address:
-            logs.event("permits_from", control=address, before=self.leader, entries=answer.entries)
+            logs.event("permits_from", control=address, before=self.leader, entries=reply.entries)
         self.leader = address
-        ahead_s = answer.at - self.clock()
-        self.turns.update(max(1, answer.entries), answer.rank, ahead_s)
+        ahead_s = reply.at - self.clock()
+        self.slots.update(max(1, reply.entries), reply.rank, ahead_s)
 
-    def note_silence(self) -> None:
-        """Note that no leader answers."""
+    def mark_leader_lost(self) -> None:
+        """Record that no leader answers, and delay the next search."""
         if self.leader:
-            logs.event("permits_by_turns", lost=self.leader, entries=self.turns.entries)
-            self.turns.begin(self.clock())
+            logs.event("permits_by_turns", lost=self.leader, entries=self.slots.entries)
+            self.slots.begin(self.clock())
         self.leader = ""
-        self.silent_at = self.clock()
-        self.silent_until = self.silent_at + SILENCE_S
+        self.unanswered_at = self.clock()
+        self.search_not_before = self.unanswered_at + SEARCH_BACKOFF_S
 
-    async def ask_any(
+    async def query_any(
         self, addresses: list[str], request: rate_limits.PermitRequest
     ) -> tuple[str, node_messages.PermitReply | None]:
-        """Return who decides and what it says, else one that names the leader, else nobody."""
-        asked = {asyncio.create_task(self.ask(each, request)): each for each in addresses}
-        named: tuple[str, node_messages.PermitReply | None] = ("", None)
-        pending = set(asked)
+        """Query control VMs; return the address and reply of the first that decides.
+
+        Otherwise return a reply that names the leader, or an empty address and None.
+        """
+        addresses_by_task = {
+            asyncio.create_task(self.query_control(address, request)): address
+            for address in addresses
+        }
+        redirect: tuple[str, node_messages.PermitReply | None] = ("", None)
+        pending = set(addresses_by_task)
         while pending:
             done, pending = await asyncio.wait(pending, return_when=asyncio.FIRST_COMPLETED)
             for task in done:
-                answer = task.result()
-                if answer is not None and answer.decision is not None:
+                reply = task.result()
+                if reply is not None and reply.decision is not None:
                     for other in pending:
                         other.cancel()
-                    return asked[task], answer
-                if answer is not None and answer.leader:
-                    named = (asked[task], answer)
-        return named
+                    return addresses_by_task[task], reply
+                if reply is not None and reply.leader:
+                    redirect = (addresses_by_task[task], reply)
+        return redirect
 
-    async def ask(
+    async def query_control(
         self, address: str, request: rate_limits.PermitRequest
     ) -> node_messages.PermitReply | None:
-        """Return a control VM's answer, None if there is none in time."""
+        """Query a control VM, with one retransmission; return its reply, or None on a timeout."""
         number = next(self.numbers)
-        answered = asyncio.get_running_loop().create_future()
-        self.waiting[number] = answered
+        future = asyncio.get_running_loop().create_future()
+        self.waiting[number] = future
         query = node_messages.LoadQuery(self.address, number, request)
         try:
-            for wait_s in (AGAIN_S, ANSWER_TIMEOUT_S - AGAIN_S):
+            for wait_s in (RETRANSMIT_AFTER_S, ANSWER_TIMEOUT_S - RETRANSMIT_AFTER_S):
                 self.send(address, query)
-                done, _ = await asyncio.wait([answered], timeout=wait_s)
+                done, _ = await asyncio.wait([future], timeout=wait_s)
                 if done:
-                    return answered.result()
+                    return future.result()
             return None
         except OSError as error:
             logs.debug("permit_query_not_sent", control=address, reason=str(error))
@@ -235,15 +247,15 @@
         finally:
             del self.waiting[number]
 
-    def receive(self, number: int, answer: node_messages.PermitReply) -> None:
-        """Take an answer; one that comes too late is dropped, with its permit."""
-        answered = self.waiting.get(number)
-        if answered is not None and not answered.done():
-            answered.set_result(answer)
+    def receive(self, number: int, reply: node_messages.PermitReply) -> None:
+        """Accept a reply, or drop it with its permit if the query has timed out."""
+        future = self.waiting.get(number)
+        if future is not None and not future.done():
+            future.set_result(reply)
 
 
-def named_limit(backend: backend_record.Backend, now: float) -> rate_limits.AdvertisedLimit:
-    """Return what a back end named, for the control VM."""
+def advertised_limit(backend: backend_record.Backend, now: float) -> rate_limits.AdvertisedLimit:
+    """Return a back end's limit in the form that the control VMs expect."""
     availability = backend.availability
     assert availability.limit_per_s is not None
     return rate_limits.AdvertisedLimit(
--- a/src/merlinthread/nodes/request_context.py
+++ b/src/merlinthread/nodes/request_context.py
@@ -1,37 +1,37 @@
-"""What is known of a client's request before its first attempt."""
+"""The context of a client's request, known before its first attempt."""
 
 import dataclasses
 
 from merlinthread.coordination import fingerprints, fleet
 
 URGENCY_MAX = 9
-LABEL_CHARACTERS = 120
+LABEL_LENGTH_MAX = 120
 
 
 @dataclasses.dataclass(slots=True)
-class Facts:
-    """A client's request: the call, where it belongs, and by when it must be answered."""
+class RequestContext:
+    """A client's request with its route, account and deadline."""
 
     call: fleet.RequestHead
     route: fleet.Route
     account: fleet.Account | None
     deadline: float
     body: bytes = b""
-    known_fingerprint: str = ""
+    cached_fingerprint: str = ""
 
     def fingerprint(self) -> str:
-        """Return what tells this request from others; reckoned only once it is asked for."""
-        if not self.known_fingerprint:
+        """Return the request's fingerprint, computed on first use."""
+        if not self.cached_fingerprint:
             account = self.account.name if self.account is not None else ""
-            self.known_fingerprint = fingerprints.fingerprint(self.call, account, self.body)
-        return self.known_fingerprint
+            self.cached_fingerprint = fingerprints.fingerprint(self.call, account, self.body)
+        return self.cached_fingerprint
 
     def label(self) -> str:
-        """Return what the request asks and for whom, for operators; its query is left out."""
+        """Return a description for operators: method, host, path without query, and account."""
         account = self.account.name if self.account is not None else "no account"
         path = self.call.path.decode("latin-1").split("?")[0]
         text = f"{self.call.method.decode('latin-1')} {self.call.host}{path} of {account}"
-        return text[:LABEL_CHARACTERS]
+        return text[:LABEL_LENGTH_MAX]
 
     def is_idempotent(self) -> bool:
         """Return whether the request may run more than once."""
@@ -40,8 +40,8 @@
         )
 
     def urgency(self) -> int:
-        """Return the request's rank, 0 first: its account's before its route's."""
-        rank = self.route.priority
+        """Return the urgency, 0 to URGENCY_MAX, 0 first; an account overrides its route."""
+        priority = self.route.priority
         if self.account is not None and self.account.priority is not None:
-            rank = self.account.priority
-        return max(0, min(URGENCY_MAX, rank))
+            priority = self.account.priority
+        return max(0, min(URGENCY_MAX, priority))
--- a/src/merlinthread/nodes/request_task.py
+++ b/src/merlinthread/nodes/request_task.py
@@ -1,7 +1,6 @@
-"""One client's request: its route, its attempts on back ends, and its one final answer.
+"""The processing of one client request: routing, attempts on back ends and the final response.
 
-What came of each attempt is typed (`attempts.State`); only from that follows what may be repeated
-and what is told to the client.
+Retries and the error that the client gets depend only on the `attempts.State` of each attempt.
 """
 
 import asyncio
@@ -22,21 +21,21 @@
 from merlinthread.protocol import error_responses
 from merlinthread.transport import http_messages, stream_server
 
-# Share of a route's objective that a request may wait for a place before it is refused: its client
-# loses less than an eighth of it.
-PATIENCE_SHARE = 0.12
-# Share of the objective within which the first byte must be expected for a place to be taken. The
-# request's own prompt is left out, so that large requests are not refused more often.
+# Share of a route's objective that a request may be queued before it is refused.
+QUEUE_TIME_SHARE = 0.12
+# Share of the objective within which the first byte must be expected. The time to read the
+# request's own prompt is not counted, so that long prompts are not refused more often.
 ADMISSION_SHARE = 0.7
-# The same for a client that was probably refused before, having so little of its time left.
-ADMIT_AGAIN_SHARE = 0.85
-SECOND_TRY_SHARE = 0.8
+# The same for a client that has probably been refused before: less than RETRY_TIME_SHARE of its
+# time is left.
+RETRY_ADMISSION_SHARE = 0.85
+RETRY_TIME_SHARE = 0.8
 CONNECT_FAILURES_MAX = 4
 DEADLINE_MARGIN_S = 0.03
 
 
 class RequestTask:
-    """Serves one request."""
+    """Processes one request."""
 
     def __init__(
         self,
@@ -53,33 +52,33 @@
         self.clock = pool.clock
         self.arrived = arrived
         self.call: fleet.RequestHead | None = None
-        self.facts: request_context.Facts | None = None
+        self.context: request_context.RequestContext | None = None
         self.service = ""
-        self.relay = response_relay.Relay(exchange, pool.clock, arrived, self.on_answered)
+        self.relay = response_relay.ResponseRelay(exchange, pool.clock, arrived, self.on_response)
         self.tried: set[str] = set()
         self.attempts: list[attempts.Attempt] = []
-        # Leave to send the next attempt to a back end that named a limit.
+        # The permit for the next attempt, if its back end has a rate limit.
         self.permit: permits.Permit | None = None
         self.may_have_run = False
         self.reasons: list[str] = []
 
     async def run(self) -> None:
-        """Serve the request; its final answer is sent once."""
+        """Process the request and send its final response."""
         try:
-            self.begin()
+            self.prepare()
             await self.serve()
         except errors.MerlinthreadError as error:
-            await self.refuse(error)
+            await self.send_error(error)
         except asyncio.CancelledError:
-            self.log("left", 0)
+            self.log_outcome("left", 0)
             raise
 
-    def begin(self) -> None:
-        """Find out what the request is and where it belongs."""
+    def prepare(self) -> None:
+        """Parse the request and find its route and service; raise RequestError if it is refused."""
         self.call = self.dialect.client_call(self.exchange.request)
-        wait_s = self.pool.restart_wait_s()
-        is_newest = self.pool.watcher.is_sure()
-        route, account = route_finder.find_route(self.table, self.call, is_newest, wait_s)
+        retry_delay_s = self.pool.startup_wait_s()
+        is_current = self.pool.watcher.is_current()
+        route, account = route_finder.find_route(self.table, self.call, is_current, retry_delay_s)
         self.service = route_table.choose_service(route, self.pool.rng)
         self.relay.last_event_id = self.call.last_event_id
         limit = route.timeout_s
@@ -87,21 +86,20 @@
             limit = min(limit, self.call.deadline_s - DEADLINE_MARGIN_S)
         deadline = self.arrived + max(0.0, limit)
         body = self.exchange.request.body
-        self.facts = request_context.Facts(self.call, route, account, deadline, body)
-        self.check_not_held()
+        self.context = request_context.RequestContext(self.call, route, account, deadline, body)
+        self.check_hold()
         self.pool.budget(self.service).record_first_attempt(self.arrived)
 
-    def check_not_held(self) -> None:
-        """Raise RequestError if too many back ends have ended under this request.
+    def check_hold(self) -> None:
+        """Raise RequestError if this request is held because back ends crashed while running it.
 
-        Any further attempt would end another one, with all that runs there: 14 streams of other
-        clients at a busy engine.
+        Another attempt might crash another back end, with all other requests that it runs.
         """
-        assert self.facts is not None
+        assert self.context is not None
         crashes = self.pool.crashes
-        if not crashes.ledger.records or not crashes.ledger.is_held(self.facts.fingerprint()):
+        if not crashes.ledger.records or not crashes.ledger.is_held(self.context.fingerprint()):
             return
-        reason = f"held back: back ends ended under {self.facts.fingerprint()}"
+        reason = f"request is held: back ends crashed while running {self.context.fingerprint()}"
         if self.may_have_run:
             raise errors.RequestError(reason, kind=errors.ErrorKind.OUTCOME_UNKNOWN)
         raise errors.RequestError(reason, kind=errors.ErrorKind.HELD_BACK)
@@ -109,281 +107,304 @@
     # Attempts
 
     async def serve(self) -> None:
-        """Make attempts until there is a final answer."""
+        """Make attempts until there is a final response."""
         failures = 0
         while True:
-            choice = await self.find_place()
-            # Other entries may have seen an end while this request waited or was tried.
-            self.check_not_held()
+            choice = await self.acquire_backend()
+            # Other entries may have reported crashes while this request was queued.
+            self.check_hold()
             backend = choice.backend
-            self.reasons.append(self.belief(choice))
+            self.reasons.append(self.describe_choice(choice))
             outcome = await self.attempt(backend)
             self.reasons[-1] += f": {outcome.reason}"
-            self.add_told()
+            self.append_signals()
             if outcome.state is attempts.State.DONE:
                 return
             if outcome.state in (attempts.State.UNKNOWN, attempts.State.FAILED):
                 self.may_have_run = True
-                await self.settle(backend)
+                await self.wait_for_crash_check(backend)
             if outcome.state is attempts.State.UNSENT:
                 failures += 1
                 if failures >= CONNECT_FAILURES_MAX:
-                    raise self.no_place(
+                    raise self.unavailable(
                         "back ends can't be reached", return_times.RETRY_AFTER_MIN_S
                     )
                 continue
-            if not self.may_repeat(outcome):
-                await self.give_up(outcome)
+            if not self.may_retry(outcome):
+                await self.finish_failed(outcome)
                 return
 
-    async def settle(self, backend: backend_record.Backend) -> None:
-        """Wait until it is known whether a back end ended under a request that is suspect.
+    async def wait_for_crash_check(self, backend: backend_record.Backend) -> None:
+        """Wait until it is known whether a back end crashed, if the request is a suspect.
 
-        That takes a few ms; an attempt that does not wait may end one more back end.
+        Otherwise the next attempt might crash another back end.
         """
-        assert self.facts is not None
+        assert self.context is not None
         crashes = self.pool.crashes
-        if crashes.ledger.records and crashes.ledger.is_suspect(self.facts.fingerprint()):
-            await crashes.settled(backend)
-
-    def belief(self, choice: dispatch.Choice) -> str:
-        """Return what is believed of a back end, for the log."""
-        return attempt_descriptions.belief(choice, self.permit, self.arrived, self.clock())
-
-    def may_repeat(self, outcome: attempts.Outcome) -> bool:
-        """Return whether another attempt is allowed; it is taken out of the budget."""
-        assert self.facts is not None
-        if self.sent() >= self.facts.route.attempts or self.clock() >= self.facts.deadline:
+        if crashes.ledger.records and crashes.ledger.is_suspect(self.context.fingerprint()):
+            await crashes.wait_for_check(backend)
+
+    def describe_choice(self, choice: dispatch.Choice) -> str:
+        """Describe the known state of a chosen back end for the log."""
+        return attempt_descriptions.describe_choice(choice, self.permit, self.arrived, self.clock())
+
+    def may_retry(self, outcome: attempts.Outcome) -> bool:
+        """Return whether another attempt is allowed, charging it to the retry budget."""
+        assert self.context is not None
+        if (
+            self.sent_count() >= self.context.route.attempts
+            or self.clock() >= self.context.deadline
+        ):
             return False
-        if outcome.state is not attempts.State.NOT_RUN and not self.facts.is_idempotent():
+        if outcome.state is not attempts.State.NOT_RUN and not self.context.is_idempotent():
             return False
-        if self.exchange.is_started and not self.facts.route.is_resumable:
+        if self.exchange.is_started and not self.context.route.is_resumable:
             return False
         return self.pool.budget(self.service).spend(self.clock())
 
-    async def give_up(self, outcome: attempts.Outcome) -> None:
-        """Send the final answer after the last attempt."""
-        assert self.facts is not None
+    async def finish_failed(self, outcome: attempts.Outcome) -> None:
+        """Send the back end's error response after the last attempt, or raise RequestError."""
+        assert self.context is not None
         if self.exchange.is_started:
-            self.log("broken_off", 0)
+            self.log_outcome("broken_off", 0)
             self.exchange.abort()
             return
-        if outcome.state is attempts.State.FAILED and outcome.answer is not None:
-            await self.relay.give(outcome.answer)
+        if outcome.state is attempts.State.FAILED and outcome.response is not None:
+            await self.relay.send_response(outcome.response)
             return
         if outcome.state is attempts.State.NOT_RUN:
-            raise self.no_place("back ends are full", return_times.RETRY_AFTER_MIN_S)
-        if self.clock() >= self.facts.deadline:
-            raise errors.RequestError("the time is over", kind=errors.ErrorKind.DEADLINE_EXCEEDED)
+            raise self.unavailable("back ends are full", return_times.RETRY_AFTER_MIN_S)
+        if self.clock() >= self.context.deadline:
+            raise errors.RequestError("deadline exceeded", kind=errors.ErrorKind.DEADLINE_EXCEEDED)
         raise errors.RequestError(
-            "the back end gave no whole answer", kind=errors.ErrorKind.OUTCOME_UNKNOWN
+            "the back end sent no complete response", kind=errors.ErrorKind.OUTCOME_UNKNOWN
         )
 
-    def no_place(self, reason: str, wait_s: float) -> errors.RequestError:
-        """Return the refusal of a request that has not run, with when to come back.
+    def unavailable(self, reason: str, retry_delay_s: float) -> errors.RequestError:
+        """Return the error for a request that no back end can take, with a retry delay.
 
-        If an earlier attempt may have run, it is no promise.
+        If an earlier attempt may have run the request, the error says that its outcome is unknown.
         """
         if self.may_have_run:
             return errors.RequestError(reason, kind=errors.ErrorKind.OUTCOME_UNKNOWN)
         return errors.RequestError(
-            reason, kind=errors.ErrorKind.NO_TARGET, retry_after_s=round(wait_s, 3)
+            reason, kind=errors.ErrorKind.NO_TARGET, retry_after_s=round(retry_delay_s, 3)
         )
 
-    # Places
+    # Choice of back ends
 
     def demand(self) -> dispatch.Demand:
-        """Return what an attempt needs now."""
-        assert self.facts is not None
-        model = self.facts.call.model
+        """Return the requirements of the next attempt."""
+        assert self.context is not None
+        model = self.context.call.model
         now = self.clock()
         return dispatch.Demand(
             self.service,
             model,
             self.pool.required_version(model, now) if model else 0,
             self.pool.version_soon(model, now) if model else 0,
-            self.facts.call.prompt_tokens,
+            self.context.call.prompt_tokens,
             set(self.tried),
         )
 
-    async def find_place(self) -> dispatch.Choice:
-        """Return a back end whose first byte is expected in time, waiting a moment for one.
+    async def acquire_backend(self) -> dispatch.Choice:
+        """Return a back end whose first byte is expected in time, queueing the request if needed.
 
-        Raises RequestError if there is none.
+        Raises RequestError if none is available before the queue time is over.
         """
-        assert self.facts is not None
-        patience_until = self.arrived + PATIENCE_SHARE * self.facts.route.objective_s
-        room = self.pool.room(self.service)
+        assert self.context is not None
+        queue_deadline = self.arrived + QUEUE_TIME_SHARE * self.context.route.objective_s
+        queue = self.pool.queue(self.service)
         while True:
             now = self.clock()
-            left_s = self.admit_until() - now
-            choice = await self.choose(left_s)
-            is_due = now >= patience_until
-            if choice is not None and (is_due or self.is_worth_taking(choice, left_s)):
-                place = await self.permitted(self.accepted(choice, left_s), patience_until)
-                if place is not None:
-                    return place
+            remaining_s = self.admission_deadline() - now
+            choice = await self.choose(remaining_s)
+            is_expired = now >= queue_deadline
+            if choice is not None and (is_expired or self.is_admissible(choice, remaining_s)):
+                choice_with_permit = await self.with_permit(
+                    self.admit(choice, remaining_s), queue_deadline
+                )
+                if choice_with_permit is not None:
+                    return choice_with_permit
                 continue
             if choice is None:
-                place = await self.permitted(None, patience_until)
-                if place is not None:
-                    return place
-                self.check_opens(patience_until)
-                if is_due:
-                    raise self.no_place("no back end is free", self.return_after_s(True))
-            timeout_s = min(patience_until - now, 0.05)
-            await room.wait(self.facts.urgency(), self.arrived, timeout_s)
-
-    async def choose(self, left_s: float) -> dispatch.Choice | None:
-        """Return the best back end as far as known, or None; raise RequestError out of time."""
-        assert self.facts is not None
-        choice = await self.pool.choose(self.demand(), left_s)
-        if choice is None and self.tried and self.facts.is_idempotent():
+                choice_with_permit = await self.with_permit(None, queue_deadline)
+                if choice_with_permit is not None:
+                    return choice_with_permit
+                self.check_availability(queue_deadline)
+                if is_expired:
+                    raise self.unavailable("no back end is free", self.retry_after_s(True))
+            timeout_s = min(queue_deadline - now, 0.05)
+            await queue.wait(self.context.urgency(), self.arrived, timeout_s)
+
+    async def choose(self, remaining_s: float) -> dispatch.Choice | None:
+        """Return the best back end, or None if there is none.
+
+        Clear the tried back ends if only those are left and the request may run more than once.
+        Raises RequestError after the deadline.
+        """
+        assert self.context is not None
+        choice = await self.pool.choose(self.demand(), remaining_s)
+        if choice is None and self.tried and self.context.is_idempotent():
             self.tried.clear()
-            choice = await self.pool.choose(self.demand(), left_s)
-        # The VM may have been suspended meanwhile: a back end would begin for nobody.
-        if self.clock() >= self.facts.deadline:
-            raise errors.RequestError("the time is over", kind=errors.ErrorKind.DEADLINE_EXCEEDED)
+            choice = await self.pool.choose(self.demand(), remaining_s)
+        # The VM may have been suspended meanwhile.
+        if self.clock() >= self.context.deadline:
+            raise errors.RequestError("deadline exceeded", kind=errors.ErrorKind.DEADLINE_EXCEEDED)
         return choice
 
-    async def permitted(
-        self, choice: dispatch.Choice | None, patience_until: float
+    async def with_permit(
+        self, choice: dispatch.Choice | None, queue_deadline: float
     ) -> dispatch.Choice | None:
-        """Return a back end that may be sent to: `choice`, or with a permit one that named a limit.
+        """Return `choice` if it needs no permit, otherwise a back end for which one was acquired.
 
-        Returns None if another must be chosen; raises RequestError if all have named limits and
-        none takes a request in time.
+        Return None if the caller must choose again. Raises RequestError if every back end needs a
+        permit and none is available in time.
         """
-        assert self.facts is not None
+        assert self.context is not None
         self.permit = None
         if choice is not None and not choice.backend.availability.is_limited():
             return choice
         demand = self.demand()
-        limited = self.pool.limited(demand)
-        patience_s = patience_until - self.clock()
-        if choice is not None and choice.backend not in limited:
-            # There are others without limits: this one is not waited for.
-            limited, patience_s = [choice.backend], 0.0
-        if not limited:
+        candidates = self.pool.permit_candidates(demand)
+        patience_s = queue_deadline - self.clock()
+        if choice is not None and choice.backend not in candidates:
+            # Other back ends have no limit, so there is no reason to wait for this one's permit.
+            candidates, patience_s = [choice.backend], 0.0
+        if not candidates:
             return None
-        account = self.facts.account.name if self.facts.account is not None else ""
-        found = await self.pool.permits.acquire(self.service, account, patience_s, limited)
-        if isinstance(found, permits.Permit):
-            self.permit = found
-            backend = next(known for known in limited if known.instance == found.instance)
-            return self.pool.rate(backend, demand)
-        if self.pool.opens_at(self.service) is not None:
-            reason = f"all back ends have named limits; next permit in {found.back_in_s:.2f} s"
-            raise self.no_place(f"{reason} ({found.told_by})", found.back_in_s)
+        account = self.context.account.name if self.context.account is not None else ""
+        result = await self.pool.permits.acquire(self.service, account, patience_s, candidates)
+        if isinstance(result, permits.Permit):
+            self.permit = result
+            backend = next(
+                candidate for candidate in candidates if candidate.instance == result.instance
+            )
+            return self.pool.evaluate(backend, demand)
+        if self.pool.available_at(self.service) is not None:
+            reason = f"all back ends have rate limits; next permit in {result.back_in_s:.2f} s"
+            raise self.unavailable(f"{reason} ({result.source})", result.back_in_s)
         return None
 
-    def check_opens(self, patience_until: float) -> None:
-        """Raise RequestError if it is known that no back end takes requests in time.
+    def check_availability(self, queue_deadline: float) -> None:
+        """Raise RequestError if no back end will be available before the queue time is over.
 
-        To wait would only cost the client time that it needs for its second try.
+        Waiting would only reduce the time that the client has left for a retry.
         """
-        opens_at = self.pool.opens_at(self.service)
-        if opens_at is None or opens_at <= patience_until:
+        available_at = self.pool.available_at(self.service)
+        if available_at is None or available_at <= queue_deadline:
             return
-        if math.isinf(opens_at):
-            raise self.no_place("all back ends leave", self.return_after_s(True))
-        opens_in_s = opens_at - self.clock()
-        wait_s = return_times.delay_after_rest(opens_in_s, self.pool.rng)
-        raise self.no_place(f"all back ends are at rest for {opens_in_s:.2f} s", wait_s)
+        if math.isinf(available_at):
+            raise self.unavailable("all back ends are leaving", self.retry_after_s(True))
+        available_in_s = available_at - self.clock()
+        retry_delay_s = return_times.delay_after_rest(available_in_s, self.pool.rng)
+        raise self.unavailable(
+            f"all back ends are at rest for {available_in_s:.2f} s", retry_delay_s
+        )
 
-    def is_worth_taking(self, choice: dispatch.Choice, left_s: float) -> bool:
-        """Return whether to send the request there now.
+    def is_admissible(self, choice: dispatch.Choice, remaining_s: float) -> bool:
+        """Return whether the first byte is expected in time, or the engine has room.
 
-        That is if its first byte is expected in time, but also if the engine has room: then time
-        was lost on the way here or in connecting, and nobody gains if the client comes back.
+        If it has room, the time was lost elsewhere, and a refusal would only delay the request.
         """
-        return choice.wait_s <= left_s or choice.backend.has_room(self.clock())
+        return choice.wait_s <= remaining_s or choice.backend.has_room(self.clock())
 
-    def admit_until(self) -> float:
-        """Return when the first byte must be there for the place to be worth taking."""
-        assert self.facts is not None
+    def admission_deadline(self) -> float:
+        """Return the time by which the first byte must be expected for admission."""
+        assert self.context is not None
         if self.exchange.is_started:
-            return self.facts.deadline
-        share = ADMIT_AGAIN_SHARE if self.is_second_try() else ADMISSION_SHARE
-        return self.arrived + share * self.facts.route.objective_s
+            return self.context.deadline
+        share = RETRY_ADMISSION_SHARE if self.is_client_retry() else ADMISSION_SHARE
+        return self.arrived + share * self.context.route.objective_s
 
-    def is_second_try(self) -> bool:
-        """Return whether the client has used up so much time that it was refused before.
+    def is_client_retry(self) -> bool:
+        """Return whether the client has so little time left that it was probably refused before.
 
-        Being refused twice costs it more than a late answer.
+        A second refusal costs it more than a late response.
         """
-        assert self.facts is not None
-        left_s = self.facts.call.deadline_s
-        return left_s is not None and left_s < SECOND_TRY_SHARE * self.facts.route.timeout_s
-
-    def accepted(self, choice: dispatch.Choice, left_s: float) -> dispatch.Choice:
-        """Return a back end, also if it will be late; raise RequestError if it is too late."""
-        assert self.facts is not None
-        if self.is_worth_taking(choice, left_s):
+        assert self.context is not None
+        remaining_s = self.context.call.deadline_s
+        return (
+            remaining_s is not None
+            and remaining_s < RETRY_TIME_SHARE * self.context.route.timeout_s
+        )
+
+    def admit(self, choice: dispatch.Choice, remaining_s: float) -> dispatch.Choice:
+        """Return `choice` if the request is admitted; raise RequestError otherwise.
+
+        Only new streaming requests are refused because of a late first byte.
+        """
+        assert self.context is not None
+        if self.is_admissible(choice, remaining_s):
             return choice
-        has_begun = self.sent() > 0 or self.exchange.is_started
-        if has_begun or self.facts.route.kind != fleet.STREAMING:
+        has_begun = self.sent_count() > 0 or self.exchange.is_started
+        if has_begun or self.context.route.kind != fleet.STREAMING:
             return choice
         if choice.backend.is_ejected(self.clock()):
             return choice
-        reason = f"every back end is busy: {self.belief(choice)}"
-        raise self.no_place(reason, self.return_after_s(False))
+        reason = f"every back end is busy: {self.describe_choice(choice)}"
+        raise self.unavailable(reason, self.retry_after_s(False))
 
-    def return_after_s(self, is_none_free: bool) -> float:
-        """Return when the client should come back."""
-        assert self.facts is not None
-        left_s = self.facts.deadline - self.clock()
-        ready_in_s = self.pool.ready_in_s(self.service) if is_none_free else None
-        refusal = return_times.Refusal(left_s, is_none_free, ready_in_s)
-        return self.pool.return_way(refusal, self.pool.rng)
+    def retry_after_s(self, is_unavailable: bool) -> float:
+        """Return the retry delay for a refusal, in seconds.
+
+        `is_unavailable` is set if no back end could take the request at all.
+        """
+        assert self.context is not None
+        remaining_s = self.context.deadline - self.clock()
+        ready_in_s = self.pool.ready_in_s(self.service) if is_unavailable else None
+        refusal = return_times.Refusal(remaining_s, is_unavailable, ready_in_s)
+        return self.pool.retry_delay_policy(refusal, self.pool.rng)
 
     async def attempt(self, backend: backend_record.Backend) -> attempts.Outcome:
-        """Send the request to one back end and relay its answer if it is whole."""
-        assert self.facts is not None
+        """Make one attempt on a back end and return its outcome."""
+        assert self.context is not None
         self.tried.add(backend.instance)
         attempt = attempts.Attempt(
-            self.facts, self.relay, self.dialect, self.pool, backend, self.permit
+            self.context, self.relay, self.dialect, self.pool, backend, self.permit
         )
         self.attempts.append(attempt)
         return await attempt.run()
 
-    def sent(self) -> int:
-        """Return how many attempts have left for a back end so far."""
+    def sent_count(self) -> int:
+        """Return how many attempts have been sent to a back end."""
         return sum(attempt.is_sent for attempt in self.attempts)
 
-    # The end
+    # Final response
 
-    async def refuse(self, error: errors.MerlinthreadError) -> None:
-        """Send an answer of this node's own."""
+    async def send_error(self, error: errors.MerlinthreadError) -> None:
+        """Send an error response, or abort the response if it has already started."""
         entry = error_responses.RESPONSES[error.kind]
         if self.exchange.is_started:
-            self.log("broken_off", 0)
+            self.log_outcome("broken_off", 0)
             self.exchange.abort()
             return
         headers = self.dialect.error_headers(self.call)
-        wait_s = error.retry_after_s if error.retry_after_s is not None else entry.retry_after_s
-        if wait_s is not None:
-            headers.append((b"retry-after", b"%g" % wait_s))
+        retry_delay_s = (
+            error.retry_after_s if error.retry_after_s is not None else entry.retry_after_s
+        )
+        if retry_delay_s is not None:
+            headers.append((b"retry-after", b"%g" % retry_delay_s))
         self.reasons.append(error.message)
         metrics.refusals_total.labels(str(error.kind)).inc()
-        self.log(str(error.kind), entry.status)
+        self.log_outcome(str(error.kind), entry.status)
         await self.exchange.respond(http_messages.Response(entry.status, headers))
 
-    def on_answered(self, status: int) -> None:
-        """Note that a back end's whole answer goes to the client."""
-        self.add_told()
-        self.log("answered", status)
+    def on_response(self, status: int) -> None:
+        """Log that a complete response of a back end is sent to the client."""
+        self.append_signals()
+        self.log_outcome("answered", status)
 
-    def add_told(self) -> None:
-        """Add to the log's line, once, what the last back end asked said of itself."""
+    def append_signals(self) -> None:
+        """Append the availability signals of the last response to its description, once."""
         attempt = self.attempts[-1]
-        if attempt.told:
-            self.reasons[-1] += f", {attempt.told}"
-            attempt.told = ""
+        if attempt.signals_text:
+            self.reasons[-1] += f", {attempt.signals_text}"
+            attempt.signals_text = ""
 
-    def log(self, outcome: str, status: int) -> None:
-        """Log the decision on this request, with what it was based on."""
-        route = self.facts.route if self.facts else None
+    def log_outcome(self, outcome: str, status: int) -> None:
+        """Log the outcome of this request with a description of each attempt."""
+        route = self.context.route if self.context else None
         metrics.requests_total.labels(route.kind if route else "unknown", outcome).inc()
         logs.event(
             "request",
@@ -393,10 +414,12 @@
             route=route.name if route else "",
             configuration=self.table.version if self.table else 0,
             service=self.service,
-            sent=self.sent(),
+            sent=self.sent_count(),
             ms=round(1000 * (self.clock() - self.arrived)),
             first_ms=(
-                round(1000 * (self.relay.first_at - self.arrived)) if self.relay.first_at else None
+                round(1000 * (self.relay.first_event_at - self.arrived))
+                if self.relay.first_event_at
+                else None
             ),
             attempts=self.reasons,
         )
--- a/src/merlinthread/nodes/response_relay.py
+++ b/src/merlinthread/nodes/response_relay.py
@@ -1,4 +1,4 @@
-"""What goes back to one client of what back ends answer."""
+"""Relaying of responses from back ends to a client."""
 
 from collections.abc import Callable
 
@@ -7,31 +7,34 @@
 from merlinthread.transport import http_messages, stream_server
 
 
-class Relay:
-    """Gives answers of back ends to one client; `on_answered` is told the status of a whole one."""
+class ResponseRelay:
+    """Relays responses of back ends to one client.
+
+    `on_response` is called with the status of each complete response.
+    """
 
     def __init__(
         self,
         exchange: stream_server.Exchange,
         clock: Callable[[], float],
         arrived: float,
-        on_answered: Callable[[int], None],
+        on_response: Callable[[int], None],
     ) -> None:
         self.exchange = exchange
         self.clock = clock
         self.arrived = arrived
-        self.on_answered = on_answered
+        self.on_response = on_response
         self.last_event_id = ""
-        self.first_at: float | None = None
+        self.first_event_at: float | None = None
 
-    async def give(self, answer: http_messages.Response) -> None:
-        """Send a back end's whole answer on."""
-        headers = without_length(http_messages.end_to_end_headers(answer.headers))
-        self.on_answered(answer.status)
-        await self.exchange.respond(http_messages.Response(answer.status, headers, answer.body))
+    async def send_response(self, response: http_messages.Response) -> None:
+        """Send a complete response."""
+        headers = without_length(http_messages.end_to_end_headers(response.headers))
+        self.on_response(response.status)
+        await self.exchange.respond(http_messages.Response(response.status, headers, response.body))
 
-    async def give_event(self, item: event_stream.RawEvent, head: http_messages.Response) -> None:
-        """Send one event on, unless the client has it already."""
+    async def send_event(self, item: event_stream.RawEvent, head: http_messages.Response) -> None:
+        """Send one event of a stream, unless the client already has it."""
         if item.event_id and not event_stream.is_after(item.event_id, self.last_event_id):
             return
         self.start_stream(head)
@@ -39,21 +42,21 @@
         self.last_event_id = item.event_id or self.last_event_id
 
     def start_stream(self, head: http_messages.Response) -> None:
-        """Send the head of the first back end that gave an event; later ones keep it."""
+        """Send the response head, unless an earlier attempt has already sent one."""
         if self.exchange.is_started:
             return
         headers = without_length(http_messages.end_to_end_headers(head.headers))
-        self.first_at = self.clock()
-        metrics.first_token_seconds.observe(self.first_at - self.arrived)
+        self.first_event_at = self.clock()
+        metrics.first_token_seconds.observe(self.first_event_at - self.arrived)
         self.exchange.start_response(head.status, headers)
 
     async def finish(self, head: http_messages.Response) -> None:
-        """End a stream that is whole."""
+        """End a complete stream."""
         self.start_stream(head)
-        self.on_answered(head.status)
+        self.on_response(head.status)
         await self.exchange.finish()
 
 
 def without_length(headers: http_messages.Headers) -> http_messages.Headers:
-    """Return the headers without the body's length, which is set anew."""
+    """Return the headers without Content-Length, which is computed again when sending."""
     return [(key, value) for key, value in headers if key.lower() != b"content-length"]
--- a/src/merlinthread/nodes/signal_recorder.py
+++ b/src/merlinthread/nodes/signal_recorder.py
@@ -1,4 +1,4 @@
-"""Takes in what back ends say of themselves in their answers: keeps it, logs it, counts it."""
+"""Recording of the availability signals in back ends' responses, with log events and metrics."""
 
 from collections.abc import Callable, Collection
 
@@ -6,64 +6,60 @@
 from merlinthread.coordination import backend_signals, limit_ledger
 from merlinthread.nodes import limit_reporter
 
-# Names of headers that are remembered; a back end may make up any number of them.
-UNREAD_MAX = 64
+# Bounds the memory, since back ends may send any number of header names.
+UNREAD_HEADERS_MAX = 64
 
 
 class SignalRecorder:
-    """One entry's account; `teller` tells the other entries what concerns them."""
+    """Records signals for one entry; `reporter` forwards rate limits to the other entries."""
 
     def __init__(
         self,
         signals: backend_signals.BackendSignals,
-        teller: limit_reporter.LimitReporter,
+        reporter: limit_reporter.LimitReporter,
         clock: Callable[[], float],
     ) -> None:
         self.signals = signals
-        self.teller = teller
+        self.reporter = reporter
         self.clock = clock
-        self.unread: set[str] = set()
+        self.unread_headers: set[str] = set()
 
     def record_unread_headers(self, names: Collection[str], instance: str, request_id: str) -> None:
-        """Note headers of an answer that nobody here reads, each name once.
-
-        What back ends begin to say may bind all VMs: an operator learns of it here first.
-        """
-        for name in sorted(set(names) - self.unread):
-            if len(self.unread) >= UNREAD_MAX:
+        """Log each unsupported response header once, so that operators notice new ones."""
+        for name in sorted(set(names) - self.unread_headers):
+            if len(self.unread_headers) >= UNREAD_HEADERS_MAX:
                 return
-            self.unread.add(name)
-            metrics.unread_words.set(len(self.unread))
+            self.unread_headers.add(name)
+            metrics.unread_words.set(len(self.unread_headers))
             logs.event("answer_word_unread", header=name, instance=instance, request=request_id)
 
-    def note_leaving(self, instance: str, request_id: str) -> None:
-        """Note that a back end says that it leaves: it gets nothing more from here.
+    def record_leaving(self, instance: str, request_id: str) -> None:
+        """Record that a back end is leaving; this entry sends it no further requests.
 
-        Other VMs are not told. Each hears it with its own first answer, which is still served; a
-        word that was wrong would take the back end from all of them for the rest of its life.
+        The signal is not forwarded. Each entry gets it with its own first response, and a wrong
+        one would otherwise stop all traffic to the back end until its process restarts.
         """
         availability = self.signals.availability_of(instance)
         if availability.record_leaving(backend_signals.LeavingSource.ANSWER, self.clock()):
             logs.event("backend_leaves", instance=instance, request=request_id)
-            self.count()
+            self.update_metrics()
 
-    def note_rest(self, instance: str, rest_s: float, request_id: str) -> None:
-        """Note that a back end turned a request away and wants nothing for `rest_s`.
+    def record_rest(self, instance: str, rest_s: float, request_id: str) -> None:
+        """Record that a back end refused a request and asks for none for `rest_s` seconds.
 
-        It turns all away, so it has nothing to do and looks best of all: left alone for a moment
-        only it drew half of an entry's attempts while four others had room.
+        Without the full rest, a back end that refuses everything would attract requests because its
+        load is the lowest.
         """
         if rest_s > 0 and self.signals.availability_of(instance).record_rest(rest_s, self.clock()):
             logs.event("backend_rests", instance=instance, rest_s=rest_s, request=request_id)
-            self.count()
+            self.update_metrics()
 
-    def note_limit(
+    def record_limit(
         self, instance: str, per_s: float | None, sent_at: float, request_id: str
     ) -> None:
-        """Note how many requests a second a back end says that it takes, None if it names no limit.
+        """Record the limit of requests per second in a response, None for no limit.
 
-        `sent_at` is when the request was sent that it answers. What changes is told to the other
-        entries, through the control VMs.
+        `sent_at` is when the request was sent. Changes are reported to the control VMs.
         """
         availability = self.signals.availability_of(instance)
         before = availability.limit_per_s
@@ -72,11 +68,11 @@
         logs.event(
             "backend_limit", instance=instance, per_s=per_s, before=before, request=request_id
         )
-        self.teller.tell(limit_ledger.LimitReport(instance, per_s, 0.0))
-        self.count()
+        self.reporter.report(limit_ledger.LimitReport(instance, per_s, 0.0))
+        self.update_metrics()
 
-    def count(self) -> None:
-        """Set the figures of back ends that take nothing, or only so much, for operators."""
+    def update_metrics(self) -> None:
+        """Update the gauges of back ends that are resting, leaving or limited."""
         metrics.backends_closed.labels("resting").set(self.signals.count_resting(self.clock()))
         metrics.backends_closed.labels("leaving").set(self.signals.count_leaving())
         metrics.backends_limited.set(self.signals.count_limited())
--- a/tests/test_control_nodes.py
+++ b/tests/test_control_nodes.py
@@ -345,7 +345,7 @@
 
     def tell(age_s: float) -> None:
         named = [node_messages.NamedVersion("m", 2, age_s)]
-        watcher.take_versions(
+        watcher.apply_versions(
             node_messages.WatchReply("f", 1, False, [], [], named, 0, b"", [], 0.0), 100.0
         )
 
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -272,7 +272,7 @@
         def see(instance):
             end = crash_ledger.Crash(crashes.clock(), instance, crashes.clock())
             crashes.ledger.record_crash("f", "", end)
-            crashes.report("f")
+            crashes.queue_report("f")
 
         see("i-1")
         await fleet_nodes.until(lambda: crashes.caller.reports)
--- a/tests/test_entry_node.py
+++ b/tests/test_entry_node.py
@@ -387,7 +387,7 @@
         assert len(pool.idle["i-0"]) == 3
         workers[0].behaviour.is_mute = True
         monkeypatch.setattr(attempts, "FIRST_EVENT_MIN_S", 0.05)
-        monkeypatch.setattr(attempts, "FIRST_EVENT_OBJECTIVES", 0.0)
+        monkeypatch.setattr(attempts, "FIRST_EVENT_OBJECTIVE_FACTOR", 0.0)
         task = asyncio.ensure_future(entry.ask("/model/", "id-9", **STREAM))
         await fleet_nodes.until(lambda: runs(workers) == 4)
         await fleet_nodes.until(lambda: not pool.idle.get("i-0"), 3.0)
--- a/tests/test_log_repair.py
+++ b/tests/test_log_repair.py
@@ -49,9 +49,11 @@
             controls.kill(ip)
         await controls.start(controls.ips[0])
         alone = controls.nodes[controls.ips[0]]
-        assert alone.news(WATCH).leader_age_s > fleet_watcher.STALE_S
+        assert alone.news(WATCH).leader_age_s > fleet_watcher.STALE_AFTER_S
         await controls.start(controls.ips[1])
-        await fleet_nodes.until(lambda: alone.news(WATCH).leader_age_s < fleet_watcher.STALE_S)
+        await fleet_nodes.until(
+            lambda: alone.news(WATCH).leader_age_s < fleet_watcher.STALE_AFTER_S
+        )
 
     run(tmp_path, scenario)
 
@@ -63,17 +65,17 @@
         await put(controls, 1)
         follower = next(ip for ip in controls.ips if ip != controls.leader())
         node = controls.nodes[follower]
-        await fleet_nodes.until(lambda: node.news(WATCH).leader_age_s < fleet_watcher.STALE_S)
+        await fleet_nodes.until(lambda: node.news(WATCH).leader_age_s < fleet_watcher.STALE_AFTER_S)
 
         def full(hard_state, entries, commit):
             raise errors.DiskFullError("no room")
 
         monkeypatch.setattr(node.member.journal, "save", full)
         await put(controls, 2)
-        await fleet_nodes.until(lambda: node.news(WATCH).leader_age_s > fleet_watcher.STALE_S)
+        await fleet_nodes.until(lambda: node.news(WATCH).leader_age_s > fleet_watcher.STALE_AFTER_S)
         assert node.member.state.version == 1
         monkeypatch.undo()
-        await fleet_nodes.until(lambda: node.news(WATCH).leader_age_s < fleet_watcher.STALE_S)
+        await fleet_nodes.until(lambda: node.news(WATCH).leader_age_s < fleet_watcher.STALE_AFTER_S)
         assert node.member.state.version == 2
 
     run(tmp_path, scenario)
@@ -219,6 +221,6 @@
         assert member.majority_age(time.monotonic()) == log_member.LONG_AGO_S
         member.raft.term_start = member.raft.commit
         member.note_current()
-        assert member.majority_age(time.monotonic()) < fleet_watcher.STALE_S
+        assert member.majority_age(time.monotonic()) < fleet_watcher.STALE_AFTER_S
 
     run(tmp_path, scenario)
--- a/tests/test_news_in_full.py
+++ b/tests/test_news_in_full.py
@@ -73,7 +73,7 @@
             return NEW
 
         monkeypatch.setattr(watcher, "find_control_vm", find_control_vm)
-        await watcher.search()
+        await watcher.select_control_vm()
         assert watcher.current == NEW and watcher.positions[NEW].position == 0
 
     asyncio.run(scenario())
--- a/tests/test_unread_words.py
+++ b/tests/test_unread_words.py
@@ -48,7 +48,7 @@
     events = []
     monkeypatch.setattr(logs, "event", lambda name, **fields: events.append(name))
     recorder = signal_recorder.SignalRecorder(None, None, lambda: 0.0)  # type: ignore[arg-type]
-    for number in range(10 * signal_recorder.UNREAD_MAX):
+    for number in range(10 * signal_recorder.UNREAD_HEADERS_MAX):
         recorder.record_unread_headers([f"x-{number}"], "i-0", "id-1")
-    assert len(recorder.unread) == len(events) == signal_recorder.UNREAD_MAX
-    assert metrics.unread_words._value.get() == signal_recorder.UNREAD_MAX
+    assert len(recorder.unread_headers) == len(events) == signal_recorder.UNREAD_HEADERS_MAX
+    assert metrics.unread_words._value.get() == signal_recorder.UNREAD_HEADERS_MAX
