--- a/tests/crashing_fleet.py
+++ b/tests/crashing_fleet.py
@@ -1,4 +1,4 @@
-"""Three control VMs, entries and workers that a certain request ends, over loopback, for tests."""
+"""Test fleet on the loopback interface whose workers crash on certain requests."""
 
 import asyncio
 import contextlib
@@ -10,12 +10,12 @@
 from tests import fleet_nodes
 
 CONTACT_S = 1.0
-BEAT_S = 0.1
+HEARTBEAT_INTERVAL_S = 0.1
 DEADLY = b"deadly"
 
 
 class CrashingFleet:
-    """The processes of a small deployment whose workers some requests end."""
+    """Three control VMs, entries, and workers that crash when they run a deadly request."""
 
     def __init__(self, folder: pathlib.Path, service: str = "safe", model: str = "") -> None:
         self.controls = fleet_nodes.Controls(folder)
@@ -23,19 +23,21 @@
         self.model = model
         self.entries: list[fleet_nodes.Entry] = []
         self.workers: list[crashing_worker.CrashingWorker] = []
-        self.beats: list[asyncio.Task[None]] = []
-        self.asked = 0
+        self.heartbeat_tasks: list[asyncio.Task[None]] = []
+        self.request_count = 0
         self.entry_port = fleet_nodes.free_port()
 
     async def start(self, entries: int, workers: int, **behaviour) -> None:
-        """Start all; return once each entry knows all workers."""
+        """Start all nodes; return once each entry knows all workers."""
         await self.controls.start_all()
         await fleet_nodes.until(self.controls.leader)
         for number in range(workers):
             worker = crashing_worker.CrashingWorker(f"i-{number}", self.model, **behaviour)
             await worker.start()
             self.workers.append(worker)
-            self.beats.append(asyncio.get_running_loop().create_task(self.beat(worker)))
+            self.heartbeat_tasks.append(
+                asyncio.get_running_loop().create_task(self.send_heartbeats(worker))
+            )
         services = [] if self.model else [self.service]
         model_service = self.service if self.model else ""
         body = fleet_nodes.configuration(1, services, model_service)
@@ -62,16 +64,16 @@
         await fleet_nodes.until(lambda: len(known) >= len(self.workers) and entry.node.is_ready())
         return entry
 
-    async def beat(self, worker: crashing_worker.CrashingWorker) -> None:
-        """Tell a control VM again and again that a worker lives, while it does."""
+    async def send_heartbeats(self, worker: crashing_worker.CrashingWorker) -> None:
+        """Send heartbeats of a worker while its process is running."""
         while True:
             if not worker.is_away:
                 worker.sequence += 1
                 with contextlib.suppress(Exception):
-                    await self.tell(worker)
-            await asyncio.sleep(BEAT_S)
+                    await self.send_heartbeat(worker)
+            await asyncio.sleep(HEARTBEAT_INTERVAL_S)
 
-    async def tell(self, worker: crashing_worker.CrashingWorker) -> None:
+    async def send_heartbeat(self, worker: crashing_worker.CrashingWorker) -> None:
         """Send one heartbeat of a worker."""
         body = {
             "service": self.service,
@@ -90,75 +92,77 @@
         await self.controls.call(ip, "PUT", f"/instances/{worker.instance}", body)
 
     async def ask(self, entry: int, body: bytes, path: str = "") -> http_messages.Response:
-        """Send a request to one entry, under an id of its own; return its answer."""
-        self.asked += 1
+        """Send a request with a new id to one entry and return the response."""
+        self.request_count += 1
         headers = {"X_Merlinthread_Model": self.model} if self.model else {}
         target = path or f"/{self.service}/x"
-        return await self.entries[entry].ask(target, f"id-{self.asked}", body, **headers)
+        return await self.entries[entry].ask(target, f"id-{self.request_count}", body, **headers)
 
     def ends(self) -> list[float]:
-        """Return when workers ended, in order."""
+        """Return the times of worker crashes, in order."""
         return sorted(at for worker in self.workers for at in worker.ends)
 
     def arrivals(self) -> list[float]:
-        """Return when deadly requests came to workers, in order."""
+        """Return the times at which deadly requests reached workers, in order."""
         return sorted(at for worker in self.workers for at in worker.arrivals)
 
     def late_arrivals(self) -> int:
-        """Return how many deadly requests came later than `CONTACT_S` after the third end."""
+        """Return how many deadly requests arrived later than `CONTACT_S` after the third crash."""
         bound = self.ends()[2] + CONTACT_S
         return sum(at > bound for at in self.arrivals())
 
-    async def send_until_late(self, seconds: float, comings: int) -> list[http_messages.Response]:
-        """Let the deadly request come at each entry in turn; return the answers.
+    async def send_deadly_requests(
+        self, seconds: float, repeats: int
+    ) -> list[http_messages.Response]:
+        """Send the deadly request to each entry in turn; return the responses.
 
-        It comes every 50 ms until `seconds` after the third end, then `comings` times more.
+        It is sent every 50 ms until `seconds` after the third crash, then `repeats` more times.
         """
         loop = asyncio.get_running_loop()
         tasks = []
-        # Without an end under the request there would be nothing to wait for.
-        await self.ask_any(0, DEADLY)
+        # The first request must crash a worker, or there would be nothing to wait for.
+        await self.ask_or_none(0, DEADLY)
         await fleet_nodes.until(self.ends)
         while len(self.ends()) < 3 or loop.time() < self.ends()[2] + seconds:
             entry = len(tasks) % len(self.entries)
-            tasks.append(loop.create_task(self.ask_any(entry, DEADLY)))
+            tasks.append(loop.create_task(self.ask_or_none(entry, DEADLY)))
             await asyncio.sleep(0.05)
-        for number in range(comings):
-            await self.ask_any(number % len(self.entries), DEADLY)
+        for number in range(repeats):
+            await self.ask_or_none(number % len(self.entries), DEADLY)
         return [answer for answer in await asyncio.gather(*tasks) if answer is not None]
 
-    async def ask_any(self, entry: int, body: bytes) -> http_messages.Response | None:
-        """Send a request; return its answer, None if it was broken off."""
+    async def ask_or_none(self, entry: int, body: bytes) -> http_messages.Response | None:
+        """Send a request; return the response, or None if the connection broke."""
         with contextlib.suppress(Exception):
             return await self.ask(entry, body)
         return None
 
     async def until_held(self) -> None:
-        """Let the deadly request come, one after the other, until the log holds it back."""
+        """Send the deadly request repeatedly until the control VMs have committed a hold."""
         async with asyncio.timeout(10.0):
             while not any(node.member.state.held for node in self.controls.nodes.values()):
-                await self.ask_any(0, DEADLY)
+                await self.ask_or_none(0, DEADLY)
 
     async def until_known(self) -> None:
-        """Return once all workers are there and each entry knows their present incarnations."""
+        """Wait until all workers are running and each entry knows their current incarnations."""
 
         def is_known() -> bool:
-            there = {worker.instance for worker in self.workers if not worker.is_away}
+            present = {worker.instance for worker in self.workers if not worker.is_away}
             known = [set(entry.node.pool.backends) for entry in self.entries]
-            return len(there) == len(self.workers) and all(found == there for found in known)
+            return len(present) == len(self.workers) and all(found == present for found in known)
 
         await fleet_nodes.until(is_known)
 
     async def lose_power(self) -> None:
-        """End all control VMs and entries at once, and start them again; only files are left.
+        """Kill all control VMs and entries at once and restart them from their files.
 
-        The disk of one control VM, the leader's, is lost in the same moment.
+        The disk of the leader is lost.
         """
         lost = self.controls.leader()
         for ip in self.controls.ips:
             self.controls.kill(ip)
         for entry in self.entries:
-            end_entry(entry)
+            kill_entry(entry)
         self.entries = []
         for ip in self.controls.ips:
             await self.controls.start(ip, folder=f"{ip}-empty" if ip == lost else "")
@@ -166,11 +170,11 @@
         await self.add_entry(f"{fleet_nodes.NETWORK}.41")
 
     async def stop(self) -> None:
-        """End all."""
-        for task in self.beats:
+        """Stop all nodes."""
+        for task in self.heartbeat_tasks:
             task.cancel()
         for entry in self.entries:
-            end_entry(entry)
+            kill_entry(entry)
         for worker in self.workers:
             if worker.crash is not None:
                 worker.crash.cancel()
@@ -179,8 +183,8 @@
             self.controls.kill(ip)
 
 
-def end_entry(entry: fleet_nodes.Entry) -> None:
-    """End an entry as a killed process does."""
+def kill_entry(entry: fleet_nodes.Entry) -> None:
+    """Stop an entry abruptly, like a killed process."""
     for task in entry.node.tasks:
         task.cancel()
     for server in (entry.node.server, entry.node.ready_server):
--- a/tests/limited_fleet.py
+++ b/tests/limited_fleet.py
@@ -1,4 +1,4 @@
-"""Control VMs, entries and workers that name limits, with an open load before them, for tests."""
+"""Test fleet whose workers advertise rate limits, with an open-loop load generator."""
 
 import asyncio
 import dataclasses
@@ -11,20 +11,20 @@
 
 
 @dataclasses.dataclass
-class Asked:
-    """One client's request: when it was sent, how long its answer took, what it was."""
+class SentRequest:
+    """A client request that was sent at `at`; `answer` is None if the connection broke."""
 
     at: float
-    took_s: float
+    duration_s: float
     answer: http_messages.Response | None
     key: str = ""
 
     def is_served(self) -> bool:
-        """Return whether it was answered with success."""
+        """Return whether the response was a success."""
         return self.answer is not None and self.answer.status == 200
 
-    def back_after_s(self) -> float:
-        """Return what a refused client is told of when to come back."""
+    def retry_after_s(self) -> float:
+        """Return the retry delay in a refusal, in seconds."""
         assert self.answer is not None
         value = http_messages.get_header(self.answer.headers, b"retry-after")
         assert value is not None, self.answer.status
@@ -32,58 +32,60 @@
 
 
 class LimitedFleet(crashing_fleet.CrashingFleet):
-    """Workers that name limits while a load presses; `rng` draws the entry of each request."""
+    """Workers that advertise limits; `rng` chooses the entry of each request."""
 
     def __init__(self, folder, service: str = "safe") -> None:
         super().__init__(folder, service, "m" if service == "model" else "")
         self.rng = random.Random(7)
         self.pending: set[asyncio.Task] = set()
-        self.asked_for: list[Asked] = []
+        self.requests: list[SentRequest] = []
 
     def now(self) -> float:
-        """Return the time of the event loop, on which the workers note what they run."""
+        """Return the time of the event loop, which the workers use in their records, too."""
         return asyncio.get_running_loop().time()
 
-    async def ask_one(self, entry: int, key: str = "key-1") -> None:
-        """Send a request to one entry and note what came of it."""
+    async def send_one(self, entry: int, key: str = "key-1") -> None:
+        """Send a request to one entry and record the result."""
         began = self.now()
-        self.asked += 1
+        self.request_count += 1
         headers = {"X_Merlinthread_Model": self.model} if self.model else {}
         headers["Api_Key"] = key
         try:
             target = self.entries[entry]
-            answer = await target.ask(f"/{self.service}/x", f"id-{self.asked}", b"", **headers)
+            answer = await target.ask(
+                f"/{self.service}/x", f"id-{self.request_count}", b"", **headers
+            )
         except Exception:
             answer = None
-        self.asked_for.append(Asked(began, self.now() - began, answer, key))
+        self.requests.append(SentRequest(began, self.now() - began, answer, key))
 
     async def press(
         self, per_s: float, seconds: float, entries: list[int] | None = None, key: str = "key-1"
     ) -> float:
-        """Send `per_s` requests a second, spread over entries by lot; return when it began."""
+        """Send `per_s` requests per second to random entries; return the start time."""
         chosen = entries if entries is not None else list(range(len(self.entries)))
         began = self.now()
         for number in range(round(per_s * seconds)):
             await asyncio.sleep(began + number / per_s - self.now())
-            task = asyncio.create_task(self.ask_one(self.rng.choice(chosen), key))
+            task = asyncio.create_task(self.send_one(self.rng.choice(chosen), key))
             self.pending.add(task)
             task.add_done_callback(self.pending.discard)
         return began
 
-    async def settle(self) -> None:
-        """Wait until all requests have their answers."""
+    async def wait_for_responses(self) -> None:
+        """Wait until all requests have been answered."""
         while self.pending:
             await asyncio.wait(list(self.pending))
 
     def most_in(self, worker, seconds: float, since: float, until: float) -> int:
-        """Return the most requests that a worker began in any `seconds` between two times."""
+        """Return the most requests that a worker started in any `seconds` between two times."""
         times = sorted(run.at for run in worker.runs if since <= run.at <= until)
         return max((sum(at <= t < at + seconds for t in times) for at in times), default=0)
 
-    def begun(self, worker, since: float, until: float) -> int:
-        """Return how many requests a worker began between two times."""
+    def count_started(self, worker, since: float, until: float) -> int:
+        """Return how many requests a worker started between two times."""
         return sum(since <= run.at < until for run in worker.runs)
 
-    def asked_between(self, since: float, until: float) -> list[Asked]:
+    def sent_between(self, since: float, until: float) -> list[SentRequest]:
         """Return the requests that clients sent between two times."""
-        return [asked for asked in self.asked_for if since <= asked.at < until]
+        return [asked for asked in self.requests if since <= asked.at < until]
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -1,13 +1,6 @@
-"""Requests that end every worker that runs them.
-
-What was seen: within minutes a few dozen model workers ended, one after the other, and were back
-after seconds; meanwhile a fifth to a third of all other requests failed or were refused. How it
-came about: one request ended each worker that began to run it. Its entry sent it to a second
-worker, which ended too; its client, and others, sent the same request again under other ids, at any
-entry, where it was a new request with attempts of its own. Cause: what came of a request was known
-only to the one attempt; no node remembered that a request was there when a worker ended. What
-proved it: the fingerprints (method, host, path, client account, body) of the requests at each
-worker whose address refused connections afterwards: one was at every end, all others varied.
+"""Requests that crash every worker that runs them (queries of death).
+
+Guards against retries, at any entry and under any request id, crashing one worker after another.
 """
 
 import asyncio
@@ -47,7 +40,7 @@
     tmp_path, service, model, keeps_id, tells_birth
 ):
     async def scenario(fleet):
-        await fleet.send_until_late(crashing_fleet.CONTACT_S, comings=16)
+        await fleet.send_deadly_requests(crashing_fleet.CONTACT_S, repeats=16)
         late = fleet.late_arrivals()
         assert late <= LATE_MAX, f"{late} later ones; {len(fleet.ends())} workers ended"
 
@@ -68,7 +61,7 @@
             assert float(http_messages.get_header(answer.headers, b"retry-after")) >= 60
         assert len(fleet.ends()) == ends
         await fleet.until_known()
-        # Only this request: another body, and another path, are served.
+        # Requests with another body or path are served.
         assert (await fleet.ask(0, b"other")).status == 200
         assert (await fleet.ask(1, b"", "/safe/y")).status == 200
 
@@ -80,7 +73,7 @@
         answer = await fleet.ask(0, crashing_fleet.DEADLY)
         assert (answer.status, len(fleet.ends())) == (502, 2)
         await fleet_nodes.until(lambda: fleet.entries[1].node.crashes.ledger.records)
-        # The third end is known before the second attempt: there is none, and no promise.
+        # The third crash is known before a second attempt, which is therefore not made.
         answer = await fleet.ask(1, crashing_fleet.DEADLY)
         assert (answer.status, len(fleet.ends())) == (502, 3)
 
@@ -124,7 +117,7 @@
         nodes = list(fleet.controls.nodes.values())
         await fleet_nodes.until(lambda: any(node.crashes.missed for node in nodes))
         for node in nodes:
-            node.member.propose = None  # nothing is decided: the log tells nothing
+            node.member.propose = None  # no decision reaches the VM through the log
         await fleet.controls.start(away)
         ledger = fleet.controls.nodes[away].crashes.ledger
         await fleet_nodes.until(lambda: ledger.records)
@@ -139,7 +132,7 @@
         watcher = fleet.entries[0].node.watcher
         await fleet_nodes.until(lambda: not watcher.current)
         for _ in range(4):
-            await fleet.ask_any(0, crashing_fleet.DEADLY)
+            await fleet.ask_or_none(0, crashing_fleet.DEADLY)
         assert len(fleet.ends()) == 3
         assert not any(task.done() for task in fleet.entries[0].node.tasks)
 
@@ -169,9 +162,9 @@
         for other in fleet.workers[1:]:
             other.behaviour.is_full = True
         worker.behaviour.is_mute = True
-        task = asyncio.get_running_loop().create_task(fleet.ask_any(0, b"silent"))
+        task = asyncio.get_running_loop().create_task(fleet.ask_or_none(0, b"silent"))
         await fleet_nodes.until(lambda: worker.runs)
-        # Its VM falls dark: nothing answers, and the attempt ends by its own time.
+        # The VM fails: nothing answers, and the attempt times out.
         worker.is_away = True
         await task
         assert crashes.unconfirmed and not crashes.ledger.records
@@ -189,9 +182,9 @@
         crashes = fleet.entries[0].node.crashes
         (worker,) = fleet.workers
         worker.behaviour.is_mute = True
-        task = asyncio.get_running_loop().create_task(fleet.ask_any(0, b"silent"))
+        task = asyncio.get_running_loop().create_task(fleet.ask_or_none(0, b"silent"))
         await fleet_nodes.until(lambda: worker.runs)
-        # Its VM fell dark, and another process is at its address under another id.
+        # The VM has failed, and another process is at its address under another id.
         worker.instance = "i-next"
         worker.sequence = 0
         await fleet_nodes.until(lambda: set(fleet.entries[0].node.pool.backends) == {"i-next"})
@@ -213,7 +206,7 @@
 
         async def ask_popular(entry: int) -> None:
             while not is_over.is_set():
-                answer = await fleet.ask_any(entry, b"popular")
+                answer = await fleet.ask_or_none(entry, b"popular")
                 statuses.append(answer.status if answer is not None else 0)
 
         loop = asyncio.get_running_loop()
@@ -253,7 +246,7 @@
 
 def test_an_end_that_is_seen_while_an_earlier_one_is_being_told_is_told_too():
     class Caller:
-        """Stands for the caller: keeps what it is given, and answers when it is let."""
+        """Replaces the RPC client: records reports, and returns once it is allowed to."""
 
         def __init__(self):
             self.reports = []
--- a/tests/test_entry_node.py
+++ b/tests/test_entry_node.py
@@ -1,4 +1,4 @@
-"""What clients and workers see of an entry when workers misbehave."""
+"""Behaviour of an entry towards clients and workers when workers fail."""
 
 import asyncio
 
@@ -14,7 +14,7 @@
 STREAM = {"X_Merlinthread_Model": "m", "X_Merlinthread_Token_Usage": "100,20"}
 
 
-async def make(service: str, count: int, model: str = "") -> tuple:
+async def make_entry(service: str, count: int, model: str = "") -> tuple:
     entry = fleet_nodes.Entry()
     await entry.start()
     workers = [fleet_worker.Worker(f"i-{number}", model) for number in range(count)]
@@ -26,13 +26,13 @@
     return entry, workers, body
 
 
-def runs(workers) -> int:
+def count_runs(workers) -> int:
     return sum(len(worker.runs) for worker in workers)
 
 
 def test_a_request_reaches_a_worker_unchanged_but_for_what_the_system_sets():
     async def scenario():
-        entry, (worker,), _ = await make("safe", 1)
+        entry, (worker,), _ = await make_entry("safe", 1)
         answer = await entry.ask("/safe/x?q=1", "id-1", X_Other="kept", X_Merlinthread_Tenant="me")
         assert (answer.status, answer.body) == (200, b"answer of i-0 to id-1")
         run = worker.runs[0]
@@ -47,18 +47,18 @@
 
 def test_a_request_that_may_run_once_is_not_sent_again_after_a_lost_answer():
     async def scenario():
-        entry, workers, _ = await make("unsafe", 2)
+        entry, workers, _ = await make_entry("unsafe", 2)
         for worker in workers:
             worker.behaviour.closes_without_answer = True
         answer = await entry.ask("/unsafe/", "id-1")
-        assert (answer.status, runs(workers)) == (502, 1)
+        assert (answer.status, count_runs(workers)) == (502, 1)
 
     asyncio.run(scenario())
 
 
 def test_a_repeatable_request_is_sent_to_another_worker_after_a_lost_answer():
     async def scenario():
-        entry, workers, _ = await make("safe", 2)
+        entry, workers, _ = await make_entry("safe", 2)
         workers[0].behaviour.closes_without_answer = True
         for number in range(4):
             assert (await entry.ask("/safe/", f"id-{number}")).status == 200
@@ -69,11 +69,11 @@
 @pytest.mark.parametrize("service", ["safe", "unsafe"])
 def test_what_no_worker_ran_is_refused_at_once_with_when_to_come_back(service):
     async def scenario():
-        entry, workers, _ = await make(service, 2)
+        entry, workers, _ = await make_entry(service, 2)
         for worker in workers:
             worker.behaviour.is_full = True
         answer = await entry.ask(f"/{service}/", "id-1")
-        assert (answer.status, runs(workers)) == (503, 0)
+        assert (answer.status, count_runs(workers)) == (503, 0)
         assert float(http_messages.get_header(answer.headers, b"retry-after")) > 0
 
     asyncio.run(scenario())
@@ -81,7 +81,7 @@
 
 def test_a_refusal_is_no_promise_once_an_attempt_may_have_run():
     async def scenario():
-        entry, workers, _ = await make("unsafe", 1)
+        entry, workers, _ = await make_entry("unsafe", 1)
         workers[0].behaviour.closes_without_answer = True
         answer = await entry.ask("/unsafe/", "id-1")
         assert answer.status not in (408, 421, 429, 503)
@@ -92,7 +92,7 @@
 def test_an_answer_to_another_request_or_without_a_signature_is_not_given_on():
     async def scenario():
         for field in ("wrong_request_id", "is_unsigned"):
-            entry, workers, _ = await make("unsafe", 1)
+            entry, workers, _ = await make_entry("unsafe", 1)
             setattr(workers[0].behaviour, field, True)
             assert (await entry.ask("/unsafe/", "id-1")).status == 502
 
@@ -101,7 +101,7 @@
 
 def test_a_workers_failure_is_given_on_with_its_signature():
     async def scenario():
-        entry, workers, _ = await make("unsafe", 1)
+        entry, workers, _ = await make_entry("unsafe", 1)
         workers[0].behaviour.status = 500
         answer = await entry.ask("/unsafe/", "id-1")
         assert answer.status == 500
@@ -112,9 +112,9 @@
 
 def test_an_overloaded_service_tells_clients_to_come_back_apart_and_admits_second_tries_first():
     async def scenario():
-        entry, (worker,), _ = await make("model", 1, "m")
+        entry, (worker,), _ = await make_entry("model", 1, "m")
         backend = entry.node.pool.backends[worker.instance]
-        # An expected first byte of 0.31 s: over 0.7 of the objective of 0.4 s, under the whole.
+        # The expected first byte, 0.31 s, is above the admission share of the objective of 0.4 s.
         unread = 100_000 * (0.31 - dispatch.BASE_LATENCY_S)
         report = fleet.EngineReport(weights=[fleet.Weights("m", 1, 16)])
         waits = []
@@ -122,7 +122,7 @@
             backend.apply_report(report, entry.node.clock())
             backend.unread_tokens = unread
             answer = await entry.ask("/model/", f"id-{number}", **STREAM)
-            assert (answer.status, runs([worker])) == (503, 0)
+            assert (answer.status, count_runs([worker])) == (503, 0)
             waits.append(float(http_messages.get_header(answer.headers, b"retry-after")))
         assert min(waits) >= 0.4 and max(waits) <= 2.5 / 3 and len(set(waits)) > 1
         backend.apply_report(report, entry.node.clock())
@@ -136,7 +136,7 @@
     async def scenario():
         lines = []
         monkeypatch.setattr(logs, "event", lambda name, **fields: lines.append((name, fields)))
-        entry, workers, _ = await make("safe", 2)
+        entry, workers, _ = await make_entry("safe", 2)
         assert (await entry.ask("/safe/", "id-1")).status == 200
         workers[0].behaviour.closes_without_answer = True
         workers[1].behaviour.is_full = True
@@ -167,10 +167,10 @@
 
 def test_unknown_keys_and_routes_are_refused():
     async def scenario():
-        entry, workers, _ = await make("safe", 1)
+        entry, workers, _ = await make_entry("safe", 1)
         assert (await entry.ask("/safe/", "id-1", Api_Key="wrong")).status == 401
         assert (await entry.ask("/nowhere/", "id-2")).status == 404
-        assert runs(workers) == 0
+        assert count_runs(workers) == 0
 
     asyncio.run(scenario())
 
@@ -193,19 +193,19 @@
 
 def test_a_stream_that_breaks_off_goes_on_elsewhere_without_a_gap_or_a_double():
     async def scenario():
-        entry, workers, _ = await make("model", 2, "m")
+        entry, workers, _ = await make_entry("model", 2, "m")
         for worker in workers:
             worker.behaviour.events = 8
             worker.behaviour.cut_after_events = 3
             worker.behaviour.gap_s = 0.05
         connection = await entry.send("/model/", "id-1", **STREAM)
-        await fleet_nodes.until(lambda: runs(workers) == 1)
+        await fleet_nodes.until(lambda: count_runs(workers) == 1)
         for worker in workers:
             if not worker.runs:
                 worker.behaviour.cut_after_events = None
         answer = await connection.receive()
         assert event_ids(answer.body) == list(range(1, 9))
-        assert runs(workers) == 2
+        assert count_runs(workers) == 2
         told = [run.headers.get("last-event-id") for worker in workers for run in worker.runs]
         assert sorted(told, key=str) == ["3", None]
 
@@ -214,7 +214,7 @@
 
 def test_a_stream_that_can_not_go_on_does_not_look_complete():
     async def scenario():
-        entry, workers, _ = await make("model", 1, "m")
+        entry, workers, _ = await make_entry("model", 1, "m")
         workers[0].behaviour.cut_after_events = 2
         with pytest.raises((errors.ProtocolError, errors.UnreachableError)):
             await entry.ask("/model/", "id-1", **STREAM)
@@ -224,10 +224,10 @@
 
 def test_a_client_that_leaves_is_left_by_the_worker_too():
     async def scenario():
-        entry, workers, _ = await make("safe", 1)
+        entry, workers, _ = await make_entry("safe", 1)
         workers[0].behaviour.is_mute = True
         connection = await entry.send("/safe/", "id-1")
-        await fleet_nodes.until(lambda: runs(workers) == 1)
+        await fleet_nodes.until(lambda: count_runs(workers) == 1)
         connection.close()
         await fleet_nodes.until(lambda: workers[0].cancelled == ["id-1"], 2.0)
 
@@ -236,11 +236,11 @@
 
 def test_a_silent_worker_is_left_for_another_where_the_request_may_be_repeated():
     async def scenario():
-        entry, workers, _ = await make("model", 2, "m")
+        entry, workers, _ = await make_entry("model", 2, "m")
         workers[0].behaviour.is_mute = True
         workers[1].behaviour.is_mute = True
         connection = await entry.send("/model/", "id-1", **STREAM)
-        await fleet_nodes.until(lambda: runs(workers) == 1)
+        await fleet_nodes.until(lambda: count_runs(workers) == 1)
         for worker in workers:
             worker.behaviour.is_mute = False
         answer = await connection.receive()
@@ -251,7 +251,7 @@
 
 def test_a_draining_worker_gets_nothing_new():
     async def scenario():
-        entry, workers, body = await make("safe", 2)
+        entry, workers, body = await make_entry("safe", 2)
         entry.feed(body, {}, gone=["i-0"])
         for number in range(6):
             await entry.ask("/safe/", f"id-{number}")
@@ -262,10 +262,10 @@
 
 def test_another_process_at_a_workers_address_does_not_run_its_requests():
     async def scenario():
-        entry, (worker,), _ = await make("unsafe", 1)
+        entry, (worker,), _ = await make_entry("unsafe", 1)
         worker.instance = "i-other"
         answer = await entry.ask("/unsafe/", "id-1")
-        assert (answer.status, runs([worker])) == (503, 0)
+        assert (answer.status, count_runs([worker])) == (503, 0)
 
     asyncio.run(scenario())
 
@@ -278,12 +278,12 @@
 
 
 def test_an_attempt_that_has_not_begun_at_the_bound_of_its_old_version_goes_elsewhere(monkeypatch):
-    # Silence alone does not end the attempt before the bound does.
+    # The attempt must not time out before the version expires.
     monkeypatch.setattr(attempts, "FIRST_EVENT_MIN_S", 5.0)
 
     async def scenario():
-        entry, (old, new), _ = await make("model", 2, "m")
-        # The old version is chosen for the first 0.4 s.
+        entry, (old, new), _ = await make_entry("model", 2, "m")
+        # The old version may be used for the first 0.4 s.
         bound_s = change_over.EXPIRY_MARGIN_S + 0.4
         entry.node.settings.bounds.version_s = bound_s
         entry.node.settings.agent_port = 1
@@ -303,9 +303,9 @@
         pool.backends[new.instance].is_draining = True
         watcher.named, watcher.named_at = {"m": 2}, {"m": {2: now}}
         connection = await entry.send("/model/", "id-1", **STREAM)
-        await fleet_nodes.until(lambda: runs([old]) == 1)
+        await fleet_nodes.until(lambda: count_runs([old]) == 1)
         pool.backends[new.instance].is_draining = False
-        await fleet_nodes.until(lambda: runs([new]) == 1)
+        await fleet_nodes.until(lambda: count_runs([new]) == 1)
         assert pool.clock() - now < bound_s, "the old engine might have begun after the bound"
         await fleet_nodes.until(lambda: old.cancelled == ["id-1"])
         assert (await connection.receive()).status == 200
@@ -316,7 +316,7 @@
 
 def test_an_engine_that_is_ahead_of_the_version_due_serves_too():
     async def scenario():
-        entry, (engine,), _ = await make("model", 1, "m")
+        entry, (engine,), _ = await make_entry("model", 1, "m")
         engine.version = 3
         watcher, pool = entry.node.watcher, entry.node.pool
         now = pool.clock()
@@ -325,21 +325,21 @@
         watcher.named, watcher.named_at = {"m": 3}, {"m": {2: now - 60.0, 3: now}}
         assert pool.required_version("m", now) == 2
         answer = await entry.ask("/model/", "id-1", **STREAM)
-        assert (answer.status, runs([engine])) == (200, 1)
+        assert (answer.status, count_runs([engine])) == (200, 1)
 
     asyncio.run(scenario())
 
 
 def test_events_that_the_client_has_are_not_given_twice():
     async def scenario():
-        entry, workers, _ = await make("model", 2, "m")
+        entry, workers, _ = await make_entry("model", 2, "m")
         for worker in workers:
             worker.behaviour.events = 6
             worker.behaviour.cut_after_events = 3
             worker.behaviour.gap_s = 0.05
             worker.behaviour.ignores_last_event_id = True
         connection = await entry.send("/model/", "id-1", **STREAM)
-        await fleet_nodes.until(lambda: runs(workers) == 1)
+        await fleet_nodes.until(lambda: count_runs(workers) == 1)
         for worker in workers:
             if not worker.runs:
                 worker.behaviour.cut_after_events = None
@@ -350,15 +350,15 @@
 
 def test_a_repeatable_request_that_may_have_run_is_not_told_that_it_has_not():
     async def scenario():
-        entry, (lost, full), _ = await make("safe", 2)
+        entry, (lost, full), _ = await make_entry("safe", 2)
         lost.behaviour.closes_without_answer = True
         full.behaviour.is_full = True
         orders = set()
         for number in range(20):
             answer = await entry.ask("/safe/", f"id-{number}")
-            if runs([lost]):
+            if count_runs([lost]):
                 assert answer.status not in (408, 421, 429, 503)
-            orders.add(runs([lost]))
+            orders.add(count_runs([lost]))
             lost.runs.clear()
             for backend in entry.node.pool.backends.values():
                 backend.ejected_until = backend.full_until = 0.0
@@ -370,18 +370,18 @@
 
 def test_one_failed_connection_does_not_refuse_what_the_only_worker_could_run():
     async def scenario():
-        entry, (worker,), _ = await make("safe", 1)
+        entry, (worker,), _ = await make_entry("safe", 1)
         backend = next(iter(entry.node.pool.backends.values()))
         dispatch.record_failure(backend, entry.node.clock())
         assert (await entry.ask("/safe/", "id-1")).status == 200
-        assert runs([worker]) == 1
+        assert count_runs([worker]) == 1
 
     asyncio.run(scenario())
 
 
 def test_a_kept_connection_that_fell_silent_takes_the_others_to_its_back_end_with_it(monkeypatch):
     async def scenario():
-        entry, workers, _ = await make("model", 1, "m")
+        entry, workers, _ = await make_entry("model", 1, "m")
         await asyncio.gather(*(entry.ask("/model/", f"id-{n}", **STREAM) for n in range(3)))
         pool = entry.node.pool.connections.pool
         assert len(pool.idle["i-0"]) == 3
@@ -389,7 +389,7 @@
         monkeypatch.setattr(attempts, "FIRST_EVENT_MIN_S", 0.05)
         monkeypatch.setattr(attempts, "FIRST_EVENT_OBJECTIVE_FACTOR", 0.0)
         task = asyncio.ensure_future(entry.ask("/model/", "id-9", **STREAM))
-        await fleet_nodes.until(lambda: runs(workers) == 4)
+        await fleet_nodes.until(lambda: count_runs(workers) == 4)
         await fleet_nodes.until(lambda: not pool.idle.get("i-0"), 3.0)
         task.cancel()
 
@@ -400,25 +400,25 @@
     monkeypatch,
 ):
     async def scenario():
-        entry, (worker,), _ = await make("model", 1, "m")
+        entry, (worker,), _ = await make_entry("model", 1, "m")
         backend = entry.node.pool.backends[worker.instance]
         report = fleet.EngineReport(weights=[fleet.Weights("m", 1, 16)])
-        # As after connections that timed out: the time for admission is over.
+        # As after connection timeouts: the time for admission is over.
         monkeypatch.setattr(request_task, "ADMISSION_SHARE", -1.0)
         backend.apply_report(report, entry.node.clock())
         assert (await entry.ask("/model/", "id-1", **STREAM)).status == 200
-        # Where others wait, it would only make them late too.
+        # Without room, a late request would also delay the queued ones.
         report.running = backend.slots
         backend.apply_report(report, entry.node.clock())
         answer = await entry.ask("/model/", "id-2", **STREAM)
-        assert (answer.status, runs([worker])) == (503, 1)
+        assert (answer.status, count_runs([worker])) == (503, 1)
 
     asyncio.run(scenario())
 
 
 def test_an_engine_that_is_not_heard_and_does_not_answer_is_chosen_only_if_there_is_no_other():
     async def scenario():
-        entry, workers, _ = await make("model", 2, "m")
+        entry, workers, _ = await make_entry("model", 2, "m")
         pool = entry.node.pool
         entry.node.settings.agent_port = 1
         heard, silent = (pool.backends[worker.instance] for worker in workers)
@@ -443,9 +443,9 @@
 
 
 def test_engines_that_are_not_heard_do_not_hide_when_the_others_will_serve():
-    # 41 engines of which an entry hears 16: more than half tell it nothing.
+    # In a large fleet, an entry subscribes to fewer than half of the engines.
     async def scenario():
-        entry, workers, _ = await make("model", 5, "m")
+        entry, workers, _ = await make_entry("model", 5, "m")
         pool = entry.node.pool
         heard = [pool.backends[worker.instance] for worker in workers[:2]]
         pool.subscribed = {"model": heard}
@@ -460,7 +460,7 @@
 
 
 def test_where_no_agent_answers_short_streams_do_not_all_go_to_one_engine():
-    # Engines that share a VM share its agent; while it is silent, nothing tells them apart.
+    # Engines on one VM share its agent, so probes that time out don't distinguish them.
     async def scenario():
         settings = fleet_nodes.make_settings("entry", agent_port=fleet_nodes.free_port())
         entry = fleet_nodes.Entry(settings)
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -1,4 +1,4 @@
-"""A back end that starts again under the id that it had: nothing that was known of it holds."""
+"""Back ends that restart under the same id: no state of the earlier incarnation applies."""
 
 import asyncio
 import json
@@ -14,17 +14,17 @@
 from merlinthread.protocol import node_messages
 from tests import crashing_fleet, fleet_nodes
 
-BEAT_S = 1.2
-BORN = 1_767_000_000_000
+HEARTBEAT_INTERVAL_S = 1.2
+STARTED_MS = 1_767_000_000_000
 
 
-def beat(born=BORN, sequence=1, state=fleet.READY, id_="i", address="1.1.1.1:1"):
+def make_heartbeat(born=STARTED_MS, sequence=1, state=fleet.READY, id_="i", address="1.1.1.1:1"):
     name = incarnations.Incarnation(id_, born).name()
     return fleet.Heartbeat(name, "s", address, "z", 4, state, sequence)
 
 
 def registry_with(*beats) -> instances.InstanceRegistry:
-    registry = instances.InstanceRegistry(BEAT_S)
+    registry = instances.InstanceRegistry(HEARTBEAT_INTERVAL_S)
     for number, heartbeat in enumerate(beats):
         registry.record_heartbeat(heartbeat, 0.1 * number)
     return registry
@@ -35,58 +35,66 @@
 
 
 def test_a_later_life_is_taken_at_once_whatever_its_sequence():
-    registry = registry_with(beat(sequence=50), beat(BORN + 5000, sequence=1))
-    assert names(registry) == [beat(BORN + 5000).instance]
-    registry = registry_with(beat(sequence=50), beat(BORN + 5000, sequence=9))
-    assert names(registry) == [beat(BORN + 5000).instance]
+    registry = registry_with(
+        make_heartbeat(sequence=50), make_heartbeat(STARTED_MS + 5000, sequence=1)
+    )
+    assert names(registry) == [make_heartbeat(STARTED_MS + 5000).instance]
+    registry = registry_with(
+        make_heartbeat(sequence=50), make_heartbeat(STARTED_MS + 5000, sequence=9)
+    )
+    assert names(registry) == [make_heartbeat(STARTED_MS + 5000).instance]
 
 
 def test_a_late_heartbeat_of_the_former_life_changes_nothing():
-    registry = registry_with(beat(sequence=50), beat(BORN + 5000), beat(sequence=51))
-    assert names(registry) == [beat(BORN + 5000).instance]
-    # Nor at a control VM that did not know the former life.
-    registry = registry_with(beat(BORN + 5000), beat(sequence=2))
-    assert names(registry) == [beat(BORN + 5000).instance]
+    registry = registry_with(
+        make_heartbeat(sequence=50), make_heartbeat(STARTED_MS + 5000), make_heartbeat(sequence=51)
+    )
+    assert names(registry) == [make_heartbeat(STARTED_MS + 5000).instance]
+    # The same at a control VM that did not know the earlier incarnation.
+    registry = registry_with(make_heartbeat(STARTED_MS + 5000), make_heartbeat(sequence=2))
+    assert names(registry) == [make_heartbeat(STARTED_MS + 5000).instance]
 
 
 @pytest.mark.parametrize("sequence", [1, 2])
 def test_a_back_end_that_was_leaving_or_had_left_is_ready_in_its_next_life(sequence):
-    registry = registry_with(beat(sequence=5, state=fleet.DRAINING), beat(BORN + 1, sequence))
-    assert registry.known[beat(BORN + 1).instance].heartbeat.state == fleet.READY
-    registry = registry_with(beat(sequence=5))
+    registry = registry_with(
+        make_heartbeat(sequence=5, state=fleet.DRAINING), make_heartbeat(STARTED_MS + 1, sequence)
+    )
+    assert registry.known[make_heartbeat(STARTED_MS + 1).instance].heartbeat.state == fleet.READY
+    registry = registry_with(make_heartbeat(sequence=5))
     registry.mark_gone(registry.latest("i"))
-    assert not registry.record_heartbeat(beat(sequence=6), 1.0)
-    assert registry.record_heartbeat(beat(BORN + 1, sequence), 1.1)
+    assert not registry.record_heartbeat(make_heartbeat(sequence=6), 1.0)
+    assert registry.record_heartbeat(make_heartbeat(STARTED_MS + 1, sequence), 1.1)
 
 
 def test_a_back_end_that_left_before_its_start_was_told_comes_back_only_as_a_new_life():
-    registry = instances.InstanceRegistry(BEAT_S)
+    registry = instances.InstanceRegistry(HEARTBEAT_INTERVAL_S)
     registry.mark_gone(registry.latest("i"))
-    assert not registry.record_heartbeat(beat(sequence=40), 0.0)
-    assert registry.record_heartbeat(beat(sequence=1), 0.1)
+    assert not registry.record_heartbeat(make_heartbeat(sequence=40), 0.0)
+    assert registry.record_heartbeat(make_heartbeat(sequence=1), 0.1)
 
 
 def test_a_life_that_a_clock_that_stepped_back_makes_look_older_is_taken_once_the_other_is_silent():
-    registry = registry_with(beat(sequence=50))
-    assert not registry.record_heartbeat(beat(BORN - 60_000, sequence=1), 0.5)
-    assert registry.record_heartbeat(beat(BORN - 60_000, sequence=3), 2.4)
-    assert names(registry) == [beat(BORN - 60_000).instance]
-    # Should that have been a late word after all, the other one is taken again.
-    assert registry.record_heartbeat(beat(sequence=51), 4.6)
+    registry = registry_with(make_heartbeat(sequence=50))
+    assert not registry.record_heartbeat(make_heartbeat(STARTED_MS - 60_000, sequence=1), 0.5)
+    assert registry.record_heartbeat(make_heartbeat(STARTED_MS - 60_000, sequence=3), 2.4)
+    assert names(registry) == [make_heartbeat(STARTED_MS - 60_000).instance]
+    # If that was a late heartbeat after all, the other incarnation is accepted again.
+    assert registry.record_heartbeat(make_heartbeat(sequence=51), 4.6)
 
 
 def test_words_without_a_start_keep_the_former_rules():
-    registry = registry_with(beat(0, sequence=5))
-    assert not registry.record_heartbeat(beat(0, sequence=4), 0.2)
+    registry = registry_with(make_heartbeat(0, sequence=5))
+    assert not registry.record_heartbeat(make_heartbeat(0, sequence=4), 0.2)
     assert names(registry) == ["i"]
 
 
 def test_an_entry_that_hears_of_a_new_life_keeps_nothing_of_the_former_one():
     async def scenario():
         watcher = fleet_nodes.make_watcher(fleet_nodes.make_settings("entry"))
-        told = [instances.Instance(beat(sequence=50, state=fleet.DRAINING))]
+        told = [instances.Instance(make_heartbeat(sequence=50, state=fleet.DRAINING))]
         watcher.apply(node_messages.WatchReply("f", 1, False, told, [], [], 0, b"", [], 0.0))
-        told = [instances.Instance(beat(BORN + 1, address="2.2.2.2:2"))]
+        told = [instances.Instance(make_heartbeat(STARTED_MS + 1, address="2.2.2.2:2"))]
         watcher.apply(node_messages.WatchReply("f", 2, False, told, [], [], 0, b"", [], 0.0))
         assert [known.state for known in watcher.instances.values()] == [fleet.READY]
 
@@ -101,7 +109,7 @@
         pool = fleet_.entries[0].node.pool
         (before,) = pool.backends
         worker.behaviour.work_s = 0.3
-        under_way = asyncio.get_running_loop().create_task(fleet_.ask_any(0, b"slow"))
+        under_way = asyncio.get_running_loop().create_task(fleet_.ask_or_none(0, b"slow"))
         await fleet_nodes.until(lambda: worker.running)
         worker.end()
         await worker.begin_again()
@@ -129,21 +137,21 @@
         controls = fleet_nodes.Controls(tmp_path)
         await controls.start_all()
         await fleet_nodes.until(controls.leader)
-        body = BODY | {"born": BORN}
+        body = BODY | {"born": STARTED_MS}
         await controls.until_acknowledged("PUT", "/instances/i", body | {"sequence": 7})
         nodes = controls.nodes.values()
         await fleet_nodes.until(lambda: all(node.registry.known for node in nodes))
-        # One that has just started, and has not heard the next heartbeat yet, takes the farewell.
+        # A control VM that has just restarted and knows no heartbeat receives the departure.
         ip = next(ip for ip in controls.ips if ip != controls.leader())
-        controls.nodes[ip].registry = instances.InstanceRegistry(BEAT_S)
+        controls.nodes[ip].registry = instances.InstanceRegistry(HEARTBEAT_INTERVAL_S)
         answer = None
         while answer is None or answer.status != 200:
             answer = await controls.call(ip, "DELETE", "/instances/i")
         await fleet_nodes.until(lambda: not any(node.registry.known for node in nodes))
-        # A beat that was held up brings it back nowhere; the next life is known everywhere.
+        # A delayed heartbeat is ignored everywhere; the next incarnation is accepted everywhere.
         await controls.call(ip, "PUT", "/instances/i", body | {"sequence": 8})
         assert not any(node.registry.known for node in nodes)
-        await controls.call(ip, "PUT", "/instances/i", BODY | {"born": BORN + 9000})
+        await controls.call(ip, "PUT", "/instances/i", BODY | {"born": STARTED_MS + 9000})
         await fleet_nodes.until(lambda: all(node.registry.known for node in nodes))
         for ip in list(controls.nodes):
             controls.kill(ip)
@@ -155,12 +163,14 @@
     async def scenario():
         entry = fleet_nodes.Entry()
         pool = entry.node.pool
-        pool.watcher.instances = {beat(BORN + 1).instance: beat(BORN + 1)}
+        pool.watcher.instances = {
+            make_heartbeat(STARTED_MS + 1).instance: make_heartbeat(STARTED_MS + 1)
+        }
         pool.update()
-        for born, expected in ((BORN, 0), (BORN + 1, 3), (0, 4)):
+        for born, expected in ((STARTED_MS, 0), (STARTED_MS + 1, 3), (0, 4)):
             report = fleet.EngineReport(running=max(3, expected), born_ms=born)
             pool.apply_load_update(node_messages.LoadUpdate("1.1.1.1:1", 1, report))
-            assert pool.backends[beat(BORN + 1).instance].others == expected
+            assert pool.backends[make_heartbeat(STARTED_MS + 1).instance].others == expected
 
     asyncio.run(scenario())
 
@@ -175,10 +185,10 @@
 
     agent = agent_node.AgentNode.__new__(agent_node.AgentNode)
     agent.born_ms, agent.told, agent.weights = 0, fleet.EngineReport(), Weights()
-    agent.note_life(fleet.EngineReport(born_ms=BORN))
-    agent.note_life(fleet.EngineReport(born_ms=BORN))
+    agent.note_life(fleet.EngineReport(born_ms=STARTED_MS))
+    agent.note_life(fleet.EngineReport(born_ms=STARTED_MS))
     assert agent.weights.reports == []
-    agent.note_life(fleet.EngineReport(born_ms=BORN + 1))
+    agent.note_life(fleet.EngineReport(born_ms=STARTED_MS + 1))
     assert (agent.weights.reports, agent.told, agent.ledger.open) == ([None], None, {})
 
 
--- a/tests/test_leaving_answers.py
+++ b/tests/test_leaving_answers.py
@@ -1,14 +1,7 @@
-"""Back ends that say in their answers that they leave.
-
-What was seen: requests still reached a back end 3.4 s after an entry had passed on an answer in
-which it says that it leaves. How it came about: the back end left without draining first; in the
-same tenth of a second the entry turned to another control VM, since its own was cut off from the
-majority. Causes: (1) an entry did not read what a back end says of itself, it heard of departures
-from control VMs only; (2) news told in full named those that are there and not those that left, so
-the entry took the back end for one that this control VM had yet to hear, and used it for four
-heartbeats more. What proved them: the entry's log says `missing`, 4.9 s after it had found the
-other control VM, where others say `gone`; and no line of it differs between answers with the word
-and without.
+"""Back ends that signal in their responses that they are leaving.
+
+Guards against requests to a back end after an entry has received its leaving signal, and against
+departures that are missed when an entry moves to another control VM.
 """
 
 import asyncio
@@ -18,14 +11,14 @@
 from stand_ins import fleet_worker
 from tests import crashing_fleet, fed_fleet, fleet_nodes
 
-SEVERAL = 12
+REQUESTS = 12
 
 
-class Fleet(fed_fleet.FedFleet):
-    """Workers of which one says in its answers that it leaves."""
+class LeavingFleet(fed_fleet.FedFleet):
+    """A fleet in which one worker signals that it is leaving."""
 
-    async def hear_that_it_leaves(self) -> fleet_worker.Worker:
-        """Let the first worker answer, saying that it leaves; return it."""
+    async def receive_leaving_signal(self) -> fleet_worker.Worker:
+        """Send requests until the first worker has signalled that it is leaving; return it."""
         leaver = self.workers[0]
         leaver.behaviour.is_leaving = True
         async with asyncio.timeout(5.0):
@@ -33,24 +26,24 @@
                 assert (await self.ask()).status == 200
         return leaver
 
-    async def arrivals(self, worker: fleet_worker.Worker, count: int = SEVERAL) -> int:
-        """Return how many of some more requests reach a worker; all must be served."""
+    async def arrivals(self, worker: fleet_worker.Worker, count: int = REQUESTS) -> int:
+        """Return how many of `count` more requests reach a worker; all must be served."""
         before = len(worker.runs)
         for _ in range(count):
             assert (await self.ask()).status == 200
         return len(worker.runs) - before
 
     async def is_used(self, worker: fleet_worker.Worker) -> bool:
-        """Return whether a worker serves while all others turn requests away."""
+        """Return whether a worker serves all requests while the others refuse them."""
         for other in self.workers:
             other.behaviour.is_full = other is not worker
-        return await self.arrivals(worker) == SEVERAL
+        return await self.arrivals(worker) == REQUESTS
 
 
 def test_a_back_end_that_says_in_an_answer_that_it_leaves_gets_nothing_more():
     async def scenario(service):
-        fleet_ = await Fleet(service).start()
-        leaver = await fleet_.hear_that_it_leaves()
+        fleet_ = await LeavingFleet(service).start()
+        leaver = await fleet_.receive_leaving_signal()
         assert await fleet_.arrivals(leaver) == 0, service
 
     for service in ("safe", "unsafe", "model"):
@@ -59,12 +52,12 @@
 
 def test_what_an_answer_said_outlives_heartbeats_and_the_loss_of_the_record():
     async def scenario():
-        fleet_ = await Fleet().start()
-        leaver = await fleet_.hear_that_it_leaves()
-        # Its heartbeats go on saying that it is ready.
+        fleet_ = await LeavingFleet().start()
+        leaver = await fleet_.receive_leaving_signal()
+        # Its heartbeats still say that it is ready.
         fleet_.feed(fleet_.workers)
         assert await fleet_.arrivals(leaver) == 0
-        # The news drop it for a moment and tell it again.
+        # It disappears from the fleet state for a moment.
         del fleet_.entry.node.watcher.instances[leaver.instance]
         fleet_.feed(fleet_.workers[1:])
         assert leaver.instance not in fleet_.entry.node.pool.backends
@@ -77,7 +70,7 @@
 
 def test_an_answer_that_comes_after_the_record_was_dropped_and_told_again_counts():
     async def scenario():
-        fleet_ = await Fleet(count=1).start()
+        fleet_ = await LeavingFleet(count=1).start()
         leaver = fleet_.workers[0]
         leaver.behaviour.is_leaving, leaver.behaviour.work_s = True, 0.1
         asked = asyncio.create_task(fleet_.ask())
@@ -94,8 +87,8 @@
 
 def test_another_back_end_at_the_address_of_one_that_left_is_used():
     async def scenario():
-        fleet_ = await Fleet().start()
-        leaver = await fleet_.hear_that_it_leaves()
+        fleet_ = await LeavingFleet().start()
+        leaver = await fleet_.receive_leaving_signal()
         leaver.instance, leaver.behaviour.is_leaving = "i-9", False
         fleet_.feed(fleet_.workers)
         assert await fleet_.is_used(leaver)
@@ -105,8 +98,8 @@
 
 def test_the_next_life_of_a_back_end_that_left_is_used():
     async def scenario():
-        fleet_ = await Fleet().start()
-        leaver = await fleet_.hear_that_it_leaves()
+        fleet_ = await LeavingFleet().start()
+        leaver = await fleet_.receive_leaving_signal()
         leaver.behaviour.is_leaving = False
         watcher = fleet_.entry.node.watcher
         later = dataclasses.replace(
@@ -121,7 +114,7 @@
 
 def test_an_answer_to_another_request_takes_no_back_end_out_of_use():
     async def scenario():
-        fleet_ = await Fleet().start()
+        fleet_ = await LeavingFleet().start()
         liar = fleet_.workers[0]
         liar.behaviour.is_leaving = liar.behaviour.wrong_request_id = True
         async with asyncio.timeout(5.0):
@@ -137,14 +130,14 @@
 
 def test_once_all_have_said_that_they_leave_requests_are_refused_at_once():
     async def scenario():
-        fleet_ = await Fleet().start()
+        fleet_ = await LeavingFleet().start()
         for worker in fleet_.workers:
             worker.behaviour.is_leaving = True
         async with asyncio.timeout(5.0):
             while not all(worker.runs for worker in fleet_.workers):
                 await fleet_.ask()
         before = sum(len(worker.runs) for worker in fleet_.workers)
-        for _ in range(SEVERAL):
+        for _ in range(REQUESTS):
             assert (await fleet_.ask()).status == 503
         assert sum(len(worker.runs) for worker in fleet_.workers) == before
 
@@ -153,9 +146,9 @@
 
 def test_what_was_chosen_before_the_answer_came_is_not_sent_after_it():
     async def scenario():
-        fleet_ = await Fleet().start()
-        leaver = await fleet_.hear_that_it_leaves()
-        # As if it had been chosen before: only the way to it is left.
+        fleet_ = await LeavingFleet().start()
+        leaver = await fleet_.receive_leaving_signal()
+        # As if it had been chosen before its signal arrived.
         pool = fleet_.entry.node.pool
         backend = pool.backends[leaver.instance]
         chosen = pool.choose
@@ -190,15 +183,15 @@
         fleet_ = crashing_fleet.CrashingFleet(tmp_path)
         try:
             await fleet_.start(entries=1, workers=2)
-            await leave_unheard(fleet_)
+            await check_missed_departure(fleet_)
         finally:
             await fleet_.stop()
 
-    async def leave_unheard(fleet_):
+    async def check_missed_departure(fleet_):
         watcher = fleet_.entries[0].node.watcher
         leaver = fleet_.workers[0]
         await fleet_nodes.until(lambda: watcher.current)
-        # The entry's control VM ends; the departure is acknowledged before another one is asked.
+        # The departure is acknowledged between the loss of the entry's control VM and the search.
         former = watcher.current.partition(":")[0]
         asked, may_ask = watcher.ask, asyncio.Event()
 
@@ -213,7 +206,7 @@
         may_ask.set()
         await fleet_nodes.until(lambda: watcher.current and not watcher.current.startswith(former))
         before = len(leaver.runs)
-        for _ in range(SEVERAL):
+        for _ in range(REQUESTS):
             assert (await fleet_.ask(0, b"")).status == 200
         assert len(leaver.runs) == before
         assert leaver.instance in watcher.gone
--- a/tests/test_load_prober.py
+++ b/tests/test_load_prober.py
@@ -1,4 +1,4 @@
-"""Questions to agents by datagram: answers in time, late, lost."""
+"""Load queries to agents: replies in time, late and lost."""
 
 import asyncio
 
@@ -13,11 +13,11 @@
     asyncio.run(scenario(prober, sent))
 
 
-def answer(query: node_messages.LoadQuery, tokens: float) -> node_messages.LoadReply:
+def make_reply(query: node_messages.LoadQuery, tokens: float) -> node_messages.LoadReply:
     return node_messages.LoadReply(query.number, 2, 1, tokens, True, 1.5)
 
 
-def engine_now(tokens: float) -> load_ledger.EngineLoad:
+def make_load(tokens: float) -> load_ledger.EngineLoad:
     return load_ledger.EngineLoad(load_ledger.Outstanding(2, 1, tokens), True, 1.5)
 
 
@@ -27,10 +27,10 @@
         while len(sent) < 2:
             await asyncio.sleep(0)
         for agent, query in reversed(sent):
-            prober.receive(answer(query, 10.0 if agent == "a" else 20.0))
+            prober.receive(make_reply(query, 10.0 if agent == "a" else 20.0))
         assert await asyncio.wait_for(task, 5.0) == {
-            "a": engine_now(10.0),
-            "b": engine_now(20.0),
+            "a": make_load(10.0),
+            "b": make_load(20.0),
         }
         assert not prober.waiting
 
@@ -41,7 +41,7 @@
     async def scenario(prober, sent):
         found = await prober.ask(["a"], 0.01)
         assert found == {"a": None}
-        prober.receive(answer(sent[0][1], 10.0))
+        prober.receive(make_reply(sent[0][1], 10.0))
         assert not prober.waiting
         assert await prober.ask([], 60.0) == {}
 
--- a/tests/test_request_failures.py
+++ b/tests/test_request_failures.py
@@ -1,4 +1,4 @@
-"""Requests under failure: whole, once, honestly refused, never cut off by a planned stop."""
+"""Requests during failures: complete, run at most once, refused correctly, unharmed by restarts."""
 
 import concurrent.futures
 import threading
@@ -29,7 +29,7 @@
 
 
 def entry_sees(fleet: fleets.Fleet, vm: fleets.Vm, engines: int) -> bool:
-    """Return whether an entry routes to so many engines of its zone."""
+    """Return whether an entry is ready and serves a request."""
     return calls.ask(vm.http, tokens=1).status == 200 and bool(fleet.get(vm.http, "/readyz"))
 
 
@@ -51,8 +51,8 @@
     return total
 
 
-class Asked:
-    """A long answer that is asked for in the background."""
+class BackgroundRequest:
+    """A request for a long response that runs in a thread."""
 
     def __init__(self, address: str, request_id: str, tokens: int = TOKENS) -> None:
         self.request_id = request_id
@@ -70,7 +70,7 @@
         return self.answer
 
     def engine(self, fleet: fleets.Fleet) -> str:
-        """Return the engine that has begun to answer."""
+        """Wait until an engine has begun the response; return its name."""
 
         def find() -> str:
             return next(
@@ -87,7 +87,7 @@
 
 @pytest.mark.parametrize("victim", ["-target", ""])
 def test_an_answer_whose_engine_or_agent_is_killed_is_resumed_whole(fleet, victim):
-    asked = Asked(fleet.entries()[0].http, "r-kill")
+    asked = BackgroundRequest(fleet.entries()[0].http, "r-kill")
     engine = asked.engine(fleet)
     fleet.processes[engine + victim].kill()
     answer = asked.wait()
@@ -115,7 +115,7 @@
 
 
 def test_a_leaving_vm_gets_no_new_work_and_finishes_what_it_has(fleet):
-    asked = Asked(fleet.entries()[0].http, "r-leave")
+    asked = BackgroundRequest(fleet.entries()[0].http, "r-leave")
     engine = asked.engine(fleet)
     body = msgspec.json.encode({"name": engine, "state": "leaving"})
     fleet.http.request_ok("POST", f"{fleet.platform_url}/v1/vms", body)
@@ -125,7 +125,7 @@
         5,
     )
     before = set(runs(fleet))
-    # Enough at once that a busy engine, too, would get its part.
+    # Enough concurrent requests that even a busy engine would get some.
     addresses = [vm.http for vm in fleet.entries()] * 12
     with concurrent.futures.ThreadPoolExecutor(len(addresses)) as pool:
         found = list(pool.map(lambda address: calls.ask(address, tokens=30), addresses))
@@ -138,8 +138,8 @@
 @pytest.mark.parametrize("role", ["agent", "entry"])
 def test_a_planned_stop_cuts_no_request_off(fleet, role):
     entry = fleet.entries()[0]
-    # Longer than the grace in which a leaving VM tells others.
-    asked = Asked(entry.http, "r-stop", tokens=700)
+    # The response takes longer than the grace period in which a leaving VM notifies others.
+    asked = BackgroundRequest(entry.http, "r-stop", tokens=700)
     engine = asked.engine(fleet)
     process = entry.process if role == "entry" else fleet.processes[engine]
     process.stop()
@@ -195,7 +195,7 @@
 
 
 def test_without_a_majority_a_call_is_refused_at_once_and_truly_did_not_run(fleet):
-    # The leader stays up: it takes the claim into its log and can't have it confirmed.
+    # The leader stays up: it appends the claim to its log but can't commit it.
     leader = processes.wait_for("a leader", fleet.leader)
     others = [vm for vm in fleet.controls() if vm is not leader]
     for vm in others:
--- a/tests/test_return_of_all.py
+++ b/tests/test_return_of_all.py
@@ -1,9 +1,6 @@
-"""All nodes start again at once, and no control VM hears a leader for a second: who asks whom.
+"""Fleet watchers after a restart of all nodes, while the control VMs have no leader yet.
 
-The pattern: 80 entries and agents come back after a loss of power 0.2 s before six control VMs of
-0.645 of a core; each answer that tells all costs one 1 to 2 ms. Entries knew the configuration
-0.3 s after the first control VM was up, and asked all of them for all again ten times a second
-(full day of a deployment, from the logs).
+Guards against repeated requests for the full state, which would delay the election of a leader.
 """
 
 import asyncio
@@ -17,10 +14,10 @@
 CONTROLS = [f"10.{zone}.0.{number}" for zone in (1, 2, 3) for number in (1, 2)]
 
 
-class Answers:
-    """Stands for the caller: control VMs that are up answer, the one at `near` first.
+class FakeCaller:
+    """Replaces the RPC client: control VMs that are up answer, the one at `near` first.
 
-    They have heard a leader `leader_age_s` ago.
+    They last had contact with a leader `leader_age_s` ago.
     """
 
     def __init__(self, up: list[str], leader_age_s: float, near: str = "") -> None:
@@ -39,10 +36,10 @@
         )
 
 
-def make(number: int, answers: Answers) -> fleet_watcher.FleetWatcher:
+def make_watcher(number: int, caller: FakeCaller) -> fleet_watcher.FleetWatcher:
     settings = fleet_nodes.make_settings(f"entry-{number}", control_port=1, control_ips=CONTROLS)
     watcher = fleet_nodes.make_watcher(settings)
-    watcher.caller = answers
+    watcher.caller = caller
     return watcher
 
 
@@ -53,8 +50,8 @@
 def test_the_first_that_answers_is_turned_to_so_that_it_is_a_near_one():
     async def scenario():
         near = addresses()[3]
-        answers = Answers(addresses(), 0.0, near)
-        watcher = make(1, answers)
+        caller = FakeCaller(addresses(), 0.0, near)
+        watcher = make_watcher(1, caller)
         assert await watcher.find_control_vm() == near
 
     asyncio.run(scenario())
@@ -62,12 +59,12 @@
 
 def test_while_there_is_no_leader_each_control_vm_tells_all_only_once():
     async def scenario():
-        answers = Answers(addresses(), 1e6)
-        watcher = make(1, answers)
+        caller = FakeCaller(addresses(), 1e6)
+        watcher = make_watcher(1, caller)
         task = asyncio.get_running_loop().create_task(watcher.run())
-        await fleet_nodes.until(lambda: len(answers.asked) >= 14)
+        await fleet_nodes.until(lambda: len(caller.asked) >= 14)
         task.cancel()
-        told_all = collections.Counter(a for a, watch in answers.asked if not watch.feed)
+        told_all = collections.Counter(a for a, watch in caller.asked if not watch.feed)
         assert max(told_all.values()) == 1
         assert not watcher.is_fresh
 
@@ -76,11 +73,11 @@
 
 def test_a_control_vm_that_hears_a_leader_again_is_found_within_two_searches():
     async def scenario():
-        answers = Answers(addresses(), 1e6)
-        watcher = make(1, answers)
+        caller = FakeCaller(addresses(), 1e6)
+        watcher = make_watcher(1, caller)
         task = asyncio.get_running_loop().create_task(watcher.run())
         await fleet_nodes.until(lambda: watcher.current)
-        answers.leader_age_s = 0.0
+        caller.leader_age_s = 0.0
         async with asyncio.timeout(2 * fleet_watcher.SEARCH_INTERVAL_S):
             await fleet_nodes.until(lambda: watcher.is_fresh)
         task.cancel()
@@ -90,12 +87,12 @@
 
 def test_who_is_left_for_its_silence_tells_all_when_it_is_turned_to_again():
     async def scenario():
-        answers = Answers(addresses(), 0.0)
-        watcher = make(1, answers)
+        caller = FakeCaller(addresses(), 0.0)
+        watcher = make_watcher(1, caller)
         watcher.current = await watcher.find_control_vm()
         watcher.disconnect("no answer")
-        answers.asked.clear()
+        caller.asked.clear()
         await watcher.find_control_vm()
-        assert {watch.feed for _, watch in answers.asked} == {""}
+        assert {watch.feed for _, watch in caller.asked} == {""}
 
     asyncio.run(scenario())
