--- a/tests/test_leaving_answers.py
+++ b/tests/test_leaving_answers.py
@@ -17,7 +17,7 @@
 class LeavingFleet(fed_fleet.FedFleet):
     """A fleet in which one worker signals that it is leaving."""
 
-    async def receive_leaving_signal(self) -> fleet_worker.Worker:
+    async def hear_that_it_leaves(self) -> fleet_worker.Worker:
         """Send requests until the first worker has signalled that it is leaving; return it."""
         leaver = self.workers[0]
         leaver.behaviour.is_leaving = True
@@ -43,7 +43,7 @@
 def test_a_back_end_that_says_in_an_answer_that_it_leaves_gets_nothing_more():
     async def scenario(service):
         fleet_ = await LeavingFleet(service).start()
-        leaver = await fleet_.receive_leaving_signal()
+        leaver = await fleet_.hear_that_it_leaves()
         assert await fleet_.arrivals(leaver) == 0, service
 
     for service in ("safe", "unsafe", "model"):
@@ -53,7 +53,7 @@
 def test_what_an_answer_said_outlives_heartbeats_and_the_loss_of_the_record():
     async def scenario():
         fleet_ = await LeavingFleet().start()
-        leaver = await fleet_.receive_leaving_signal()
+        leaver = await fleet_.hear_that_it_leaves()
         # Its heartbeats still say that it is ready.
         fleet_.feed(fleet_.workers)
         assert await fleet_.arrivals(leaver) == 0
@@ -88,7 +88,7 @@
 def test_another_back_end_at_the_address_of_one_that_left_is_used():
     async def scenario():
         fleet_ = await LeavingFleet().start()
-        leaver = await fleet_.receive_leaving_signal()
+        leaver = await fleet_.hear_that_it_leaves()
         leaver.instance, leaver.behaviour.is_leaving = "i-9", False
         fleet_.feed(fleet_.workers)
         assert await fleet_.is_used(leaver)
@@ -99,7 +99,7 @@
 def test_the_next_life_of_a_back_end_that_left_is_used():
     async def scenario():
         fleet_ = await LeavingFleet().start()
-        leaver = await fleet_.receive_leaving_signal()
+        leaver = await fleet_.hear_that_it_leaves()
         leaver.behaviour.is_leaving = False
         watcher = fleet_.entry.node.watcher
         later = dataclasses.replace(
@@ -147,7 +147,7 @@
 def test_what_was_chosen_before_the_answer_came_is_not_sent_after_it():
     async def scenario():
         fleet_ = await LeavingFleet().start()
-        leaver = await fleet_.receive_leaving_signal()
+        leaver = await fleet_.hear_that_it_leaves()
         # As if it had been chosen before its signal arrived.
         pool = fleet_.entry.node.pool
         backend = pool.backends[leaver.instance]
