--- a/src/merlinthread/nodes/attempts.py
+++ b/src/merlinthread/nodes/attempts.py
@@ -16,7 +16,7 @@
 from merlinthread.nodes import (
     attempt_descriptions,
     backend_pool,
-    crash_watch,
+    crash_detector,
     permits,
     request_context,
     response_relay,
@@ -147,7 +147,7 @@
 
     def record_break(self, is_silent: bool) -> None:
         """Record that the request was sent and got no complete response."""
-        broken = crash_watch.BrokenAttempt(
+        broken = crash_detector.BrokenAttempt(
             self.context.fingerprint(),
             self.context.label(),
             self.context.account.name if self.context.account is not None else "",
--- a/src/merlinthread/nodes/backend_pool.py
+++ b/src/merlinthread/nodes/backend_pool.py
@@ -21,7 +21,7 @@
 )
 from merlinthread.nodes import (
     backend_connections,
-    crash_watch,
+    crash_detector,
     fleet_watcher,
     limit_reporter,
     load_prober,
@@ -72,7 +72,7 @@
         clock: Callable[[], float],
         rng: random.Random,
         prober: load_prober.LoadProber,
-        crashes: crash_watch.CrashWatch,
+        crashes: crash_detector.CrashDetector,
         permits: permits.PermitClient,
         signals: backend_signals.BackendSignals,
         reporter: limit_reporter.LimitReporter,
--- a/src/merlinthread/nodes/crash_watch.py
+++ b/src/merlinthread/nodes/crash_detector.py
@@ -47,7 +47,7 @@
         return crash_ledger.Crash(self.at, self.backend.instance, self.began_at)
 
 
-class CrashWatch:
+class CrashDetector:
     """Records crashes of back ends during requests; `run` reports them to the control VMs."""
 
     def __init__(
--- a/src/merlinthread/nodes/entry_node.py
+++ b/src/merlinthread/nodes/entry_node.py
@@ -9,7 +9,7 @@
 from merlinthread.coordination import backend_signals, crash_ledger
 from merlinthread.nodes import (
     backend_pool,
-    crash_watch,
+    crash_detector,
     fleet_watcher,
     limit_reporter,
     load_prober,
@@ -49,7 +49,7 @@
         self.watcher = fleet_watcher.FleetWatcher(
             settings, dialect, self.caller, clock, self.on_update, suspect_ledger, signals
         )
-        self.crashes = crash_watch.CrashWatch(
+        self.crashes = crash_detector.CrashDetector(
             settings.name, self.watcher, suspect_ledger, self.caller, clock
         )
         self.address = f"{settings.ip}:{settings.entry_port}"
