--- /dev/null
+++ b/src/merlinthread/nodes/attempt_descriptions.py
@@ -0,0 +1,56 @@
+"""Descriptions of attempts for the request log.
+
+They show the state on which a back end was chosen and what its response said about itself.
+"""
+
+from merlinthread.coordination import backend_record, dispatch, fleet
+from merlinthread.nodes import permits
+
+
+def describe_choice(
+    choice: dispatch.Choice, permit: permits.Permit | None, arrived: float, now: float
+) -> str:
+    """Describe the known state of a back end chosen for a request that arrived at `arrived`."""
+    backend = choice.backend
+    age_ms = round(1000 * (now - backend.load_updated_at())) if backend.has_fresh_load(now) else -1
+    waited_ms = round(1000 * (now - arrived))
+    expected_ms = round(1000 * choice.first_byte_s)
+    unread = round(backend.unread_tokens + (backend.others_unread_tokens or 0.0))
+    return (
+        f"{backend.instance} after {waited_ms} ms, load {backend.load(now)}, "
+        f"unread {unread}, pace {backend.pace:.2g}, age {age_ms} ms, "
+        f"first byte expected in {expected_ms} ms{describe_limit(backend, permit, now)}"
+    )
+
+
+def describe_limit(
+    backend: backend_record.Backend, permit: permits.Permit | None, now: float
+) -> str:
+    """Describe a back end's rate limit and the permit used; return "" if it has no limit."""
+    availability = backend.availability
+    if availability.limit_per_s is None:
+        return ""
+    source = permit.source if permit is not None else "nobody"
+    age_ms = round(1000 * (now - availability.limit_heard_at))
+    return (
+        f", limit {availability.limit_per_s:g} per second received {age_ms} ms ago, "
+        f"permit from {source}"
+    )
+
+
+def describe_signals(head: fleet.ResponseHead) -> str:
+    """Describe what a response says about the back end that sent it."""
+    parts = []
+    if head.is_leaving:
+        parts.append("says that it is leaving")
+    if head.rest_s is not None:
+        parts.append(f"asks for {head.rest_s:g} s of rest")
+    if head.rest_problem:
+        parts.append(f"asks for a rest with an invalid duration: {head.rest_problem}")
+    if head.limit_per_s is not None:
+        parts.append(f"accepts {head.limit_per_s:g} requests per second")
+    if head.limit_problem:
+        parts.append(f"advertises an invalid limit: {head.limit_problem}")
+    if parts and head.request_id is None:
+        parts.append("without the request id")
+    return ", ".join(parts)
--- a/src/merlinthread/nodes/control_api.py
+++ b/src/merlinthread/nodes/control_api.py
@@ -66,7 +66,7 @@
 
     async def handle(self, call: dialects.ControlCall) -> http_messages.Response:
         """Dispatch a call to its handler; return the response."""
-        if isinstance(call, dialects.TakeHeartbeat):
+        if isinstance(call, dialects.ReceiveHeartbeat):
             return await self.on_heartbeat(call.heartbeat)
         if isinstance(call, dialects.Leave):
             await self.commit_departure(self.registry.latest(call.instance), fleet.GONE)
--- /dev/null
+++ b/src/merlinthread/nodes/fleet_watcher.py
@@ -0,0 +1,367 @@
+"""A local copy of the fleet state for entries and agents: configuration, back ends and versions.
+
+A watcher keeps a long poll open at one control VM, and moves to another one if it does not answer
+or has lost contact with the majority. Updates are monotonic: versions only increase, and an
+instance that has left never returns. While no control VM answers, the last known state remains in
+use.
+"""
+
+import asyncio
+import dataclasses
+import math
+import zlib
+from collections.abc import Callable
+
+from merlinthread import errors, logs, metrics
+from merlinthread.coordination import (
+    backend_signals,
+    conflict_index,
+    crash_ledger,
+    fleet,
+    instances,
+    route_table,
+)
+from merlinthread.nodes import dialect as dialects
+from merlinthread.nodes import node_settings
+from merlinthread.protocol import node_messages
+from merlinthread.transport import node_bus
+
+WATCH_WAIT_S = 0.6
+WATCH_TIMEOUT_S = 1.1
+# Shorter wait while the control VM is cut off from the majority, to notice its recovery.
+STALE_WAIT_S = 0.2
+SEARCH_TIMEOUT_S = 0.4
+RETRY_DELAY_S = 0.1
+# Time between searches while no control VM in contact with a majority is known.
+SEARCH_INTERVAL_S = 0.4
+STALE_AFTER_S = 1.6
+MISSING_HEARTBEATS = 4
+# Smaller differences between reported ages may be due to latency, up to WATCH_TIMEOUT_S.
+AGE_TOLERANCE_S = 2.0
+
+
+@dataclasses.dataclass(slots=True)
+class FeedPosition:
+    """The position in a control VM's feed up to which changes have been received."""
+
+    feed: str = ""
+    position: int = 0
+    suspicions: int = 0
+    limits: int = 0
+
+
+class FleetWatcher:
+    """Watches the fleet state through the control VMs.
+
+    `on_update` is called after each update. Reports of suspect requests are merged into
+    `suspect_ledger` and those of rate limits into `signals`, if given.
+    """
+
+    def __init__(
+        self,
+        settings: node_settings.NodeSettings,
+        dialect: dialects.Dialect,
+        caller: node_bus.RpcClient,
+        clock: Callable[[], float],
+        on_update: Callable[[], None],
+        suspect_ledger: crash_ledger.CrashLedger | None = None,
+        signals: backend_signals.BackendSignals | None = None,
+    ) -> None:
+        self.settings = settings
+        self.dialect = dialect
+        self.caller = caller
+        self.clock = clock
+        self.on_update = on_update
+        self.suspect_ledger = suspect_ledger
+        self.signals = signals
+        self.table: route_table.RouteTable | None = None
+        self.version = 0
+        self.instances: dict[str, fleet.Heartbeat] = {}
+        self.index = conflict_index.ConflictIndex()
+        self.cold_until: dict[str, float] = {}
+        self.heard_at: dict[str, float] = {}
+        self.gone: set[str] = set()
+        self.missing: dict[str, float] = {}
+        self.named: dict[str, int] = {}
+        self.named_at: dict[str, dict[int, float]] = {}
+        self.controls: list[str] = settings.control_nodes()
+        self.current = ""
+        self.positions: dict[str, FeedPosition] = {}
+        self.next_search_at = float("-inf")
+        self.confirmed_at = float("-inf")
+        self.is_fresh = False
+
+    async def run(self) -> None:
+        """Watch until cancelled."""
+        while True:
+            if not self.current or (not self.is_fresh and self.clock() >= self.next_search_at):
+                await self.select_control_vm()
+            if not self.current:
+                await asyncio.sleep(RETRY_DELAY_S)
+                continue
+            await self.poll()
+
+    async def select_control_vm(self) -> None:
+        """Select a control VM in contact with a majority, or any that answers if there is none."""
+        found = await self.find_control_vm()
+        self.next_search_at = self.clock() + SEARCH_INTERVAL_S
+        if self.is_fresh:
+            self.current = found
+            # Any other control VM must send its full state if it is selected later.
+            self.positions = {found: self.positions.get(found, FeedPosition())}
+        self.current = self.current or found
+
+    async def find_control_vm(self) -> str:
+        """Return the first control VM that answers and is in contact with a majority.
+
+        If there is none, return any that answers, or an empty string. All are queried at once, so
+        that the nearest one is preferred.
+        """
+        addresses_by_task = {
+            asyncio.get_running_loop().create_task(
+                self.ask(address, 0.0, SEARCH_TIMEOUT_S)
+            ): address
+            for address in self.other_control_vms()
+        }
+        fallback = ""
+        pending = set(addresses_by_task)
+        while pending:
+            done, pending = await asyncio.wait(pending, return_when=asyncio.FIRST_COMPLETED)
+            for task in done:
+                reply = task.result()
+                if reply is None:
+                    continue
+                self.apply(reply, addresses_by_task[task])
+                if reply.leader_age_s < STALE_AFTER_S:
+                    for other in pending:
+                        other.cancel()
+                    return addresses_by_task[task]
+                fallback = fallback or addresses_by_task[task]
+        return fallback
+
+    def other_control_vms(self) -> list[str]:
+        """Return the addresses of the control VMs other than the current one."""
+        known = dict.fromkeys([*self.controls, *self.settings.control_nodes()])
+        return [address for address in known if address != self.current]
+
+    async def ask(
+        self, address: str, wait_s: float, timeout_s: float
+    ) -> node_messages.WatchReply | None:
+        """Query a control VM for changes; return None if it does not answer."""
+        position = self.positions.get(address, FeedPosition())
+        suspicions = position.suspicions if self.suspect_ledger is not None else -1
+        limits = position.limits if self.signals is not None else -1
+        watch = node_messages.WatchRequest(
+            self.settings.name,
+            position.feed,
+            position.position,
+            self.version,
+            wait_s,
+            suspicions,
+            limits,
+        )
+        try:
+            return await self.caller.call(address, watch, timeout_s)
+        except errors.MerlinthreadError as error:
+            logs.debug("control_silent", control=address, reason=error.message)
+            return None
+
+    async def poll(self) -> None:
+        """Poll the current control VM once and apply its reply."""
+        wait_s = WATCH_WAIT_S if self.is_fresh else STALE_WAIT_S
+        reply = await self.ask(self.current, wait_s, WATCH_TIMEOUT_S)
+        if reply is None:
+            self.disconnect("no answer")
+            return
+        self.apply(reply, self.current)
+        if reply.leader_age_s > STALE_AFTER_S:
+            self.mark_stale("cut off from the majority")
+            await asyncio.sleep(RETRY_DELAY_S)
+
+    def is_current(self) -> bool:
+        """Return whether the state was recently confirmed by a control VM with a majority.
+
+        The time of the last confirmation matters too, since this VM may have been suspended.
+        """
+        return self.is_fresh and self.clock() - self.confirmed_at <= STALE_AFTER_S
+
+    def mark_stale(self, reason: str) -> None:
+        """Record that the current control VM may lack changes that a majority has.
+
+        It stays in use until a better one is found. Right after a restart of all control VMs none
+        is better, and repeated requests for the full state would delay the election of a leader.
+        """
+        if self.is_fresh:
+            logs.event("control_lost", control=self.current, reason=reason)
+            self.next_search_at = self.clock()
+        self.is_fresh = False
+
+    def disconnect(self, reason: str) -> None:
+        """Stop using the current control VM; the next one must send its full state."""
+        self.mark_stale(reason)
+        self.current = ""
+        self.positions = {}
+
+    def feed(self) -> str:
+        """Return the feed of the current control VM, or an empty string."""
+        return self.positions.get(self.current, FeedPosition()).feed
+
+    # Updates
+
+    def apply(self, reply: node_messages.WatchReply, address: str = "") -> None:
+        """Apply a reply of the control VM at `address`; outdated parts have no effect."""
+        now = self.clock()
+        if reply.leader_age_s <= STALE_AFTER_S:
+            self.confirmed_at = now
+            if not self.is_fresh:
+                self.is_fresh = True
+                version = reply.configuration_version
+                logs.event("control_found", leader_age_s=reply.leader_age_s, version=version)
+        if reply.controls:
+            self.controls = reply.controls
+        # Set first, since the following updates may discard positions to get the full state.
+        self.positions[address] = FeedPosition(
+            reply.feed, reply.position, reply.suspicion_revision, reply.limit_revision
+        )
+        self.apply_configuration(reply)
+        self.apply_versions(reply, now)
+        self.apply_instances(reply, address, now)
+        if self.suspect_ledger is not None:
+            for suspicion in reply.suspicions:
+                self.suspect_ledger.merge(suspicion, now)
+        if self.signals is not None:
+            for limit in reply.limits:
+                self.signals.merge_reported_limit(limit, now)
+        self.update_metrics()
+        self.on_update()
+
+    def update_metrics(self) -> None:
+        """Update the metrics of the fleet state."""
+        metrics.configuration_version.set(self.version)
+        metrics.control_age_seconds.set(self.clock() - self.confirmed_at)
+        for state in (fleet.READY, fleet.DRAINING):
+            number = sum(1 for known in self.instances.values() if known.state == state)
+            metrics.backends.labels(state).set(number)
+
+    def apply_configuration(self, reply: node_messages.WatchReply) -> None:
+        """Apply the configuration if it is newer; keep the old one if it is invalid."""
+        if reply.configuration_version <= self.version or not reply.configuration:
+            return
+        try:
+            body = zlib.decompress(reply.configuration)
+            self.table = route_table.RouteTable(self.dialect.configuration(body))
+        except (errors.MerlinthreadError, zlib.error) as error:
+            logs.warning("configuration_unreadable", reason=str(error))
+            return
+        old, self.version = self.version, reply.configuration_version
+        logs.event(
+            "configuration", version=self.version, before=old, leader_age_s=reply.leader_age_s
+        )
+
+    def apply_versions(self, reply: node_messages.WatchReply, now: float) -> None:
+        """Apply announced weights versions, with the earliest time of their acknowledgement.
+
+        A control VM that was disconnected may report too high an age, which is corrected by a lower
+        one from another control VM.
+        """
+        for named in reply.named:
+            named_at = self.named_at.setdefault(named.model, {})
+            if now - named.age_s > named_at.get(named.version, math.inf) + AGE_TOLERANCE_S:
+                named_at[named.version] = now - named.age_s
+            if named.version <= self.named.get(named.model, 0):
+                continue
+            self.named[named.model] = named.version
+            named_at[named.version] = now - named.age_s
+            logs.event("weights_named", model=named.model, version=named.version, age_s=named.age_s)
+
+    def version_due(self, model: str, now: float, bound_s: float) -> int:
+        """Return the newest version of a model announced at least `bound_s` seconds ago, or 0.
+
+        A newer announcement does not postpone the time at which an earlier version is required.
+        """
+        named_at = self.named_at.get(model, {})
+        return max((version for version, at in named_at.items() if now - at >= bound_s), default=0)
+
+    def usable_until(self, model: str, version: int, bound_s: float) -> float:
+        """Return until when a request may begin on a version of a model's weights.
+
+        This is `bound_s` seconds after the first newer version was announced.
+        """
+        named_at = self.named_at.get(model, {})
+        newer = [at for named, at in named_at.items() if named > version]
+        return min(newer, default=float("inf")) + bound_s
+
+    def apply_instances(self, reply: node_messages.WatchReply, address: str, now: float) -> None:
+        """Apply changes of back ends; a full reply also shows which ones are missing."""
+        for instance in reply.gone:
+            self.mark_gone(instance)
+        for record in reply.instances:
+            self.apply_instance(record, now)
+        if reply.is_full:
+            present = {record.heartbeat.instance for record in reply.instances}
+            absent = sorted(set(self.instances) - present)
+            logs.event("news_in_full", told=len(present), gone=len(reply.gone), absent=absent[:8])
+            for instance in absent:
+                self.missing.setdefault(instance, now)
+            if absent:
+                # A control VM that has just started may not know them yet. Others would not send
+                # them again without a reset of their positions.
+                self.positions = {address: self.positions[address]}
+        self.remove_missing(now)
+
+    def apply_instance(self, record: instances.Instance, now: float) -> None:
+        """Apply the state of one back end; draining and gone are final."""
+        heartbeat = record.heartbeat
+        if heartbeat.instance in self.gone:
+            return
+        self.missing.pop(heartbeat.instance, None)
+        known = self.instances.get(heartbeat.instance)
+        if known is not None and known.sequence > heartbeat.sequence:
+            if heartbeat.state == fleet.DRAINING:
+                known.state = fleet.DRAINING
+            return
+        if known is not None and known.state == fleet.DRAINING:
+            heartbeat.state = fleet.DRAINING
+        if known is None or known.state != heartbeat.state:
+            logs.event(
+                "instance",
+                instance=heartbeat.instance,
+                service=heartbeat.service,
+                address=heartbeat.address,
+                state=heartbeat.state,
+                age_s=record.age_s,
+            )
+        self.heard_at[heartbeat.instance] = now - record.age_s
+        for name in self.index.conflicts(heartbeat):
+            # Of instances with the same address or id, the one with the latest heartbeat wins.
+            if self.heard_at[name] > now - record.age_s:
+                return
+            # Not marked as gone, since a late heartbeat may have caused the conflict.
+            self.remove(name)
+            logs.event("instance", instance=name, state="replaced", by=heartbeat.instance)
+        self.instances[heartbeat.instance] = heartbeat
+        self.index.put(heartbeat)
+        self.cold_until[heartbeat.instance] = now + heartbeat.cold_s - record.age_s
+
+    def remove(self, instance: str) -> bool:
+        """Remove a back end; return whether it was present."""
+        self.index.discard(instance)
+        return self.instances.pop(instance, None) is not None
+
+    def mark_gone(self, instance: str) -> None:
+        """Remove a back end permanently."""
+        self.gone.add(instance)
+        self.missing.pop(instance, None)
+        self.cold_until.pop(instance, None)
+        if self.remove(instance):
+            logs.event("instance", instance=instance, state=fleet.GONE)
+
+    def remove_missing(self, now: float) -> None:
+        """Remove back ends that have been missing for several heartbeats; they may return."""
+        grace_s = MISSING_HEARTBEATS * self.settings.heartbeat_s
+        for instance, since in list(self.missing.items()):
+            if now - since > grace_s:
+                del self.missing[instance]
+                self.positions = {}
+                self.remove(instance)
+                logs.event("instance", instance=instance, state="missing", since_s=now - since)
--- /dev/null
+++ b/src/merlinthread/nodes/limit_reporter.py
@@ -0,0 +1,42 @@
+"""Reports of the rate limits that back ends advertise to an entry, sent to the control VMs."""
+
+import asyncio
+
+from merlinthread import errors, logs
+from merlinthread.coordination import limit_ledger
+from merlinthread.nodes import fleet_watcher
+from merlinthread.protocol import node_messages
+from merlinthread.transport import node_bus
+
+TIMEOUT_S = 0.9
+
+
+class LimitReporter:
+    """Reports changed limits on behalf of the entry called `name`."""
+
+    def __init__(
+        self, name: str, watcher: fleet_watcher.FleetWatcher, caller: node_bus.RpcClient
+    ) -> None:
+        self.name = name
+        self.watcher = watcher
+        self.caller = caller
+        self.tasks: set[asyncio.Task[None]] = set()
+
+    def report(self, limit: limit_ledger.LimitReport) -> None:
+        """Start a task that reports a limit, unless no control VM is known."""
+        if not self.watcher.current:
+            return
+        task = asyncio.get_running_loop().create_task(self.send(limit))
+        self.tasks.add(task)
+        task.add_done_callback(self.tasks.discard)
+
+    async def send(self, limit: limit_ledger.LimitReport) -> None:
+        """Send a limit to a control VM, without retries.
+
+        If the report is lost, each entry learns the limit from its own first response.
+        """
+        report = node_messages.CrashReport(self.name, [], limits=[limit])
+        try:
+            await self.caller.call(self.watcher.current, report, TIMEOUT_S)
+        except errors.MerlinthreadError as error:
+            logs.debug("limit_not_told", instance=limit.instance, reason=error.message)
--- a/src/merlinthread/nodes/manifest_finder.py
+++ b/src/merlinthread/nodes/manifest_finder.py
@@ -81,7 +81,7 @@
                     return await self.from_origin(origin, model, version)
             except errors.MerlinthreadError as error:
                 self.last_failed = (model, version)
-                self.origin_not_before = self.clock() + engine_client.origin_rest_s(error)
+                self.origin_not_before = self.clock() + engine_client.origin_retry_delay_s(error)
                 reason = error
             manifest = await self.from_random_peers(peers, model, version)
             if manifest is not None:
--- a/src/merlinthread/nodes/piece_fetcher.py
+++ b/src/merlinthread/nodes/piece_fetcher.py
@@ -96,7 +96,7 @@
         finally:
             for task in running:
                 task.cancel()
-            self.engine.leave_origin(self.view.origin())
+            self.engine.close_idle_origin_connections(self.view.origin())
         self.log_progress("weights_fetched", plan, manifest, self.clock() - started)
 
     def update_plan(
@@ -190,7 +190,7 @@
             data = await self.engine.piece(self.view.origin(), manifest, action.index)
             await self.store.put(manifest.model, action.index, data)
         except errors.MerlinthreadError as error:
-            wait_s = max(ORIGIN_RETRY_DELAY_S, engine_client.origin_rest_s(error))
+            wait_s = max(ORIGIN_RETRY_DELAY_S, engine_client.origin_retry_delay_s(error))
             plan.on_origin_failed(self.clock(), wait_s, action.index)
             logs.debug(
                 "piece_failed",
@@ -216,7 +216,7 @@
         if reply.index < 0:
             plan.on_peer_empty(action.peer, now)
             return -1
-        if engine_client.digest_of(reply.data) != manifest.digests[reply.index]:
+        if engine_client.sha256_hex(reply.data) != manifest.digests[reply.index]:
             plan.on_corrupt_chunk(action.peer, now)
             return -1
         try:
--- a/src/merlinthread/platform/dialect.py
+++ b/src/merlinthread/platform/dialect.py
@@ -44,7 +44,7 @@
         if path.startswith(names.INSTANCES_PATH):
             instance = path[len(names.INSTANCES_PATH) :].decode("ascii", "replace")
             if request.method == b"PUT":
-                return dialects.TakeHeartbeat(bodies.parse_heartbeat(instance, request.body))
+                return dialects.ReceiveHeartbeat(bodies.parse_heartbeat(instance, request.body))
             if request.method == b"DELETE":
                 return dialects.Leave(instance)
         raise errors.RequestError(
@@ -52,7 +52,7 @@
             kind=errors.ErrorKind.UNKNOWN_ROUTE,
         )
 
-    def is_ready_call(self, request: http_messages.Request) -> bool:
+    def is_readiness_check(self, request: http_messages.Request) -> bool:
         """Return whether a request is a readiness check."""
         return request.target.split(b"?")[0] == names.READY_PATH
 
@@ -77,7 +77,7 @@
             headers.get(names.LAST_EVENT_ID, b"").decode("latin-1"),
         )
 
-    def refusal_headers(self, call: fleet.RequestHead | None) -> http_messages.Headers:
+    def error_headers(self, call: fleet.RequestHead | None) -> http_messages.Headers:
         """Return the additional headers of an error response that the node itself sends."""
         if call is None or not call.request_id:
             return []
@@ -113,7 +113,7 @@
             headers.append((names.REQUEST_PRIORITY, b"%d" % target.urgency))
         return http_messages.Request(request.method, request.target, headers, request.body)
 
-    def answer_facts(self, status: int, headers: http_messages.Headers) -> fleet.ResponseHead:
+    def response_head(self, status: int, headers: http_messages.Headers) -> fleet.ResponseHead:
         """Parse the head of a back end's response."""
         request_id = http_messages.get_header(headers, names.REQUEST_ID)
         not_run = http_messages.get_header(headers, names.NOT_RUN) is not None
--- a/tests/test_control_nodes.py
+++ b/tests/test_control_nodes.py
@@ -10,7 +10,7 @@
 
 from merlinthread import errors
 from merlinthread.coordination import fleet, fleet_state, instances, levels
-from merlinthread.nodes import news_watcher
+from merlinthread.nodes import fleet_watcher
 from merlinthread.platform import dialect
 from merlinthread.protocol import node_messages
 from merlinthread.state import journal
@@ -216,7 +216,7 @@
 
 def test_a_watcher_does_not_go_back_when_an_older_control_vm_answers():
     settings = fleet_nodes.make_settings("entry")
-    watcher = news_watcher.NewsWatcher(
+    watcher = fleet_watcher.FleetWatcher(
         settings, dialect.PlatformDialect(), None, lambda: 0.0, lambda: None
     )
     entry = fleet_nodes.Entry()
@@ -345,7 +345,7 @@
 
     def receive(age_s: float) -> None:
         named = [node_messages.NamedVersion("m", 2, age_s)]
-        watcher.take_versions(
+        watcher.apply_versions(
             node_messages.WatchReply("f", 1, False, [], [], named, 0, b"", [], 0.0), 100.0
         )
 
@@ -364,7 +364,7 @@
     def receive(instance: str, age_s: float, gone: list[str]) -> None:
         body = dialect.bodies.parse_heartbeat(instance, json.dumps(heartbeat(instance)).encode())
         reported = [instances.Instance(body, age_s)]
-        watcher.take(node_messages.WatchReply("f", 1, False, reported, gone, [], 0, b"", [], 0.0))
+        watcher.apply(node_messages.WatchReply("f", 1, False, reported, gone, [], 0, b"", [], 0.0))
 
     receive("new", 0.5, [])
     receive("old", 0.0, [])
--- a/tests/test_log_repair.py
+++ b/tests/test_log_repair.py
@@ -5,7 +5,7 @@
 
 from merlinthread import errors
 from merlinthread.coordination import raft_members
-from merlinthread.nodes import log_member, news_watcher
+from merlinthread.nodes import fleet_watcher, log_member
 from merlinthread.protocol import node_messages
 from tests import fleet_nodes
 from tests.test_control_nodes import put_configuration, read_version, run
@@ -49,10 +49,10 @@
             controls.kill(ip)
         await controls.start(controls.ips[0])
         alone = controls.nodes[controls.ips[0]]
-        assert alone.changes_for(WATCH).leader_age_s > news_watcher.STALE_S
+        assert alone.changes_for(WATCH).leader_age_s > fleet_watcher.STALE_AFTER_S
         await controls.start(controls.ips[1])
         await fleet_nodes.until(
-            lambda: alone.changes_for(WATCH).leader_age_s < news_watcher.STALE_S
+            lambda: alone.changes_for(WATCH).leader_age_s < fleet_watcher.STALE_AFTER_S
         )
 
     run(tmp_path, scenario)
@@ -65,17 +65,23 @@
         await put_configuration(controls, 1)
         follower = next(ip for ip in controls.ips if ip != controls.leader())
         node = controls.nodes[follower]
-        await fleet_nodes.until(lambda: node.changes_for(WATCH).leader_age_s < news_watcher.STALE_S)
+        await fleet_nodes.until(
+            lambda: node.changes_for(WATCH).leader_age_s < fleet_watcher.STALE_AFTER_S
+        )
 
         def full(hard_state, entries, commit):
             raise errors.DiskFullError("no room")
 
         monkeypatch.setattr(node.member.journal, "save", full)
         await put_configuration(controls, 2)
-        await fleet_nodes.until(lambda: node.changes_for(WATCH).leader_age_s > news_watcher.STALE_S)
+        await fleet_nodes.until(
+            lambda: node.changes_for(WATCH).leader_age_s > fleet_watcher.STALE_AFTER_S
+        )
         assert node.member.state.version == 1
         monkeypatch.undo()
-        await fleet_nodes.until(lambda: node.changes_for(WATCH).leader_age_s < news_watcher.STALE_S)
+        await fleet_nodes.until(
+            lambda: node.changes_for(WATCH).leader_age_s < fleet_watcher.STALE_AFTER_S
+        )
         assert node.member.state.version == 2
 
     run(tmp_path, scenario)
@@ -106,13 +112,13 @@
             "entry", control_port=controls.port, control_ips=controls.ips
         )
         watcher = fleet_nodes.make_watcher(settings)
-        assert await watcher.find_control() == f"{controls.ips[0]}:{controls.port}"
+        assert await watcher.find_control_vm() == f"{controls.ips[0]}:{controls.port}"
         assert not watcher.is_fresh
         for ip in controls.ips[1:]:
             await controls.start(ip)
         await fleet_nodes.until(controls.leader)
-        watcher.lose("another one is asked")
-        await watcher.find_control()
+        watcher.disconnect("another one is asked")
+        await watcher.find_control_vm()
         assert watcher.is_fresh
 
     run(tmp_path, scenario)
@@ -221,6 +227,6 @@
         assert member.staleness_s(time.monotonic()) == log_member.UNKNOWN_AGE_S
         member.raft.term_start = member.raft.commit
         member.update_current_at()
-        assert member.staleness_s(time.monotonic()) < news_watcher.STALE_S
+        assert member.staleness_s(time.monotonic()) < fleet_watcher.STALE_AFTER_S
 
     run(tmp_path, scenario)
--- a/tests/test_news_in_full.py
+++ b/tests/test_news_in_full.py
@@ -35,11 +35,11 @@
 
 def test_a_back_end_that_one_control_vm_does_not_know_is_asked_for_at_the_others():
     watcher = fleet_nodes.make_watcher(fleet_nodes.make_settings("entry"))
-    watcher.take(make_reply("feed-a", 5, True, ["a", "b"]), INFORMED)
-    assert watcher.told[INFORMED].position == 5
-    watcher.take(make_reply("feed-b", 1, True, []), NEWLY_STARTED)
-    assert INFORMED not in watcher.told, "it would send only changes"
-    watcher.take(make_reply("feed-a", 5, True, ["a", "b"]), INFORMED)
+    watcher.apply(make_reply("feed-a", 5, True, ["a", "b"]), INFORMED)
+    assert watcher.positions[INFORMED].position == 5
+    watcher.apply(make_reply("feed-b", 1, True, []), NEWLY_STARTED)
+    assert INFORMED not in watcher.positions, "it would send only changes"
+    watcher.apply(make_reply("feed-a", 5, True, ["a", "b"]), INFORMED)
     assert not watcher.missing and set(watcher.instances) == {"a", "b"}
 
 
@@ -47,12 +47,12 @@
     watcher = fleet_nodes.make_watcher(fleet_nodes.make_settings("entry"))
     times = [100.0]
     watcher.clock = lambda: times[0]
-    watcher.take(make_reply("feed-a", 5, True, ["a"]), INFORMED)
-    watcher.take(make_reply("feed-b", 1, True, []), NEWLY_STARTED)
+    watcher.apply(make_reply("feed-a", 5, True, ["a"]), INFORMED)
+    watcher.apply(make_reply("feed-b", 1, True, []), NEWLY_STARTED)
     times[0] += 100.0
-    watcher.take(make_reply("feed-b", 2, False, []), NEWLY_STARTED)
+    watcher.apply(make_reply("feed-b", 2, False, []), NEWLY_STARTED)
     assert not watcher.instances
-    assert not watcher.told, "with a position, a control VM would send only changes"
+    assert not watcher.positions, "with a position, a control VM would send only changes"
 
 
 def test_a_search_that_ends_with_a_back_end_dropped_asks_for_all_anew(monkeypatch):
@@ -60,16 +60,16 @@
         watcher = fleet_nodes.make_watcher(fleet_nodes.make_settings("entry"))
         times = [100.0]
         watcher.clock = lambda: times[0]
-        watcher.take(make_reply("feed-a", 5, True, ["a"]), INFORMED)
-        watcher.take(make_reply("feed-b", 1, True, []), NEWLY_STARTED)
+        watcher.apply(make_reply("feed-a", 5, True, ["a"]), INFORMED)
+        watcher.apply(make_reply("feed-b", 1, True, []), NEWLY_STARTED)
         times[0] += 100.0
 
-        async def find_control():
-            watcher.take(make_reply("feed-b", 2, False, []), NEWLY_STARTED)
+        async def find_control_vm():
+            watcher.apply(make_reply("feed-b", 2, False, []), NEWLY_STARTED)
             return NEWLY_STARTED
 
-        monkeypatch.setattr(watcher, "find_control", find_control)
-        await watcher.search()
-        assert watcher.current == NEWLY_STARTED and watcher.told[NEWLY_STARTED].position == 0
+        monkeypatch.setattr(watcher, "find_control_vm", find_control_vm)
+        await watcher.select_control_vm()
+        assert watcher.current == NEWLY_STARTED and watcher.positions[NEWLY_STARTED].position == 0
 
     asyncio.run(scenario())
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -101,7 +101,7 @@
     return backend_record.Backend("i", "s", "a:1", "zone", 0, 8, availability=availability)
 
 
-def make_permits() -> tuple[permits.Permits, list]:
+def make_permits() -> tuple[permits.PermitClient, list]:
     """Return a permit client that gets no answers, and the list of its sent messages."""
     sent: list = []
     clock = asyncio.get_running_loop().time
@@ -109,7 +109,7 @@
     def send(*message):
         sent.append(message)
 
-    return permits.Permits("e:1", Watcher(), send, clock, random.Random(1)), sent
+    return permits.PermitClient("e:1", Watcher(), send, clock, random.Random(1)), sent
 
 
 def test_while_nobody_answers_one_question_is_open_at_a_time_and_turns_decide():
@@ -118,7 +118,7 @@
         backend = limited_backend(50.0)
         began = client.clock()
         found = await asyncio.gather(*[client.acquire("s", "a", 0.0, [backend]) for _ in range(20)])
-        assert client.clock() - began < 10 * permits.ANSWER_S
+        assert client.clock() - began < 10 * permits.ANSWER_TIMEOUT_S
         assert len({message.number for _, message in sent}) == 1
         assert sum(isinstance(each, permits.Permit) for each in found) <= 1
         assert backend.availability.lacks_permit(client.clock())
@@ -150,7 +150,7 @@
         client, sent = make_permits()
         await client.acquire("s", "a", 0.0, [limited_backend(0.01)])
         decision = rate_limits.Decision("i", 0.0, [1.0])
-        client.take(sent[0][1].number, node_messages.PermitReply(decision, "", 3, 1, 0.0))
+        client.receive(sent[0][1].number, node_messages.PermitReply(decision, "", 3, 1, 0.0))
         assert not client.leader and not client.waiting
 
     asyncio.run(scenario())
