--- a/src/merlinthread/nodes/fleet_watcher.py
+++ b/src/merlinthread/nodes/fleet_watcher.py
@@ -84,7 +84,7 @@
         self.missing: dict[str, float] = {}
         self.named: dict[str, int] = {}
         self.named_at: dict[str, dict[int, float]] = {}
-        self.controls: list[str] = settings.control_nodes()
+        self.controls: list[str] = settings.control_rpc_addresses()
         self.current = ""
         self.positions: dict[str, FeedPosition] = {}
         self.next_search_at = float("-inf")
@@ -141,7 +141,7 @@
 
     def other_control_vms(self) -> list[str]:
         """Return the addresses of the control VMs other than the current one."""
-        known = dict.fromkeys([*self.controls, *self.settings.control_nodes()])
+        known = dict.fromkeys([*self.controls, *self.settings.control_rpc_addresses()])
         return [address for address in known if address != self.current]
 
     async def ask(
