--- a/stand_ins/__init__.py
+++ b/stand_ins/__init__.py
@@ -1,1 +1,1 @@
-"""Small programs that stand in for what merlinthread meets: engines, services, origin, platform."""
+"""Test doubles for the systems that merlinthread talks to: engines, services, origin, platform."""
--- a/stand_ins/common.py
+++ b/stand_ins/common.py
@@ -1,4 +1,4 @@
-"""What the stand-ins share: an HTTP listener, arguments, and a life until SIGTERM."""
+"""Command line and HTTP server setup shared by the stand-in programs."""
 
 import argparse
 import signal
@@ -8,16 +8,16 @@
 
 
 def parser(description: str) -> argparse.ArgumentParser:
-    """Return a parser with the arguments that every stand-in takes."""
-    found = argparse.ArgumentParser(description=description)
-    found.add_argument("--address", default="127.0.0.1")
-    found.add_argument("--port", type=int, required=True)
-    found.add_argument("--threads", type=int, default=64)
-    return found
+    """Return an argument parser with the options common to all stand-ins."""
+    arguments = argparse.ArgumentParser(description=description)
+    arguments.add_argument("--address", default="127.0.0.1")
+    arguments.add_argument("--port", type=int, required=True)
+    arguments.add_argument("--threads", type=int, default=64)
+    return arguments
 
 
-def serve(options: argparse.Namespace, add_routes: "RouteAdder") -> None:
-    """Listen until SIGTERM or SIGINT."""
+def serve(options: argparse.Namespace, add_routes: "RouteRegistrar") -> None:
+    """Serve HTTP until SIGTERM or SIGINT arrives."""
     server = http_server.Server(options.address, options.port, options.threads, 1 << 30)
     server.routes.add("GET", "/healthz", lambda request: http_server.json_response({"alive": True}))
     add_routes(server.routes)
@@ -29,8 +29,8 @@
     server.stop()
 
 
-class RouteAdder:
-    """A function that adds routes; here for its signature."""
+class RouteRegistrar:
+    """Callable type for functions that register routes."""
 
     def __call__(self, routes: http_server.Routes) -> None:
-        """Add routes."""
+        """Register handlers in `routes`."""
--- a/stand_ins/crashing_worker.py
+++ b/stand_ins/crashing_worker.py
@@ -1,20 +1,20 @@
-"""A stand-in for a worker whose process ends under a certain request and is started again."""
+"""A stand-in for a worker that crashes on a certain request and is restarted."""
 
 import asyncio
 
 from merlinthread.transport import stream_server
 from stand_ins import fleet_worker
 
-BORN_MS = 1_767_000_000_000
+FIRST_START_MS = 1_767_000_000_000
 
 
 class CrashingWorker(fleet_worker.Worker):
-    """A worker that ends `crash_after_s` after it has begun a request with `deadly_body`.
+    """A worker that crashes `crash_after_s` after it starts a request with `deadly_body`.
 
-    All connections are reset, nothing listens at the address for `away_s`, then another
-    incarnation does, under a new id or, with `keeps_id`, under the same one. `ends` and `arrivals`
-    are the times, on the event loop's clock, of its ends and of the deadly requests that came;
-    `sequence` counts the heartbeats of one incarnation, `born_ms` is told with `tells_birth`.
+    A crash resets all connections. After `away_s` a new incarnation listens at the same address,
+    with a new instance id unless `keeps_id` is set. `ends` and `arrivals` hold the event loop
+    times of the crashes and of the requests that cause them. `sequence` counts the heartbeats of
+    one incarnation; `born_ms` is its start time, which heartbeats include if `tells_birth` is set.
     """
 
     def __init__(
@@ -34,7 +34,7 @@
         self.away_s = away_s
         self.keeps_id = keeps_id
         self.tells_birth = tells_birth
-        self.born_ms = BORN_MS
+        self.born_ms = FIRST_START_MS
         self.ends: list[float] = []
         self.arrivals: list[float] = []
         self.is_away = False
@@ -44,33 +44,33 @@
     async def answer(
         self, exchange: stream_server.Exchange, headers: dict[str, str], request_id: str
     ) -> None:
-        """Answer, or end before the answer is whole."""
+        """Send a response, or crash before one is sent if the body is `deadly_body`."""
         if exchange.request.body == self.deadly_body:
             self.arrivals.append(asyncio.get_running_loop().time())
-            self.crash_soon()
+            self.schedule_crash()
             await asyncio.Event().wait()
         await super().answer(exchange, headers, request_id)
 
-    def crash_soon(self) -> None:
-        """End soon, unless that is under way."""
+    def schedule_crash(self) -> None:
+        """Schedule a crash unless one is already pending."""
         if self.crash is None or self.crash.done():
-            self.crash = asyncio.get_running_loop().create_task(self.end_and_return())
+            self.crash = asyncio.get_running_loop().create_task(self.crash_and_restart())
 
-    async def end_and_return(self) -> None:
-        """End, stay away, and listen at the same address again."""
+    async def crash_and_restart(self) -> None:
+        """Crash after `crash_after_s` and restart after `away_s`."""
         await asyncio.sleep(self.crash_after_s)
         self.end()
         await asyncio.sleep(self.away_s)
         await self.begin_again()
 
     def end(self) -> None:
-        """End as a crashed process does."""
+        """Record the crash time, close the listener and reset all connections."""
         self.ends.append(asyncio.get_running_loop().time())
         self.is_away = True
         self.stop()
 
     async def begin_again(self) -> None:
-        """Start as another incarnation at the same address, which knows nothing of before."""
+        """Start a new incarnation at the same address with a reset heartbeat sequence."""
         if not self.keeps_id:
             self.instance = f"{self.name}-{len(self.ends)}"
         self.sequence = 0
--- a/stand_ins/engine.py
+++ b/stand_ins/engine.py
@@ -1,7 +1,8 @@
-"""A model engine's stand-in: batches continuously, streams, takes fenced orders, records each run.
+"""A stand-in for a model engine with continuous batching, streaming and fenced orders.
 
-Its tokens follow from the weights' bytes, the prompt and the index alone, so that a test can tell
-a whole answer, a resumed one, and one from the wrong weights.
+Each token is a hash of the weights digest, the prompt and the token index, so tests can check
+complete and resumed responses and detect ones produced with the wrong weights. Every request is
+recorded.
 """
 
 import collections
@@ -22,21 +23,21 @@
 
 STEP_S = 0.009
 PREFILL_TOKENS_PER_STEP = 512
-CACHE_EVENT_GAP = 17
+CACHE_EVENT_LOSS_INTERVAL = 17
 
 
 def token_text(digest: str, prompt: str, index: int) -> str:
-    """Return the token at `index` of the answer that weights `digest` give to `prompt`."""
+    """Return the token at `index` of the completion of `prompt` by the weights `digest`."""
     return " " + blake3.blake3(f"{digest}\n{prompt}\n{index}".encode()).hexdigest()[:6]
 
 
 def whole_text(digest: str, prompt: str, tokens: int) -> str:
-    """Return the whole answer."""
+    """Return the first `tokens` tokens of the completion of `prompt`, concatenated."""
     return "".join(token_text(digest, prompt, index) for index in range(tokens))
 
 
 @dataclasses.dataclass(slots=True)
-class Call:
+class CompletionRequest:
     """The JSON body of a completion."""
 
     model: str
@@ -49,8 +50,8 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Loaded:
-    """Weights in the engine; `content` is the digest of the bytes that were really read."""
+class LoadedWeights:
+    """Weights that the engine holds; `content` is the digest of the bytes downloaded."""
 
     name: str
     digest: str
@@ -59,12 +60,12 @@
 
 @dataclasses.dataclass(slots=True)
 class Job:
-    """One request in the batch or before it."""
+    """One request, queued or in the running batch."""
 
     id: str
-    call: Call
+    call: CompletionRequest
     priority: int
-    weights: Loaded
+    weights: LoadedWeights
     digest: str
     prefill_left: int
     next_index: int
@@ -74,7 +75,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Run:
-    """What the engine records of one request."""
+    """The record of one request, as returned by `/v1/runs`."""
 
     attempt: str
     request_id: str
@@ -86,12 +87,12 @@
 
 
 class Engine:
-    """The engine: one thread makes a token for each running request a step."""
+    """An engine whose step thread generates one token per running request and step."""
 
     def __init__(self, options: "common.argparse.Namespace") -> None:
         self.options = options
         self.lock = threading.Condition()
-        self.models: dict[str, Loaded] = {}
+        self.models: dict[str, LoadedWeights] = {}
         self.fence = engine_calls.FencingToken()
         self.waiting: list[Job] = []
         self.running: list[Job] = []
@@ -104,14 +105,14 @@
         self.refuse_loads = ""
         self.orders: list[dict] = []
         self.client = http_client.Client()
-        self.lagging = (0, 0)
-        threading.Thread(target=self.step_for_ever, daemon=True).start()
-        threading.Thread(target=self.lag_for_ever, daemon=True).start()
+        self.reported_load = (0, 0)
+        threading.Thread(target=self.run_steps, daemon=True).start()
+        threading.Thread(target=self.update_reported_load, daemon=True).start()
 
-    # Stepping
+    # Batching
 
-    def step_for_ever(self) -> None:
-        """Make tokens, one a step for each running request."""
+    def run_steps(self) -> None:
+        """Run a step every `step_s` seconds while there are jobs."""
         while True:
             with self.lock:
                 while not self.running and not self.waiting:
@@ -122,20 +123,20 @@
                 self.step()
 
     def step(self) -> None:
-        """Do one step; the caller holds the lock."""
+        """Fill the batch and advance each running job; the caller holds the lock."""
         self.waiting.sort(key=lambda job: job.priority)
         while self.waiting and len(self.running) < self.options.batch:
             self.running.append(self.waiting.pop(0))
         for job in list(self.running):
             if job.is_cancelled:
-                self.end(job, "cancelled")
+                self.finish_job(job, "cancelled")
             elif job.prefill_left > 0:
                 job.prefill_left -= PREFILL_TOKENS_PER_STEP
             else:
-                self.make_token(job)
+                self.generate_token(job)
 
-    def make_token(self, job: Job) -> None:
-        """Make one token of a job."""
+    def generate_token(self, job: Job) -> None:
+        """Generate the next token of a job, and finish the job after its last one."""
         run = self.runs[job.id]
         if job.next_index < job.call.max_tokens:
             text = token_text(job.digest, job.call.prompt, job.next_index)
@@ -143,25 +144,25 @@
             job.next_index += 1
             run.tokens += 1
         if job.next_index >= job.call.max_tokens:
-            self.end(job, "done")
+            self.finish_job(job, "done")
 
-    def end(self, job: Job, outcome: str) -> None:
-        """Take a job out of the batch."""
+    def finish_job(self, job: Job, outcome: str) -> None:
+        """Remove a job from the batch and record its outcome."""
         self.running.remove(job)
         self.runs[job.id].outcome = outcome
         job.out.put((outcome, job.next_index, ""))
 
-    def lag_for_ever(self) -> None:
-        """Report load as it was a moment ago."""
+    def update_reported_load(self) -> None:
+        """Refresh the reported load every `load_lag_s` seconds."""
         while True:
             time.sleep(self.options.load_lag_s)
-            self.lagging = (len(self.running), len(self.waiting))
+            self.reported_load = (len(self.running), len(self.waiting))
 
     # Requests
 
     def complete(self, request: http_server.Request) -> http_server.Response:
-        """Start a completion and stream its tokens."""
-        call = msgspec.json.decode(request.body, type=Call)
+        """Queue a completion and return a streaming response."""
+        call = msgspec.json.decode(request.body, type=CompletionRequest)
         attempt = request.headers.get(attempts.ATTEMPT) or call.request_id
         with self.lock:
             weights = self.models.get(call.model)
@@ -171,16 +172,18 @@
                     f"{call.model} {call.adapter} is not served", kind=errors.ErrorKind.NOT_RUN
                 )
             digest = weights.digest + (adapter.digest if adapter else "")
-            wanted = request.headers.get(attempts.DIGEST, "")
-            if wanted and wanted != weights.digest:
-                raise errors.RequestError(f"{wanted} is not served", kind=errors.ErrorKind.NOT_RUN)
+            requested = request.headers.get(attempts.DIGEST, "")
+            if requested and requested != weights.digest:
+                raise errors.RequestError(
+                    f"{requested} is not served", kind=errors.ErrorKind.NOT_RUN
+                )
             job = Job(
                 attempt,
                 call,
                 int(request.headers.get(attempts.PRIORITY, "1")),
                 weights,
                 digest,
-                self.prefill_of(call),
+                self.count_prefill_tokens(call),
                 call.resume_from,
                 queue.SimpleQueue(),
             )
@@ -190,30 +193,30 @@
         headers = {attempts.ATTEMPT: attempt, attempts.DIGEST: weights.digest}
         return http_server.Response(200, self.stream(job), headers, "text/event-stream")
 
-    def prefill_of(self, call: Call) -> int:
-        """Return how many prompt tokens need work, and note the prefix in the cache."""
+    def count_prefill_tokens(self, call: CompletionRequest) -> int:
+        """Return how many prompt tokens to prefill, and add the prompt's prefix to the cache."""
         words = call.prompt.split()
         prefix = " ".join(words[: len(words) // 2])
         is_cached = prefix in self.cache
         self.cache[prefix] = True
         self.cache.move_to_end(prefix)
         if not is_cached:
-            self.note_cache("stored", prefix)
+            self.record_cache_event("stored", prefix)
         if len(self.cache) > self.options.cache_prefixes:
-            gone, _ = self.cache.popitem(last=False)
-            self.note_cache("evicted", gone)
+            evicted, _ = self.cache.popitem(last=False)
+            self.record_cache_event("evicted", evicted)
         return len(words) // 2 if is_cached else len(words)
 
-    def note_cache(self, kind: str, prefix: str) -> None:
-        """Publish a cache event; every now and then one is lost."""
+    def record_cache_event(self, kind: str, prefix: str) -> None:
+        """Publish a cache event, dropping every `CACHE_EVENT_LOSS_INTERVAL`-th one."""
         self.event_number += 1
-        if self.event_number % CACHE_EVENT_GAP:
+        if self.event_number % CACHE_EVENT_LOSS_INTERVAL:
             key = blake3.blake3(prefix.encode()).hexdigest()[:16]
             event = {"number": self.event_number, "kind": kind, "prefix": key}
             self.cache_events = self.cache_events[-999:] + [event]
 
     def stream(self, job: Job) -> Iterator[bytes]:
-        """Give a job's tokens; cancel it if the caller leaves."""
+        """Yield a job's tokens as events; cancel the job if the client disconnects."""
         try:
             while True:
                 kind, index, text = job.out.get()
@@ -229,37 +232,43 @@
             job.is_cancelled = True
 
     def cancel(self, request: http_server.Request) -> http_server.Response:
-        """Cancel a request."""
-        wanted = msgspec.json.decode(request.body)["request_id"]
+        """Cancel the queued or running jobs of a request id."""
+        requested = msgspec.json.decode(request.body)["request_id"]
         with self.lock:
-            found = [job for job in self.running + self.waiting if job.id == wanted]
-            for job in found:
+            matches = [job for job in self.running + self.waiting if job.id == requested]
+            for job in matches:
                 job.is_cancelled = True
-        return http_server.json_response({"cancelled": len(found)})
+        return http_server.json_response({"cancelled": len(matches)})
 
     # Orders
 
     def order(self, request: http_server.Request) -> http_server.Response:
-        """Obey an order, unless a later one was obeyed."""
+        """Load or unload a model, unless the order's fencing token is stale."""
         order = msgspec.json.decode(request.body, type=engine_calls.Order)
-        self.check_fence(order)
+        self.check_fencing_token(order)
         if order.action == engine_calls.UNLOAD:
             return self.unload(order)
         if self.refuse_loads:
             raise errors.WeightsError(self.refuse_loads)
         loaded = self.read_weights(order)
         time.sleep(self.options.load_s)
-        self.check_fence(order)
+        self.check_fencing_token(order)
         with self.lock:
             self.models[order.name] = loaded
             self.orders.append({"action": "load", "name": order.name, "digest": loaded.digest})
         return http_server.json_response(engine_calls.OrderReply(order.name, loaded.digest))
 
-    def check_fence(self, order: engine_calls.Order) -> None:
-        """Refuse an order that is lower than one obeyed; engines that check none take all."""
+    def check_fencing_token(self, order: engine_calls.Order) -> None:
+        """Reject an order with a stale fencing token, and store the token otherwise.
+
+        With `--check-fences no` every order is accepted.
+
+        Raises:
+            MerlinthreadError: of kind FENCED, if the generation or the epoch is too low.
+        """
         with self.lock:
-            is_low = order.generation < self.fence.generation or order.epoch < self.fence.epoch
-            if is_low and self.options.check_fences == "yes":
+            is_stale = order.generation < self.fence.generation or order.epoch < self.fence.epoch
+            if is_stale and self.options.check_fences == "yes":
                 raise errors.MerlinthreadError(
                     f"order {order.generation}/{order.epoch} is fenced by "
                     f"{self.fence.generation}/{self.fence.epoch}",
@@ -268,98 +277,100 @@
             self.fence = engine_calls.FencingToken(order.generation, order.epoch)
 
     def unload(self, order: engine_calls.Order) -> http_server.Response:
-        """Drop a model; running requests keep their weights."""
+        """Remove a model; running requests keep using its weights."""
         with self.lock:
             self.models.pop(order.name, None)
             self.orders.append({"action": "unload", "name": order.name, "digest": ""})
         return http_server.json_response(engine_calls.OrderReply(order.name, ""))
 
-    def read_weights(self, order: engine_calls.Order) -> Loaded:
-        """Read the weights and check every chunk."""
+    def read_weights(self, order: engine_calls.Order) -> LoadedWeights:
+        """Download the weights and verify the digest of each chunk."""
         layout = msgspec.convert(order.layout, type=manifests.Manifest, strict=False)
         stream = self.client.open("GET", order.weights_url, timeout_s=60)
         if stream.status != 200:
-            raise errors.WeightsError(f"{order.weights_url} answers {stream.status}")
+            raise errors.WeightsError(f"{order.weights_url} returned status {stream.status}")
         content = blake3.blake3()
-        rest = bytearray()
+        buffer = bytearray()
         index = 0
         for piece in stream.iter_chunks():
             content.update(piece)
-            rest += piece
-            while index < len(layout.chunks) and len(rest) >= layout.chunk_size(index):
+            buffer += piece
+            while index < len(layout.chunks) and len(buffer) >= layout.chunk_size(index):
                 size = layout.chunk_size(index)
-                if blake3.blake3(bytes(rest[:size])).hexdigest() != layout.chunks[index]:
-                    raise errors.WeightsError(f"chunk {index} is wrong")
-                del rest[:size]
+                if blake3.blake3(bytes(buffer[:size])).hexdigest() != layout.chunks[index]:
+                    raise errors.WeightsError(f"chunk {index} does not match its digest")
+                del buffer[:size]
                 index += 1
-        if index != len(layout.chunks) or rest:
-            raise errors.WeightsError(f"{index} of {len(layout.chunks)} chunks came")
+        if index != len(layout.chunks) or buffer:
+            raise errors.WeightsError(f"received {index} of {len(layout.chunks)} chunks")
         digest = manifests.digest_of(layout)
-        return Loaded(order.name, digest, content.hexdigest())
+        return LoadedWeights(order.name, digest, content.hexdigest())
 
-    # Reading and disturbing
+    # Status, cache and fault injection
 
     def status(self, request: http_server.Request) -> http_server.Response:
-        """Report what is loaded and, with a lag, the load."""
-        running, waiting = self.lagging
+        """Return the loaded models and the load, which lags by up to `load_lag_s`."""
+        running, waiting = self.reported_load
         models = {name: loaded.digest for name, loaded in self.models.items()}
         return http_server.json_response(
             engine_calls.EngineStatus(models, running, waiting, self.fence, self.is_leaving)
         )
 
-    def show_runs(self, request: http_server.Request) -> http_server.Response:
-        """Return every run there was."""
+    def list_runs(self, request: http_server.Request) -> http_server.Response:
+        """Return all recorded requests and orders."""
         with self.lock:
             return http_server.json_response(
                 {"runs": list(self.runs.values()), "orders": self.orders}
             )
 
-    def show_cache(self, request: http_server.Request) -> http_server.Response:
-        """Return the cache events after a number, late by the lag."""
+    def list_cache_events(self, request: http_server.Request) -> http_server.Response:
+        """Return the cache events with numbers above the `after` parameter."""
         after = int(request.query.get("after", "0"))
-        found = [event for event in self.cache_events if event["number"] > after]
-        return http_server.json_response({"events": found})
+        matches = [event for event in self.cache_events if event["number"] > after]
+        return http_server.json_response({"events": matches})
 
-    def kv_export(self, request: http_server.Request) -> http_server.Response:
-        """Export the cache of a prefix; it is only good for the same weights."""
+    def export_kv(self, request: http_server.Request) -> http_server.Response:
+        """Export the cache entry of a prefix with the digests of the loaded weights."""
         if request.subpath not in {
             blake3.blake3(prefix.encode()).hexdigest()[:16] for prefix in self.cache
         }:
-            raise errors.RequestError("no such prefix", kind=errors.ErrorKind.UNKNOWN_MODEL)
+            raise errors.RequestError("prefix is not cached", kind=errors.ErrorKind.UNKNOWN_MODEL)
         digests = {name: loaded.digest for name, loaded in self.models.items()}
         return http_server.json_response({"prefix": request.subpath, "digests": digests})
 
-    def kv_import(self, request: http_server.Request) -> http_server.Response:
-        """Import an exported cache, if it comes from the weights that are loaded."""
+    def import_kv(self, request: http_server.Request) -> http_server.Response:
+        """Import an exported cache entry, if its digests match the loaded weights."""
         block = msgspec.json.decode(request.body)
-        ours = {name: loaded.digest for name, loaded in self.models.items()}
-        if block["digests"] != ours:
-            raise errors.MerlinthreadError("other weights", kind=errors.ErrorKind.VERSION_CONFLICT)
+        loaded_digests = {name: loaded.digest for name, loaded in self.models.items()}
+        if block["digests"] != loaded_digests:
+            raise errors.MerlinthreadError(
+                "cache entry belongs to different weights", kind=errors.ErrorKind.VERSION_CONFLICT
+            )
         self.kv[block["prefix"]] = block
         return http_server.json_response({"imported": block["prefix"]})
 
-    def disturb(self, request: http_server.Request) -> http_server.Response:
-        """Change how the engine behaves, for tests."""
-        wanted = msgspec.json.decode(request.body)
-        self.refuse_loads = wanted.get("refuse_loads", self.refuse_loads)
-        self.is_leaving = wanted.get("leaving", self.is_leaving)
+    def set_faults(self, request: http_server.Request) -> http_server.Response:
+        """Set the faults that tests inject."""
+        requested = msgspec.json.decode(request.body)
+        self.refuse_loads = requested.get("refuse_loads", self.refuse_loads)
+        self.is_leaving = requested.get("leaving", self.is_leaving)
         return http_server.json_response({"ok": True})
 
     def add_routes(self, routes: http_server.Routes) -> None:
-        """Add the engine's paths."""
+        """Register the engine's routes."""
         routes.add("POST", "/v1/completions", self.complete)
         routes.add("POST", "/v1/cancel", self.cancel)
         routes.add("POST", "/v1/orders", self.order)
         routes.add("GET", "/v1/status", self.status)
-        routes.add("GET", "/v1/runs", self.show_runs)
-        routes.add("GET", "/v1/cache/events", self.show_cache)
-        routes.add("GET", "/v1/kv/", self.kv_export)
-        routes.add("POST", "/v1/kv", self.kv_import)
-        routes.add("POST", "/disturb", self.disturb)
+        routes.add("GET", "/v1/runs", self.list_runs)
+        routes.add("GET", "/v1/cache/events", self.list_cache_events)
+        routes.add("GET", "/v1/kv/", self.export_kv)
+        routes.add("POST", "/v1/kv", self.import_kv)
+        routes.add("POST", "/disturb", self.set_faults)
 
 
 def main() -> None:
-    """Run the stand-in."""
+    """Parse the command line and serve."""
     parser = common.parser(__doc__ or "")
     parser.add_argument("--step-s", type=float, default=STEP_S)
     parser.add_argument("--batch", type=int, default=16)
--- a/stand_ins/fleet_worker.py
+++ b/stand_ins/fleet_worker.py
@@ -1,7 +1,7 @@
-"""A stand-in for a worker of the users' platform, written from its published protocol.
+"""A stand-in for a worker of the user's platform, implementing its published protocol.
 
-It answers plain requests and event streams, says what it did not run, and misbehaves on demand. It
-runs on the event loop of whoever starts it; ports are chosen by the system.
+It serves plain requests and event streams, marks requests that it did not run, and injects faults
+on demand. It runs on the caller's event loop and listens on a port chosen by the system.
 """
 
 import asyncio
@@ -11,17 +11,17 @@
 
 from merlinthread.transport import http_messages, stream_server
 
-EVENTS_DEFAULT = 5
+DEFAULT_EVENT_COUNT = 5
 LAYERS = 16
 
 
 @dataclasses.dataclass
 class Behaviour:
-    """What a worker does; every field may be changed at any time."""
+    """Settings of a worker's responses and faults; they may be changed at any time."""
 
     work_s: float = 0.0
     gap_s: float = 0.0
-    events: int = EVENTS_DEFAULT
+    events: int = DEFAULT_EVENT_COUNT
     status: int = 200
     is_full: bool = False
     cut_after_events: int | None = None
@@ -32,19 +32,20 @@
     is_mute: bool = False
     order_status: int = 202
     order_delay_s: float = 0.0
-    # Says in all answers that it leaves; `rest` is what it says of when to be asked again.
+    # Adds a Server-Leaving header to every response.
     is_leaving: bool = False
+    # The Retry-After value of 503 responses.
     rest: str | None = None
-    # How many requests a second it says in all answers that it takes.
+    # The Server-Limit value of every response, in requests per second.
     limit: str | None = None
-    # Other headers of all its answers.
+    # Further headers of every response.
     more_headers: http_messages.Headers = dataclasses.field(default_factory=list)
-    repeats_id: bool = True
+    echoes_request_id: bool = True
 
 
 @dataclasses.dataclass
 class Run:
-    """One request that the worker ran, begun at `at`."""
+    """One request that the worker ran; `at` is its start in event loop time."""
 
     request_id: str
     headers: dict[str, str]
@@ -56,7 +57,10 @@
 
 @dataclasses.dataclass
 class TurnedAway:
-    """One request that the worker turned away at `at`, asking for `rest_s` (0: no rest)."""
+    """One request rejected for overload at `at` in event loop time.
+
+    `rest_s` is the Retry-After delay that was sent, 0 if none.
+    """
 
     request_id: str
     at: float
@@ -64,7 +68,7 @@
 
 
 class Worker:
-    """One worker with its own address."""
+    """A worker with its own address."""
 
     def __init__(self, instance: str, model: str = "", version: int = 1) -> None:
         self.instance = instance
@@ -76,7 +80,7 @@
         self.cancelled: list[str] = []
         self.staged: dict[int, bytes] = {}
         self.orders: list[dict] = []
-        # The pieces as they lay there when an order was carried out, and whether one is under way.
+        # The staged pieces when the last order was executed, and whether an order is in progress.
         self.taken: dict[int, bytes] = {}
         self.is_busy = False
         self.server = stream_server.Server(self.serve)
@@ -86,11 +90,11 @@
 
     @property
     def refusals(self) -> int:
-        """Return how many requests it turned away for being full."""
+        """Return how many requests the worker rejected because it was full."""
         return len(self.turned_away)
 
     async def start(self, ip: str = "127.0.0.1") -> str:
-        """Listen on a free port; return the address."""
+        """Listen on a free port of `ip` and return the address as host:port."""
         await self.server.listen(ip, 0)
         assert self.server.listener is not None
         port = self.server.listener.sockets[0].getsockname()[1]
@@ -98,14 +102,14 @@
         return self.address
 
     def stop(self) -> None:
-        """End as a crashed process does: connections are reset."""
+        """Close the listener and reset all connections, as a crash does."""
         if self.server.listener is not None:
             self.server.listener.close()
         for connection in list(self.server.connections):
             connection.abort()
 
     async def serve(self, exchange: stream_server.Exchange) -> None:
-        """Answer one request."""
+        """Dispatch a request by its path."""
         path = exchange.request.target.split(b"?")[0].decode()
         if path == "/report":
             await self.report(exchange)
@@ -117,7 +121,7 @@
             await self.run(exchange)
 
     async def run(self, exchange: stream_server.Exchange) -> None:
-        """Run a request, or say that it was not run."""
+        """Run a request, or reject it if it is for another instance or the worker is full."""
         headers = {k.decode().lower(): v.decode() for k, v in exchange.request.headers}
         request_id = headers.get("x-merlinthread-request-id", "")
         if headers.get("x-merlinthread-expect-instance", self.instance) != self.instance:
@@ -129,7 +133,9 @@
             return
         if self.behaviour.is_full:
             now = asyncio.get_running_loop().time()
-            self.turned_away.append(TurnedAway(request_id, now, told_s(self.behaviour.rest)))
+            self.turned_away.append(
+                TurnedAway(request_id, now, parse_retry_after_s(self.behaviour.rest))
+            )
             await self.refuse(exchange, 503)
             return
         target = exchange.request.target.decode()
@@ -148,15 +154,18 @@
     async def answer(
         self, exchange: stream_server.Exchange, headers: dict[str, str], request_id: str
     ) -> None:
-        """Give the answer, as the behaviour says."""
+        """Send the response, with the faults of the current behaviour."""
         if self.behaviour.is_mute:
             await asyncio.Event().wait()
         await asyncio.sleep(self.behaviour.work_s)
         if self.behaviour.closes_without_answer:
             exchange.abort()
             return
-        shown = "0000" if self.behaviour.wrong_request_id else request_id
-        answer_headers = [*self.told(), (b"X-Merlinthread-Request-Id", shown.encode())]
+        echoed_id = "0000" if self.behaviour.wrong_request_id else request_id
+        answer_headers = [
+            *self.common_headers(),
+            (b"X-Merlinthread-Request-Id", echoed_id.encode()),
+        ]
         if not self.behaviour.is_unsigned:
             stamp = f"{self.instance}.{request_id}".encode()
             answer_headers.append((b"X-Merlinthread-Response-Stamp", stamp))
@@ -172,7 +181,7 @@
         answer_headers: http_messages.Headers,
         headers: dict[str, str],
     ) -> None:
-        """Give events with rising ids, from after the last one that the client has."""
+        """Send numbered events, starting after the client's Last-Event-ID."""
         first = int(headers.get("last-event-id", "0")) + 1
         if self.behaviour.ignores_last_event_id:
             first = 1
@@ -186,17 +195,17 @@
             await asyncio.sleep(self.behaviour.gap_s)
         await exchange.finish()
 
-    def told(self) -> http_messages.Headers:
-        """Return what the worker says of itself in every answer."""
+    def common_headers(self) -> http_messages.Headers:
+        """Return the headers that every response carries."""
         headers = [(b"Server-Leaving", b"1")] if self.behaviour.is_leaving else []
         if self.behaviour.limit is not None:
             headers.append((b"Server-Limit", self.behaviour.limit.encode()))
         return [*headers, *self.behaviour.more_headers]
 
     async def refuse(self, exchange: stream_server.Exchange, status: int) -> None:
-        """Say that a request was not run."""
-        headers = [(b"X-Merlinthread-Not-Run", b"1"), *self.told()]
-        if self.behaviour.repeats_id:
+        """Reject a request, marked as not run."""
+        headers = [(b"X-Merlinthread-Not-Run", b"1"), *self.common_headers()]
+        if self.behaviour.echoes_request_id:
             request_id = http_messages.get_header(
                 exchange.request.headers, b"x-merlinthread-request-id"
             )
@@ -206,7 +215,7 @@
         await exchange.respond(http_messages.Response(status, headers))
 
     async def report(self, exchange: stream_server.Exchange) -> None:
-        """Tell the load and the weights."""
+        """Return the load, the models and the layers."""
         body = {
             "models": [{"name": self.model, "version": self.version, "adapters": []}],
             "layers": {
@@ -222,7 +231,7 @@
         await exchange.respond(http_messages.Response(200, [], json.dumps(body).encode()))
 
     async def stage(self, exchange: stream_server.Exchange, path: str) -> None:
-        """Take or give a staged piece."""
+        """Store or return a staged piece."""
         index = int(exchange.request.target.split(b"sample_count=")[1].split(b"&")[0])
         if path.startswith("/stage-put/"):
             self.staged[index] = exchange.request.body
@@ -233,7 +242,7 @@
             await exchange.respond(http_messages.Response(404, []))
 
     async def order(self, exchange: stream_server.Exchange) -> None:
-        """Take an order; it is carried out at once or, if the behaviour says so, later."""
+        """Accept an order and execute it after `order_delay_s`, unless set to reject it."""
         order = json.loads(exchange.request.body)
         self.orders.append(order)
         if self.behaviour.order_status == 202:
@@ -243,15 +252,15 @@
         await exchange.respond(http_messages.Response(self.behaviour.order_status, []))
 
     def carry_out(self, order: dict) -> None:
-        """Hold what lies there now."""
+        """Execute an order: load the staged pieces and switch to its version and layers."""
         self.is_busy = False
         self.taken = dict(self.staged)
         self.version = order["version"]
         self.layers = (order.get("from", 0), order.get("target_version", LAYERS))
 
 
-def told_s(rest: str | None) -> float:
-    """Return the rest that a text asks for, 0 if it is no number."""
+def parse_retry_after_s(rest: str | None) -> float:
+    """Return the number of seconds in a Retry-After value, 0 if it is not a number."""
     try:
         return float(rest or 0)
     except ValueError:
@@ -266,16 +275,16 @@
         self.given: list[tuple[int, int]] = []
         self.manifests_given = 0
         self.corrupt: set[int] = set()
-        # Pieces that are not given, by version and index.
+        # Version and index of the pieces that get a 503 response.
         self.withheld: set[tuple[int, int]] = set()
-        # What it asks for while it turns all away, and when it did so, on the loop's clock.
+        # If set, every request is rejected with this Retry-After value; event loop times of those.
         self.rest: str | None = None
         self.turned_away: list[float] = []
         self.server = stream_server.Server(self.serve)
         self.address = ""
 
     async def start(self) -> str:
-        """Listen on a free port; return the address."""
+        """Listen on a free port and return the address as host:port."""
         await self.server.listen("127.0.0.1", 0)
         assert self.server.listener is not None
         port = self.server.listener.sockets[0].getsockname()[1]
@@ -283,14 +292,14 @@
         return self.address
 
     def stop(self) -> None:
-        """Refuse all connections from now on."""
+        """Close the listener and abort all connections."""
         assert self.server.listener is not None
         self.server.listener.close()
         for connection in list(self.server.connections):
             connection.abort()
 
     async def serve(self, exchange: stream_server.Exchange) -> None:
-        """Give a manifest or a piece."""
+        """Serve a manifest or a piece, or reject the request if `rest` is set."""
         if self.rest is not None:
             self.turned_away.append(asyncio.get_running_loop().time())
             headers = [(b"Retry-After", self.rest.encode())]
--- a/stand_ins/origin.py
+++ b/stand_ins/origin.py
@@ -1,4 +1,4 @@
-"""The weight origin and the weight store in one program, each behind a rate-limited link."""
+"""A stand-in for the weight origin and the weight store, with a limited send rate."""
 
 import pathlib
 import threading
@@ -12,104 +12,106 @@
 from merlinthread.transport import http_server
 from stand_ins import common
 
-PIECE_BYTES = 65536
+CHUNK_BYTES = 65536
 
 
 class Origin:
-    """Gives byte ranges of the files in a folder and counts what it gave."""
+    """Serves byte ranges of the files in a folder and counts the bytes sent."""
 
     def __init__(self, folder: pathlib.Path, bytes_per_s: float) -> None:
         self.folder = folder
         self.lock = threading.Lock()
-        self.pace = pacing.Pacer(bytes_per_s)
+        self.pacer = pacing.Pacer(bytes_per_s)
         self.sent_bytes = 0
         self.sent_by_object: dict[str, int] = {}
         self.corrupt_next = 0
         self.is_refusing = False
 
-    def give_object(self, request: http_server.Request) -> http_server.Response:
-        """Give a range of an object."""
+    def serve_object(self, request: http_server.Request) -> http_server.Response:
+        """Return the requested byte range of an object."""
         if self.is_refusing:
-            raise errors.MerlinthreadError("not now", kind=errors.ErrorKind.OVERLOADED)
-        path = self.path_of("objects", request.subpath)
+            raise errors.MerlinthreadError(
+                "origin is set to reject requests", kind=errors.ErrorKind.OVERLOADED
+            )
+        path = self.find_file("objects", request.subpath)
         size = path.stat().st_size
-        first, last = range_of(request.headers.get("range", ""), size)
+        first, last = parse_range(request.headers.get("range", ""), size)
         with open(path, "rb") as file:
             file.seek(first)
             data = file.read(last - first + 1)
         with self.lock:
             if self.corrupt_next > 0:
                 self.corrupt_next -= 1
-                data = damage(data, self.corrupt_next)
+                data = corrupt_byte(data, self.corrupt_next)
         return http_server.Response(
             206,
-            self.pieces(request.subpath, data),
+            self.stream_chunks(request.subpath, data),
             {"Content-Range": f"bytes {first}-{last}/{size}", "Content-Length": str(len(data))},
             "application/octet-stream",
         )
 
-    def give_manifest(self, request: http_server.Request) -> http_server.Response:
-        """Give a manifest."""
-        return http_server.Response(200, self.path_of("manifests", request.subpath).read_bytes())
+    def serve_manifest(self, request: http_server.Request) -> http_server.Response:
+        """Return a manifest."""
+        return http_server.Response(200, self.find_file("manifests", request.subpath).read_bytes())
 
-    def path_of(self, kind: str, name: str) -> pathlib.Path:
-        """Return the file of an object or manifest."""
+    def find_file(self, kind: str, name: str) -> pathlib.Path:
+        """Return the path of an object or manifest; raise `WeightsError` if it is missing."""
         path = self.folder / kind / name.replace("/", "_")
         if not path.is_file():
             raise errors.WeightsError(f"no {kind} {name}", kind=errors.ErrorKind.UNKNOWN_MODEL)
         return path
 
-    def pieces(self, name: str, data: bytes) -> Iterator[bytes]:
-        """Give bytes at the link's rate."""
-        for start in range(0, len(data), PIECE_BYTES):
-            piece = data[start : start + PIECE_BYTES]
+    def stream_chunks(self, name: str, data: bytes) -> Iterator[bytes]:
+        """Yield `data` in chunks, paced to the configured rate."""
+        for start in range(0, len(data), CHUNK_BYTES):
+            chunk = data[start : start + CHUNK_BYTES]
             with self.lock:
-                ready_at = self.pace.reserve_until(len(piece), time.monotonic())
-                self.sent_bytes += len(piece)
-                self.sent_by_object[name] = self.sent_by_object.get(name, 0) + len(piece)
+                ready_at = self.pacer.reserve_until(len(chunk), time.monotonic())
+                self.sent_bytes += len(chunk)
+                self.sent_by_object[name] = self.sent_by_object.get(name, 0) + len(chunk)
             time.sleep(max(0.0, ready_at - time.monotonic()))
-            yield piece
+            yield chunk
 
     def stats(self, request: http_server.Request) -> http_server.Response:
-        """Return what was given so far."""
+        """Return the number of bytes sent, in total and per object."""
         return http_server.json_response(
             {"sent_bytes": self.sent_bytes, "by_object": self.sent_by_object}
         )
 
-    def disturb(self, request: http_server.Request) -> http_server.Response:
-        """Corrupt the next answers, refuse, or change the rate."""
-        wanted = msgspec.json.decode(request.body)
+    def set_faults(self, request: http_server.Request) -> http_server.Response:
+        """Corrupt the next responses, reject requests, or change the rate."""
+        requested = msgspec.json.decode(request.body)
         with self.lock:
-            self.corrupt_next = wanted.get("corrupt_next", self.corrupt_next)
-            self.is_refusing = wanted.get("refusing", self.is_refusing)
-            self.pace.bytes_per_s = wanted.get("bytes_per_s", self.pace.bytes_per_s)
+            self.corrupt_next = requested.get("corrupt_next", self.corrupt_next)
+            self.is_refusing = requested.get("refusing", self.is_refusing)
+            self.pacer.bytes_per_s = requested.get("bytes_per_s", self.pacer.bytes_per_s)
         return http_server.json_response({"ok": True})
 
     def add_routes(self, routes: http_server.Routes) -> None:
-        """Add the origin's and the store's paths."""
-        routes.add("GET", "/objects/", self.give_object)
-        routes.add("GET", "/manifests/", self.give_manifest)
+        """Register the routes of the origin and the store."""
+        routes.add("GET", "/objects/", self.serve_object)
+        routes.add("GET", "/manifests/", self.serve_manifest)
         routes.add("GET", "/stats", self.stats)
-        routes.add("POST", "/disturb", self.disturb)
+        routes.add("POST", "/disturb", self.set_faults)
 
 
-def range_of(header: str, size: int) -> tuple[int, int]:
-    """Return first and last byte of a Range header (RFC 9110, one range only)."""
+def parse_range(header: str, size: int) -> tuple[int, int]:
+    """Return the first and last byte position of a Range header (RFC 9110, single range)."""
     if not header.startswith("bytes="):
         return 0, size - 1
     first, _, last = header.removeprefix("bytes=").partition("-")
     return int(first), min(int(last), size - 1)
 
 
-def damage(data: bytes, seed: int) -> bytes:
-    """Return `data` with one byte changed, another one for each seed."""
+def corrupt_byte(data: bytes, seed: int) -> bytes:
+    """Return `data` with one byte changed; the seed selects which."""
     position = (seed * 7919) % len(data)
     changed = bytes([(data[position] + 1 + seed % 200) % 256])
     return data[:position] + changed + data[position + 1 :]
 
 
 def main() -> None:
-    """Run the stand-in."""
+    """Parse the command line and serve."""
     parser = common.parser(__doc__ or "")
     parser.add_argument("--folder", type=pathlib.Path, required=True)
     parser.add_argument("--bytes-per-s", type=float, default=1e9)
--- a/stand_ins/platform.py
+++ b/stand_ins/platform.py
@@ -1,4 +1,4 @@
-"""The platform's stand-in: a list of live and leaving VMs that lags behind what is true."""
+"""A stand-in for the platform: lists VMs and their states with a delay."""
 
 import threading
 import time
@@ -10,36 +10,36 @@
 
 
 class Platform:
-    """Keeps the list and shows it as it was `lag_s` ago."""
+    """Records VM state changes and shows the states of `lag_s` seconds ago."""
 
     def __init__(self, lag_s: float) -> None:
         self.lag_s = lag_s
         self.lock = threading.Lock()
         self.changes: list[tuple[float, str, str]] = []
 
-    def show(self, request: http_server.Request) -> http_server.Response:
-        """Return the list as it was a moment ago."""
-        until = time.monotonic() - self.lag_s
+    def list_vms(self, request: http_server.Request) -> http_server.Response:
+        """Return the VMs that existed `lag_s` seconds ago."""
+        visible_until = time.monotonic() - self.lag_s
         with self.lock:
-            shown = {name: state for at, name, state in self.changes if at <= until}
-        vms = [{"name": name, "state": state} for name, state in shown.items() if state != "gone"]
+            states = {name: state for at, name, state in self.changes if at <= visible_until}
+        vms = [{"name": name, "state": state} for name, state in states.items() if state != "gone"]
         return http_server.json_response({"vms": vms})
 
-    def change(self, request: http_server.Request) -> http_server.Response:
-        """Change a VM's state."""
-        wanted = msgspec.json.decode(request.body)
+    def set_vm_state(self, request: http_server.Request) -> http_server.Response:
+        """Record a VM's new state; the state `gone` removes it from the list."""
+        requested = msgspec.json.decode(request.body)
         with self.lock:
-            self.changes.append((time.monotonic(), wanted["name"], wanted["state"]))
+            self.changes.append((time.monotonic(), requested["name"], requested["state"]))
         return http_server.json_response({"ok": True})
 
     def add_routes(self, routes: http_server.Routes) -> None:
-        """Add the platform's paths."""
-        routes.add("GET", "/v1/vms", self.show)
-        routes.add("POST", "/v1/vms", self.change)
+        """Register the platform's routes."""
+        routes.add("GET", "/v1/vms", self.list_vms)
+        routes.add("POST", "/v1/vms", self.set_vm_state)
 
 
 def main() -> None:
-    """Run the stand-in."""
+    """Parse the command line and serve."""
     parser = common.parser(__doc__ or "")
     parser.add_argument("--lag-s", type=float, default=0.5)
     options = parser.parse_args()
--- a/stand_ins/proxy.py
+++ b/stand_ins/proxy.py
@@ -1,8 +1,7 @@
-"""A small fault-injecting TCP proxy for many links at once.
+"""A fault-injecting TCP proxy that runs in threads of the calling process.
 
-Each link listens on one port and goes on to another. Its faults are changed at run time through
-the `Proxy` object: latency, rate, cut one way or both, stall (half-open), corrupt, reset. It runs
-inside the test's or bench's own process, in threads.
+Each link listens on one port and forwards to another. Its faults can be changed at run time:
+latency, rate limit, data loss in either direction, stalls, corruption and resets.
 """
 
 import dataclasses
@@ -18,7 +17,12 @@
 
 @dataclasses.dataclass(slots=True)
 class Faults:
-    """What a link does to bytes; `cut_*` drop them silently, `stall` holds them back."""
+    """The faults of a link.
+
+    `cut_forth` and `cut_back` discard the data sent to and from the upstream, `stall` stops
+    reading from both sides, `corrupt_share` is the share of reads (0 to 1) that get a changed
+    byte, and `refuse` resets new connections.
+    """
 
     latency_s: float = 0.0
     bytes_per_s: float = 0.0
@@ -30,7 +34,7 @@
 
 
 class Link:
-    """One listening port and where it leads."""
+    """A listening port and the upstream address that it forwards to."""
 
     def __init__(self, listen: tuple[str, int], goal: tuple[str, int]) -> None:
         self.goal = goal
@@ -38,56 +42,56 @@
         self.pairs: set[tuple[socket.socket, socket.socket]] = set()
         self.lock = threading.Lock()
         self.rng = random.Random(0)
-        self.carried = 0
+        self.bytes_forwarded = 0
         self.listener = socket.create_server(listen, backlog=256)
         self.closing = False
-        threading.Thread(target=self.accept, daemon=True).start()
+        threading.Thread(target=self.accept_connections, daemon=True).start()
 
-    def accept(self) -> None:
-        """Take connections until closed."""
+    def accept_connections(self) -> None:
+        """Accept connections until the link is closed."""
         while not self.closing:
             try:
-                near, _ = self.listener.accept()
+                client, _ = self.listener.accept()
             except OSError:
                 return
             if self.faults.refuse:
-                reset(near)
+                reset(client)
                 continue
-            threading.Thread(target=self.connect, args=(near,), daemon=True).start()
+            threading.Thread(target=self.connect_upstream, args=(client,), daemon=True).start()
 
-    def connect(self, near: socket.socket) -> None:
-        """Join a connection to the goal."""
+    def connect_upstream(self, client: socket.socket) -> None:
+        """Connect to the upstream and relay in both directions until both end."""
         try:
-            far = socket.create_connection(self.goal, timeout=5)
+            upstream = socket.create_connection(self.goal, timeout=5)
         except OSError:
-            reset(near)
+            reset(client)
             return
         try:
-            for end in (near, far):
-                end.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-                end.settimeout(None)
+            for sock in (client, upstream):
+                sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+                sock.settimeout(None)
         except OSError:
-            reset(near)
-            reset(far)
+            reset(client)
+            reset(upstream)
             return
-        pair = (near, far)
+        pair = (client, upstream)
         with self.lock:
             self.pairs.add(pair)
-        ways = [
-            threading.Thread(target=self.carry, args=(near, far, True), daemon=True),
-            threading.Thread(target=self.carry, args=(far, near, False), daemon=True),
+        relays = [
+            threading.Thread(target=self.relay, args=(client, upstream, True), daemon=True),
+            threading.Thread(target=self.relay, args=(upstream, client, False), daemon=True),
         ]
-        for way in ways:
-            way.start()
-        for way in ways:
-            way.join()
+        for relay_thread in relays:
+            relay_thread.start()
+        for relay_thread in relays:
+            relay_thread.join()
         with self.lock:
             self.pairs.discard(pair)
-        near.close()
-        far.close()
+        client.close()
+        upstream.close()
 
-    def carry(self, source: socket.socket, goal: socket.socket, is_forth: bool) -> None:
-        """Move bytes one way under the faults of the moment."""
+    def relay(self, source: socket.socket, goal: socket.socket, is_to_upstream: bool) -> None:
+        """Relay data in one direction, applying the current faults."""
         selector = selectors.DefaultSelector()
         selector.register(source, selectors.EVENT_READ)
         try:
@@ -99,7 +103,7 @@
                 data = source.recv(BUFFER_BYTES)
                 if not data:
                     break
-                self.pass_on(data, goal, is_forth)
+                self.forward(data, goal, is_to_upstream)
         except OSError:
             reset(goal)
             reset(source)
@@ -110,61 +114,61 @@
         except OSError:
             pass
 
-    def pass_on(self, data: bytes, goal: socket.socket, is_forth: bool) -> None:
-        """Send on what the faults leave."""
+    def forward(self, data: bytes, goal: socket.socket, is_to_upstream: bool) -> None:
+        """Apply the current faults to `data` and send what remains."""
         faults = self.faults
         if faults.latency_s:
             time.sleep(faults.latency_s)
         if faults.bytes_per_s:
             time.sleep(len(data) / faults.bytes_per_s)
-        if faults.cut_forth if is_forth else faults.cut_back:
+        if faults.cut_forth if is_to_upstream else faults.cut_back:
             return
         if faults.corrupt_share and self.rng.random() < faults.corrupt_share:
             position = self.rng.randrange(len(data))
             flipped = bytes([data[position] ^ 0x41])
             data = data[:position] + flipped + data[position + 1 :]
-        self.carried += len(data)
+        self.bytes_forwarded += len(data)
         goal.sendall(data)
 
     def reset_all(self) -> None:
         """Reset every connection of the link."""
         with self.lock:
             pairs = list(self.pairs)
-        for near, far in pairs:
-            reset(near)
-            reset(far)
+        for client, upstream in pairs:
+            reset(client)
+            reset(upstream)
 
     def close(self) -> None:
-        """Stop listening and reset everything."""
+        """Stop listening and reset all connections."""
         self.closing = True
         self.listener.close()
         self.reset_all()
 
 
-def reset(end: socket.socket) -> None:
-    """Close a connection with a reset."""
+def reset(sock: socket.socket) -> None:
+    """Set SO_LINGER to zero and close the connection."""
     try:
-        end.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
-        end.shutdown(socket.SHUT_RDWR)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
+        sock.shutdown(socket.SHUT_RDWR)
     except OSError:
         pass
-    end.close()
+    sock.close()
 
 
 class Proxy:
-    """All links of one test or bench, by name."""
+    """A set of named links."""
 
     def __init__(self) -> None:
         self.links: dict[str, Link] = {}
 
     def add(self, name: str, listen_port: int, goal_port: int, address: str = "127.0.0.1") -> Link:
-        """Open a link."""
+        """Open a link that forwards from `listen_port` to `goal_port` on `address`."""
         link = Link((address, listen_port), (address, goal_port))
         self.links[name] = link
         return link
 
     def set(self, names: list[str], **faults: object) -> None:
-        """Set the same faults on several links; others of their faults end."""
+        """Replace the faults of several links; faults not given are cleared."""
         for name in names:
             self.links[name].faults = Faults(**faults)  # type: ignore[arg-type]
 
--- a/stand_ins/service.py
+++ b/stand_ins/service.py
@@ -1,4 +1,4 @@
-"""A plain service's stand-in: drafts tickets, which must not be repeated, and counts every run."""
+"""A stand-in for a service whose requests are not repeatable; it counts every run."""
 
 import collections
 import threading
@@ -10,7 +10,7 @@
 
 
 class Service:
-    """Answers any path and counts runs by body."""
+    """Answers requests on any path and counts them by body."""
 
     def __init__(self, delay_s: float) -> None:
         self.delay_s = delay_s
@@ -19,7 +19,7 @@
         self.number = 0
 
     def run(self, request: http_server.Request) -> http_server.Response:
-        """Run one call."""
+        """Count the request and return a numbered ticket that echoes it."""
         with self.lock:
             self.number += 1
             number = self.number
@@ -34,20 +34,20 @@
             }
         )
 
-    def show_runs(self, request: http_server.Request) -> http_server.Response:
-        """Return how often each body was run."""
+    def list_runs(self, request: http_server.Request) -> http_server.Response:
+        """Return the number of runs of each body and the total."""
         with self.lock:
             return http_server.json_response({"runs": dict(self.runs), "total": self.number})
 
     def add_routes(self, routes: http_server.Routes) -> None:
-        """Add the service's paths."""
-        routes.add("GET", "/runs", self.show_runs)
+        """Register the service's routes."""
+        routes.add("GET", "/runs", self.list_runs)
         routes.add("POST", "/", self.run)
         routes.add("GET", "/", self.run)
 
 
 def main() -> None:
-    """Run the stand-in."""
+    """Parse the command line and serve."""
     parser = common.parser(__doc__ or "")
     parser.add_argument("--delay-s", type=float, default=0.01)
     options = parser.parse_args()
--- a/tests/crashing_fleet.py
+++ b/tests/crashing_fleet.py
@@ -1,4 +1,4 @@
-"""Three control VMs, entries and workers that a certain request ends, over loopback, for tests."""
+"""A fixture of control VMs, entries and workers that crash on a certain request, on loopback."""
 
 import asyncio
 import contextlib
@@ -15,7 +15,7 @@
 
 
 class CrashingFleet:
-    """The processes of a small deployment whose workers some requests end."""
+    """A small deployment whose workers crash on `DEADLY` requests."""
 
     def __init__(self, folder: pathlib.Path, service: str = "safe", model: str = "") -> None:
         self.controls = fleet_nodes.Controls(folder)
@@ -28,7 +28,7 @@
         self.entry_port = fleet_nodes.free_port()
 
     async def start(self, entries: int, workers: int, **behaviour) -> None:
-        """Start all; return once each entry knows all workers."""
+        """Start all nodes and wait until every entry knows every worker."""
         await self.controls.start_all()
         await fleet_nodes.until(self.controls.leader)
         for number in range(workers):
@@ -44,7 +44,7 @@
             await self.add_entry(f"{fleet_nodes.NETWORK}.{31 + number}")
 
     async def add_entry(self, ip: str) -> fleet_nodes.Entry:
-        """Start one more entry; return it once it knows all workers."""
+        """Start another entry, wait until it is ready and knows all workers, and return it."""
         settings = fleet_nodes.make_settings(
             f"entry-{ip}",
             ip,
@@ -63,7 +63,7 @@
         return entry
 
     async def beat(self, worker: crashing_worker.CrashingWorker) -> None:
-        """Tell a control VM again and again that a worker lives, while it does."""
+        """Send a heartbeat every `BEAT_S` while the worker is up."""
         while True:
             if not worker.is_away:
                 worker.sequence += 1
@@ -72,7 +72,7 @@
             await asyncio.sleep(BEAT_S)
 
     async def tell(self, worker: crashing_worker.CrashingWorker) -> None:
-        """Send one heartbeat of a worker."""
+        """Send one heartbeat of a worker to the first control VM."""
         body = {
             "service": self.service,
             "address": worker.address,
@@ -90,33 +90,34 @@
         await self.controls.call(ip, "PUT", f"/instances/{worker.instance}", body)
 
     async def ask(self, entry: int, body: bytes, path: str = "") -> http_messages.Response:
-        """Send a request to one entry, under an id of its own; return its answer."""
+        """Send a request with a unique id to one entry and return the response."""
         self.asked += 1
         headers = {"X_Merlinthread_Model": self.model} if self.model else {}
         target = path or f"/{self.service}/x"
         return await self.entries[entry].ask(target, f"id-{self.asked}", body, **headers)
 
     def ends(self) -> list[float]:
-        """Return when workers ended, in order."""
+        """Return the times of worker crashes, in ascending order."""
         return sorted(at for worker in self.workers for at in worker.ends)
 
     def arrivals(self) -> list[float]:
-        """Return when deadly requests came to workers, in order."""
+        """Return the times at which workers received deadly requests, in ascending order."""
         return sorted(at for worker in self.workers for at in worker.arrivals)
 
     def late_arrivals(self) -> int:
-        """Return how many deadly requests came later than `CONTACT_S` after the third end."""
+        """Return the number of deadly requests later than `CONTACT_S` after the third crash."""
         bound = self.ends()[2] + CONTACT_S
         return sum(at > bound for at in self.arrivals())
 
     async def send_until_late(self, seconds: float, comings: int) -> list[http_messages.Response]:
-        """Let the deadly request come at each entry in turn; return the answers.
+        """Send the deadly request to each entry in turn and return the responses.
 
-        It comes every 50 ms until `seconds` after the third end, then `comings` times more.
+        It is sent every 50 ms until `seconds` after the third crash; then `comings` more are sent
+        one at a time, and their responses are not returned.
         """
         loop = asyncio.get_running_loop()
         tasks = []
-        # Without an end under the request there would be nothing to wait for.
+        # The loop below needs the first crash to have happened.
         await self.ask_any(0, DEADLY)
         await fleet_nodes.until(self.ends)
         while len(self.ends()) < 3 or loop.time() < self.ends()[2] + seconds:
@@ -128,19 +129,19 @@
         return [answer for answer in await asyncio.gather(*tasks) if answer is not None]
 
     async def ask_any(self, entry: int, body: bytes) -> http_messages.Response | None:
-        """Send a request; return its answer, None if it was broken off."""
+        """Send a request and return the response, or None if the request fails."""
         with contextlib.suppress(Exception):
             return await self.ask(entry, body)
         return None
 
     async def until_held(self) -> None:
-        """Let the deadly request come, one after the other, until the log holds it back."""
+        """Send the deadly request repeatedly until a control VM's state holds it back."""
         async with asyncio.timeout(10.0):
             while not any(node.member.state.held for node in self.controls.nodes.values()):
                 await self.ask_any(0, DEADLY)
 
     async def until_known(self) -> None:
-        """Return once all workers are there and each entry knows their present incarnations."""
+        """Wait until all workers are up and every entry knows exactly their incarnations."""
 
         def is_known() -> bool:
             there = {worker.instance for worker in self.workers if not worker.is_away}
@@ -150,9 +151,9 @@
         await fleet_nodes.until(is_known)
 
     async def lose_power(self) -> None:
-        """End all control VMs and entries at once, and start them again; only files are left.
+        """Kill all control VMs and entries, then restart the control VMs and one entry.
 
-        The disk of one control VM, the leader's, is lost in the same moment.
+        The leader restarts with an empty data folder, the other control VMs with their files.
         """
         lost = self.controls.leader()
         for ip in self.controls.ips:
@@ -166,7 +167,7 @@
         await self.add_entry(f"{fleet_nodes.NETWORK}.41")
 
     async def stop(self) -> None:
-        """End all."""
+        """Stop all nodes."""
         for task in self.beats:
             task.cancel()
         for entry in self.entries:
@@ -180,7 +181,7 @@
 
 
 def end_entry(entry: fleet_nodes.Entry) -> None:
-    """End an entry as a killed process does."""
+    """Cancel an entry's tasks and close its sockets, as if its process was killed."""
     for task in entry.node.tasks:
         task.cancel()
     for server in (entry.node.server, entry.node.ready_server):
--- a/tests/limited_fleet.py
+++ b/tests/limited_fleet.py
@@ -1,4 +1,4 @@
-"""Control VMs, entries and workers that name limits, with an open load before them, for tests."""
+"""A fixture of control VMs, entries and workers with rate limits, under an open-loop load."""
 
 import asyncio
 import dataclasses
@@ -12,7 +12,7 @@
 
 @dataclasses.dataclass
 class Asked:
-    """One client's request: when it was sent, how long its answer took, what it was."""
+    """One client request: send time, response time in seconds, and response."""
 
     at: float
     took_s: float
@@ -20,11 +20,11 @@
     key: str = ""
 
     def is_served(self) -> bool:
-        """Return whether it was answered with success."""
+        """Return whether the response has status 200."""
         return self.answer is not None and self.answer.status == 200
 
     def back_after_s(self) -> float:
-        """Return what a refused client is told of when to come back."""
+        """Return the Retry-After value of a rejected request, in seconds."""
         assert self.answer is not None
         value = http_messages.get_header(self.answer.headers, b"retry-after")
         assert value is not None, self.answer.status
@@ -32,7 +32,7 @@
 
 
 class LimitedFleet(crashing_fleet.CrashingFleet):
-    """Workers that name limits while a load presses; `rng` draws the entry of each request."""
+    """A fleet with rate-limited workers and a load generator that picks entries with `rng`."""
 
     def __init__(self, folder, service: str = "safe") -> None:
         super().__init__(folder, service, "m" if service == "model" else "")
@@ -41,11 +41,11 @@
         self.asked_for: list[Asked] = []
 
     def now(self) -> float:
-        """Return the time of the event loop, on which the workers note what they run."""
+        """Return the event loop time, the clock of the workers' recorded runs."""
         return asyncio.get_running_loop().time()
 
     async def ask_one(self, entry: int, key: str = "key-1") -> None:
-        """Send a request to one entry and note what came of it."""
+        """Send a request to one entry and record its outcome."""
         began = self.now()
         self.asked += 1
         headers = {"X_Merlinthread_Model": self.model} if self.model else {}
@@ -60,7 +60,7 @@
     async def press(
         self, per_s: float, seconds: float, entries: list[int] | None = None, key: str = "key-1"
     ) -> float:
-        """Send `per_s` requests a second, spread over entries by lot; return when it began."""
+        """Send `per_s` requests a second to random entries and return the start time."""
         chosen = entries if entries is not None else list(range(len(self.entries)))
         began = self.now()
         for number in range(round(per_s * seconds)):
@@ -71,17 +71,17 @@
         return began
 
     async def settle(self) -> None:
-        """Wait until all requests have their answers."""
+        """Wait until all pending requests are done."""
         while self.pending:
             await asyncio.wait(list(self.pending))
 
     def most_in(self, worker, seconds: float, since: float, until: float) -> int:
-        """Return the most requests that a worker began in any `seconds` between two times."""
+        """Return the most requests started by a worker in any `seconds` between two times."""
         times = sorted(run.at for run in worker.runs if since <= run.at <= until)
         return max((sum(at <= t < at + seconds for t in times) for at in times), default=0)
 
     def begun(self, worker, since: float, until: float) -> int:
-        """Return how many requests a worker began between two times."""
+        """Return the number of requests that a worker started between two times."""
         return sum(since <= run.at < until for run in worker.runs)
 
     def asked_between(self, since: float, until: float) -> list[Asked]:
