--- a/bench/demo.py
+++ b/bench/demo.py
@@ -156,7 +156,7 @@
             self.tally.last_refusal = data.decode()
             return
         text, digest = read_stream(data) if is_streamed else read_whole(data)
-        if text != engine.whole_text(digest, prompt, 8):
+        if text != engine.completion_text(digest, prompt, 8):
             self.lose(f"{model}: the answer is not whole: {text!r}")
             return
         self.tally.answered += 1
--- a/bench/requests.py
+++ b/bench/requests.py
@@ -90,7 +90,7 @@
                 previous = now
             elif event.kind == events.DONE:
                 digest = msgspec.json.decode(event.data, type=events.Done).digest
-                is_right = "".join(texts) == engine.whole_text(digest, prompt, tokens)
+                is_right = "".join(texts) == engine.completion_text(digest, prompt, tokens)
                 outcomes.add("answered" if is_right else "crossed_or_wrong")
                 outcomes.note(outcomes.whole, now - due)
                 stream.release()
--- a/stand_ins/engine.py
+++ b/stand_ins/engine.py
@@ -31,7 +31,7 @@
     return " " + blake3.blake3(f"{digest}\n{prompt}\n{index}".encode()).hexdigest()[:6]
 
 
-def whole_text(digest: str, prompt: str, tokens: int) -> str:
+def completion_text(digest: str, prompt: str, tokens: int) -> str:
     """Return the first `tokens` tokens of the completion of `prompt`, concatenated."""
     return "".join(token_text(digest, prompt, index) for index in range(tokens))
 
--- a/tests/calls.py
+++ b/tests/calls.py
@@ -51,7 +51,7 @@
     if stream.status == 200:
         read = demo.read_stream if is_streamed else demo.read_whole
         answer.text, answer.digest = read(data)
-        answer.expected = engine.whole_text(answer.digest, prompt, tokens)
+        answer.expected = engine.completion_text(answer.digest, prompt, tokens)
     return answer
 
 
