--- a/stand_ins/crashing_worker.py
+++ b/stand_ins/crashing_worker.py
@@ -61,7 +61,7 @@
         await asyncio.sleep(self.crash_after_s)
         self.end()
         await asyncio.sleep(self.away_s)
-        await self.begin_again()
+        await self.restart()
 
     def end(self) -> None:
         """Record the crash time, close the listener and reset all connections."""
@@ -69,7 +69,7 @@
         self.is_away = True
         self.stop()
 
-    async def begin_again(self) -> None:
+    async def restart(self) -> None:
         """Start a new incarnation at the same address with a reset heartbeat sequence."""
         if not self.keeps_id:
             self.instance = f"{self.name}-{len(self.ends)}"
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -104,7 +104,7 @@
         under_way = asyncio.get_running_loop().create_task(fleet_.ask_any(0, b"slow"))
         await fleet_nodes.until(lambda: worker.running)
         worker.end()
-        await worker.begin_again()
+        await worker.restart()
         await fleet_nodes.until(lambda: before not in pool.backends and pool.backends)
         (after,) = pool.backends.values()
         assert after.in_flight == 0 and after.failures == 0
