--- a/stand_ins/crashing_worker.py
+++ b/stand_ins/crashing_worker.py
@@ -59,11 +59,11 @@
     async def crash_and_restart(self) -> None:
         """Crash after `crash_after_s` and restart after `away_s`."""
         await asyncio.sleep(self.crash_after_s)
-        self.end()
+        self.crash_now()
         await asyncio.sleep(self.away_s)
         await self.restart()
 
-    def end(self) -> None:
+    def crash_now(self) -> None:
         """Record the crash time, close the listener and reset all connections."""
         self.ends.append(asyncio.get_running_loop().time())
         self.is_away = True
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -176,7 +176,7 @@
         await task
         assert crashes.unproven and not crashes.ledger.records
         worker.behaviour.is_mute = False
-        worker.end()
+        worker.crash_now()
         await worker.restart()
         await fleet_nodes.until(lambda: crashes.ledger.records)
         assert not crashes.unproven
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -103,7 +103,7 @@
         worker.behaviour.work_s = 0.3
         under_way = asyncio.get_running_loop().create_task(fleet_.ask_any(0, b"slow"))
         await fleet_nodes.until(lambda: worker.running)
-        worker.end()
+        worker.crash_now()
         await worker.restart()
         await fleet_nodes.until(lambda: before not in pool.backends and pool.backends)
         (after,) = pool.backends.values()
