--- a/bench/soak_words.py
+++ b/bench/soak_words.py
@@ -74,7 +74,7 @@
         """Return the rests in which too many requests came from one entry."""
         found = []
         for worker in self.fleet.workers:
-            by_entry: dict[str, list[fleet_worker.TurnedAway]] = collections.defaultdict(list)
+            by_entry: dict[str, list[fleet_worker.Rejection]] = collections.defaultdict(list)
             for refusal in worker.turned_away:
                 by_entry[self.sent[refusal.request_id].entry_ip].append(refusal)
             for entry_ip, refusals in by_entry.items():
@@ -82,7 +82,7 @@
         return found
 
     def in_rests_of(
-        self, instance: str, entry_ip: str, refusals: list[fleet_worker.TurnedAway]
+        self, instance: str, entry_ip: str, refusals: list[fleet_worker.Rejection]
     ) -> list[str]:
         """Return the rests of one worker in which too many requests came from one entry."""
         found = []
--- a/stand_ins/fleet_worker.py
+++ b/stand_ins/fleet_worker.py
@@ -56,7 +56,7 @@
 
 
 @dataclasses.dataclass
-class TurnedAway:
+class Rejection:
     """One request rejected for overload at `at` in event loop time.
 
     `rest_s` is the Retry-After delay that was sent, 0 if none.
@@ -86,7 +86,7 @@
         self.server = stream_server.Server(self.serve)
         self.address = ""
         self.running = 0
-        self.turned_away: list[TurnedAway] = []
+        self.turned_away: list[Rejection] = []
 
     @property
     def refusals(self) -> int:
@@ -134,7 +134,7 @@
         if self.behaviour.is_full:
             now = asyncio.get_running_loop().time()
             self.turned_away.append(
-                TurnedAway(request_id, now, parse_retry_after_s(self.behaviour.rest))
+                Rejection(request_id, now, parse_retry_after_s(self.behaviour.rest))
             )
             await self.refuse(exchange, 503)
             return
