--- a/bench/soak_faults.py
+++ b/bench/soak_faults.py
@@ -235,7 +235,7 @@
         self.fleet.links.pop(old).close()
         new = fleet_worker.Worker(f"{old.instance}x", old.model)
         new.runs = old.runs
-        new.turned_away = old.turned_away
+        new.rejections = old.rejections
         await self.fleet.start_worker(new)
         self.fleet.workers[new] = service
 
--- a/bench/soak_words.py
+++ b/bench/soak_words.py
@@ -75,7 +75,7 @@
         found = []
         for worker in self.fleet.workers:
             by_entry: dict[str, list[fleet_worker.Rejection]] = collections.defaultdict(list)
-            for refusal in worker.turned_away:
+            for refusal in worker.rejections:
                 by_entry[self.sent[refusal.request_id].entry_ip].append(refusal)
             for entry_ip, refusals in by_entry.items():
                 found += self.in_rests_of(worker.instance, entry_ip, refusals)
--- a/stand_ins/fleet_worker.py
+++ b/stand_ins/fleet_worker.py
@@ -86,12 +86,12 @@
         self.server = stream_server.Server(self.serve)
         self.address = ""
         self.running = 0
-        self.turned_away: list[Rejection] = []
+        self.rejections: list[Rejection] = []
 
     @property
     def refusals(self) -> int:
         """Return how many requests the worker rejected because it was full."""
-        return len(self.turned_away)
+        return len(self.rejections)
 
     async def start(self, ip: str = "127.0.0.1") -> str:
         """Listen on a free port of `ip` and return the address as host:port."""
@@ -133,7 +133,7 @@
             return
         if self.behaviour.is_full:
             now = asyncio.get_running_loop().time()
-            self.turned_away.append(
+            self.rejections.append(
                 Rejection(request_id, now, parse_retry_after_s(self.behaviour.rest))
             )
             await self.refuse(exchange, 503)
@@ -279,7 +279,7 @@
         self.withheld: set[tuple[int, int]] = set()
         # If set, every request is rejected with this Retry-After value; event loop times of those.
         self.rest: str | None = None
-        self.turned_away: list[float] = []
+        self.rejections: list[float] = []
         self.server = stream_server.Server(self.serve)
         self.address = ""
 
@@ -301,7 +301,7 @@
     async def serve(self, exchange: stream_server.Exchange) -> None:
         """Serve a manifest or a piece, or reject the request if `rest` is set."""
         if self.rest is not None:
-            self.turned_away.append(asyncio.get_running_loop().time())
+            self.rejections.append(asyncio.get_running_loop().time())
             headers = [(b"Retry-After", self.rest.encode())]
             await exchange.respond(http_messages.Response(503, headers))
             return
