--- a/stand_ins/fleet_worker.py
+++ b/stand_ins/fleet_worker.py
@@ -89,7 +89,7 @@
         self.rejections: list[Rejection] = []
 
     @property
-    def refusals(self) -> int:
+    def rejection_count(self) -> int:
         """Return how many requests the worker rejected because it was full."""
         return len(self.rejections)
 
--- a/tests/test_rest.py
+++ b/tests/test_rest.py
@@ -38,15 +38,15 @@
         """
         first = 0.0
         async with asyncio.timeout(5.0):
-            while not all(worker.refusals for worker in workers):
+            while not all(worker.rejection_count for worker in workers):
                 await asyncio.gather(*[self.ask() for _ in self.workers])
-                if not first and any(worker.refusals for worker in workers):
+                if not first and any(worker.rejection_count for worker in workers):
                     first = self.now()
         return first
 
 
 def refused(workers) -> int:
-    return sum(worker.refusals for worker in workers)
+    return sum(worker.rejection_count for worker in workers)
 
 
 def test_back_ends_that_ask_for_a_rest_get_nothing_until_it_is_over():
@@ -78,14 +78,14 @@
         fleet.let_rest([worker])
         availability = fleet.entry.node.pool.signals.availability_of(worker.instance)
         for _ in range(2):
-            before = worker.refusals
+            before = worker.rejection_count
             async with asyncio.timeout(5.0):
-                while worker.refusals == before:
+                while worker.rejection_count == before:
                     await fleet.ask()
             assert availability.is_resting(fleet.now())
             for _ in range(MANY):
                 assert (await fleet.ask()).status == 503
-            assert worker.refusals == before + 1
+            assert worker.rejection_count == before + 1
             await fleet_nodes.until(lambda: not availability.is_resting(fleet.now()))
         worker.behaviour.is_full = False
         answers = await asyncio.gather(*[fleet.ask() for _ in range(MANY)])
@@ -137,14 +137,14 @@
         (worker,) = fleet.workers
         fleet.let_rest([worker], "60")
         await fleet.until_refused([worker])
-        before = worker.refusals
+        before = worker.rejection_count
         watcher = fleet.entry.node.watcher
         known = watcher.instances.pop(worker.instance)
         watcher.on_news()
         assert (await fleet.ask()).status == 503
         fleet.feed(fleet.workers)
         assert (await fleet.ask()).status == 503
-        assert worker.refusals == before
+        assert worker.rejection_count == before
         later = dataclasses.replace(known, instance=f"{worker.instance}@1767000000001")
         watcher.take_instance(instances.Instance(later), watcher.clock())
         watcher.on_news()
