--- a/bench/upgrade.py
+++ b/bench/upgrade.py
@@ -177,7 +177,7 @@
 
     async def beat(self, worker: fleet_worker.Worker) -> None:
         """Send one worker's heartbeat, unless it is away."""
-        if not getattr(worker, "is_away", False):
+        if not getattr(worker, "is_down", False):
             await super().beat(worker)
 
     def pick_entry(self) -> str:
--- a/stand_ins/crashing_worker.py
+++ b/stand_ins/crashing_worker.py
@@ -37,7 +37,7 @@
         self.born_ms = FIRST_START_MS
         self.ends: list[float] = []
         self.arrivals: list[float] = []
-        self.is_away = False
+        self.is_down = False
         self.sequence = 0
         self.crash: asyncio.Task[None] | None = None
 
@@ -66,7 +66,7 @@
     def crash_now(self) -> None:
         """Record the crash time, close the listener and reset all connections."""
         self.ends.append(asyncio.get_running_loop().time())
-        self.is_away = True
+        self.is_down = True
         self.stop()
 
     async def restart(self) -> None:
@@ -78,4 +78,4 @@
         self.server = stream_server.Server(self.serve)
         host, _, port = self.address.rpartition(":")
         await self.server.listen(host, int(port))
-        self.is_away = False
+        self.is_down = False
--- a/tests/crashing_fleet.py
+++ b/tests/crashing_fleet.py
@@ -65,7 +65,7 @@
     async def beat(self, worker: crashing_worker.CrashingWorker) -> None:
         """Send a heartbeat every `BEAT_S` while the worker is up."""
         while True:
-            if not worker.is_away:
+            if not worker.is_down:
                 worker.sequence += 1
                 with contextlib.suppress(Exception):
                     await self.tell(worker)
@@ -144,7 +144,7 @@
         """Wait until all workers are up and every entry knows exactly their incarnations."""
 
         def is_known() -> bool:
-            there = {worker.instance for worker in self.workers if not worker.is_away}
+            there = {worker.instance for worker in self.workers if not worker.is_down}
             known = [set(entry.node.pool.backends) for entry in self.entries]
             return len(there) == len(self.workers) and all(found == there for found in known)
 
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -172,7 +172,7 @@
         task = asyncio.get_running_loop().create_task(fleet.ask_any(0, b"silent"))
         await fleet_nodes.until(lambda: worker.runs)
         # Its VM falls dark: nothing answers, and the attempt ends by its own time.
-        worker.is_away = True
+        worker.is_down = True
         await task
         assert crashes.unproven and not crashes.ledger.records
         worker.behaviour.is_mute = False
--- a/tests/test_leaving_answers.py
+++ b/tests/test_leaving_answers.py
@@ -207,7 +207,7 @@
             return await asked(*of)
 
         watcher.ask = ask
-        leaver.is_away = True
+        leaver.is_down = True
         fleet_.controls.kill(former)
         await fleet_.controls.until_acknowledged("DELETE", f"/instances/{leaver.instance}")
         may_ask.set()
