--- a/stand_ins/crashing_worker.py
+++ b/stand_ins/crashing_worker.py
@@ -11,7 +11,7 @@
 class CrashingWorker(fleet_worker.Worker):
     """A worker that crashes `crash_after_s` after it starts a request with `deadly_body`.
 
-    A crash resets all connections. After `away_s` a new incarnation listens at the same address,
+    A crash resets all connections. After `downtime_s` a new incarnation listens at the same address,
     with a new instance id unless `keeps_id` is set. `ends` and `arrivals` hold the event loop
     times of the crashes and of the requests that cause them. `sequence` counts the heartbeats of
     one incarnation; `born_ms` is its start time, which heartbeats include if `tells_birth` is set.
@@ -23,7 +23,7 @@
         model: str = "",
         deadly_body: bytes = b"deadly",
         crash_after_s: float = 0.05,
-        away_s: float = 0.4,
+        downtime_s: float = 0.4,
         keeps_id: bool = False,
         tells_birth: bool = False,
     ) -> None:
@@ -31,7 +31,7 @@
         self.name = instance
         self.deadly_body = deadly_body
         self.crash_after_s = crash_after_s
-        self.away_s = away_s
+        self.downtime_s = downtime_s
         self.keeps_id = keeps_id
         self.tells_birth = tells_birth
         self.born_ms = FIRST_START_MS
@@ -57,10 +57,10 @@
             self.crash = asyncio.get_running_loop().create_task(self.crash_and_restart())
 
     async def crash_and_restart(self) -> None:
-        """Crash after `crash_after_s` and restart after `away_s`."""
+        """Crash after `crash_after_s` and restart after `downtime_s`."""
         await asyncio.sleep(self.crash_after_s)
         self.crash_now()
-        await asyncio.sleep(self.away_s)
+        await asyncio.sleep(self.downtime_s)
         await self.restart()
 
     def crash_now(self) -> None:
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -248,7 +248,7 @@
                     await fleet_nodes.until(lambda ledger=ledger: ledger.is_strict("account-1"))
         assert len(fleet.ends()) - before == 4
 
-    run(tmp_path, scenario, away_s=0.15)
+    run(tmp_path, scenario, downtime_s=0.15)
 
 
 def test_an_end_that_is_seen_while_an_earlier_one_is_being_told_is_told_too():
