--- a/stand_ins/crashing_worker.py
+++ b/stand_ins/crashing_worker.py
@@ -14,7 +14,7 @@
     A crash resets all connections. After `downtime_s` a new incarnation listens at the same address,
     with a new instance id unless `keeps_id` is set. `ends` and `arrivals` hold the event loop
     times of the crashes and of the requests that cause them. `sequence` counts the heartbeats of
-    one incarnation; `born_ms` is its start time, which heartbeats include if `tells_birth` is set.
+    one incarnation; `born_ms` is its start time, which heartbeats include if `sends_born_ms` is set.
     """
 
     def __init__(
@@ -25,7 +25,7 @@
         crash_after_s: float = 0.05,
         downtime_s: float = 0.4,
         keeps_id: bool = False,
-        tells_birth: bool = False,
+        sends_born_ms: bool = False,
     ) -> None:
         super().__init__(instance, model)
         self.name = instance
@@ -33,7 +33,7 @@
         self.crash_after_s = crash_after_s
         self.downtime_s = downtime_s
         self.keeps_id = keeps_id
-        self.tells_birth = tells_birth
+        self.sends_born_ms = sends_born_ms
         self.born_ms = FIRST_START_MS
         self.ends: list[float] = []
         self.arrivals: list[float] = []
--- a/tests/crashing_fleet.py
+++ b/tests/crashing_fleet.py
@@ -84,7 +84,7 @@
             "sequence": worker.sequence,
             "models": [{"name": worker.model, "version": 1}],
         }
-        if worker.tells_birth:
+        if worker.sends_born_ms:
             body["born"] = worker.born_ms
         ip = next(iter(self.controls.nodes))
         await self.controls.call(ip, "PUT", f"/instances/{worker.instance}", body)
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -35,7 +35,7 @@
 
 
 @pytest.mark.parametrize(
-    ("service", "model", "keeps_id", "tells_birth"),
+    ("service", "model", "keeps_id", "sends_born_ms"),
     [
         ("safe", "", False, False),
         ("model", "m", False, False),
@@ -44,14 +44,14 @@
     ],
 )
 def test_a_request_that_ended_three_workers_goes_to_no_more_of_them_from_any_entry(
-    tmp_path, service, model, keeps_id, tells_birth
+    tmp_path, service, model, keeps_id, sends_born_ms
 ):
     async def scenario(fleet):
         await fleet.send_until_late(crashing_fleet.CONTACT_S, comings=16)
         late = fleet.late_arrivals()
         assert late <= LATE_MAX, f"{late} later ones; {len(fleet.ends())} workers ended"
 
-    run(tmp_path, scenario, service, model, keeps_id=keeps_id, tells_birth=tells_birth)
+    run(tmp_path, scenario, service, model, keeps_id=keeps_id, sends_born_ms=sends_born_ms)
 
 
 def test_a_request_that_is_held_back_is_refused_at_once_as_not_run_and_not_asked_back_soon(
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -116,7 +116,7 @@
     async def whole():
         fleet_ = crashing_fleet.CrashingFleet(tmp_path)
         try:
-            await fleet_.start(1, 1, keeps_id=True, tells_birth=True)
+            await fleet_.start(1, 1, keeps_id=True, sends_born_ms=True)
             await scenario(fleet_)
         finally:
             await fleet_.stop()
