--- a/bench/soak_faults.py
+++ b/bench/soak_faults.py
@@ -210,7 +210,7 @@
         harms = [
             proxy.Faults(latency_s=0.1),
             proxy.Faults(stall=True),
-            proxy.Faults(cut_forth=True),
+            proxy.Faults(drop_to_upstream=True),
             proxy.Faults(cut_back=True),
             proxy.Faults(refuse=True),
             proxy.Faults(),
--- a/tests/test_control_failures.py
+++ b/tests/test_control_failures.py
@@ -148,7 +148,9 @@
     assert ana.history().rolls[0].generation == result.generation
 
 
-@pytest.mark.parametrize("faults", [{"cut_forth": True}, {"cut_forth": True, "cut_back": True}])
+@pytest.mark.parametrize(
+    "faults", [{"drop_to_upstream": True}, {"drop_to_upstream": True, "cut_back": True}]
+)
 def test_a_cut_off_zone_keeps_what_it_has_and_catches_up(make_fleet, faults):
     fleet = make_fleet(SMALL)
     ana = operators.Operator(fleet)
