--- a/bench/soak_faults.py
+++ b/bench/soak_faults.py
@@ -211,7 +211,7 @@
             proxy.Faults(latency_s=0.1),
             proxy.Faults(stall=True),
             proxy.Faults(drop_to_upstream=True),
-            proxy.Faults(cut_back=True),
+            proxy.Faults(drop_from_upstream=True),
             proxy.Faults(refuse=True),
             proxy.Faults(),
         ]
--- a/stand_ins/proxy.py
+++ b/stand_ins/proxy.py
@@ -19,7 +19,7 @@
 class Faults:
     """The faults of a link.
 
-    `drop_to_upstream` and `cut_back` discard the data sent to and from the upstream, `stall` stops
+    `drop_to_upstream` and `drop_from_upstream` discard the data sent to and from the upstream, `stall` stops
     reading from both sides, `corrupt_share` is the share of reads (0 to 1) that get a changed
     byte, and `refuse` resets new connections.
     """
@@ -27,7 +27,7 @@
     latency_s: float = 0.0
     bytes_per_s: float = 0.0
     drop_to_upstream: bool = False
-    cut_back: bool = False
+    drop_from_upstream: bool = False
     stall: bool = False
     corrupt_share: float = 0.0
     refuse: bool = False
@@ -121,7 +121,7 @@
             time.sleep(faults.latency_s)
         if faults.bytes_per_s:
             time.sleep(len(data) / faults.bytes_per_s)
-        if faults.drop_to_upstream if is_to_upstream else faults.cut_back:
+        if faults.drop_to_upstream if is_to_upstream else faults.drop_from_upstream:
             return
         if faults.corrupt_share and self.rng.random() < faults.corrupt_share:
             position = self.rng.randrange(len(data))
--- a/tests/test_control_failures.py
+++ b/tests/test_control_failures.py
@@ -149,7 +149,7 @@
 
 
 @pytest.mark.parametrize(
-    "faults", [{"drop_to_upstream": True}, {"drop_to_upstream": True, "cut_back": True}]
+    "faults", [{"drop_to_upstream": True}, {"drop_to_upstream": True, "drop_from_upstream": True}]
 )
 def test_a_cut_off_zone_keeps_what_it_has_and_catches_up(make_fleet, faults):
     fleet = make_fleet(SMALL)
