--- a/stand_ins/fleet_worker.py
+++ b/stand_ins/fleet_worker.py
@@ -273,7 +273,7 @@
     def __init__(self, pieces: dict[int, list[bytes]]) -> None:
         self.pieces = pieces
         self.given: list[tuple[int, int]] = []
-        self.manifests_given = 0
+        self.manifests_served = 0
         self.corrupt: set[int] = set()
         # Version and index of the pieces that get a 503 response.
         self.withheld: set[tuple[int, int]] = set()
@@ -313,7 +313,7 @@
             return
         pieces = self.pieces[version]
         if path.startswith("/manifest/"):
-            self.manifests_given += 1
+            self.manifests_served += 1
             body = {
                 "model": path.split("/")[-1],
                 "version": version,
--- a/tests/test_weights_task.py
+++ b/tests/test_weights_task.py
@@ -132,10 +132,10 @@
 def test_one_agent_of_a_zone_asks_the_origin_for_a_manifest():
     async def scenario(fleet):
         await fleet.wait_until_loaded(1)
-        fleet.origin.manifests_given = 0
+        fleet.origin.manifests_served = 0
         fleet.publish(2)
         await fleet.wait_until_loaded(2)
-        assert fleet.origin.manifests_given == 1
+        assert fleet.origin.manifests_served == 1
 
     run(4, scenario)
 
@@ -153,11 +153,11 @@
         number = names.index(max(orders, key=len)[0])
         fleet.stop_agent(number)
         others = [engine for place, engine in enumerate(fleet.engines) if place != number]
-        fleet.origin.manifests_given = 0
+        fleet.origin.manifests_served = 0
         fleet.publish(2)
         await fleet_nodes.until(lambda: all(engine.version == 2 for engine in others), 20)
         assert fleet.engines[number].version == 1
-        assert fleet.origin.manifests_given == 1, "only the next agent may ask the origin"
+        assert fleet.origin.manifests_served == 1, "only the next agent may ask the origin"
 
     run(3, scenario)
 
