--- a/bench/soak_faults.py
+++ b/bench/soak_faults.py
@@ -191,7 +191,7 @@
         faults = [
             {"is_full": True},
             {"closes_without_answer": True},
-            {"is_mute": True},
+            {"never_responds": True},
             {"wrong_request_id": True},
             {"is_unsigned": True},
             {"status": 500},
--- a/stand_ins/fleet_worker.py
+++ b/stand_ins/fleet_worker.py
@@ -29,7 +29,7 @@
     wrong_request_id: bool = False
     is_unsigned: bool = False
     ignores_last_event_id: bool = False
-    is_mute: bool = False
+    never_responds: bool = False
     order_status: int = 202
     order_delay_s: float = 0.0
     # Adds a Server-Leaving header to every response.
@@ -155,7 +155,7 @@
         self, exchange: stream_server.Exchange, headers: dict[str, str], request_id: str
     ) -> None:
         """Send the response, with the faults of the current behaviour."""
-        if self.behaviour.is_mute:
+        if self.behaviour.never_responds:
             await asyncio.Event().wait()
         await asyncio.sleep(self.behaviour.work_s)
         if self.behaviour.closes_without_answer:
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -168,14 +168,14 @@
         worker = fleet.workers[0]
         for other in fleet.workers[1:]:
             other.behaviour.is_full = True
-        worker.behaviour.is_mute = True
+        worker.behaviour.never_responds = True
         task = asyncio.get_running_loop().create_task(fleet.ask_any(0, b"silent"))
         await fleet_nodes.until(lambda: worker.runs)
         # Its VM falls dark: nothing answers, and the attempt ends by its own time.
         worker.is_down = True
         await task
         assert crashes.unproven and not crashes.ledger.records
-        worker.behaviour.is_mute = False
+        worker.behaviour.never_responds = False
         worker.crash_now()
         await worker.restart()
         await fleet_nodes.until(lambda: crashes.ledger.records)
@@ -188,7 +188,7 @@
     async def scenario(fleet):
         crashes = fleet.entries[0].node.crashes
         (worker,) = fleet.workers
-        worker.behaviour.is_mute = True
+        worker.behaviour.never_responds = True
         task = asyncio.get_running_loop().create_task(fleet.ask_any(0, b"silent"))
         await fleet_nodes.until(lambda: worker.runs)
         # Its VM fell dark, and another process is at its address under another id.
--- a/tests/test_entry_node.py
+++ b/tests/test_entry_node.py
@@ -225,7 +225,7 @@
 def test_a_client_that_leaves_is_left_by_the_worker_too():
     async def scenario():
         entry, workers, _ = await make("safe", 1)
-        workers[0].behaviour.is_mute = True
+        workers[0].behaviour.never_responds = True
         connection = await entry.send("/safe/", "id-1")
         await fleet_nodes.until(lambda: runs(workers) == 1)
         connection.close()
@@ -237,12 +237,12 @@
 def test_a_silent_worker_is_left_for_another_where_the_request_may_be_repeated():
     async def scenario():
         entry, workers, _ = await make("model", 2, "m")
-        workers[0].behaviour.is_mute = True
-        workers[1].behaviour.is_mute = True
+        workers[0].behaviour.never_responds = True
+        workers[1].behaviour.never_responds = True
         connection = await entry.send("/model/", "id-1", **STREAM)
         await fleet_nodes.until(lambda: runs(workers) == 1)
         for worker in workers:
-            worker.behaviour.is_mute = False
+            worker.behaviour.never_responds = False
         answer = await connection.receive()
         assert answer.status == 200 and len(event_ids(answer.body)) == 5
 
@@ -293,7 +293,7 @@
             return {agent: nothing for agent in agents}
 
         entry.node.prober.ask = answer_at_once
-        old.behaviour.is_mute = True
+        old.behaviour.never_responds = True
         new.version = 2
         watcher, pool = entry.node.watcher, entry.node.pool
         now = pool.clock()
@@ -385,7 +385,7 @@
         await asyncio.gather(*(entry.ask("/model/", f"id-{n}", **STREAM) for n in range(3)))
         pool = entry.node.pool.connections.kept
         assert len(pool.idle["i-0"]) == 3
-        workers[0].behaviour.is_mute = True
+        workers[0].behaviour.never_responds = True
         monkeypatch.setattr(attempts, "FIRST_EVENT_MIN_S", 0.05)
         monkeypatch.setattr(attempts, "FIRST_EVENT_OBJECTIVES", 0.0)
         task = asyncio.ensure_future(entry.ask("/model/", "id-9", **STREAM))
