--- a/stand_ins/crashing_worker.py
+++ b/stand_ins/crashing_worker.py
@@ -11,10 +11,11 @@
 class CrashingWorker(fleet_worker.Worker):
     """A worker that crashes `crash_after_s` after it starts a request with `deadly_body`.
 
-    A crash resets all connections. After `downtime_s` a new incarnation listens at the same address,
-    with a new instance id unless `keeps_id` is set. `ends` and `arrivals` hold the event loop
-    times of the crashes and of the requests that cause them. `sequence` counts the heartbeats of
-    one incarnation; `born_ms` is its start time, which heartbeats include if `sends_born_ms` is set.
+    A crash resets all connections. After `downtime_s` a new incarnation listens at the same
+    address, with a new instance id unless `keeps_id` is set. `ends` and `arrivals` hold the event
+    loop times of the crashes and of the requests that cause them. `sequence` counts the heartbeats
+    of one incarnation; `born_ms` is its start time, which heartbeats include if `sends_born_ms` is
+    set.
     """
 
     def __init__(
--- a/stand_ins/proxy.py
+++ b/stand_ins/proxy.py
@@ -19,8 +19,8 @@
 class Faults:
     """The faults of a link.
 
-    `drop_to_upstream` and `drop_from_upstream` discard the data sent to and from the upstream, `stall` stops
-    reading from both sides, `corrupt_share` is the share of reads (0 to 1) that get a changed
+    `drop_to_upstream` and `drop_from_upstream` discard the data sent in that direction, `stall`
+    stops reading from both sides, `corrupt_share` is the share of reads (0 to 1) that get a changed
     byte, and `refuse` resets new connections.
     """
 
