--- a/stand_ins/fleet_worker.py
+++ b/stand_ins/fleet_worker.py
@@ -39,7 +39,7 @@
     # The Server-Limit value of every response, in requests per second.
     limit: str | None = None
     # Further headers of every response.
-    more_headers: http_messages.Headers = dataclasses.field(default_factory=list)
+    extra_headers: http_messages.Headers = dataclasses.field(default_factory=list)
     echoes_request_id: bool = True
 
 
@@ -200,7 +200,7 @@
         headers = [(b"Server-Leaving", b"1")] if self.behaviour.is_leaving else []
         if self.behaviour.limit is not None:
             headers.append((b"Server-Limit", self.behaviour.limit.encode()))
-        return [*headers, *self.behaviour.more_headers]
+        return [*headers, *self.behaviour.extra_headers]
 
     async def refuse(self, exchange: stream_server.Exchange, status: int) -> None:
         """Reject a request, marked as not run."""
--- a/tests/test_unread_words.py
+++ b/tests/test_unread_words.py
@@ -36,7 +36,7 @@
     async def scenario():
         fleet = await fed_fleet.FedFleet("safe", 2, work_s=0.0).start()
         for worker in fleet.workers:
-            worker.behaviour.more_headers = [(b"Server-Mood", b"3")]
+            worker.behaviour.extra_headers = [(b"Server-Mood", b"3")]
         for _ in range(6):
             assert (await fleet.ask()).status == 200
 
