--- a/bench/soak_faults.py
+++ b/bench/soak_faults.py
@@ -256,10 +256,10 @@
         workers.sort(key=lambda worker: len(worker.runs), reverse=True)
         resting = workers[: self.rng.randrange(1, len(workers) + 1)]
         for worker in resting:
-            worker.behaviour.is_full, worker.behaviour.rest = True, str(REST_S)
+            worker.behaviour.is_full, worker.behaviour.retry_after = True, str(REST_S)
         await asyncio.sleep(self.rng.uniform(0.5, 2.5))
         for worker in resting:
-            worker.behaviour.is_full, worker.behaviour.rest = False, None
+            worker.behaviour.is_full, worker.behaviour.retry_after = False, None
 
     @FAULTS.add("name_limit")
     async def name_limit(self) -> None:
--- a/stand_ins/fleet_worker.py
+++ b/stand_ins/fleet_worker.py
@@ -35,7 +35,7 @@
     # Adds a Server-Leaving header to every response.
     is_leaving: bool = False
     # The Retry-After value of 503 responses.
-    rest: str | None = None
+    retry_after: str | None = None
     # The Server-Limit value of every response, in requests per second.
     limit: str | None = None
     # Further headers of every response.
@@ -134,7 +134,7 @@
         if self.behaviour.is_full:
             now = asyncio.get_running_loop().time()
             self.rejections.append(
-                Rejection(request_id, now, parse_retry_after_s(self.behaviour.rest))
+                Rejection(request_id, now, parse_retry_after_s(self.behaviour.retry_after))
             )
             await self.refuse(exchange, 503)
             return
@@ -210,8 +210,8 @@
                 exchange.request.headers, b"x-merlinthread-request-id"
             )
             headers.append((b"X-Merlinthread-Request-Id", request_id or b""))
-        if self.behaviour.rest is not None and status == 503:
-            headers.append((b"Retry-After", self.behaviour.rest.encode()))
+        if self.behaviour.retry_after is not None and status == 503:
+            headers.append((b"Retry-After", self.behaviour.retry_after.encode()))
         await exchange.respond(http_messages.Response(status, headers))
 
     async def report(self, exchange: stream_server.Exchange) -> None:
@@ -278,7 +278,7 @@
         # Version and index of the pieces that get a 503 response.
         self.withheld: set[tuple[int, int]] = set()
         # If set, every request is rejected with this Retry-After value; event loop times of those.
-        self.rest: str | None = None
+        self.retry_after: str | None = None
         self.rejections: list[float] = []
         self.server = stream_server.Server(self.serve)
         self.address = ""
@@ -299,10 +299,10 @@
             connection.abort()
 
     async def serve(self, exchange: stream_server.Exchange) -> None:
-        """Serve a manifest or a piece, or reject the request if `rest` is set."""
-        if self.rest is not None:
+        """Serve a manifest or a piece, or reject the request if `retry_after` is set."""
+        if self.retry_after is not None:
             self.rejections.append(asyncio.get_running_loop().time())
-            headers = [(b"Retry-After", self.rest.encode())]
+            headers = [(b"Retry-After", self.retry_after.encode())]
             await exchange.respond(http_messages.Response(503, headers))
             return
         path, _, query = exchange.request.target.decode().partition("?")
--- a/tests/test_rest.py
+++ b/tests/test_rest.py
@@ -29,7 +29,7 @@
     def let_rest(self, workers: list[fleet_worker.Worker], rest: str = f"{REST_S}") -> None:
         for worker in workers:
             worker.behaviour.is_full = True
-            worker.behaviour.rest = rest
+            worker.behaviour.retry_after = rest
 
     async def until_refused(self, workers: list[fleet_worker.Worker]) -> float:
         """Send requests until each worker has refused one; return the time of the first refusal.
--- a/tests/test_weights_task.py
+++ b/tests/test_weights_task.py
@@ -513,12 +513,12 @@
         if has_manifest:
             fleet.origin.withheld = {(1, index) for index in range(1, PIECES)}
             await fleet_nodes.until(lambda: fleet.origin.given)
-        fleet.origin.rest = str(rest_s)
+        fleet.origin.retry_after = str(rest_s)
         await fleet_nodes.until(lambda: fleet.origin.rejections)
         await fleet_nodes.until(lambda: len(fleet.origin.rejections) > 1)
         first, second = fleet.origin.rejections[:2]
         assert second - first >= 0.95 * rest_s
-        fleet.origin.rest, fleet.origin.withheld = None, set()
+        fleet.origin.retry_after, fleet.origin.withheld = None, set()
         await fleet.wait_until_loaded(1)
 
     run(1, scenario)
@@ -526,9 +526,9 @@
 
 def test_what_an_origin_can_not_mean_does_not_keep_weights_from_engines():
     async def scenario(fleet):
-        fleet.origin.rest = "1e9"
+        fleet.origin.retry_after = "1e9"
         await fleet_nodes.until(lambda: fleet.origin.rejections)
-        fleet.origin.rest = None
+        fleet.origin.retry_after = None
         await fleet.wait_until_loaded(1)
 
     run(1, scenario)
