--- a/stand_ins/fleet_worker.py
+++ b/stand_ins/fleet_worker.py
@@ -272,11 +272,11 @@
 
     def __init__(self, pieces: dict[int, list[bytes]]) -> None:
         self.pieces = pieces
-        self.given: list[tuple[int, int]] = []
+        self.served_pieces: list[tuple[int, int]] = []
         self.manifests_served = 0
         self.corrupt: set[int] = set()
         # Version and index of the pieces that get a 503 response.
-        self.withheld: set[tuple[int, int]] = set()
+        self.unavailable_pieces: set[tuple[int, int]] = set()
         # If set, every request is rejected with this Retry-After value; event loop times of those.
         self.retry_after: str | None = None
         self.rejections: list[float] = []
@@ -323,9 +323,9 @@
             await exchange.respond(http_messages.Response(200, [], json.dumps(body).encode()))
             return
         index = int(fields["sample_count"])
-        if (version, index) in self.withheld:
+        if (version, index) in self.unavailable_pieces:
             await exchange.respond(http_messages.Response(503, []))
             return
-        self.given.append((version, index))
+        self.served_pieces.append((version, index))
         data = b"x" * len(pieces[index]) if index in self.corrupt else pieces[index]
         await exchange.respond(http_messages.Response(200, [], data))
--- a/tests/test_weights_task.py
+++ b/tests/test_weights_task.py
@@ -124,7 +124,7 @@
 def test_every_engine_gets_the_version_and_the_origin_is_read_about_once():
     async def scenario(fleet):
         await fleet.wait_until_loaded(1)
-        assert len([given for given in fleet.origin.given if given[0] == 1]) <= PIECES * 1.5
+        assert len([given for given in fleet.origin.served_pieces if given[0] == 1]) <= PIECES * 1.5
 
     run(4, scenario)
 
@@ -371,7 +371,7 @@
         port = int(engine.address.rpartition(":")[2])
         engine.stop()
         engine.version = 0
-        fleet.origin.withheld = {(1, index) for index in range(PIECES)}
+        fleet.origin.unavailable_pieces = {(1, index) for index in range(PIECES)}
         await fleet.start_agent(0)
         fleet.publish(1)
         await fleet_nodes.until(lambda: fleet.agents[0].weights.plan is not None)
@@ -511,14 +511,14 @@
 
     async def scenario(fleet):
         if has_manifest:
-            fleet.origin.withheld = {(1, index) for index in range(1, PIECES)}
-            await fleet_nodes.until(lambda: fleet.origin.given)
+            fleet.origin.unavailable_pieces = {(1, index) for index in range(1, PIECES)}
+            await fleet_nodes.until(lambda: fleet.origin.served_pieces)
         fleet.origin.retry_after = str(rest_s)
         await fleet_nodes.until(lambda: fleet.origin.rejections)
         await fleet_nodes.until(lambda: len(fleet.origin.rejections) > 1)
         first, second = fleet.origin.rejections[:2]
         assert second - first >= 0.95 * rest_s
-        fleet.origin.retry_after, fleet.origin.withheld = None, set()
+        fleet.origin.retry_after, fleet.origin.unavailable_pieces = None, set()
         await fleet.wait_until_loaded(1)
 
     run(1, scenario)
