--- a/bench/upgrade_weights.py
+++ b/bench/upgrade_weights.py
@@ -89,5 +89,5 @@
         await asyncio.sleep(0.1)
     pieces = make_pieces(upgrade.named)
     for engine in fleet.engines:
-        if [engine.taken.get(index) for index in range(PIECES)] != pieces:
+        if [engine.loaded_pieces.get(index) for index in range(PIECES)] != pieces:
             upgrade.break_rule(f"{engine.instance} took version {engine.version} spoilt or mixed")
--- a/stand_ins/fleet_worker.py
+++ b/stand_ins/fleet_worker.py
@@ -81,7 +81,7 @@
         self.staged: dict[int, bytes] = {}
         self.orders: list[dict] = []
         # The staged pieces when the last order was executed, and whether an order is in progress.
-        self.taken: dict[int, bytes] = {}
+        self.loaded_pieces: dict[int, bytes] = {}
         self.is_busy = False
         self.server = stream_server.Server(self.serve)
         self.address = ""
@@ -248,13 +248,13 @@
         if self.behaviour.order_status == 202:
             self.is_busy = True
             delay_s = self.behaviour.order_delay_s
-            asyncio.get_running_loop().call_later(delay_s, self.carry_out, order)
+            asyncio.get_running_loop().call_later(delay_s, self.execute_order, order)
         await exchange.respond(http_messages.Response(self.behaviour.order_status, []))
 
-    def carry_out(self, order: dict) -> None:
+    def execute_order(self, order: dict) -> None:
         """Execute an order: load the staged pieces and switch to its version and layers."""
         self.is_busy = False
-        self.taken = dict(self.staged)
+        self.loaded_pieces = dict(self.staged)
         self.version = order["version"]
         self.layers = (order.get("from", 0), order.get("target_version", LAYERS))
 
--- a/tests/test_weights_task.py
+++ b/tests/test_weights_task.py
@@ -472,7 +472,7 @@
         engine = fleet.engines[0]
         agent = fleet.agents[0]
         crashes = change_over.LOAD_CRASHES_BEFORE_BACKOFF + 1
-        carry_out = engine.carry_out
+        execute_order = engine.execute_order
 
         def crash(order):
             engine.is_busy = False
@@ -488,7 +488,7 @@
             await engine.server.listen("127.0.0.1", port)
 
         tasks = []
-        engine.carry_out = crash
+        engine.execute_order = crash
         await fleet_nodes.until(lambda: agent.weights.load_crashes == crashes, 20)
         # The engine is back and all pieces are staged, so a load without a delay would start now.
         await fleet_nodes.until(lambda: agent.last_report is not None)
@@ -496,7 +496,7 @@
         await fleet_nodes.until(lambda: agent.last_sent_at > told_at + 1.0)
         assert len(engine.orders) == crashes
         # Another version is loaded without a delay.
-        engine.carry_out = carry_out
+        engine.execute_order = execute_order
         fleet.publish(2)
         await fleet.wait_until_loaded(2)
         assert len(engine.orders) == crashes + 1
