--- a/bench/upgrade.py
+++ b/bench/upgrade.py
@@ -155,7 +155,7 @@
         replaced_at = asyncio.get_running_loop().time()
         await asyncio.sleep(CALM_S)
         if self.crashing is not None:
-            ends = self.crashing.ends()
+            ends = self.crashing.crash_times()
             self.verdict.workers_ended = len(ends)
             self.verdict.ended_late = sum(at > replaced_at for at in ends)
         asked, answered = self.tally.asked, self.tally.answered
--- a/bench/upgrade_deadly.py
+++ b/bench/upgrade_deadly.py
@@ -30,9 +30,9 @@
         worker.behaviour.events = soak_fleet.EVENTS
         await worker.start()
 
-    def ends(self) -> list[float]:
+    def crash_times(self) -> list[float]:
         """Return when workers ended, on the event loop's clock."""
-        return [at for worker in self.workers for at in worker.ends]  # type: ignore[attr-defined]
+        return [at for worker in self.workers for at in worker.crash_times]  # type: ignore[attr-defined]
 
 
 async def send_deadly(upgrade: Any) -> None:
--- a/stand_ins/crashing_worker.py
+++ b/stand_ins/crashing_worker.py
@@ -12,7 +12,7 @@
     """A worker that crashes `crash_after_s` after it starts a request with `deadly_body`.
 
     A crash resets all connections. After `downtime_s` a new incarnation listens at the same
-    address, with a new instance id unless `keeps_id` is set. `ends` and `arrivals` hold the event
+    address, with a new instance id unless `keeps_id` is set. `crash_times` and `crash_request_times` hold the event
     loop times of the crashes and of the requests that cause them. `sequence` counts the heartbeats
     of one incarnation; `born_ms` is its start time, which heartbeats include if `sends_born_ms` is
     set.
@@ -36,8 +36,8 @@
         self.keeps_id = keeps_id
         self.sends_born_ms = sends_born_ms
         self.born_ms = FIRST_START_MS
-        self.ends: list[float] = []
-        self.arrivals: list[float] = []
+        self.crash_times: list[float] = []
+        self.crash_request_times: list[float] = []
         self.is_down = False
         self.sequence = 0
         self.crash: asyncio.Task[None] | None = None
@@ -47,7 +47,7 @@
     ) -> None:
         """Send a response, or crash before one is sent if the body is `deadly_body`."""
         if exchange.request.body == self.deadly_body:
-            self.arrivals.append(asyncio.get_running_loop().time())
+            self.crash_request_times.append(asyncio.get_running_loop().time())
             self.schedule_crash()
             await asyncio.Event().wait()
         await super().answer(exchange, headers, request_id)
@@ -66,14 +66,14 @@
 
     def crash_now(self) -> None:
         """Record the crash time, close the listener and reset all connections."""
-        self.ends.append(asyncio.get_running_loop().time())
+        self.crash_times.append(asyncio.get_running_loop().time())
         self.is_down = True
         self.stop()
 
     async def restart(self) -> None:
         """Start a new incarnation at the same address with a reset heartbeat sequence."""
         if not self.keeps_id:
-            self.instance = f"{self.name}-{len(self.ends)}"
+            self.instance = f"{self.name}-{len(self.crash_times)}"
         self.sequence = 0
         self.born_ms += 1
         self.server = stream_server.Server(self.serve)
--- a/tests/crashing_fleet.py
+++ b/tests/crashing_fleet.py
@@ -96,18 +96,18 @@
         target = path or f"/{self.service}/x"
         return await self.entries[entry].ask(target, f"id-{self.asked}", body, **headers)
 
-    def ends(self) -> list[float]:
+    def crash_times(self) -> list[float]:
         """Return the times of worker crashes, in ascending order."""
-        return sorted(at for worker in self.workers for at in worker.ends)
+        return sorted(at for worker in self.workers for at in worker.crash_times)
 
-    def arrivals(self) -> list[float]:
+    def crash_request_times(self) -> list[float]:
         """Return the times at which workers received deadly requests, in ascending order."""
-        return sorted(at for worker in self.workers for at in worker.arrivals)
+        return sorted(at for worker in self.workers for at in worker.crash_request_times)
 
     def late_arrivals(self) -> int:
         """Return the number of deadly requests later than `CONTACT_S` after the third crash."""
-        bound = self.ends()[2] + CONTACT_S
-        return sum(at > bound for at in self.arrivals())
+        bound = self.crash_times()[2] + CONTACT_S
+        return sum(at > bound for at in self.crash_request_times())
 
     async def send_until_late(self, seconds: float, comings: int) -> list[http_messages.Response]:
         """Send the deadly request to each entry in turn and return the responses.
@@ -119,8 +119,8 @@
         tasks = []
         # The loop below needs the first crash to have happened.
         await self.ask_any(0, DEADLY)
-        await fleet_nodes.until(self.ends)
-        while len(self.ends()) < 3 or loop.time() < self.ends()[2] + seconds:
+        await fleet_nodes.until(self.crash_times)
+        while len(self.crash_times()) < 3 or loop.time() < self.crash_times()[2] + seconds:
             entry = len(tasks) % len(self.entries)
             tasks.append(loop.create_task(self.ask_any(entry, DEADLY)))
             await asyncio.sleep(0.05)
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -49,7 +49,7 @@
     async def scenario(fleet):
         await fleet.send_until_late(crashing_fleet.CONTACT_S, comings=16)
         late = fleet.late_arrivals()
-        assert late <= LATE_MAX, f"{late} later ones; {len(fleet.ends())} workers ended"
+        assert late <= LATE_MAX, f"{late} later ones; {len(fleet.crash_times())} workers ended"
 
     run(tmp_path, scenario, service, model, keeps_id=keeps_id, sends_born_ms=sends_born_ms)
 
@@ -59,14 +59,14 @@
 ):
     async def scenario(fleet):
         await fleet.until_held()
-        ends = len(fleet.ends())
+        ends = len(fleet.crash_times())
         for entry in range(2):
             held = fleet.entries[entry].node.crashes.ledger.held
             await fleet_nodes.until(held)
             answer = await fleet.ask(entry, crashing_fleet.DEADLY)
             assert answer.status == 503
             assert float(http_messages.get_header(answer.headers, b"retry-after")) >= 60
-        assert len(fleet.ends()) == ends
+        assert len(fleet.crash_times()) == ends
         await fleet.until_known()
         # Only this request: another body, and another path, are served.
         assert (await fleet.ask(0, b"other")).status == 200
@@ -78,11 +78,11 @@
 def test_the_answer_to_an_attempt_that_ended_a_worker_does_not_say_that_it_was_not_run(tmp_path):
     async def scenario(fleet):
         answer = await fleet.ask(0, crashing_fleet.DEADLY)
-        assert (answer.status, len(fleet.ends())) == (502, 2)
+        assert (answer.status, len(fleet.crash_times())) == (502, 2)
         await fleet_nodes.until(lambda: fleet.entries[1].node.crashes.ledger.records)
         # The third end is known before the second attempt: there is none, and no promise.
         answer = await fleet.ask(1, crashing_fleet.DEADLY)
-        assert (answer.status, len(fleet.ends())) == (502, 3)
+        assert (answer.status, len(fleet.crash_times())) == (502, 3)
 
     run(tmp_path, scenario)
 
@@ -90,11 +90,11 @@
 def test_what_is_held_back_stays_so_when_all_vms_lose_power(tmp_path):
     async def scenario(fleet):
         await fleet.until_held()
-        ends = len(fleet.ends())
+        ends = len(fleet.crash_times())
         await fleet.lose_power()
         for _ in range(4):
             assert (await fleet.ask(0, crashing_fleet.DEADLY)).status == 503
-        assert len(fleet.ends()) == ends
+        assert len(fleet.crash_times()) == ends
 
     run(tmp_path, scenario)
 
@@ -102,7 +102,7 @@
 def test_control_vms_that_all_start_again_learn_from_entries_what_was_not_decided_yet(tmp_path):
     async def scenario(fleet):
         await fleet.ask(0, crashing_fleet.DEADLY)
-        assert len(fleet.ends()) == 2
+        assert len(fleet.crash_times()) == 2
         for ip in fleet.controls.ips:
             fleet.controls.kill(ip)
             await fleet.controls.start(ip)
@@ -111,7 +111,7 @@
         other = fleet.entries[1].node.crashes.ledger
         await fleet_nodes.until(lambda: other.records)
         await fleet.ask(1, crashing_fleet.DEADLY)
-        assert len(fleet.ends()) == 3
+        assert len(fleet.crash_times()) == 3
 
     run(tmp_path, scenario)
 
@@ -140,7 +140,7 @@
         await fleet_nodes.until(lambda: not watcher.current)
         for _ in range(4):
             await fleet.ask_any(0, crashing_fleet.DEADLY)
-        assert len(fleet.ends()) == 3
+        assert len(fleet.crash_times()) == 3
         assert not any(task.done() for task in fleet.entries[0].node.tasks)
 
     run(tmp_path, scenario, entries=1)
@@ -219,7 +219,7 @@
         loop = asyncio.get_running_loop()
         tasks = [loop.create_task(ask_popular(number % 2)) for number in range(24)]
         await fleet.until_held()
-        await fleet_nodes.until(lambda: len(fleet.ends()) >= 3)
+        await fleet_nodes.until(lambda: len(fleet.crash_times()) >= 3)
         before = len(statuses)
         await fleet_nodes.until(lambda: len(statuses) >= before + 100)
         is_over.set()
@@ -242,11 +242,11 @@
                 with contextlib.suppress(Exception):
                     await fleet.ask(number % 2, body, f"/safe/deadly-{number}")
             if number == crash_ledger.ACCOUNT_HELD_THRESHOLD - 1:
-                before = len(fleet.ends())
+                before = len(fleet.crash_times())
                 for entry in fleet.entries:
                     ledger = entry.node.crashes.ledger
                     await fleet_nodes.until(lambda ledger=ledger: ledger.is_strict("account-1"))
-        assert len(fleet.ends()) - before == 4
+        assert len(fleet.crash_times()) - before == 4
 
     run(tmp_path, scenario, downtime_s=0.15)
 
