--- a/stand_ins/crashing_worker.py
+++ b/stand_ins/crashing_worker.py
@@ -9,7 +9,7 @@
 
 
 class CrashingWorker(fleet_worker.Worker):
-    """A worker that crashes `crash_after_s` after it starts a request with `deadly_body`.
+    """A worker that crashes `crash_after_s` after it starts a request with `crash_body`.
 
     A crash resets all connections. After `downtime_s` a new incarnation listens at the same
     address, with a new instance id unless `keeps_id` is set. `crash_times` and `crash_request_times` hold the event
@@ -22,7 +22,7 @@
         self,
         instance: str,
         model: str = "",
-        deadly_body: bytes = b"deadly",
+        crash_body: bytes = b"deadly",
         crash_after_s: float = 0.05,
         downtime_s: float = 0.4,
         keeps_id: bool = False,
@@ -30,7 +30,7 @@
     ) -> None:
         super().__init__(instance, model)
         self.name = instance
-        self.deadly_body = deadly_body
+        self.crash_body = crash_body
         self.crash_after_s = crash_after_s
         self.downtime_s = downtime_s
         self.keeps_id = keeps_id
@@ -45,8 +45,8 @@
     async def answer(
         self, exchange: stream_server.Exchange, headers: dict[str, str], request_id: str
     ) -> None:
-        """Send a response, or crash before one is sent if the body is `deadly_body`."""
-        if exchange.request.body == self.deadly_body:
+        """Send a response, or crash before one is sent if the body is `crash_body`."""
+        if exchange.request.body == self.crash_body:
             self.crash_request_times.append(asyncio.get_running_loop().time())
             self.schedule_crash()
             await asyncio.Event().wait()
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -234,8 +234,8 @@
 def test_many_different_deadly_requests_of_one_account_end_one_worker_each_in_the_end(tmp_path):
     async def scenario(fleet):
         for worker in fleet.workers:
-            worker.deadly_body = b"same for all: the paths differ"
-        body = fleet.workers[0].deadly_body
+            worker.crash_body = b"same for all: the paths differ"
+        body = fleet.workers[0].crash_body
         for number in range(8):
             for _ in range(3):
                 await fleet.until_known()
