--- a/stand_ins/crashing_worker.py
+++ b/stand_ins/crashing_worker.py
@@ -12,10 +12,10 @@
     """A worker that crashes `crash_after_s` after it starts a request with `crash_body`.
 
     A crash resets all connections. After `downtime_s` a new incarnation listens at the same
-    address, with a new instance id unless `keeps_id` is set. `crash_times` and `crash_request_times` hold the event
-    loop times of the crashes and of the requests that cause them. `sequence` counts the heartbeats
-    of one incarnation; `born_ms` is its start time, which heartbeats include if `sends_born_ms` is
-    set.
+    address, with a new instance id unless `keeps_id` is set. `crash_times` and
+    `crash_request_times` hold the event loop times of the crashes and of the requests that cause
+    them. `sequence` counts the heartbeats of one incarnation; `born_ms` is its start time, which
+    heartbeats include if `sends_born_ms` is set.
     """
 
     def __init__(
@@ -40,7 +40,7 @@
         self.crash_request_times: list[float] = []
         self.is_down = False
         self.sequence = 0
-        self.crash: asyncio.Task[None] | None = None
+        self.crash_task: asyncio.Task[None] | None = None
 
     async def answer(
         self, exchange: stream_server.Exchange, headers: dict[str, str], request_id: str
@@ -54,8 +54,8 @@
 
     def schedule_crash(self) -> None:
         """Schedule a crash unless one is already pending."""
-        if self.crash is None or self.crash.done():
-            self.crash = asyncio.get_running_loop().create_task(self.crash_and_restart())
+        if self.crash_task is None or self.crash_task.done():
+            self.crash_task = asyncio.get_running_loop().create_task(self.crash_and_restart())
 
     async def crash_and_restart(self) -> None:
         """Crash after `crash_after_s` and restart after `downtime_s`."""
--- a/stand_ins/proxy.py
+++ b/stand_ins/proxy.py
@@ -36,8 +36,8 @@
 class Link:
     """A listening port and the upstream address that it forwards to."""
 
-    def __init__(self, listen: tuple[str, int], goal: tuple[str, int]) -> None:
-        self.goal = goal
+    def __init__(self, listen: tuple[str, int], upstream_address: tuple[str, int]) -> None:
+        self.upstream_address = upstream_address
         self.faults = Faults()
         self.pairs: set[tuple[socket.socket, socket.socket]] = set()
         self.lock = threading.Lock()
@@ -62,7 +62,7 @@
     def connect_upstream(self, client: socket.socket) -> None:
         """Connect to the upstream and relay in both directions until both end."""
         try:
-            upstream = socket.create_connection(self.goal, timeout=5)
+            upstream = socket.create_connection(self.upstream_address, timeout=5)
         except OSError:
             reset(client)
             return
@@ -90,7 +90,9 @@
         client.close()
         upstream.close()
 
-    def relay(self, source: socket.socket, goal: socket.socket, is_to_upstream: bool) -> None:
+    def relay(
+        self, source: socket.socket, destination: socket.socket, is_to_upstream: bool
+    ) -> None:
         """Relay data in one direction, applying the current faults."""
         selector = selectors.DefaultSelector()
         selector.register(source, selectors.EVENT_READ)
@@ -103,18 +105,18 @@
                 data = source.recv(BUFFER_BYTES)
                 if not data:
                     break
-                self.forward(data, goal, is_to_upstream)
+                self.forward(data, destination, is_to_upstream)
         except OSError:
-            reset(goal)
+            reset(destination)
             reset(source)
         finally:
             selector.close()
         try:
-            goal.shutdown(socket.SHUT_WR)
+            destination.shutdown(socket.SHUT_WR)
         except OSError:
             pass
 
-    def forward(self, data: bytes, goal: socket.socket, is_to_upstream: bool) -> None:
+    def forward(self, data: bytes, destination: socket.socket, is_to_upstream: bool) -> None:
         """Apply the current faults to `data` and send what remains."""
         faults = self.faults
         if faults.latency_s:
@@ -128,7 +130,7 @@
             flipped = bytes([data[position] ^ 0x41])
             data = data[:position] + flipped + data[position + 1 :]
         self.bytes_forwarded += len(data)
-        goal.sendall(data)
+        destination.sendall(data)
 
     def reset_all(self) -> None:
         """Reset every connection of the link."""
@@ -161,9 +163,11 @@
     def __init__(self) -> None:
         self.links: dict[str, Link] = {}
 
-    def add(self, name: str, listen_port: int, goal_port: int, address: str = "127.0.0.1") -> Link:
-        """Open a link that forwards from `listen_port` to `goal_port` on `address`."""
-        link = Link((address, listen_port), (address, goal_port))
+    def add(
+        self, name: str, listen_port: int, upstream_port: int, address: str = "127.0.0.1"
+    ) -> Link:
+        """Open a link that forwards from `listen_port` to `upstream_port` on `address`."""
+        link = Link((address, listen_port), (address, upstream_port))
         self.links[name] = link
         return link
 
--- a/tests/crashing_fleet.py
+++ b/tests/crashing_fleet.py
@@ -173,8 +173,8 @@
         for entry in self.entries:
             end_entry(entry)
         for worker in self.workers:
-            if worker.crash is not None:
-                worker.crash.cancel()
+            if worker.crash_task is not None:
+                worker.crash_task.cancel()
             worker.stop()
         for ip in list(self.controls.nodes):
             self.controls.kill(ip)
