--- a/bench/soak_faults.py
+++ b/bench/soak_faults.py
@@ -191,7 +191,7 @@
         faults = [
             {"is_full": True},
             {"closes_without_answer": True},
-            {"is_mute": True},
+            {"never_responds": True},
             {"wrong_request_id": True},
             {"is_unsigned": True},
             {"status": 500},
@@ -210,8 +210,8 @@
         harms = [
             proxy.Faults(latency_s=0.1),
             proxy.Faults(stall=True),
-            proxy.Faults(cut_forth=True),
-            proxy.Faults(cut_back=True),
+            proxy.Faults(drop_to_upstream=True),
+            proxy.Faults(drop_from_upstream=True),
             proxy.Faults(refuse=True),
             proxy.Faults(),
         ]
@@ -235,7 +235,7 @@
         self.fleet.links.pop(old).close()
         new = fleet_worker.Worker(f"{old.instance}x", old.model)
         new.runs = old.runs
-        new.turned_away = old.turned_away
+        new.rejections = old.rejections
         await self.fleet.start_worker(new)
         self.fleet.workers[new] = service
 
@@ -256,10 +256,10 @@
         workers.sort(key=lambda worker: len(worker.runs), reverse=True)
         resting = workers[: self.rng.randrange(1, len(workers) + 1)]
         for worker in resting:
-            worker.behaviour.is_full, worker.behaviour.rest = True, str(REST_S)
+            worker.behaviour.is_full, worker.behaviour.retry_after = True, str(REST_S)
         await asyncio.sleep(self.rng.uniform(0.5, 2.5))
         for worker in resting:
-            worker.behaviour.is_full, worker.behaviour.rest = False, None
+            worker.behaviour.is_full, worker.behaviour.retry_after = False, None
 
     @FAULTS.add("name_limit")
     async def name_limit(self) -> None:
--- a/stand_ins/crashing_worker.py
+++ b/stand_ins/crashing_worker.py
@@ -1,81 +1,82 @@
-"""A stand-in for a worker whose process ends under a certain request and is started again."""
+"""A stand-in for a worker that crashes on a certain request and is restarted."""
 
 import asyncio
 
 from merlinthread.transport import stream_server
 from stand_ins import fleet_worker
 
-BORN_MS = 1_767_000_000_000
+FIRST_START_MS = 1_767_000_000_000
 
 
 class CrashingWorker(fleet_worker.Worker):
-    """A worker that ends `crash_after_s` after it has begun a request with `deadly_body`.
+    """A worker that crashes `crash_after_s` after it starts a request with `crash_body`.
 
-    All connections are reset, nothing listens at the address for `away_s`, then another
-    incarnation does, under a new id or, with `keeps_id`, under the same one. `ends` and `arrivals`
-    are the times, on the event loop's clock, of its ends and of the deadly requests that came;
-    `sequence` counts the heartbeats of one incarnation, `born_ms` is told with `tells_birth`.
+    A crash resets all connections. After `downtime_s` a new incarnation listens at the same
+    address, with a new instance id unless `keeps_id` is set. `crash_times` and
+    `crash_request_times` hold the event loop times of the crashes and of the requests that cause
+    them. `sequence` counts the heartbeats of one incarnation; `born_ms` is its start time, which
+    heartbeats include if `sends_born_ms` is set.
     """
 
     def __init__(
         self,
         instance: str,
         model: str = "",
-        deadly_body: bytes = b"deadly",
+        crash_body: bytes = b"deadly",
         crash_after_s: float = 0.05,
-        away_s: float = 0.4,
+        downtime_s: float = 0.4,
         keeps_id: bool = False,
-        tells_birth: bool = False,
+        sends_born_ms: bool = False,
     ) -> None:
         super().__init__(instance, model)
         self.name = instance
-        self.deadly_body = deadly_body
+        self.crash_body = crash_body
         self.crash_after_s = crash_after_s
-        self.away_s = away_s
+        self.downtime_s = downtime_s
         self.keeps_id = keeps_id
-        self.tells_birth = tells_birth
-        self.born_ms = BORN_MS
-        self.ends: list[float] = []
-        self.arrivals: list[float] = []
-        self.is_away = False
+        self.sends_born_ms = sends_born_ms
+        self.born_ms = FIRST_START_MS
+        self.crash_times: list[float] = []
+        self.crash_request_times: list[float] = []
+        self.is_down = False
         self.sequence = 0
-        self.crash: asyncio.Task[None] | None = None
+        self.crash_task: asyncio.Task[None] | None = None
 
     async def answer(
         self, exchange: stream_server.Exchange, headers: dict[str, str], request_id: str
     ) -> None:
-        """Answer, or end before the answer is whole."""
-        if exchange.request.body == self.deadly_body:
-            self.arrivals.append(asyncio.get_running_loop().time())
-            self.crash_soon()
+        """Send a response, or crash before one is sent if the body is `crash_body`."""
+        if exchange.request.body == self.crash_body:
+            self.crash_request_times.append(asyncio.get_running_loop().time())
+            self.schedule_crash()
             await asyncio.Event().wait()
         await super().answer(exchange, headers, request_id)
 
-    def crash_soon(self) -> None:
-        """End soon, unless that is under way."""
-        if self.crash is None or self.crash.done():
-            self.crash = asyncio.get_running_loop().create_task(self.end_and_return())
+    def schedule_crash(self) -> None:
+        """Schedule a crash unless one is already pending."""
+        if self.crash_task is None or self.crash_task.done():
+            self.crash_task = asyncio.get_running_loop().create_task(self.crash_and_restart())
 
-    async def end_and_return(self) -> None:
-        """End, stay away, and listen at the same address again."""
+    async def crash_and_restart(self) -> None:
+        """Crash after `crash_after_s` and restart after `downtime_s`."""
         await asyncio.sleep(self.crash_after_s)
-        self.end()
-        await asyncio.sleep(self.away_s)
-        await self.begin_again()
+        self.crash_now()
+        await asyncio.sleep(self.downtime_s)
+        await self.restart()
 
-    def end(self) -> None:
-        """End as a crashed process does."""
-        self.ends.append(asyncio.get_running_loop().time())
-        self.is_away = True
+    def crash_now(self) -> None:
+        """Record the crash time, close the listener and reset all connections."""
+        self.crash_times.append(asyncio.get_running_loop().time())
+        self.is_down = True
         self.stop()
 
-    async def begin_again(self) -> None:
-        """Start as another incarnation at the same address, which knows nothing of before."""
+    async def restart(self) -> None:
+        """Start a new incarnation at the same address with a reset heartbeat sequence."""
         if not self.keeps_id:
-            self.instance = f"{self.name}-{len(self.ends)}"
+            self.instance = f"{self.name}-{len(self.crash_times)}"
         self.sequence = 0
         self.born_ms += 1
         self.server = stream_server.Server(self.serve)
         host, _, port = self.address.rpartition(":")
         await self.server.listen(host, int(port))
-        self.is_away = False
+        self.is_down = False
--- a/tests/crashing_fleet.py
+++ b/tests/crashing_fleet.py
@@ -67,7 +67,7 @@
     async def send_heartbeats(self, worker: crashing_worker.CrashingWorker) -> None:
         """Send heartbeats of a worker while its process is running."""
         while True:
-            if not worker.is_away:
+            if not worker.is_down:
                 worker.sequence += 1
                 with contextlib.suppress(Exception):
                     await self.send_heartbeat(worker)
@@ -86,7 +86,7 @@
             "sequence": worker.sequence,
             "models": [{"name": worker.model, "version": 1}],
         }
-        if worker.tells_birth:
+        if worker.sends_born_ms:
             body["born"] = worker.born_ms
         ip = next(iter(self.controls.nodes))
         await self.controls.call(ip, "PUT", f"/instances/{worker.instance}", body)
@@ -98,18 +98,18 @@
         target = path or f"/{self.service}/x"
         return await self.entries[entry].ask(target, f"id-{self.request_count}", body, **headers)
 
-    def ends(self) -> list[float]:
+    def crash_times(self) -> list[float]:
         """Return the times of worker crashes, in order."""
-        return sorted(at for worker in self.workers for at in worker.ends)
+        return sorted(at for worker in self.workers for at in worker.crash_times)
 
-    def arrivals(self) -> list[float]:
+    def crash_request_times(self) -> list[float]:
         """Return the times at which deadly requests reached workers, in order."""
-        return sorted(at for worker in self.workers for at in worker.arrivals)
+        return sorted(at for worker in self.workers for at in worker.crash_request_times)
 
     def late_arrivals(self) -> int:
         """Return how many deadly requests arrived later than `CONTACT_S` after the third crash."""
-        bound = self.ends()[2] + CONTACT_S
-        return sum(at > bound for at in self.arrivals())
+        bound = self.crash_times()[2] + CONTACT_S
+        return sum(at > bound for at in self.crash_request_times())
 
     async def send_deadly_requests(
         self, seconds: float, repeats: int
@@ -122,8 +122,8 @@
         tasks = []
         # The first request must crash a worker, or there would be nothing to wait for.
         await self.ask_or_none(0, DEADLY)
-        await fleet_nodes.until(self.ends)
-        while len(self.ends()) < 3 or loop.time() < self.ends()[2] + seconds:
+        await fleet_nodes.until(self.crash_times)
+        while len(self.crash_times()) < 3 or loop.time() < self.crash_times()[2] + seconds:
             entry = len(tasks) % len(self.entries)
             tasks.append(loop.create_task(self.ask_or_none(entry, DEADLY)))
             await asyncio.sleep(0.05)
@@ -147,7 +147,7 @@
         """Wait until all workers are running and each entry knows their current incarnations."""
 
         def is_known() -> bool:
-            present = {worker.instance for worker in self.workers if not worker.is_away}
+            present = {worker.instance for worker in self.workers if not worker.is_down}
             known = [set(entry.node.pool.backends) for entry in self.entries]
             return len(present) == len(self.workers) and all(found == present for found in known)
 
@@ -176,8 +176,8 @@
         for entry in self.entries:
             kill_entry(entry)
         for worker in self.workers:
-            if worker.crash is not None:
-                worker.crash.cancel()
+            if worker.crash_task is not None:
+                worker.crash_task.cancel()
             worker.stop()
         for ip in list(self.controls.nodes):
             self.controls.kill(ip)
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -111,8 +111,8 @@
         worker.behaviour.work_s = 0.3
         under_way = asyncio.get_running_loop().create_task(fleet_.ask_or_none(0, b"slow"))
         await fleet_nodes.until(lambda: worker.running)
-        worker.end()
-        await worker.begin_again()
+        worker.crash_now()
+        await worker.restart()
         await fleet_nodes.until(lambda: before not in pool.backends and pool.backends)
         (after,) = pool.backends.values()
         assert after.in_flight == 0 and after.failures == 0
@@ -124,7 +124,7 @@
     async def whole():
         fleet_ = crashing_fleet.CrashingFleet(tmp_path)
         try:
-            await fleet_.start(1, 1, keeps_id=True, tells_birth=True)
+            await fleet_.start(1, 1, keeps_id=True, sends_born_ms=True)
             await scenario(fleet_)
         finally:
             await fleet_.stop()
--- a/tests/test_weights_task.py
+++ b/tests/test_weights_task.py
@@ -124,7 +124,7 @@
 def test_every_engine_gets_the_version_and_the_origin_is_read_about_once():
     async def scenario(fleet):
         await fleet.wait_until_loaded(1)
-        assert len([given for given in fleet.origin.given if given[0] == 1]) <= PIECES * 1.5
+        assert len([given for given in fleet.origin.served_pieces if given[0] == 1]) <= PIECES * 1.5
 
     run(4, scenario)
 
@@ -132,10 +132,10 @@
 def test_one_agent_of_a_zone_asks_the_origin_for_a_manifest():
     async def scenario(fleet):
         await fleet.wait_until_loaded(1)
-        fleet.origin.manifests_given = 0
+        fleet.origin.manifests_served = 0
         fleet.publish(2)
         await fleet.wait_until_loaded(2)
-        assert fleet.origin.manifests_given == 1
+        assert fleet.origin.manifests_served == 1
 
     run(4, scenario)
 
@@ -153,11 +153,11 @@
         number = names.index(max(orders, key=len)[0])
         fleet.stop_agent(number)
         others = [engine for place, engine in enumerate(fleet.engines) if place != number]
-        fleet.origin.manifests_given = 0
+        fleet.origin.manifests_served = 0
         fleet.publish(2)
         await fleet_nodes.until(lambda: all(engine.version == 2 for engine in others), 20)
         assert fleet.engines[number].version == 1
-        assert fleet.origin.manifests_given == 1, "only the next agent may ask the origin"
+        assert fleet.origin.manifests_served == 1, "only the next agent may ask the origin"
 
     run(3, scenario)
 
@@ -371,7 +371,7 @@
         port = int(engine.address.rpartition(":")[2])
         engine.stop()
         engine.version = 0
-        fleet.origin.withheld = {(1, index) for index in range(PIECES)}
+        fleet.origin.unavailable_pieces = {(1, index) for index in range(PIECES)}
         await fleet.start_agent(0)
         fleet.publish(1)
         await fleet_nodes.until(lambda: fleet.agents[0].weights.plan is not None)
@@ -472,7 +472,7 @@
         engine = fleet.engines[0]
         agent = fleet.agents[0]
         crashes = change_over.LOAD_CRASHES_BEFORE_BACKOFF + 1
-        carry_out = engine.carry_out
+        execute_order = engine.execute_order
 
         def crash(order):
             engine.is_busy = False
@@ -488,7 +488,7 @@
             await engine.server.listen("127.0.0.1", port)
 
         tasks = []
-        engine.carry_out = crash
+        engine.execute_order = crash
         await fleet_nodes.until(lambda: agent.weights.load_crashes == crashes, 20)
         # The engine is back and all pieces are staged, so a load without a delay would start now.
         await fleet_nodes.until(lambda: agent.last_report is not None)
@@ -496,7 +496,7 @@
         await fleet_nodes.until(lambda: agent.last_sent_at > told_at + 1.0)
         assert len(engine.orders) == crashes
         # Another version is loaded without a delay.
-        engine.carry_out = carry_out
+        engine.execute_order = execute_order
         fleet.publish(2)
         await fleet.wait_until_loaded(2)
         assert len(engine.orders) == crashes + 1
@@ -511,14 +511,14 @@
 
     async def scenario(fleet):
         if has_manifest:
-            fleet.origin.withheld = {(1, index) for index in range(1, PIECES)}
-            await fleet_nodes.until(lambda: fleet.origin.given)
-        fleet.origin.rest = str(rest_s)
-        await fleet_nodes.until(lambda: fleet.origin.turned_away)
-        await fleet_nodes.until(lambda: len(fleet.origin.turned_away) > 1)
-        first, second = fleet.origin.turned_away[:2]
+            fleet.origin.unavailable_pieces = {(1, index) for index in range(1, PIECES)}
+            await fleet_nodes.until(lambda: fleet.origin.served_pieces)
+        fleet.origin.retry_after = str(rest_s)
+        await fleet_nodes.until(lambda: fleet.origin.rejections)
+        await fleet_nodes.until(lambda: len(fleet.origin.rejections) > 1)
+        first, second = fleet.origin.rejections[:2]
         assert second - first >= 0.95 * rest_s
-        fleet.origin.rest, fleet.origin.withheld = None, set()
+        fleet.origin.retry_after, fleet.origin.unavailable_pieces = None, set()
         await fleet.wait_until_loaded(1)
 
     run(1, scenario)
@@ -526,9 +526,9 @@
 
 def test_what_an_origin_can_not_mean_does_not_keep_weights_from_engines():
     async def scenario(fleet):
-        fleet.origin.rest = "1e9"
-        await fleet_nodes.until(lambda: fleet.origin.turned_away)
-        fleet.origin.rest = None
+        fleet.origin.retry_after = "1e9"
+        await fleet_nodes.until(lambda: fleet.origin.rejections)
+        fleet.origin.retry_after = None
         await fleet.wait_until_loaded(1)
 
     run(1, scenario)
