--- a/src/merlinthread/nodes/backend_pool.py
+++ b/src/merlinthread/nodes/backend_pool.py
@@ -16,7 +16,7 @@
     incarnations,
     load_feed,
     retry_budget,
-    return_times,
+    retry_delays,
     wait_queue,
 )
 from merlinthread.nodes import (
@@ -84,7 +84,7 @@
         self.watcher = watcher
         self.clock = clock
         self.rng = rng
-        self.return_way = return_times.POLICIES.get(settings.policy.returns)
+        self.return_way = retry_delays.POLICIES.get(settings.policy.returns)
         self.backends: dict[str, backend_record.Backend] = {}
         self.by_service: dict[str, list[backend_record.Backend]] = {}
         self.by_address: dict[str, backend_record.Backend] = {}
--- a/src/merlinthread/nodes/node_policy.py
+++ b/src/merlinthread/nodes/node_policy.py
@@ -9,14 +9,14 @@
 import msgspec
 
 from merlinthread import errors, registry
-from merlinthread.coordination import fetch, fetch_claimed, fetch_policies, return_times
+from merlinthread.coordination import fetch, fetch_claimed, fetch_policies, retry_delays
 
 # Imported for their decorators, which register the policies.
-POLICY_MODULES = (fetch_claimed, fetch_policies, return_times)
+POLICY_MODULES = (fetch_claimed, fetch_policies, retry_delays)
 
 POLICY_REGISTRIES: dict[str, registry.Registry] = {
     "fetch": fetch.POLICIES,
-    "returns": return_times.POLICIES,
+    "returns": retry_delays.POLICIES,
 }
 
 
--- a/src/merlinthread/nodes/request_task.py
+++ b/src/merlinthread/nodes/request_task.py
@@ -8,7 +8,7 @@
 import math
 
 from merlinthread import errors, logs, metrics
-from merlinthread.coordination import backend_record, dispatch, fleet, return_times, route_table
+from merlinthread.coordination import backend_record, dispatch, fleet, retry_delays, route_table
 from merlinthread.nodes import (
     answer_relay,
     attempt_notes,
@@ -129,7 +129,7 @@
                 failures += 1
                 if failures >= CONNECT_FAILURES_MAX:
                     raise self.no_place(
-                        "back ends can't be reached", return_times.RETRY_AFTER_MIN_S
+                        "back ends can't be reached", retry_delays.RETRY_AFTER_MIN_S
                     )
                 continue
             if not self.may_repeat(outcome):
@@ -172,7 +172,7 @@
             await self.relay.give(outcome.answer)
             return
         if outcome.state is attempts.State.NOT_RUN:
-            raise self.no_place("back ends are full", return_times.RETRY_AFTER_MIN_S)
+            raise self.no_place("back ends are full", retry_delays.RETRY_AFTER_MIN_S)
         if self.clock() >= self.facts.deadline:
             raise errors.RequestError("the time is over", kind=errors.ErrorKind.DEADLINE_EXCEEDED)
         raise errors.RequestError(
@@ -288,7 +288,7 @@
         if math.isinf(opens_at):
             raise self.no_place("all back ends leave", self.return_after_s(True))
         opens_in_s = opens_at - self.clock()
-        wait_s = return_times.delay_after_rest(opens_in_s, self.pool.rng)
+        wait_s = retry_delays.delay_after_rest(opens_in_s, self.pool.rng)
         raise self.no_place(f"all back ends are at rest for {opens_in_s:.2f} s", wait_s)
 
     def is_worth_taking(self, choice: dispatch.Choice, left_s: float) -> bool:
@@ -334,7 +334,7 @@
         assert self.facts is not None
         left_s = self.facts.deadline - self.clock()
         ready_in_s = self.pool.ready_in_s(self.service) if is_none_free else None
-        refusal = return_times.Refusal(left_s, is_none_free, ready_in_s)
+        refusal = retry_delays.Refusal(left_s, is_none_free, ready_in_s)
         return self.pool.return_way(refusal, self.pool.rng)
 
     async def attempt(self, backend: backend_record.Backend) -> attempts.Outcome:
--- a/tests/test_backend_signals.py
+++ b/tests/test_backend_signals.py
@@ -10,7 +10,7 @@
 from hypothesis import stateful
 from hypothesis import strategies as st
 
-from merlinthread.coordination import backend_record, backend_signals, dispatch, return_times
+from merlinthread.coordination import backend_record, backend_signals, dispatch, retry_delays
 from merlinthread.protocol import rate_limit, retry_after
 
 DATE = datetime.datetime(2026, 1, 5, 12, 0, tzinfo=datetime.UTC)
@@ -160,6 +160,6 @@
 
 def test_who_is_refused_for_a_rest_comes_back_after_it_and_not_all_at_once():
     rng = random.Random(1)
-    times = [return_times.delay_after_rest(3.0, rng) for _ in range(200)]
+    times = [retry_delays.delay_after_rest(3.0, rng) for _ in range(200)]
     assert min(times) >= 3.0
-    assert max(times) - min(times) > 0.8 * return_times.RETRY_SPREAD_S
+    assert max(times) - min(times) > 0.8 * retry_delays.RETRY_SPREAD_S
--- a/tests/test_return_times.py
+++ b/tests/test_return_times.py
@@ -9,7 +9,7 @@
 import pytest
 
 from merlinthread import errors
-from merlinthread.coordination import backend_record, change_over, dispatch, fleet, return_times
+from merlinthread.coordination import backend_record, change_over, dispatch, fleet, retry_delays
 from merlinthread.nodes import node_policy
 
 OUTAGE_FROM, OUTAGE_TO = 30.4, 35.0
@@ -25,8 +25,8 @@
     for number in range(count):
         now = OUTAGE_FROM + number / PER_S
         ready_in_s = max(0.0, OUTAGE_TO - now + forecast_error_s)
-        refusal = return_times.Refusal(DEADLINE_S, True, ready_in_s)
-        retry_at = now + return_times.POLICIES.get(policy_name)(refusal, rng)
+        refusal = retry_delays.Refusal(DEADLINE_S, True, ready_in_s)
+        retry_at = now + retry_delays.POLICIES.get(policy_name)(refusal, rng)
         if retry_at < OUTAGE_TO:
             failed += 1
         else:
@@ -43,24 +43,24 @@
 
 
 def test_who_could_be_served_soon_is_not_sent_away_for_long():
-    refusal = return_times.Refusal(DEADLINE_S, True, 0.25)
+    refusal = retry_delays.Refusal(DEADLINE_S, True, 0.25)
     rng = random.Random(1)
-    assert max(return_times.by_forecast(refusal, rng) for _ in range(100)) <= 1.5
+    assert max(retry_delays.by_forecast(refusal, rng) for _ in range(100)) <= 1.5
 
 
 def test_a_second_try_has_the_time_that_it_needs():
     rng = random.Random(1)
     for ready_in_s in (1.0, 4.0, 9.0):
-        refusal = return_times.Refusal(5.0, True, ready_in_s)
-        wait_s = return_times.by_forecast(refusal, rng)
-        assert return_times.RETRY_AFTER_MIN_S <= wait_s <= 5.0 - return_times.SECOND_ATTEMPT_S
+        refusal = retry_delays.Refusal(5.0, True, ready_in_s)
+        wait_s = retry_delays.by_forecast(refusal, rng)
+        assert retry_delays.RETRY_AFTER_MIN_S <= wait_s <= 5.0 - retry_delays.SECOND_ATTEMPT_S
 
 
 @pytest.mark.parametrize("is_none_free", [True, False])
 def test_without_a_forecast_it_is_a_share_of_the_time_left(is_none_free):
-    refusal = return_times.Refusal(DEADLINE_S, is_none_free)
-    shares = return_times.by_share(refusal, random.Random(1))
-    assert return_times.by_forecast(refusal, random.Random(1)) == shares
+    refusal = retry_delays.Refusal(DEADLINE_S, is_none_free)
+    shares = retry_delays.by_share(refusal, random.Random(1))
+    assert retry_delays.by_forecast(refusal, random.Random(1)) == shares
 
 
 def test_an_engine_forecasts_when_it_serves_from_what_it_lacks_and_how_fast_that_comes():
