--- a/src/merlinthread/nodes/backend_pool.py
+++ b/src/merlinthread/nodes/backend_pool.py
@@ -10,11 +10,11 @@
 from merlinthread.coordination import (
     backend_record,
     backend_signals,
-    change_over,
     dispatch,
     fleet,
     incarnations,
     load_feed,
+    reload_schedule,
     retry_budget,
     retry_delays,
     wait_queue,
@@ -199,7 +199,7 @@
         The newest one named is required some time before its bound, since a request may wait at the
         back end.
         """
-        bound_s = self.settings.bounds.version_s - change_over.EXPIRY_MARGIN_S
+        bound_s = self.settings.bounds.version_s - reload_schedule.EXPIRY_MARGIN_S
         return self.watcher.version_due(model, now, bound_s)
 
     def version_soon(self, model: str, now: float) -> int:
--- a/src/merlinthread/nodes/piece_fetcher.py
+++ b/src/merlinthread/nodes/piece_fetcher.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 
 from merlinthread import errors, logs, metrics
-from merlinthread.coordination import change_over, fetch, fetch_policies, fleet, pacing
+from merlinthread.coordination import fetch, fetch_policies, fleet, pacing, reload_schedule
 from merlinthread.nodes import engine_client, piece_store, weights_view
 from merlinthread.protocol import node_messages
 from merlinthread.transport import node_bus
@@ -152,7 +152,7 @@
         if not self.view.newest_version(manifest.model) or now - started < RATE_WARMUP_S:
             return False
         missing = plan.chunk_count - plan.held.bit_count()
-        expires_at = self.view.expires_at(manifest) - change_over.EXPIRY_MARGIN_S
+        expires_at = self.view.expires_at(manifest) - reload_schedule.EXPIRY_MARGIN_S
         return now + missing / max(self.rate.per_s(), 1.0) > expires_at
 
     # Transfer of one piece
--- a/src/merlinthread/nodes/weights_task.py
+++ b/src/merlinthread/nodes/weights_task.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 
 from merlinthread import errors, logs
-from merlinthread.coordination import change_over, fetch, fetch_policies, fleet
+from merlinthread.coordination import fetch, fetch_policies, fleet, reload_schedule
 from merlinthread.nodes import (
     engine_client,
     manifest_finder,
@@ -92,7 +92,7 @@
         if self.report is None or self.plan is None or self.is_serving():
             return None
         missing = self.plan.chunk_count - self.plan.held.bit_count()
-        return change_over.ready_in_s(missing, self.fetcher.rate.per_s(), self.report.is_busy)
+        return reload_schedule.ready_in_s(missing, self.fetcher.rate.per_s(), self.report.is_busy)
 
     # Update loop
 
@@ -223,12 +223,12 @@
         if not self.is_serving():
             return
         group, expires_at = self.view.reload_group(), self.view.expires_at(manifest)
-        reload_at = change_over.reload_time(group, self.clock(), expires_at)
+        reload_at = reload_schedule.reload_time(group, self.clock(), expires_at)
         await asyncio.sleep(max(0.0, reload_at - self.clock()))
 
     async def await_load_retry(self, manifest: fleet.Manifest) -> None:
         """Delay the load of weights that crashed the engine repeatedly."""
-        wait_s = change_over.load_retry_delay_s(self.load_crashes)
+        wait_s = reload_schedule.load_retry_delay_s(self.load_crashes)
         if wait_s:
             logs.warning(
                 "load_put_off", version=manifest.version, ends=self.load_crashes, wait_s=wait_s
--- a/src/merlinthread/nodes/weights_view.py
+++ b/src/merlinthread/nodes/weights_view.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from merlinthread.coordination import change_over, fetch, fleet
+from merlinthread.coordination import fetch, fleet, reload_schedule
 from merlinthread.nodes import news_watcher, node_settings
 
 
@@ -75,7 +75,7 @@
     def reload_group(self) -> int:
         """Return the reload group of the local engine (`change_over.group_of`)."""
         engines = [(peer.zone, peer.name) for peer in self.peers()]
-        return change_over.group_of(
+        return reload_schedule.group_of(
             self.own_address, [*engines, (self.settings.zone, self.own_address)]
         )
 
@@ -91,7 +91,7 @@
 
     def is_usable(self, model: str, version: int) -> bool:
         """Return whether entries still send requests to engines with this version."""
-        validity_s = self.settings.bounds.version_s - change_over.EXPIRY_MARGIN_S
+        validity_s = self.settings.bounds.version_s - reload_schedule.EXPIRY_MARGIN_S
         return self.clock() < self.watcher.usable_until(model, version, validity_s)
 
     def expires_at(self, manifest: fleet.Manifest) -> float:
--- a/tests/test_change_over.py
+++ b/tests/test_change_over.py
@@ -5,7 +5,7 @@
 
 import random
 
-from merlinthread.coordination import change_over
+from merlinthread.coordination import reload_schedule
 
 BOUND_S = 10.0
 RELOAD_S = 1.7
@@ -18,9 +18,11 @@
     out_of_service = []
     for _, name in engines:
         complete_at = rng.uniform(first_whole_s, last_whole_s)
-        begins = change_over.reload_time(change_over.group_of(name, engines), complete_at, BOUND_S)
+        begins = reload_schedule.reload_time(
+            reload_schedule.group_of(name, engines), complete_at, BOUND_S
+        )
         out_of_service.append((begins, begins + RELOAD_S))
-    retire_at = BOUND_S - change_over.EXPIRY_MARGIN_S
+    retire_at = BOUND_S - reload_schedule.EXPIRY_MARGIN_S
     shares = []
     for step in range(int(13 / 0.05)):
         now = step * 0.05
@@ -41,16 +43,18 @@
 
 
 def test_weights_that_come_after_the_old_ones_are_left_are_taken_at_once():
-    assert change_over.reload_time(2, 9.7, BOUND_S) == 9.7
+    assert reload_schedule.reload_time(2, 9.7, BOUND_S) == 9.7
 
 
 def test_every_zone_keeps_engines_that_serve():
     engines = [(f"zone-{n % 5}", f"engine-{n}") for n in range(60)]
     for zone in range(5):
-        groups = {change_over.group_of(name, engines) for z, name in engines if z == f"zone-{zone}"}
-        assert groups == set(range(change_over.GROUP_COUNT))
+        groups = {
+            reload_schedule.group_of(name, engines) for z, name in engines if z == f"zone-{zone}"
+        }
+        assert groups == set(range(reload_schedule.GROUP_COUNT))
 
 
 def test_the_last_group_is_through_with_the_old_weights_when_they_are_left():
-    assert change_over.reload_time(change_over.GROUP_COUNT - 1, 6.0, BOUND_S) == 9.0
-    assert change_over.reload_time(0, 6.0, BOUND_S) == 6.0
+    assert reload_schedule.reload_time(reload_schedule.GROUP_COUNT - 1, 6.0, BOUND_S) == 9.0
+    assert reload_schedule.reload_time(0, 6.0, BOUND_S) == 6.0
--- a/tests/test_entry_node.py
+++ b/tests/test_entry_node.py
@@ -5,7 +5,7 @@
 import pytest
 
 from merlinthread import errors, logs
-from merlinthread.coordination import change_over, dispatch, fleet, load_ledger
+from merlinthread.coordination import dispatch, fleet, load_ledger, reload_schedule
 from merlinthread.nodes import attempts, request_task
 from merlinthread.transport import http_messages
 from stand_ins import fleet_worker
@@ -284,7 +284,7 @@
     async def scenario():
         entry, (old, new), _ = await make("model", 2, "m")
         # The old version is chosen for the first 0.4 s.
-        bound_s = change_over.EXPIRY_MARGIN_S + 0.4
+        bound_s = reload_schedule.EXPIRY_MARGIN_S + 0.4
         entry.node.settings.bounds.version_s = bound_s
         entry.node.settings.agent_port = 1
 
--- a/tests/test_return_times.py
+++ b/tests/test_return_times.py
@@ -9,7 +9,7 @@
 import pytest
 
 from merlinthread import errors
-from merlinthread.coordination import backend_record, change_over, dispatch, fleet, retry_delays
+from merlinthread.coordination import backend_record, dispatch, fleet, reload_schedule, retry_delays
 from merlinthread.nodes import node_policy
 
 OUTAGE_FROM, OUTAGE_TO = 30.4, 35.0
@@ -64,10 +64,10 @@
 
 
 def test_an_engine_forecasts_when_it_serves_from_what_it_lacks_and_how_fast_that_comes():
-    assert change_over.ready_in_s(45, 15.0, False) == 4.25
-    assert change_over.ready_in_s(0, 0.0, False) == change_over.RELOAD_S
-    assert change_over.ready_in_s(45, 15.0, True) == change_over.RELOAD_S
-    assert change_over.ready_in_s(45, 0.0, False) is None, "the origin is away: nobody knows"
+    assert reload_schedule.ready_in_s(45, 15.0, False) == 4.25
+    assert reload_schedule.ready_in_s(0, 0.0, False) == reload_schedule.RELOAD_S
+    assert reload_schedule.ready_in_s(45, 15.0, True) == reload_schedule.RELOAD_S
+    assert reload_schedule.ready_in_s(45, 0.0, False) is None, "the origin is away: nobody knows"
 
 
 def engines(ready_in_s: list[float | None]) -> list[backend_record.Backend]:
--- a/tests/test_weights_task.py
+++ b/tests/test_weights_task.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from merlinthread.coordination import change_over, fetch
+from merlinthread.coordination import fetch, reload_schedule
 from merlinthread.nodes import (
     agent_node,
     engine_client,
@@ -466,12 +466,12 @@
 
 def test_weights_that_end_the_engine_that_loads_them_are_ordered_less_and_less_often(monkeypatch):
     """Guards against an endless crash loop of an engine that crashes while it loads weights."""
-    monkeypatch.setattr(change_over, "LOAD_RETRY_S", 30.0)
+    monkeypatch.setattr(reload_schedule, "LOAD_RETRY_S", 30.0)
 
     async def scenario(fleet):
         engine = fleet.engines[0]
         agent = fleet.agents[0]
-        crashes = change_over.LOAD_CRASHES_BEFORE_BACKOFF + 1
+        crashes = reload_schedule.LOAD_CRASHES_BEFORE_BACKOFF + 1
         carry_out = engine.carry_out
 
         def crash(order):
