--- a/src/merlinthread/coordination/rate_limits.py
+++ b/src/merlinthread/coordination/rate_limits.py
@@ -2,7 +2,7 @@
 
 A back end advertises one limit for all VMs, but an entry sees only its own requests. One control VM
 therefore grants a permit for each request, with `PermitAllocator`. Entries that can't reach it use
-the time slots of `coordination.permit_turns`.
+the time slots of `coordination.permit_slots`.
 
 Permits follow the generic cell rate algorithm (ITU-T I.371). A request that can wait reserves its
 permit in advance, so it is known at once whether and when it is served.
--- a/src/merlinthread/nodes/permits.py
+++ b/src/merlinthread/nodes/permits.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from merlinthread import logs, metrics
-from merlinthread.coordination import backend_record, permit_turns, rate_limits
+from merlinthread.coordination import backend_record, permit_slots, rate_limits
 from merlinthread.nodes import news_watcher
 from merlinthread.protocol import node_messages
 
@@ -78,7 +78,7 @@
         self.silent_until = float("-inf")
         # Set once the search that is under way has ended.
         self.searched: asyncio.Event | None = None
-        self.turns = permit_turns.PermitSlots(rng.randrange(permit_turns.DEFAULT_ENTRIES))
+        self.turns = permit_slots.PermitSlots(rng.randrange(permit_slots.DEFAULT_ENTRIES))
 
     async def acquire(
         self,
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -9,7 +9,7 @@
 from merlinthread.coordination import (
     backend_signals,
     limit_ledger,
-    permit_turns,
+    permit_slots,
     rate_limits,
 )
 
@@ -64,7 +64,7 @@
     rng = random.Random(seed)
     starts = []
     for rank in range(entries):
-        turns = permit_turns.PermitSlots(0)
+        turns = permit_slots.PermitSlots(0)
         # Clocks differ between entries; the offset to the leader's clock includes network delay.
         offset = rng.uniform(-100.0, 100.0)
         turns.update(entries, rank, -offset + rng.uniform(0.0, 0.01))
@@ -74,7 +74,7 @@
 
 
 def test_a_turn_is_not_lost_when_the_limit_falls():
-    turns = permit_turns.PermitSlots(0)
+    turns = permit_slots.PermitSlots(0)
     turns.update(1, 0, 1000.0)
     assert turns.decide(permit_request(named(8.0)), 1.0).instance
     decision = turns.decide(permit_request(named(0.5)), 1.0)
