--- a/src/merlinthread/coordination/backend_signals.py
+++ b/src/merlinthread/coordination/backend_signals.py
@@ -17,7 +17,7 @@
 import dataclasses
 import enum
 
-from merlinthread.coordination import limit_ledger
+from merlinthread.coordination import limit_table
 
 # Longest accepted rest; the back end may ask for another one afterwards.
 REST_S_MAX = 300.0
@@ -125,7 +125,7 @@
         """Return the availability of an incarnation, creating it if necessary."""
         return self.availabilities.setdefault(instance, Availability())
 
-    def merge_reported_limit(self, report: limit_ledger.LimitReport, now: float) -> None:
+    def merge_reported_limit(self, report: limit_table.LimitReport, now: float) -> None:
         """Merge a limit, or its removal, that another VM reported."""
         if report.per_s is not None or report.instance in self.availabilities:
             self.availability_of(report.instance).merge_limit(
--- a/src/merlinthread/nodes/limit_teller.py
+++ b/src/merlinthread/nodes/limit_teller.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from merlinthread import errors, logs
-from merlinthread.coordination import limit_ledger
+from merlinthread.coordination import limit_table
 from merlinthread.nodes import news_watcher
 from merlinthread.protocol import node_messages
 from merlinthread.transport import node_bus
@@ -22,7 +22,7 @@
         self.caller = caller
         self.telling: set[asyncio.Task[None]] = set()
 
-    def tell(self, told: limit_ledger.LimitReport) -> None:
+    def tell(self, told: limit_table.LimitReport) -> None:
         """Tell a control VM of what was heard just now, beside other work."""
         if not self.watcher.current:
             return
@@ -30,7 +30,7 @@
         self.telling.add(task)
         task.add_done_callback(self.telling.discard)
 
-    async def report(self, told: limit_ledger.LimitReport) -> None:
+    async def report(self, told: limit_table.LimitReport) -> None:
         """Tell a control VM; who is not told hears it with a first answer of its own."""
         report = node_messages.CrashReport(self.name, [], limits=[told])
         try:
--- a/src/merlinthread/nodes/signal_taker.py
+++ b/src/merlinthread/nodes/signal_taker.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable, Collection
 
 from merlinthread import logs, metrics
-from merlinthread.coordination import backend_signals, limit_ledger
+from merlinthread.coordination import backend_signals, limit_table
 from merlinthread.nodes import limit_teller
 
 # Names of headers that are remembered; a back end may make up any number of them.
@@ -72,7 +72,7 @@
         logs.event(
             "backend_limit", instance=instance, per_s=per_s, before=before, request=request_id
         )
-        self.teller.tell(limit_ledger.LimitReport(instance, per_s, 0.0))
+        self.teller.tell(limit_table.LimitReport(instance, per_s, 0.0))
         self.count()
 
     def count(self) -> None:
--- a/src/merlinthread/protocol/node_messages.py
+++ b/src/merlinthread/protocol/node_messages.py
@@ -8,7 +8,7 @@
     crash_ledger,
     fleet,
     instances,
-    limit_ledger,
+    limit_table,
     load_ledger,
     rate_limits,
 )
@@ -88,7 +88,7 @@
     leader_age_s: float
     suspicions: list[crash_ledger.SuspectReport] = dataclasses.field(default_factory=list)
     suspicion_revision: int = 0
-    limits: list[limit_ledger.LimitReport] = dataclasses.field(default_factory=list)
+    limits: list[limit_table.LimitReport] = dataclasses.field(default_factory=list)
     limit_revision: int = 0
 
 
@@ -99,7 +99,7 @@
 
     sender: str
     heartbeats: list[fleet.Heartbeat]
-    limits: list[limit_ledger.LimitReport] = dataclasses.field(default_factory=list)
+    limits: list[limit_table.LimitReport] = dataclasses.field(default_factory=list)
 
 
 @MESSAGES.add("node.crash_report")
@@ -115,7 +115,7 @@
     sender: str
     suspicions: list[crash_ledger.SuspectReport]
     is_passed_on: bool = False
-    limits: list[limit_ledger.LimitReport] = dataclasses.field(default_factory=list)
+    limits: list[limit_table.LimitReport] = dataclasses.field(default_factory=list)
 
 
 @MESSAGES.add("node.submit")
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -8,7 +8,7 @@
 
 from merlinthread.coordination import (
     backend_signals,
-    limit_ledger,
+    limit_table,
     permit_slots,
     rate_limits,
 )
@@ -158,26 +158,26 @@
 
 def test_of_limits_that_nodes_tell_each_other_the_one_heard_last_holds():
     told = [
-        limit_ledger.LimitReport("i", 8.0, 3.0),
-        limit_ledger.LimitReport("i", 0.5, 2.0),
-        limit_ledger.LimitReport("i", None, 1.0),
+        limit_table.LimitReport("i", 8.0, 3.0),
+        limit_table.LimitReport("i", 0.5, 2.0),
+        limit_table.LimitReport("i", None, 1.0),
     ]
     for order in itertools.permutations(told):
-        ledger = limit_ledger.LimitTable()
+        ledger = limit_table.LimitTable()
         for each in [*order, *order]:
             ledger.merge(each, 10.0)
         assert ledger.records["i"].per_s is None, order
 
 
 def test_what_is_remembered_of_limits_is_bounded():
-    ledger = limit_ledger.LimitTable()
-    for number in range(limit_ledger.RECORDS_MAX + 50):
-        ledger.merge(limit_ledger.LimitReport(f"i-{number}", 1.0, 0.0), number)
-    assert len(ledger.records) == limit_ledger.RECORDS_MAX
+    ledger = limit_table.LimitTable()
+    for number in range(limit_table.RECORDS_MAX + 50):
+        ledger.merge(limit_table.LimitReport(f"i-{number}", 1.0, 0.0), number)
+    assert len(ledger.records) == limit_table.RECORDS_MAX
     assert len(ledger.since(ledger.revision - 3, 0.0)) == 3
-    ledger.merge(limit_ledger.LimitReport("over", None, 0.0), 10_000.0)
-    ledger.merge(limit_ledger.LimitReport("i-4000", None, 0.0), 10_000.0)
-    ledger.merge(limit_ledger.LimitReport("i-4001", 2.0, 0.0), 10_100.0)
+    ledger.merge(limit_table.LimitReport("over", None, 0.0), 10_000.0)
+    ledger.merge(limit_table.LimitReport("i-4000", None, 0.0), 10_000.0)
+    ledger.merge(limit_table.LimitReport("i-4001", 2.0, 0.0), 10_100.0)
     assert "i-4000" not in ledger.records
 
 
