--- a/src/merlinthread/coordination/backend_record.py
+++ b/src/merlinthread/coordination/backend_record.py
@@ -5,7 +5,7 @@
 
 import dataclasses
 
-from merlinthread.coordination import backend_signals, fleet, load_ledger
+from merlinthread.coordination import backend_signals, fleet, load_tracker
 
 # Age up to which a load report counts as current.
 REPORT_FRESH_S = 1.0
@@ -142,7 +142,7 @@
         self,
         report: fleet.EngineReport,
         now: float,
-        others: load_ledger.Outstanding | None = None,
+        others: load_tracker.Outstanding | None = None,
     ) -> None:
         """Apply a report of load and weights, and the agent's count of other entries' attempts."""
         total = report.running + report.queued
@@ -159,7 +159,7 @@
         self.ready_at = None if report.ready_in_s is None else now + report.ready_in_s
         self.reported_at = now
 
-    def apply_probe_answer(self, answer: load_ledger.EngineLoad | None, now: float) -> None:
+    def apply_probe_answer(self, answer: load_tracker.EngineLoad | None, now: float) -> None:
         """Apply the answer to a load probe; None means that the probe timed out."""
         self.probe_unanswered = answer is None
         if answer is not None:
--- a/src/merlinthread/nodes/agent_node.py
+++ b/src/merlinthread/nodes/agent_node.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from merlinthread import clocks, errors, logs
-from merlinthread.coordination import fleet, load_feed, load_ledger
+from merlinthread.coordination import fleet, load_feed, load_tracker
 from merlinthread.nodes import dialect as dialects
 from merlinthread.nodes import engine_client, news_watcher, node_roles, node_settings, weights_task
 from merlinthread.protocol import codec as codecs
@@ -51,7 +51,7 @@
         self.listener = node_bus.RpcServer(
             codec, self.on_message, lambda: self.weights.server.upload_pacer.bytes_per_s
         )
-        self.ledger = load_ledger.LoadLedger()
+        self.ledger = load_tracker.LoadLedger()
         self.subscribers: dict[str, float] = {}
         self.last_report: fleet.EngineReport | None = None
         self.last_sent_at = float("-inf")
@@ -145,7 +145,7 @@
         if previous_ms in (0, report.born_ms):
             return
         logs.event("engine_reborn", born_ms=report.born_ms, before_ms=previous_ms)
-        self.ledger = load_ledger.LoadLedger()
+        self.ledger = load_tracker.LoadLedger()
         self.last_report = None
         self.weights.on_engine_report(None)
 
--- a/src/merlinthread/nodes/load_prober.py
+++ b/src/merlinthread/nodes/load_prober.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Sequence
 from typing import Any
 
-from merlinthread.coordination import load_ledger
+from merlinthread.coordination import load_tracker
 from merlinthread.protocol import node_messages
 
 Send = Callable[[str, Any], None]
@@ -22,11 +22,11 @@
         self.address = address
         self.send = send
         self.numbers = itertools.count(1)
-        self.waiting: dict[int, asyncio.Future[load_ledger.EngineLoad]] = {}
+        self.waiting: dict[int, asyncio.Future[load_tracker.EngineLoad]] = {}
 
     async def ask(
         self, agents: Sequence[str], wait_s: float
-    ) -> dict[str, load_ledger.EngineLoad | None]:
+    ) -> dict[str, load_tracker.EngineLoad | None]:
         """Ask agents for their loads; return what each tells within `wait_s`, or None."""
         loop = asyncio.get_running_loop()
         asked = {agent: next(self.numbers) for agent in agents}
@@ -46,8 +46,8 @@
         """Take an agent's answer; one that comes too late is dropped."""
         future = self.waiting.pop(answer.number, None)
         if future is not None and not future.done():
-            others = load_ledger.Outstanding(answer.attempts, answer.unread, answer.tokens)
-            future.set_result(load_ledger.EngineLoad(others, answer.is_busy, answer.pace))
+            others = load_tracker.Outstanding(answer.attempts, answer.unread, answer.tokens)
+            future.set_result(load_tracker.EngineLoad(others, answer.is_busy, answer.pace))
 
     def note(
         self, agent: str, number: int, stage: node_messages.AttemptStage, tokens: float
--- a/src/merlinthread/protocol/node_messages.py
+++ b/src/merlinthread/protocol/node_messages.py
@@ -9,7 +9,7 @@
     fleet,
     instances,
     limit_table,
-    load_ledger,
+    load_tracker,
     rate_limits,
 )
 
@@ -216,7 +216,7 @@
     address: str
     sequence: int
     report: fleet.EngineReport
-    others: load_ledger.Outstanding | None = None
+    others: load_tracker.Outstanding | None = None
 
 
 @MESSAGES.add("node.query")
--- a/tests/test_entry_node.py
+++ b/tests/test_entry_node.py
@@ -5,7 +5,7 @@
 import pytest
 
 from merlinthread import errors, logs
-from merlinthread.coordination import dispatch, fleet, load_ledger, reload_schedule
+from merlinthread.coordination import dispatch, fleet, load_tracker, reload_schedule
 from merlinthread.nodes import attempts, request_task
 from merlinthread.transport import http_messages
 from stand_ins import fleet_worker
@@ -289,7 +289,7 @@
         entry.node.settings.agent_port = 1
 
         async def answer_at_once(agents, wait_s):
-            nothing = load_ledger.EngineLoad(load_ledger.Outstanding())
+            nothing = load_tracker.EngineLoad(load_tracker.Outstanding())
             return {agent: nothing for agent in agents}
 
         entry.node.prober.ask = answer_at_once
@@ -428,8 +428,8 @@
         heard.apply_report(report, pool.clock())
 
         async def answers_of_the_heard_one(agents, wait_s):
-            others = load_ledger.Outstanding(12, 4, 100_000.0)
-            known = load_ledger.EngineLoad(others)
+            others = load_tracker.Outstanding(12, 4, 100_000.0)
+            known = load_tracker.EngineLoad(others)
             return {agent: known if agent == heard.instance else None for agent in agents}
 
         entry.node.prober.ask = answers_of_the_heard_one
--- a/tests/test_fleet_deciders.py
+++ b/tests/test_fleet_deciders.py
@@ -14,7 +14,7 @@
     fleet,
     fleet_state,
     instances,
-    load_ledger,
+    load_tracker,
     pacing,
     retry_budget,
     route_table,
@@ -274,27 +274,27 @@
 
 
 def test_a_ledger_tells_each_entry_what_the_others_have_to_be_read():
-    ledger = load_ledger.LoadLedger()
+    ledger = load_tracker.LoadLedger()
     ledger.record_start("entry-1", 1, 900.0, 10.0)
     ledger.record_start("entry-2", 1, 500.0, 10.0)
     ledger.record_start("entry-2", 2, 700.0, 10.1)
-    assert ledger.outstanding("entry-1", 10.2) == load_ledger.Outstanding(2, 2, 1200.0)
+    assert ledger.outstanding("entry-1", 10.2) == load_tracker.Outstanding(2, 2, 1200.0)
     ledger.record_first_byte("entry-2", 1)
     ledger.record_end("entry-2", 2)
-    assert ledger.outstanding("entry-1", 10.2) == load_ledger.Outstanding(1, 0, 0.0)
-    assert ledger.outstanding("entry-3", 10.2) == load_ledger.Outstanding(2, 1, 900.0)
+    assert ledger.outstanding("entry-1", 10.2) == load_tracker.Outstanding(1, 0, 0.0)
+    assert ledger.outstanding("entry-3", 10.2) == load_tracker.Outstanding(2, 1, 900.0)
 
 
 def test_lost_notes_are_forgotten_and_unknown_load_counts():
-    ledger = load_ledger.LoadLedger()
+    ledger = load_tracker.LoadLedger()
     ledger.record_start("entry-1", 1, 900.0, 10.0)
-    late = 10.0 + load_ledger.UNREAD_EXPIRY_S + 0.1
-    assert ledger.outstanding("entry-2", late) == load_ledger.Outstanding(1, 0, 0.0)
+    late = 10.0 + load_tracker.UNREAD_EXPIRY_S + 0.1
+    assert ledger.outstanding("entry-2", late) == load_tracker.Outstanding(1, 0, 0.0)
     ledger.apply_report(4, late)
     assert ledger.outstanding("entry-2", late).attempts == 4
     ledger.apply_report(0, late)
     assert ledger.outstanding("entry-2", late).attempts == 0
-    ledger.apply_report(0, 10.0 + load_ledger.ATTEMPT_EXPIRY_S + 0.1)
+    ledger.apply_report(0, 10.0 + load_tracker.ATTEMPT_EXPIRY_S + 0.1)
     assert not ledger.open
 
 
@@ -302,7 +302,9 @@
     busy, idle = backend("busy"), backend("idle")
     for one, tokens in ((busy, 5000.0), (idle, 0.0)):
         one.apply_report(fleet.EngineReport(weights=[fleet.Weights("m", 1, 16)]), 9.95)
-        one.apply_probe_answer(load_ledger.EngineLoad(load_ledger.Outstanding(3, 2, tokens)), 10.0)
+        one.apply_probe_answer(
+            load_tracker.EngineLoad(load_tracker.Outstanding(3, 2, tokens)), 10.0
+        )
     demand = dispatch.Demand("s", "m", prompt_tokens=1000.0)
     choices = [dispatch.evaluate(one, demand, ENGINE, 10.0) for one in (busy, idle)]
     expected = 5000.0 / ENGINE.read_tokens_per_s
@@ -387,7 +389,7 @@
     prompt, slow, silent, asked_before = (
         backend(name) for name in ("prompt", "slow", "silent", "asked-before")
     )
-    nothing = load_ledger.EngineLoad(load_ledger.Outstanding())
+    nothing = load_tracker.EngineLoad(load_tracker.Outstanding())
     for one in (prompt, slow, silent, asked_before):
         one.apply_report(report, 9.99)
     prompt.apply_probe_answer(nothing, 9.99)
--- a/tests/test_load_feed.py
+++ b/tests/test_load_feed.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from merlinthread.coordination import backend_record, dispatch, fleet, load_feed, load_ledger
+from merlinthread.coordination import backend_record, dispatch, fleet, load_feed, load_tracker
 from merlinthread.protocol import codec, node_messages
 
 # Link of an engine's VM in bytes per second.
@@ -74,7 +74,7 @@
         False, 12, 3, 8, 41000.0, 90000.0, 1.25, [fleet.Weights("daka510000", 3, 16)]
     )
     message = node_messages.LoadUpdate(
-        "10.128.0.90:8080", 100000, report, load_ledger.Outstanding(11, 4, 4123.0)
+        "10.128.0.90:8080", 100000, report, load_tracker.Outstanding(11, 4, 4123.0)
     )
     frame = codec.Codec([node_messages.MESSAGES], []).encode(message)
     assert len(frame) + UDP_AND_IP_BYTES <= load_feed.LOAD_DATAGRAM_BYTES
@@ -92,7 +92,9 @@
 
 def test_an_engine_that_is_not_heard_is_asked_again_after_it_said_that_it_changes_its_weights():
     engine = engines(1, 1, 0)[0]
-    engine.apply_probe_answer(load_ledger.EngineLoad(load_ledger.Outstanding(), is_busy=True), 10.0)
+    engine.apply_probe_answer(
+        load_tracker.EngineLoad(load_tracker.Outstanding(), is_busy=True), 10.0
+    )
     demand = dispatch.Demand("s")
     assert not dispatch.is_eligible(engine, demand, None, 10.5)
     later = 10.1 + backend_record.REPORT_FRESH_S
--- a/tests/test_load_prober.py
+++ b/tests/test_load_prober.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from merlinthread.coordination import load_ledger
+from merlinthread.coordination import load_tracker
 from merlinthread.nodes import load_prober
 from merlinthread.protocol import node_messages
 
@@ -17,8 +17,8 @@
     return node_messages.LoadReply(query.number, 2, 1, tokens, True, 1.5)
 
 
-def engine_now(tokens: float) -> load_ledger.EngineLoad:
-    return load_ledger.EngineLoad(load_ledger.Outstanding(2, 1, tokens), True, 1.5)
+def engine_now(tokens: float) -> load_tracker.EngineLoad:
+    return load_tracker.EngineLoad(load_tracker.Outstanding(2, 1, tokens), True, 1.5)
 
 
 def test_all_answers_end_the_wait_and_each_goes_to_its_agent():
