--- a/src/merlinthread/nodes/weights_view.py
+++ b/src/merlinthread/nodes/weights_view.py
@@ -73,7 +73,7 @@
         return found
 
     def reload_group(self) -> int:
-        """Return the reload group of the local engine (`change_over.group_of`)."""
+        """Return the reload group of the local engine (`reload_schedule.group_of`)."""
         engines = [(peer.zone, peer.name) for peer in self.peers()]
         return reload_schedule.group_of(
             self.own_address, [*engines, (self.settings.zone, self.own_address)]
