--- a/src/merlinthread/coordination/fleet_state.py
+++ b/src/merlinthread/coordination/fleet_state.py
@@ -8,7 +8,7 @@
 import dataclasses
 
 from merlinthread import registry
-from merlinthread.coordination import crash_ledger, fleet, levels
+from merlinthread.coordination import crash_tracker, fleet, levels
 
 COMMANDS: registry.Registry[type] = registry.Registry("fleet command")
 
@@ -65,7 +65,7 @@
 
     fingerprint: str
     times: int
-    state: crash_ledger.HoldState
+    state: crash_tracker.HoldState
 
 
 Command = Configure | NameVersion | Depart | PlaceHold | ReleaseHold
@@ -77,7 +77,7 @@
 
     label: str
     instances: list[str]
-    hold: crash_ledger.Hold
+    hold: crash_tracker.Hold
     account: str = ""
 
 
@@ -141,7 +141,7 @@
         if previous is not None and command.times <= previous.hold.times:
             self.held[command.fingerprint] = previous
             return False
-        hold = crash_ledger.Hold(command.times, crash_ledger.HoldState.HELD)
+        hold = crash_tracker.Hold(command.times, crash_tracker.HoldState.HELD)
         self.held[command.fingerprint] = HeldRequest(
             command.label, command.instances, hold, command.account
         )
@@ -152,7 +152,7 @@
     def release_hold(self, command: ReleaseHold) -> bool:
         """Release a hold if it is the current one of the request."""
         held = self.held.get(command.fingerprint)
-        hold = crash_ledger.Hold(command.times, command.state)
+        hold = crash_tracker.Hold(command.times, command.state)
         if held is None or held.hold.times != command.times or hold <= held.hold:
             return False
         held.hold = hold
--- a/src/merlinthread/nodes/crash_registry.py
+++ b/src/merlinthread/nodes/crash_registry.py
@@ -10,7 +10,7 @@
 from collections.abc import Awaitable, Callable
 
 from merlinthread import errors, logs, metrics
-from merlinthread.coordination import crash_ledger, fleet_state, levels
+from merlinthread.coordination import crash_tracker, fleet_state, levels
 from merlinthread.nodes import log_member, node_settings
 from merlinthread.protocol import node_messages
 from merlinthread.transport import node_bus
@@ -46,7 +46,7 @@
         self.member = member
         self.submit = submit
         self.notify = notify
-        self.ledger = crash_ledger.CrashLedger()
+        self.ledger = crash_tracker.CrashLedger()
         self.held_since: dict[str, float] = {}
         self.changed_event = asyncio.Event()
         self.send_tasks: set[asyncio.Task[None]] = set()
@@ -68,7 +68,7 @@
         if not report.is_passed_on:
             self.forward(report.suspicions)
 
-    def forward(self, suspicions: list[crash_ledger.SuspectReport]) -> None:
+    def forward(self, suspicions: list[crash_tracker.SuspectReport]) -> None:
         """Send reports to all other control VMs in the background."""
         for address in self.other_addresses():
             self.schedule_send(address, suspicions)
@@ -78,7 +78,7 @@
         members = self.member.member_addresses()
         return [address for address in members if address != self.member.address]
 
-    def schedule_send(self, address: str, suspicions: list[crash_ledger.SuspectReport]) -> None:
+    def schedule_send(self, address: str, suspicions: list[crash_tracker.SuspectReport]) -> None:
         """Send reports to one control VM in a background task."""
         message = node_messages.CrashReport(self.settings.name, suspicions, True)
         task = asyncio.get_running_loop().create_task(self.send(address, message))
@@ -171,7 +171,7 @@
 
 
 def due_commands(
-    ledger: crash_ledger.CrashLedger, held_since: dict[str, float], now: float, patience_s: float
+    ledger: crash_tracker.CrashLedger, held_since: dict[str, float], now: float, patience_s: float
 ) -> list[fleet_state.PlaceHold | fleet_state.ReleaseHold]:
     """Return the commands for holds and releases that are not in the log yet.
 
@@ -192,9 +192,9 @@
                 )
             )
         elif not record.crashes and record.cleared_at >= since - COMMIT_MAX_S:
-            state = crash_ledger.HoldState.CLEARED
+            state = crash_tracker.HoldState.CLEARED
             commands.append(fleet_state.ReleaseHold(record.fingerprint, hold.times, state))
-        elif now - since > crash_ledger.hold_duration_s(hold) + patience_s:
-            state = crash_ledger.HoldState.HALF_OPEN
+        elif now - since > crash_tracker.hold_duration_s(hold) + patience_s:
+            state = crash_tracker.HoldState.HALF_OPEN
             commands.append(fleet_state.ReleaseHold(record.fingerprint, hold.times, state))
     return commands
--- a/src/merlinthread/nodes/crash_watch.py
+++ b/src/merlinthread/nodes/crash_watch.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 
 from merlinthread import errors, logs, metrics
-from merlinthread.coordination import backend_record, crash_ledger
+from merlinthread.coordination import backend_record, crash_tracker
 from merlinthread.nodes import news_watcher
 from merlinthread.protocol import node_messages
 from merlinthread.transport import node_bus, stream_client
@@ -43,9 +43,9 @@
     began_at: float
     at: float
 
-    def end(self) -> crash_ledger.Crash:
+    def end(self) -> crash_tracker.Crash:
         """Return the end of the back end's process, once it is proven."""
-        return crash_ledger.Crash(self.at, self.backend.instance, self.began_at)
+        return crash_tracker.Crash(self.at, self.backend.instance, self.began_at)
 
 
 class CrashWatch:
@@ -55,7 +55,7 @@
         self,
         name: str,
         watcher: news_watcher.NewsWatcher,
-        ledger: crash_ledger.CrashLedger,
+        ledger: crash_tracker.CrashLedger,
         caller: node_bus.RpcClient,
         clock: Callable[[], float],
     ) -> None:
--- a/src/merlinthread/nodes/entry_node.py
+++ b/src/merlinthread/nodes/entry_node.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from merlinthread import clocks, logs
-from merlinthread.coordination import backend_signals, crash_ledger
+from merlinthread.coordination import backend_signals, crash_tracker
 from merlinthread.nodes import (
     backend_pool,
     crash_watch,
@@ -44,7 +44,7 @@
         self.dialect = dialect
         self.clock = clock
         self.caller = node_bus.RpcClient(codec)
-        suspects = crash_ledger.CrashLedger()
+        suspects = crash_tracker.CrashLedger()
         signals = backend_signals.BackendSignals()
         self.watcher = news_watcher.NewsWatcher(
             settings, dialect, self.caller, clock, self.on_news, suspects, signals
--- a/src/merlinthread/nodes/news_watcher.py
+++ b/src/merlinthread/nodes/news_watcher.py
@@ -15,7 +15,7 @@
 from merlinthread.coordination import (
     backend_signals,
     conflict_index,
-    crash_ledger,
+    crash_tracker,
     fleet,
     instances,
     route_table,
@@ -62,7 +62,7 @@
         caller: node_bus.RpcClient,
         clock: Callable[[], float],
         on_news: Callable[[], None],
-        suspects: crash_ledger.CrashLedger | None = None,
+        suspects: crash_tracker.CrashLedger | None = None,
         signals: backend_signals.BackendSignals | None = None,
     ) -> None:
         self.settings = settings
--- a/src/merlinthread/protocol/node_messages.py
+++ b/src/merlinthread/protocol/node_messages.py
@@ -5,7 +5,7 @@
 
 from merlinthread import registry
 from merlinthread.coordination import (
-    crash_ledger,
+    crash_tracker,
     fleet,
     instances,
     limit_table,
@@ -86,7 +86,7 @@
     configuration: bytes
     controls: list[str]
     leader_age_s: float
-    suspicions: list[crash_ledger.SuspectReport] = dataclasses.field(default_factory=list)
+    suspicions: list[crash_tracker.SuspectReport] = dataclasses.field(default_factory=list)
     suspicion_revision: int = 0
     limits: list[limit_table.LimitReport] = dataclasses.field(default_factory=list)
     limit_revision: int = 0
@@ -113,7 +113,7 @@
     """
 
     sender: str
-    suspicions: list[crash_ledger.SuspectReport]
+    suspicions: list[crash_tracker.SuspectReport]
     is_passed_on: bool = False
     limits: list[limit_table.LimitReport] = dataclasses.field(default_factory=list)
 
--- a/tests/test_crash_ledger.py
+++ b/tests/test_crash_ledger.py
@@ -5,20 +5,20 @@
 import hypothesis
 from hypothesis import strategies as st
 
-from merlinthread.coordination import crash_ledger, fingerprints, fleet, fleet_state
+from merlinthread.coordination import crash_tracker, fingerprints, fleet, fleet_state
 from merlinthread.nodes import crash_registry
 
-HELD = crash_ledger.HoldState.HELD
-HALF_OPEN = crash_ledger.HoldState.HALF_OPEN
-CLEARED = crash_ledger.HoldState.CLEARED
+HELD = crash_tracker.HoldState.HELD
+HALF_OPEN = crash_tracker.HoldState.HALF_OPEN
+CLEARED = crash_tracker.HoldState.CLEARED
 
 
-def crash(instance: str, at: float, ran_s: float = 0.3) -> crash_ledger.Crash:
-    return crash_ledger.Crash(at, instance, at - ran_s)
+def crash(instance: str, at: float, ran_s: float = 0.3) -> crash_tracker.Crash:
+    return crash_tracker.Crash(at, instance, at - ran_s)
 
 
-def ledger_with(fingerprint: str, times: list[float]) -> crash_ledger.CrashLedger:
-    ledger = crash_ledger.CrashLedger()
+def ledger_with(fingerprint: str, times: list[float]) -> crash_tracker.CrashLedger:
+    ledger = crash_tracker.CrashLedger()
     for number, at in enumerate(times):
         ledger.record_crash(fingerprint, "label", crash(f"i-{number}", at))
     return ledger
@@ -30,7 +30,7 @@
 
 
 def test_an_instance_under_the_same_id_counts_for_each_of_its_lives():
-    ledger = crash_ledger.CrashLedger()
+    ledger = crash_tracker.CrashLedger()
     for at in (1.0, 1.1, 3.0, 5.0):
         ledger.record_crash("f", "", crash("i-1", at))
     assert ledger.records["f"].incident_count() == 3
@@ -43,18 +43,18 @@
 
 
 def test_an_attempt_that_began_after_the_end_before_it_counts_however_soon_it_ends():
-    ledger = crash_ledger.CrashLedger()
+    ledger = crash_tracker.CrashLedger()
     for number in range(3):
         ledger.record_crash("f", "", crash(f"i-{number}", 1.0 + 0.06 * number, ran_s=0.05))
     assert ledger.is_held("f")
 
 
 def test_a_report_that_took_longer_than_the_next_one_does_not_make_two_ends_one():
-    ledger = crash_ledger.CrashLedger()
+    ledger = crash_tracker.CrashLedger()
     for number, latency_s in enumerate((0.02, 0.0, 0.02)):
-        reported = crash_ledger.ReportedCrash(f"i-{number}", 0.0, 0.05)
+        reported = crash_tracker.ReportedCrash(f"i-{number}", 0.0, 0.05)
         ledger.merge(
-            crash_ledger.SuspectReport("f", "", [reported]), 1.0 + 0.055 * number + latency_s
+            crash_tracker.SuspectReport("f", "", [reported]), 1.0 + 0.055 * number + latency_s
         )
     assert ledger.is_held("f")
 
@@ -76,7 +76,7 @@
     and 30 times a second, and gets complete responses from the others.
     """
     rng = random.Random(5)
-    ledger = crash_ledger.CrashLedger()
+    ledger = crash_tracker.CrashLedger()
     held_s = 0.0
     for step in range(400):
         now = step * 0.05
@@ -105,17 +105,17 @@
         return commands
 
     assert agree(3.0) == [fleet_state.PlaceHold("f", "label", ["i-0", "i-1", "i-2"], 1)]
-    assert agree(3.0 + crash_ledger.FIRST_HOLD_S - 1) == []
-    assert agree(4.0 + crash_ledger.FIRST_HOLD_S) == [fleet_state.ReleaseHold("f", 1, HALF_OPEN)]
+    assert agree(3.0 + crash_tracker.FIRST_HOLD_S - 1) == []
+    assert agree(4.0 + crash_tracker.FIRST_HOLD_S) == [fleet_state.ReleaseHold("f", 1, HALF_OPEN)]
     assert not ledger.is_held("f")
-    ledger.record_crash("f", "", crash("i-9", 5.0 + crash_ledger.FIRST_HOLD_S))
-    assert [command.times for command in agree(5.0 + crash_ledger.FIRST_HOLD_S)] == [2]
-    assert crash_ledger.hold_duration_s(state.held["f"].hold) == 2 * crash_ledger.FIRST_HOLD_S
+    ledger.record_crash("f", "", crash("i-9", 5.0 + crash_tracker.FIRST_HOLD_S))
+    assert [command.times for command in agree(5.0 + crash_tracker.FIRST_HOLD_S)] == [2]
+    assert crash_tracker.hold_duration_s(state.held["f"].hold) == 2 * crash_tracker.FIRST_HOLD_S
 
 
 def test_a_request_that_is_answered_while_it_is_held_back_is_let_go():
     ledger = ledger_with("f", [1.0, 2.0, 3.0])
-    ledger.set_hold("f", "", crash_ledger.Hold(1, HELD), 3.1)
+    ledger.set_hold("f", "", crash_tracker.Hold(1, HELD), 3.1)
     ledger.clear("f", 4.0)
     assert ledger.is_held("f")
     commands = crash_registry.due_commands(ledger, {"f": 3.1}, 4.0, 0.0)
@@ -123,9 +123,9 @@
 
 
 def test_an_old_clearing_told_to_a_control_vm_that_has_just_started_lets_nothing_go():
-    ledger = crash_ledger.CrashLedger()
-    ledger.set_hold("f", "", crash_ledger.Hold(1, HELD), 100.0)
-    ledger.merge(crash_ledger.SuspectReport("f", "", [], 50.0), 100.1)
+    ledger = crash_tracker.CrashLedger()
+    ledger.set_hold("f", "", crash_tracker.Hold(1, HELD), 100.0)
+    ledger.merge(crash_tracker.SuspectReport("f", "", [], 50.0), 100.1)
     assert crash_registry.due_commands(ledger, {"f": 100.0}, 100.2, 0.0) == []
 
 
@@ -137,13 +137,13 @@
     assert not state.apply(first)
     assert not state.apply(fleet_state.ReleaseHold("f", 1, HALF_OPEN))
     assert state.apply(fleet_state.PlaceHold("f", "", [], 2))
-    assert state.held["f"].hold == crash_ledger.Hold(2, HELD)
+    assert state.held["f"].hold == crash_tracker.Hold(2, HELD)
 
 
 def test_an_account_with_several_requests_held_back_ends_one_process_with_each_further_one():
-    ledger = crash_ledger.CrashLedger()
+    ledger = crash_tracker.CrashLedger()
     ledger.record_crash("there-before", "", crash("i-0", 0.5), "account-1")
-    for number in range(crash_ledger.ACCOUNT_HELD_THRESHOLD):
+    for number in range(crash_tracker.ACCOUNT_HELD_THRESHOLD):
         assert not ledger.is_strict("account-1")
         for at in (1.0, 2.0, 3.0):
             ledger.record_crash(f"f-{number}", "", crash(f"i-{at}", at), "account-1")
@@ -156,7 +156,7 @@
     assert not any(ledger.is_held(name) for name in ("there-before", "of another", "of nobody"))
     # Other nodes reach the same state from its reports.
     reports = ledger.changes_since(0, 6.0)
-    other = crash_ledger.CrashLedger()
+    other = crash_tracker.CrashLedger()
     for report in reports:
         other.merge(report, 6.0)
     assert other.is_held("next") and other.is_strict("account-1")
@@ -167,9 +167,9 @@
 
 def test_what_is_remembered_is_bounded_and_what_is_held_back_goes_last():
     ledger = ledger_with("held", [1.0, 2.0, 3.0])
-    for number in range(3 * crash_ledger.RECORDS_MAX):
+    for number in range(3 * crash_tracker.RECORDS_MAX):
         ledger.record_crash(f"f-{number}", "", crash("i-1", 10.0 + number))
-    assert len(ledger.records) == crash_ledger.RECORDS_MAX
+    assert len(ledger.records) == crash_tracker.RECORDS_MAX
     assert ledger.is_held("held")
     state = fleet_state.FleetState()
     for number in range(2 * fleet_state.HELD_REQUESTS_MAX):
@@ -177,8 +177,8 @@
     assert len(state.held) == fleet_state.HELD_REQUESTS_MAX
 
 
-def reported_crash(instance: str, age_s: float) -> crash_ledger.ReportedCrash:
-    return crash_ledger.ReportedCrash(instance, age_s, age_s + 0.3)
+def reported_crash(instance: str, age_s: float) -> crash_tracker.ReportedCrash:
+    return crash_tracker.ReportedCrash(instance, age_s, age_s + 0.3)
 
 
 ENDS = st.lists(
@@ -194,13 +194,13 @@
     """Merging is idempotent and independent of order; crash times are multiples of 0.5 s."""
     now = 100.0
     reports = [
-        crash_ledger.SuspectReport(name, "", [reported_crash(instance, now - at / 2)])
+        crash_tracker.SuspectReport(name, "", [reported_crash(instance, now - at / 2)])
         for name, instance, at in ends
     ]
-    reports += [crash_ledger.SuspectReport(name, "", [], now - at / 2) for name, at in clearings]
+    reports += [crash_tracker.SuspectReport(name, "", [], now - at / 2) for name, at in clearings]
     records = []
     for _ in range(2):
-        ledger = crash_ledger.CrashLedger()
+        ledger = crash_tracker.CrashLedger()
         # Reports of a response to an unknown request are ignored, so each gets a crash first.
         for name in "abc":
             ledger.record_crash(name, "", crash("i-0", 0.0))
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -15,7 +15,7 @@
 
 import pytest
 
-from merlinthread.coordination import crash_ledger
+from merlinthread.coordination import crash_tracker
 from merlinthread.transport import http_messages
 from tests import crashing_fleet, fleet_nodes
 
@@ -241,7 +241,7 @@
                 await fleet.until_known()
                 with contextlib.suppress(Exception):
                     await fleet.ask(number % 2, body, f"/safe/deadly-{number}")
-            if number == crash_ledger.ACCOUNT_HELD_THRESHOLD - 1:
+            if number == crash_tracker.ACCOUNT_HELD_THRESHOLD - 1:
                 before = len(fleet.ends())
                 for entry in fleet.entries:
                     ledger = entry.node.crashes.ledger
@@ -270,7 +270,7 @@
         task = asyncio.get_running_loop().create_task(crashes.run())
 
         def see(instance):
-            end = crash_ledger.Crash(crashes.clock(), instance, crashes.clock())
+            end = crash_tracker.Crash(crashes.clock(), instance, crashes.clock())
             crashes.ledger.record_crash("f", "", end)
             crashes.report("f")
 
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -8,7 +8,7 @@
 
 from bench import layers
 from merlinthread import clocks, errors
-from merlinthread.coordination import crash_ledger, instances
+from merlinthread.coordination import crash_tracker, instances
 from merlinthread.protocol import node_messages
 from stand_ins import fleet_worker
 from tests import fleet_nodes
@@ -124,9 +124,9 @@
         b'{"service":"s","address":"1.1.1.1:1","zone":"z","slots":1,"state":"ready","sequence":1}',
     )
     registry.record_heartbeat(heartbeat, clock())
-    ledger = crash_ledger.CrashLedger()
-    ledger.record_crash("f", "", crash_ledger.Crash(clock(), "i", clock()))
-    clock.suspended_s = 2 * crash_ledger.RECORD_EXPIRY_S
+    ledger = crash_tracker.CrashLedger()
+    ledger.record_crash("f", "", crash_tracker.Crash(clock(), "i", clock()))
+    clock.suspended_s = 2 * crash_tracker.RECORD_EXPIRY_S
     assert registry.expire(clock(), 9.6) == ["i"]
     ledger.expire(clock())
     assert not ledger.records
