--- a/src/merlinthread/nodes/member_changes.py
+++ b/src/merlinthread/nodes/member_changes.py
@@ -1,7 +1,7 @@
 """Membership changes of the replicated log: joining, leaving and replacing failed members.
 
-`coordination.log_repair` decides on the changes; this module exchanges the messages between the
-control VMs.
+`coordination.membership_repair` decides on the changes; this module exchanges the messages between
+the control VMs.
 """
 
 import asyncio
@@ -10,7 +10,7 @@
 import msgspec
 
 from merlinthread import errors, logs, metrics
-from merlinthread.coordination import levels, log_repair, raft, raft_members
+from merlinthread.coordination import levels, membership_repair, raft, raft_members
 from merlinthread.nodes import node_settings
 from merlinthread.protocol import node_messages
 from merlinthread.transport import node_bus
@@ -61,10 +61,10 @@
         self.leaving: dict[str, float] = {}
         self.next_join_at = clock()
 
-    def policy(self) -> log_repair.RepairPolicy:
+    def policy(self) -> membership_repair.RepairPolicy:
         """Return the repair policy for the bounds of the deployment."""
         catch_up_s = self.settings.bounds.catch_up_s
-        return log_repair.RepairPolicy(
+        return membership_repair.RepairPolicy(
             self.settings.members_lost_max,
             SURPLUS_SILENCE_FRACTION * catch_up_s,
             SILENCE_FRACTION * catch_up_s,
@@ -186,7 +186,7 @@
     def is_surplus(self, member: raft.Raft) -> bool:
         """Return whether removing `member` lets the group tolerate more failures than losing it."""
         voter_count = len(member.log.voters.voters)
-        return member.is_voter() and log_repair.removal_improves_tolerance(
+        return member.is_voter() and membership_repair.removal_improves_tolerance(
             voter_count, 1, self.policy()
         )
 
@@ -211,7 +211,7 @@
         member = self.get_raft()
         if not member.holds_lease(now):
             return
-        change = log_repair.next_change(self.group_status(member, now), self.policy(), now)
+        change = membership_repair.next_change(self.group_status(member, now), self.policy(), now)
         if change is None:
             return
         try:
@@ -222,13 +222,13 @@
         self.wake()
         self.log_change(change, member, now)
 
-    def group_status(self, member: raft.Raft, now: float) -> log_repair.GroupStatus:
+    def group_status(self, member: raft.Raft, now: float) -> membership_repair.GroupStatus:
         """Return this leader's view of the group; drop expired requests first."""
         for requests in (self.joiners, self.leaving):
             for name, requested_at in list(requests.items()):
                 if now - requested_at > REQUEST_EXPIRY_S:
                     del requests[name]
-        return log_repair.GroupStatus(
+        return membership_repair.GroupStatus(
             member.log.voters,
             member.name,
             member.commit,
@@ -244,7 +244,7 @@
         """Log a membership change, and how many more failures the group tolerates after it."""
         voters = member.log.voters
         silence_s = member.timing.election_max_s
-        silent = log_repair.silent_voters(self.group_status(member, now), silence_s, now)
+        silent = membership_repair.silent_voters(self.group_status(member, now), silence_s, now)
         tolerated = raft_members.failures_tolerated(len(voters.voters), len(silent))
         metrics.losses_bearable.set(tolerated)
         logs.event(
--- a/tests/test_repair_policy.py
+++ b/tests/test_repair_policy.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from merlinthread.coordination import log_repair, raft_members, raft_messages
+from merlinthread.coordination import membership_repair, raft_members, raft_messages
 from merlinthread.nodes import member_changes
 from tests import raft_cluster
 
@@ -12,19 +12,19 @@
 REPAIR_INTERVAL_S = 0.2
 
 
-def policy(losses_max: int = 1) -> log_repair.RepairPolicy:
-    return log_repair.RepairPolicy(
+def policy(losses_max: int = 1) -> membership_repair.RepairPolicy:
+    return membership_repair.RepairPolicy(
         losses_max, member_changes.SURPLUS_SILENCE_FRACTION * CATCH_UP_S, 2 * CATCH_UP_S
     )
 
 
 def group(
     voters, silent_s=(), joiners=(), leaving=(), learners=(), match=9
-) -> log_repair.GroupStatus:
+) -> membership_repair.GroupStatus:
     """Return a group led by its first voter; `silent_s` maps names to seconds of silence."""
     members = raft_messages.Voters(list(voters), list(learners))
     others = [name for name in members.members() if name != voters[0]]
-    return log_repair.GroupStatus(
+    return membership_repair.GroupStatus(
         members,
         voters[0],
         9,
@@ -36,7 +36,7 @@
 
 
 def change(decided, losses_max: int = 1):
-    return log_repair.next_change(decided, policy(losses_max), 100.0)
+    return membership_repair.next_change(decided, policy(losses_max), 100.0)
 
 
 def test_a_spare_voter_is_removed_well_before_a_replacement_has_had_its_time():
@@ -115,7 +115,7 @@
             if not member.raft.holds_lease(now):
                 continue
             progress = member.raft.progress
-            status = log_repair.GroupStatus(
+            status = membership_repair.GroupStatus(
                 member.raft.log.voters,
                 member.name,
                 member.raft.commit,
@@ -124,7 +124,7 @@
                 [name for name in self.joiners if self.cluster.members[name].is_up],
                 [],
             )
-            decided = log_repair.next_change(status, self.policy, now)
+            decided = membership_repair.next_change(status, self.policy, now)
             if decided is not None:
                 self.cluster.change(decided)
 
