--- a/src/merlinthread/coordination/load_tracker.py
+++ b/src/merlinthread/coordination/load_tracker.py
@@ -44,7 +44,7 @@
     pace: float = 1.0
 
 
-class LoadLedger:
+class LoadTracker:
     """The open attempts on one engine, by entry and attempt number."""
 
     def __init__(self) -> None:
--- a/src/merlinthread/nodes/agent_node.py
+++ b/src/merlinthread/nodes/agent_node.py
@@ -51,7 +51,7 @@
         self.listener = node_bus.RpcServer(
             codec, self.on_message, lambda: self.weights.server.upload_pacer.bytes_per_s
         )
-        self.ledger = load_tracker.LoadLedger()
+        self.ledger = load_tracker.LoadTracker()
         self.subscribers: dict[str, float] = {}
         self.last_report: fleet.EngineReport | None = None
         self.last_sent_at = float("-inf")
@@ -145,7 +145,7 @@
         if previous_ms in (0, report.born_ms):
             return
         logs.event("engine_reborn", born_ms=report.born_ms, before_ms=previous_ms)
-        self.ledger = load_tracker.LoadLedger()
+        self.ledger = load_tracker.LoadTracker()
         self.last_report = None
         self.weights.on_engine_report(None)
 
--- a/tests/test_fleet_deciders.py
+++ b/tests/test_fleet_deciders.py
@@ -274,7 +274,7 @@
 
 
 def test_a_ledger_tells_each_entry_what_the_others_have_to_be_read():
-    ledger = load_tracker.LoadLedger()
+    ledger = load_tracker.LoadTracker()
     ledger.record_start("entry-1", 1, 900.0, 10.0)
     ledger.record_start("entry-2", 1, 500.0, 10.0)
     ledger.record_start("entry-2", 2, 700.0, 10.1)
@@ -286,7 +286,7 @@
 
 
 def test_lost_notes_are_forgotten_and_unknown_load_counts():
-    ledger = load_tracker.LoadLedger()
+    ledger = load_tracker.LoadTracker()
     ledger.record_start("entry-1", 1, 900.0, 10.0)
     late = 10.0 + load_tracker.UNREAD_EXPIRY_S + 0.1
     assert ledger.outstanding("entry-2", late) == load_tracker.Outstanding(1, 0, 0.0)
