--- a/src/merlinthread/coordination/crash_tracker.py
+++ b/src/merlinthread/coordination/crash_tracker.py
@@ -134,7 +134,7 @@
         return self.hold.is_held() or self.is_over_limit()
 
 
-class CrashLedger:
+class CrashTracker:
     """The suspect requests known to one node.
 
     `revision` grows with every change; `reported_revision` is that of the last reportable change.
--- a/src/merlinthread/nodes/crash_registry.py
+++ b/src/merlinthread/nodes/crash_registry.py
@@ -46,7 +46,7 @@
         self.member = member
         self.submit = submit
         self.notify = notify
-        self.ledger = crash_tracker.CrashLedger()
+        self.ledger = crash_tracker.CrashTracker()
         self.held_since: dict[str, float] = {}
         self.changed_event = asyncio.Event()
         self.send_tasks: set[asyncio.Task[None]] = set()
@@ -171,7 +171,7 @@
 
 
 def due_commands(
-    ledger: crash_tracker.CrashLedger, held_since: dict[str, float], now: float, patience_s: float
+    ledger: crash_tracker.CrashTracker, held_since: dict[str, float], now: float, patience_s: float
 ) -> list[fleet_state.PlaceHold | fleet_state.ReleaseHold]:
     """Return the commands for holds and releases that are not in the log yet.
 
--- a/src/merlinthread/nodes/crash_watch.py
+++ b/src/merlinthread/nodes/crash_watch.py
@@ -55,7 +55,7 @@
         self,
         name: str,
         watcher: news_watcher.NewsWatcher,
-        ledger: crash_tracker.CrashLedger,
+        ledger: crash_tracker.CrashTracker,
         caller: node_bus.RpcClient,
         clock: Callable[[], float],
     ) -> None:
--- a/src/merlinthread/nodes/entry_node.py
+++ b/src/merlinthread/nodes/entry_node.py
@@ -44,7 +44,7 @@
         self.dialect = dialect
         self.clock = clock
         self.caller = node_bus.RpcClient(codec)
-        suspects = crash_tracker.CrashLedger()
+        suspects = crash_tracker.CrashTracker()
         signals = backend_signals.BackendSignals()
         self.watcher = news_watcher.NewsWatcher(
             settings, dialect, self.caller, clock, self.on_news, suspects, signals
--- a/src/merlinthread/nodes/news_watcher.py
+++ b/src/merlinthread/nodes/news_watcher.py
@@ -62,7 +62,7 @@
         caller: node_bus.RpcClient,
         clock: Callable[[], float],
         on_news: Callable[[], None],
-        suspects: crash_tracker.CrashLedger | None = None,
+        suspects: crash_tracker.CrashTracker | None = None,
         signals: backend_signals.BackendSignals | None = None,
     ) -> None:
         self.settings = settings
--- a/tests/test_crash_ledger.py
+++ b/tests/test_crash_ledger.py
@@ -17,8 +17,8 @@
     return crash_tracker.Crash(at, instance, at - ran_s)
 
 
-def ledger_with(fingerprint: str, times: list[float]) -> crash_tracker.CrashLedger:
-    ledger = crash_tracker.CrashLedger()
+def ledger_with(fingerprint: str, times: list[float]) -> crash_tracker.CrashTracker:
+    ledger = crash_tracker.CrashTracker()
     for number, at in enumerate(times):
         ledger.record_crash(fingerprint, "label", crash(f"i-{number}", at))
     return ledger
@@ -30,7 +30,7 @@
 
 
 def test_an_instance_under_the_same_id_counts_for_each_of_its_lives():
-    ledger = crash_tracker.CrashLedger()
+    ledger = crash_tracker.CrashTracker()
     for at in (1.0, 1.1, 3.0, 5.0):
         ledger.record_crash("f", "", crash("i-1", at))
     assert ledger.records["f"].incident_count() == 3
@@ -43,14 +43,14 @@
 
 
 def test_an_attempt_that_began_after_the_end_before_it_counts_however_soon_it_ends():
-    ledger = crash_tracker.CrashLedger()
+    ledger = crash_tracker.CrashTracker()
     for number in range(3):
         ledger.record_crash("f", "", crash(f"i-{number}", 1.0 + 0.06 * number, ran_s=0.05))
     assert ledger.is_held("f")
 
 
 def test_a_report_that_took_longer_than_the_next_one_does_not_make_two_ends_one():
-    ledger = crash_tracker.CrashLedger()
+    ledger = crash_tracker.CrashTracker()
     for number, latency_s in enumerate((0.02, 0.0, 0.02)):
         reported = crash_tracker.ReportedCrash(f"i-{number}", 0.0, 0.05)
         ledger.merge(
@@ -76,7 +76,7 @@
     and 30 times a second, and gets complete responses from the others.
     """
     rng = random.Random(5)
-    ledger = crash_tracker.CrashLedger()
+    ledger = crash_tracker.CrashTracker()
     held_s = 0.0
     for step in range(400):
         now = step * 0.05
@@ -123,7 +123,7 @@
 
 
 def test_an_old_clearing_told_to_a_control_vm_that_has_just_started_lets_nothing_go():
-    ledger = crash_tracker.CrashLedger()
+    ledger = crash_tracker.CrashTracker()
     ledger.set_hold("f", "", crash_tracker.Hold(1, HELD), 100.0)
     ledger.merge(crash_tracker.SuspectReport("f", "", [], 50.0), 100.1)
     assert crash_registry.due_commands(ledger, {"f": 100.0}, 100.2, 0.0) == []
@@ -141,7 +141,7 @@
 
 
 def test_an_account_with_several_requests_held_back_ends_one_process_with_each_further_one():
-    ledger = crash_tracker.CrashLedger()
+    ledger = crash_tracker.CrashTracker()
     ledger.record_crash("there-before", "", crash("i-0", 0.5), "account-1")
     for number in range(crash_tracker.ACCOUNT_HELD_THRESHOLD):
         assert not ledger.is_strict("account-1")
@@ -156,7 +156,7 @@
     assert not any(ledger.is_held(name) for name in ("there-before", "of another", "of nobody"))
     # Other nodes reach the same state from its reports.
     reports = ledger.changes_since(0, 6.0)
-    other = crash_tracker.CrashLedger()
+    other = crash_tracker.CrashTracker()
     for report in reports:
         other.merge(report, 6.0)
     assert other.is_held("next") and other.is_strict("account-1")
@@ -200,7 +200,7 @@
     reports += [crash_tracker.SuspectReport(name, "", [], now - at / 2) for name, at in clearings]
     records = []
     for _ in range(2):
-        ledger = crash_tracker.CrashLedger()
+        ledger = crash_tracker.CrashTracker()
         # Reports of a response to an unknown request are ignored, so each gets a crash first.
         for name in "abc":
             ledger.record_crash(name, "", crash("i-0", 0.0))
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -124,7 +124,7 @@
         b'{"service":"s","address":"1.1.1.1:1","zone":"z","slots":1,"state":"ready","sequence":1}',
     )
     registry.record_heartbeat(heartbeat, clock())
-    ledger = crash_tracker.CrashLedger()
+    ledger = crash_tracker.CrashTracker()
     ledger.record_crash("f", "", crash_tracker.Crash(clock(), "i", clock()))
     clock.suspended_s = 2 * crash_tracker.RECORD_EXPIRY_S
     assert registry.expire(clock(), 9.6) == ["i"]
