--- a/src/merlinthread/protocol/error_responses.py
+++ b/src/merlinthread/protocol/error_responses.py
@@ -14,7 +14,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Answer:
+class ErrorResponse:
     """How one kind of error is reported to clients.
 
     `ran` says whether the request or command took effect. `retry_after_s` is the suggested delay
@@ -29,42 +29,42 @@
 
 
 K = errors.ErrorKind
-RESPONSES: dict[errors.ErrorKind, Answer] = {
-    K.BAD_SETTINGS: Answer(500, NO, None, 2),
-    K.BAD_BUNDLE: Answer(400, NO, None, 3),
-    K.BAD_CONFIGURATION: Answer(400, NO, None, 3),
-    K.BAD_REQUEST: Answer(400, NO, None, 2),
-    K.BAD_SIGNATURE: Answer(403, NO, None, 4),
-    K.UNAUTHORISED: Answer(401, NO, None, 4),
-    K.TOO_LARGE: Answer(413, NO, None, 2),
-    K.UNKNOWN_VERSION: Answer(404, NO, None, 5),
-    K.UNKNOWN_ROUTE: Answer(404, NO, None, 5),
-    K.UNKNOWN_MODEL: Answer(404, NO, None, 5),
-    K.UNKNOWN_ACCOUNT: Answer(403, NO, None, 4),
-    K.VERSION_CONFLICT: Answer(409, NO, None, 6),
-    K.NOT_SIGNED: Answer(409, NO, None, 7),
-    K.NOT_LEADER: Answer(503, NO, 0.5, 8),
-    K.NO_MAJORITY: Answer(503, NO, 2.0, 8),
-    K.MEMBERSHIP_CHANGE_REFUSED: Answer(409, NO, 1.0, 9),
-    K.NOT_RUN: Answer(503, NO, 1.0, 8),
-    K.OVERLOADED: Answer(429, NO, 1.0, 8),
-    K.NO_TARGET: Answer(503, NO, 1.0, 8),
-    K.HELD_BACK: Answer(503, NO, 600.0, 8),
-    K.LEAVING: Answer(503, NO, 1.0, 8),
-    K.DEADLINE_EXCEEDED: Answer(504, UNKNOWN, None, 10),
-    K.OUTCOME_UNKNOWN: Answer(502, UNKNOWN, None, 10),
-    K.KEY_REQUIRED: Answer(400, NO, None, 2),
-    K.KEY_CONFLICT: Answer(409, NO, None, 6),
-    K.KEY_EXPIRED: Answer(410, UNKNOWN, None, 10),
-    K.STREAM_BROKEN: Answer(502, YES, 1.0, 10),
-    K.ORIGIN_CHANGED: Answer(409, NO, None, 11),
-    K.CHUNK_CORRUPT: Answer(502, NO, 1.0, 11),
-    K.UNREACHABLE: Answer(503, UNKNOWN, 1.0, 8),
-    K.FENCED: Answer(409, NO, None, 12),
-    K.LOG_DAMAGED: Answer(500, NO, None, 13),
-    K.FOLDER_IN_USE: Answer(500, NO, None, 13),
-    K.DISK_FULL: Answer(507, NO, 10.0, 13),
-    K.INTERNAL: Answer(500, UNKNOWN, None, 1),
+RESPONSES: dict[errors.ErrorKind, ErrorResponse] = {
+    K.BAD_SETTINGS: ErrorResponse(500, NO, None, 2),
+    K.BAD_BUNDLE: ErrorResponse(400, NO, None, 3),
+    K.BAD_CONFIGURATION: ErrorResponse(400, NO, None, 3),
+    K.BAD_REQUEST: ErrorResponse(400, NO, None, 2),
+    K.BAD_SIGNATURE: ErrorResponse(403, NO, None, 4),
+    K.UNAUTHORISED: ErrorResponse(401, NO, None, 4),
+    K.TOO_LARGE: ErrorResponse(413, NO, None, 2),
+    K.UNKNOWN_VERSION: ErrorResponse(404, NO, None, 5),
+    K.UNKNOWN_ROUTE: ErrorResponse(404, NO, None, 5),
+    K.UNKNOWN_MODEL: ErrorResponse(404, NO, None, 5),
+    K.UNKNOWN_ACCOUNT: ErrorResponse(403, NO, None, 4),
+    K.VERSION_CONFLICT: ErrorResponse(409, NO, None, 6),
+    K.NOT_SIGNED: ErrorResponse(409, NO, None, 7),
+    K.NOT_LEADER: ErrorResponse(503, NO, 0.5, 8),
+    K.NO_MAJORITY: ErrorResponse(503, NO, 2.0, 8),
+    K.MEMBERSHIP_CHANGE_REFUSED: ErrorResponse(409, NO, 1.0, 9),
+    K.NOT_RUN: ErrorResponse(503, NO, 1.0, 8),
+    K.OVERLOADED: ErrorResponse(429, NO, 1.0, 8),
+    K.NO_TARGET: ErrorResponse(503, NO, 1.0, 8),
+    K.HELD_BACK: ErrorResponse(503, NO, 600.0, 8),
+    K.LEAVING: ErrorResponse(503, NO, 1.0, 8),
+    K.DEADLINE_EXCEEDED: ErrorResponse(504, UNKNOWN, None, 10),
+    K.OUTCOME_UNKNOWN: ErrorResponse(502, UNKNOWN, None, 10),
+    K.KEY_REQUIRED: ErrorResponse(400, NO, None, 2),
+    K.KEY_CONFLICT: ErrorResponse(409, NO, None, 6),
+    K.KEY_EXPIRED: ErrorResponse(410, UNKNOWN, None, 10),
+    K.STREAM_BROKEN: ErrorResponse(502, YES, 1.0, 10),
+    K.ORIGIN_CHANGED: ErrorResponse(409, NO, None, 11),
+    K.CHUNK_CORRUPT: ErrorResponse(502, NO, 1.0, 11),
+    K.UNREACHABLE: ErrorResponse(503, UNKNOWN, 1.0, 8),
+    K.FENCED: ErrorResponse(409, NO, None, 12),
+    K.LOG_DAMAGED: ErrorResponse(500, NO, None, 13),
+    K.FOLDER_IN_USE: ErrorResponse(500, NO, None, 13),
+    K.DISK_FULL: ErrorResponse(507, NO, 10.0, 13),
+    K.INTERNAL: ErrorResponse(500, UNKNOWN, None, 1),
 }
 
 
