--- a/src/merlinthread/protocol/node_messages.py
+++ b/src/merlinthread/protocol/node_messages.py
@@ -109,7 +109,7 @@
 
     It also reports requests that were cleared of suspicion. With `is_passed_on`, the report was
     forwarded by a control VM and is not forwarded again. `limits` are rate limits that back ends
-    have just announced or lifted; control VMs forward them with heartbeats.
+    have just advertised or lifted; control VMs forward them with heartbeats.
     """
 
     sender: str
--- a/src/merlinthread/protocol/rate_limit.py
+++ b/src/merlinthread/protocol/rate_limit.py
@@ -1,4 +1,4 @@
-"""Parse the rate limit that a server announces for all of its callers together."""
+"""Parse the rate limit that a server advertises for all of its callers together."""
 
 import dataclasses
 import re
--- a/src/merlinthread/transport/bus.py
+++ b/src/merlinthread/transport/bus.py
@@ -157,7 +157,7 @@
     def handle(self, frame: bytes) -> bytes:
         """Decode a call, run the handler and return the encoded reply.
 
-        An exception of the handler is returned as `Refused`.
+        An exception of the handler is returned as `ErrorReply`.
         """
         try:
             reply = self.handler(self.codec.decode(frame))
--- a/src/merlinthread/transport/node_bus.py
+++ b/src/merlinthread/transport/node_bus.py
@@ -121,7 +121,7 @@
     async def handle(self, body: bytes) -> Any:
         """Decode a call, run the handler and return the reply.
 
-        An exception of the handler is returned as `Failed`.
+        An exception of the handler is returned as `ErrorReply`.
         """
         try:
             return await self.handler(self.codec.decode(body))
--- a/src/merlinthread/transport/stream_client.py
+++ b/src/merlinthread/transport/stream_client.py
@@ -159,8 +159,8 @@
 async def connect(address: str, timeout_s: float, user_timeout_s: float) -> ClientConnection:
     """Return a new connection to `address` ("IP:port").
 
-    Raises RefusedError if the server refuses the connection, and UnreachableError for other errors
-    and after `timeout_s`.
+    Raises NotListeningError if the server refuses the connection, and UnreachableError for other
+    errors and after `timeout_s`.
     """
     host, _, port = address.rpartition(":")
     loop = asyncio.get_running_loop()
