--- a/src/merlinthread/coordination/backend_record.py
+++ b/src/merlinthread/coordination/backend_record.py
@@ -5,7 +5,7 @@
 
 import dataclasses
 
-from merlinthread.coordination import backend_signals, fleet, load_tracker
+from merlinthread.coordination import backend_availability, fleet, load_tracker
 
 # Age up to which a load report counts as current.
 REPORT_FRESH_S = 1.0
@@ -78,8 +78,8 @@
     response_time: ResponseTime = dataclasses.field(default_factory=ResponseTime)
     ready_at: float | None = None
     missing_since: float | None = None
-    availability: backend_signals.Availability = dataclasses.field(
-        default_factory=backend_signals.Availability
+    availability: backend_availability.Availability = dataclasses.field(
+        default_factory=backend_availability.Availability
     )
 
     def expected_response_s(self) -> float:
--- a/src/merlinthread/nodes/backend_pool.py
+++ b/src/merlinthread/nodes/backend_pool.py
@@ -8,8 +8,8 @@
 from collections.abc import Callable
 
 from merlinthread.coordination import (
+    backend_availability,
     backend_record,
-    backend_signals,
     dispatch,
     fleet,
     incarnations,
@@ -74,7 +74,7 @@
         prober: load_prober.LoadProber,
         crashes: crash_watch.CrashWatch,
         permits: permits.Permits,
-        signals: backend_signals.BackendSignals,
+        signals: backend_availability.BackendSignals,
         teller: limit_teller.LimitTeller,
     ) -> None:
         self.settings = settings
@@ -150,7 +150,9 @@
             self.backends[instance] = backend
         backend.slots = heartbeat.slots
         if heartbeat.state != fleet.READY:
-            backend.availability.record_leaving(backend_signals.LeavingSource.NEWS, self.clock())
+            backend.availability.record_leaving(
+                backend_availability.LeavingSource.NEWS, self.clock()
+            )
         # A heartbeat that says `ready` does not take back what an answer said.
         backend.is_draining = backend.availability.is_leaving
         backend.cold_until = self.watcher.cold_until.get(instance, 0.0)
--- a/src/merlinthread/nodes/entry_node.py
+++ b/src/merlinthread/nodes/entry_node.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from merlinthread import clocks, logs
-from merlinthread.coordination import backend_signals, crash_tracker
+from merlinthread.coordination import backend_availability, crash_tracker
 from merlinthread.nodes import (
     backend_pool,
     crash_watch,
@@ -45,7 +45,7 @@
         self.clock = clock
         self.caller = node_bus.RpcClient(codec)
         suspects = crash_tracker.CrashTracker()
-        signals = backend_signals.BackendSignals()
+        signals = backend_availability.BackendSignals()
         self.watcher = news_watcher.NewsWatcher(
             settings, dialect, self.caller, clock, self.on_news, suspects, signals
         )
--- a/src/merlinthread/nodes/news_watcher.py
+++ b/src/merlinthread/nodes/news_watcher.py
@@ -13,7 +13,7 @@
 
 from merlinthread import errors, logs, metrics
 from merlinthread.coordination import (
-    backend_signals,
+    backend_availability,
     conflict_index,
     crash_tracker,
     fleet,
@@ -63,7 +63,7 @@
         clock: Callable[[], float],
         on_news: Callable[[], None],
         suspects: crash_tracker.CrashTracker | None = None,
-        signals: backend_signals.BackendSignals | None = None,
+        signals: backend_availability.BackendSignals | None = None,
     ) -> None:
         self.settings = settings
         self.dialect = dialect
--- a/src/merlinthread/nodes/signal_taker.py
+++ b/src/merlinthread/nodes/signal_taker.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable, Collection
 
 from merlinthread import logs, metrics
-from merlinthread.coordination import backend_signals, limit_table
+from merlinthread.coordination import backend_availability, limit_table
 from merlinthread.nodes import limit_teller
 
 # Names of headers that are remembered; a back end may make up any number of them.
@@ -15,7 +15,7 @@
 
     def __init__(
         self,
-        signals: backend_signals.BackendSignals,
+        signals: backend_availability.BackendSignals,
         teller: limit_teller.LimitTeller,
         clock: Callable[[], float],
     ) -> None:
@@ -43,7 +43,7 @@
         word that was wrong would take the back end from all of them for the rest of its life.
         """
         availability = self.signals.availability_of(instance)
-        if availability.record_leaving(backend_signals.LeavingSource.ANSWER, self.clock()):
+        if availability.record_leaving(backend_availability.LeavingSource.ANSWER, self.clock()):
             logs.event("backend_leaves", instance=instance, request=request_id)
             self.count()
 
--- a/tests/permit_net.py
+++ b/tests/permit_net.py
@@ -8,7 +8,7 @@
 import random
 from collections.abc import Callable
 
-from merlinthread.coordination import backend_record, backend_signals
+from merlinthread.coordination import backend_availability, backend_record
 from merlinthread.nodes import permit_server, permits
 from merlinthread.protocol import node_messages
 
@@ -88,7 +88,7 @@
             clock,
             self.rng,
         )
-        availability = backend_signals.Availability(
+        availability = backend_availability.Availability(
             limit_per_s=self.limit_per_s, limit_heard_at=clock()
         )
         return Entry(
--- a/tests/test_backend_signals.py
+++ b/tests/test_backend_signals.py
@@ -10,7 +10,7 @@
 from hypothesis import stateful
 from hypothesis import strategies as st
 
-from merlinthread.coordination import backend_record, backend_signals, dispatch, retry_delays
+from merlinthread.coordination import backend_availability, backend_record, dispatch, retry_delays
 from merlinthread.protocol import rate_limit, retry_after
 
 DATE = datetime.datetime(2026, 1, 5, 12, 0, tzinfo=datetime.UTC)
@@ -88,12 +88,12 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.signals = backend_signals.BackendSignals()
+        self.signals = backend_availability.BackendSignals()
         self.now = 0.0
         self.ends: list[float] = []
         self.is_leaving = False
 
-    def availability(self) -> backend_signals.Availability:
+    def availability(self) -> backend_availability.Availability:
         return self.signals.availability_of("i-1")
 
     @stateful.rule(seconds=st.floats(0.01, 400.0))
@@ -103,9 +103,9 @@
     @stateful.rule(rest_s=st.floats(0.01, 1000.0))
     def ask_for_rest(self, rest_s):
         self.availability().record_rest(rest_s, self.now)
-        self.ends.append(self.now + min(rest_s, backend_signals.REST_S_MAX))
+        self.ends.append(self.now + min(rest_s, backend_availability.REST_S_MAX))
 
-    @stateful.rule(source=st.sampled_from(backend_signals.LeavingSource))
+    @stateful.rule(source=st.sampled_from(backend_availability.LeavingSource))
     def leave(self, source):
         is_new = self.availability().record_leaving(source, self.now)
         assert is_new != self.is_leaving
@@ -130,14 +130,14 @@
 
 
 def test_what_is_remembered_is_bounded_and_the_oldest_goes_first():
-    signals = backend_signals.BackendSignals()
-    count = backend_signals.RECORDS_MAX + 100
+    signals = backend_availability.BackendSignals()
+    count = backend_availability.RECORDS_MAX + 100
     for number in range(count):
         signals.availability_of(f"i-{number}").record_leaving(
-            backend_signals.LeavingSource.NEWS, number
+            backend_availability.LeavingSource.NEWS, number
         )
     signals.prune({"i-0"}, count)
-    assert len(signals.availabilities) == backend_signals.RECORDS_MAX + 1
+    assert len(signals.availabilities) == backend_availability.RECORDS_MAX + 1
     assert signals.availability_of("i-0").is_leaving, "it is still there"
     assert signals.availability_of(f"i-{count - 1}").is_leaving
     assert "i-1" not in signals.availabilities
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from merlinthread.coordination import (
-    backend_signals,
+    backend_availability,
     limit_table,
     permit_slots,
     rate_limits,
@@ -182,7 +182,7 @@
 
 
 def test_a_limit_that_another_vm_heard_before_does_not_undo_what_was_heard_since():
-    availability = backend_signals.Availability()
+    availability = backend_availability.Availability()
     availability.record_limit(2.0, sent_at=0.0, now=5.0)
     availability.merge_limit(None, heard_at=4.0)
     assert availability.limit_per_s == 2.0
@@ -191,7 +191,7 @@
 
 
 def test_an_answer_that_was_overtaken_does_not_lift_a_limit():
-    availability = backend_signals.Availability()
+    availability = backend_availability.Availability()
     availability.record_limit(8.0, sent_at=0.0, now=1.0)
     assert availability.record_limit(0.5, sent_at=0.5, now=2.0)
     assert not availability.record_limit(8.0, sent_at=1.9, now=2.1)
