--- a/src/merlinthread/coordination/backend_availability.py
+++ b/src/merlinthread/coordination/backend_availability.py
@@ -115,7 +115,7 @@
         return not was_resting
 
 
-class BackendSignals:
+class AvailabilityTable:
     """The availability of all back ends, by incarnation name."""
 
     def __init__(self) -> None:
--- a/src/merlinthread/nodes/backend_pool.py
+++ b/src/merlinthread/nodes/backend_pool.py
@@ -74,7 +74,7 @@
         prober: load_prober.LoadProber,
         crashes: crash_watch.CrashWatch,
         permits: permits.Permits,
-        signals: backend_availability.BackendSignals,
+        signals: backend_availability.AvailabilityTable,
         teller: limit_teller.LimitTeller,
     ) -> None:
         self.settings = settings
--- a/src/merlinthread/nodes/entry_node.py
+++ b/src/merlinthread/nodes/entry_node.py
@@ -45,7 +45,7 @@
         self.clock = clock
         self.caller = node_bus.RpcClient(codec)
         suspects = crash_tracker.CrashTracker()
-        signals = backend_availability.BackendSignals()
+        signals = backend_availability.AvailabilityTable()
         self.watcher = news_watcher.NewsWatcher(
             settings, dialect, self.caller, clock, self.on_news, suspects, signals
         )
--- a/src/merlinthread/nodes/news_watcher.py
+++ b/src/merlinthread/nodes/news_watcher.py
@@ -63,7 +63,7 @@
         clock: Callable[[], float],
         on_news: Callable[[], None],
         suspects: crash_tracker.CrashTracker | None = None,
-        signals: backend_availability.BackendSignals | None = None,
+        signals: backend_availability.AvailabilityTable | None = None,
     ) -> None:
         self.settings = settings
         self.dialect = dialect
--- a/src/merlinthread/nodes/signal_taker.py
+++ b/src/merlinthread/nodes/signal_taker.py
@@ -15,7 +15,7 @@
 
     def __init__(
         self,
-        signals: backend_availability.BackendSignals,
+        signals: backend_availability.AvailabilityTable,
         teller: limit_teller.LimitTeller,
         clock: Callable[[], float],
     ) -> None:
--- a/tests/test_backend_signals.py
+++ b/tests/test_backend_signals.py
@@ -88,7 +88,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.signals = backend_availability.BackendSignals()
+        self.signals = backend_availability.AvailabilityTable()
         self.now = 0.0
         self.ends: list[float] = []
         self.is_leaving = False
@@ -130,7 +130,7 @@
 
 
 def test_what_is_remembered_is_bounded_and_the_oldest_goes_first():
-    signals = backend_availability.BackendSignals()
+    signals = backend_availability.AvailabilityTable()
     count = backend_availability.RECORDS_MAX + 100
     for number in range(count):
         signals.availability_of(f"i-{number}").record_leaving(
