--- a/src/merlinthread/coordination/agents.py
+++ b/src/merlinthread/coordination/agents.py
@@ -36,7 +36,7 @@
     is_leaving: bool = False
     trouble: str = ""
 
-    def order(self) -> tuple[int, int]:
+    def sort_key(self) -> tuple[int, int]:
         """Return a sort key that is higher for newer reports of the same agent."""
         return (self.incarnation, self.counter)
 
@@ -64,7 +64,7 @@
     def update(self, report: AgentReport, now: float) -> bool:
         """Apply a report; return whether it was newer than the known one."""
         known = self.received.get(report.name)
-        if known and report.order() <= known.report.order():
+        if known and report.sort_key() <= known.report.sort_key():
             return False
         self.received[report.name] = ReceivedReport(report, now)
         return True
--- a/src/merlinthread/coordination/sessions.py
+++ b/src/merlinthread/coordination/sessions.py
@@ -98,7 +98,7 @@
         for report in changed:
             session.names.add(report.name)
             known = self.reports.get(report.name)
-            if known is None or report.order() > known.order():
+            if known is None or report.sort_key() > known.sort_key():
                 self.reports[report.name] = report
         return True
 
--- a/tests/test_deciders.py
+++ b/tests/test_deciders.py
@@ -199,8 +199,8 @@
     def a_report_arrives(self, which: int) -> None:
         found = self.sent[which % len(self.sent)]
         was_news = self.view.update(found, self.now)
-        assert was_news == (self.newest is None or found.order() > self.newest)
-        self.newest = max(self.newest or found.order(), found.order())
+        assert was_news == (self.newest is None or found.sort_key() > self.newest)
+        self.newest = max(self.newest or found.sort_key(), found.sort_key())
 
     @stateful.rule(seconds=st.sampled_from([0.5, 1.9, 2.5]))
     def time_passes(self, seconds: float) -> None:
@@ -210,7 +210,7 @@
     def the_newest_stands(self) -> None:
         live = self.view.live(self.now)
         if live:
-            assert live[0].order() == self.newest
+            assert live[0].sort_key() == self.newest
 
 
 ReportsMachine.TestCase.settings = hypothesis.settings(
