--- a/src/merlinthread/coordination/sessions.py
+++ b/src/merlinthread/coordination/sessions.py
@@ -79,7 +79,7 @@
         self.sessions: dict[str, Session] = {}
         self.reports: dict[str, agents.AgentReport] = {}
 
-    def take(
+    def apply_update(
         self,
         source: str,
         changed: list[agents.AgentReport],
--- a/src/merlinthread/roles/log_task.py
+++ b/src/merlinthread/roles/log_task.py
@@ -200,7 +200,7 @@
         """Apply an entry's changes; raise NotLeaderError if this member does not lead."""
         self.raft.require_leader()
         changes = update.changes
-        is_accepted = self.report_receiver.take(
+        is_accepted = self.report_receiver.apply_update(
             changes.entry, changes.changed, changes.gone, changes.is_full, now
         )
         listener = f"{self.name} {self.raft.hard_state.term}"
--- a/tests/test_deciders.py
+++ b/tests/test_deciders.py
@@ -266,7 +266,7 @@
         if is_lost:
             self.outgoing.forget()
             return
-        is_taken = self.incoming.take("entry", changed, gone, is_full, self.now)
+        is_taken = self.incoming.apply_update("entry", changed, gone, is_full, self.now)
         if is_answer_lost:
             self.outgoing.forget()
             return
