--- a/src/merlinthread/coordination/backend_record.py
+++ b/src/merlinthread/coordination/backend_record.py
@@ -159,7 +159,7 @@
         self.ready_at = None if report.ready_in_s is None else now + report.ready_in_s
         self.reported_at = now
 
-    def apply_probe_answer(self, answer: load_tracker.EngineLoad | None, now: float) -> None:
+    def apply_probe_reply(self, answer: load_tracker.EngineLoad | None, now: float) -> None:
         """Apply the answer to a load probe; None means that the probe timed out."""
         self.probe_unanswered = answer is None
         if answer is not None:
--- a/src/merlinthread/nodes/backend_pool.py
+++ b/src/merlinthread/nodes/backend_pool.py
@@ -273,7 +273,7 @@
         # Engines of one VM share its agent: its silence counts against each of them, else the one
         # that it does not count against gets all requests.
         for backend in asked:
-            backend.apply_probe_answer(answers[self.agent_of(backend)], self.clock())
+            backend.apply_probe_reply(answers[self.agent_of(backend)], self.clock())
 
     def ready_in_s(self, service: str) -> float | None:
         """Return when half of the engines heard of a service will serve again, None if not known.
--- a/tests/test_fleet_deciders.py
+++ b/tests/test_fleet_deciders.py
@@ -302,9 +302,7 @@
     busy, idle = backend("busy"), backend("idle")
     for one, tokens in ((busy, 5000.0), (idle, 0.0)):
         one.apply_report(fleet.EngineReport(weights=[fleet.Weights("m", 1, 16)]), 9.95)
-        one.apply_probe_answer(
-            load_tracker.EngineLoad(load_tracker.Outstanding(3, 2, tokens)), 10.0
-        )
+        one.apply_probe_reply(load_tracker.EngineLoad(load_tracker.Outstanding(3, 2, tokens)), 10.0)
     demand = dispatch.Demand("s", "m", prompt_tokens=1000.0)
     choices = [dispatch.evaluate(one, demand, ENGINE, 10.0) for one in (busy, idle)]
     expected = 5000.0 / ENGINE.read_tokens_per_s
@@ -329,7 +327,7 @@
     for one, pace in ((prompt, 1.0), (silent, 1.0), (slow, 4.0)):
         report = fleet.EngineReport(weights=[fleet.Weights("m", 1, 16)], pace=pace)
         one.apply_report(report, 9.95)
-    silent.apply_probe_answer(None, 10.0)
+    silent.apply_probe_reply(None, 10.0)
     demand = dispatch.Demand("s", "m", prompt_tokens=1000.0)
     asked = dispatch.shortlist([slow, silent, prompt], demand, ENGINE, 10.0, random.Random(1), 3)
     assert asked[0] is prompt
@@ -392,11 +390,11 @@
     nothing = load_tracker.EngineLoad(load_tracker.Outstanding())
     for one in (prompt, slow, silent, asked_before):
         one.apply_report(report, 9.99)
-    prompt.apply_probe_answer(nothing, 9.99)
-    slow.apply_probe_answer(nothing, 9.99)
+    prompt.apply_probe_reply(nothing, 9.99)
+    slow.apply_probe_reply(nothing, 9.99)
     slow.record_first_byte_delay(0.8, 9.0)
-    silent.apply_probe_answer(None, 9.99)
-    asked_before.apply_probe_answer(nothing, 9.9)
+    silent.apply_probe_reply(None, 9.99)
+    asked_before.apply_probe_reply(nothing, 9.9)
     all_of_them = [prompt, slow, silent, asked_before]
     demand = dispatch.Demand("s", "m", version_soon=2)
     found = dispatch.shortlist(all_of_them, demand, ENGINE, 10.0, random.Random(1), 4)
--- a/tests/test_load_feed.py
+++ b/tests/test_load_feed.py
@@ -92,7 +92,7 @@
 
 def test_an_engine_that_is_not_heard_is_asked_again_after_it_said_that_it_changes_its_weights():
     engine = engines(1, 1, 0)[0]
-    engine.apply_probe_answer(
+    engine.apply_probe_reply(
         load_tracker.EngineLoad(load_tracker.Outstanding(), is_busy=True), 10.0
     )
     demand = dispatch.Demand("s")
