--- a/src/merlinthread/coordination/backend_availability.py
+++ b/src/merlinthread/coordination/backend_availability.py
@@ -1,13 +1,13 @@
 """Availability of back ends: leaving, resting, or limited to a rate.
 
-A back end signals its state in answers to requests; control VMs relay what its heartbeats said.
+A back end signals its state in its responses; control VMs relay what its heartbeats said.
 Either channel may be late or lose messages, so the more restrictive signal wins:
 
 - Leaving is final for an incarnation, even if a late heartbeat still says `ready`. The next
   incarnation has a name of its own (`coordination.incarnations`).
 - A rest applies to the VM that was asked for it, until it ends. Traffic then resumes at once,
   without the single trial request of a half-open circuit breaker.
-- A rate limit covers the requests of all VMs together and stays until an answer changes it. Each
+- A rate limit covers the requests of all VMs together and stays until a response changes it. Each
   request then needs a permit (`coordination.rate_limits`).
 
 This state is kept apart from `backend_record.Backend`, which is discarded whenever a back end
@@ -71,10 +71,11 @@
         return max(now, self.rest_until, next_permit_at)
 
     def record_limit(self, per_s: float | None, sent_at: float, now: float) -> bool:
-        """Record the limit in the answer to a request sent at `sent_at`; return whether it changed.
+        """Record the limit in a response; return whether it changed.
 
-        Answers may arrive out of order. A lower limit applies at once. A higher limit, or none,
-        applies only if its request was sent after the current limit was received.
+        `sent_at` is when the request was sent. Responses may arrive out of order. A lower limit
+        applies at once. A higher limit, or none, applies only if its request was sent after the
+        current limit was received.
         """
         before = self.limit_per_s
         if before is not None and sent_at < self.limit_heard_at:
--- a/src/merlinthread/coordination/backend_record.py
+++ b/src/merlinthread/coordination/backend_record.py
@@ -11,16 +11,16 @@
 REPORT_FRESH_S = 1.0
 # Response time assumed before any back end of the service has answered.
 DEFAULT_RESPONSE_S = 0.1
-# Weight of one answer in the moving average of the response time; the first ones weigh more.
+# Weight of one response in the moving average of the response time; the first ones weigh more.
 RESPONSE_SMOOTHING = 0.1
-# Weight of the service's mean in a back end's estimate, as a number of answers.
-PRIOR_ANSWERS = 4
+# Weight of the service's mean in a back end's estimate, as a number of responses.
+PRIOR_RESPONSES = 4
 # An engine with up to this share of its slots in use has room for another request.
 ROOM_SHARE = 0.5
 # A back end whose first byte takes longer than this counts as slow for SLOW_FOR_S.
 SLOW_FIRST_S = 0.6
 SLOW_FOR_S = 3.0
-# Age up to which an agent's answer to a probe shows that its VM is responsive.
+# Age up to which an agent's reply to a probe shows that its VM is responsive.
 RESPONSIVE_WITHIN_S = 0.05
 
 
@@ -29,12 +29,12 @@
     """An exponential moving average of response times, in seconds."""
 
     mean_s: float = DEFAULT_RESPONSE_S
-    answers: int = 0
+    responses: int = 0
 
     def note(self, response_s: float) -> None:
-        """Add the response time of one answer."""
-        self.answers += 1
-        self.mean_s += max(RESPONSE_SMOOTHING, 1.0 / self.answers) * (response_s - self.mean_s)
+        """Add the response time of one response."""
+        self.responses += 1
+        self.mean_s += max(RESPONSE_SMOOTHING, 1.0 / self.responses) * (response_s - self.mean_s)
 
 
 @dataclasses.dataclass(slots=True)
@@ -86,9 +86,9 @@
         """Return the expected response time of a request, in seconds.
 
         Blend the back end's own mean with that of its service until it has answered enough
-        requests. Otherwise a slow first answer could keep it from getting further requests.
+        requests. Otherwise a slow first response could keep it from getting further requests.
         """
-        weight = self.response_time.answers / (PRIOR_ANSWERS + self.response_time.answers)
+        weight = self.response_time.responses / (PRIOR_RESPONSES + self.response_time.responses)
         return self.service_response_time.mean_s + weight * (
             self.response_time.mean_s - self.service_response_time.mean_s
         )
@@ -119,7 +119,7 @@
     def is_changing(self, now: float) -> bool:
         """Return whether the engine is known to be changing its weights.
 
-        Without reports, a probe's answer counts only while it is current: otherwise the engine
+        Without reports, a probe's reply counts only while it is current: otherwise the engine
         would never be probed again.
         """
         has_reports = self.reported_at > float("-inf")
@@ -159,14 +159,14 @@
         self.ready_at = None if report.ready_in_s is None else now + report.ready_in_s
         self.reported_at = now
 
-    def apply_probe_reply(self, answer: load_tracker.EngineLoad | None, now: float) -> None:
-        """Apply the answer to a load probe; None means that the probe timed out."""
-        self.probe_unanswered = answer is None
-        if answer is not None:
-            self.others = answer.others.attempts
-            self.others_unread_tokens = answer.others.unread_tokens
-            self.is_busy = answer.is_busy
-            self.pace = max(1.0, answer.pace)
+    def apply_probe_reply(self, reply: load_tracker.EngineLoad | None, now: float) -> None:
+        """Apply the reply to a load probe; None means that the probe timed out."""
+        self.probe_unanswered = reply is None
+        if reply is not None:
+            self.others = reply.others.attempts
+            self.others_unread_tokens = reply.others.unread_tokens
+            self.is_busy = reply.is_busy
+            self.pace = max(1.0, reply.pace)
             self.answered_at = now
 
     def stop_reports(self) -> None:
--- a/src/merlinthread/coordination/dispatch.py
+++ b/src/merlinthread/coordination/dispatch.py
@@ -25,7 +25,7 @@
 STALE_REPORTS_COST_S = 0.3
 # Factor by which a full engine's steps take longer, since it also reads prompts.
 FULL_SLOWDOWN = 3.0
-# Requests to a VM whose agent did not answer a probe may be delayed too.
+# Requests to a VM whose agent did not reply to a probe may be delayed too.
 UNANSWERED_PROBE_COST_S = 0.06
 # Minimum cost per running request on a back end without engine parameters.
 GENERIC_RUNNING_COST_S = 0.05
@@ -241,7 +241,7 @@
     """Return the first choice whose cost is within the tolerance of the lowest.
 
     Otherwise a back end with a marginally higher mean response time would get no requests, and so
-    no answers to correct its mean.
+    no responses to correct its mean.
     """
     enough_s = (1 + COST_TOLERANCE) * min(choice.cost_s for choice in choices)
     return next(choice for choice in choices if choice.cost_s <= enough_s)
@@ -311,7 +311,7 @@
 
 
 def record_success(backend: backend_record.Backend, response_s: float) -> None:
-    """Record a complete answer and its response time, and reset the failure count."""
+    """Record a complete response and its duration, and reset the failure count."""
     backend.failures = 0
     backend.response_time.note(response_s)
     backend.service_response_time.note(response_s)
--- a/src/merlinthread/coordination/limit_table.py
+++ b/src/merlinthread/coordination/limit_table.py
@@ -1,6 +1,6 @@
 """Back ends' advertised rate limits, as control VMs distribute them to entries.
 
-An entry learns of a limit from an answer of the back end. Without distribution each entry would
+An entry learns of a limit from a response of the back end. Without distribution each entry would
 send one unlimited request first, and would go on asking for permits after a limit is lifted.
 
 The most recently received limit of a back end wins; merging the same report again changes nothing.
--- a/src/merlinthread/coordination/load_tracker.py
+++ b/src/merlinthread/coordination/load_tracker.py
@@ -33,7 +33,7 @@
 
 @dataclasses.dataclass(slots=True)
 class EngineLoad:
-    """An agent's answer to a load probe: other entries' load and the engine's state.
+    """An agent's reply to a load probe: other entries' load and the engine's state.
 
     `is_busy` is set while the engine changes its weights; a `pace` above 1 means that it is slower
     than configured.
--- a/src/merlinthread/coordination/rate_limits.py
+++ b/src/merlinthread/coordination/rate_limits.py
@@ -16,7 +16,7 @@
 # Tolerance of the rate algorithm, as a share of the interval: how early a permit may be used.
 # Any window then holds at most its share of the limit plus two requests.
 TOLERANCE_SHARE = 0.85
-# Longest interval between two permits: a back end can lift its limit only in an answer.
+# Longest interval between two permits: a back end can lift its limit only in a response.
 INTERVAL_S_MAX = 10.0
 # State not used for this long is dropped.
 IDLE_EXPIRY_S = 60.0
@@ -59,7 +59,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Decision:
-    """The answer to a permit request: the granted `instance`, or "" if it was refused.
+    """The reply to a permit request: the granted `instance`, or "" if it was refused.
 
     All times are in seconds from now. A granted permit may be used in `start_in_s`. `free_in_s`
     tells for each requested back end when the account's next permit is available without waiting.
--- a/tests/test_fleet_deciders.py
+++ b/tests/test_fleet_deciders.py
@@ -374,9 +374,9 @@
 
 def test_a_back_end_that_answers_nothing_does_not_go_on_drawing_requests():
     silent = backend(
-        "silent", in_flight=3, response_time=backend_record.ResponseTime(0.005, answers=1000)
+        "silent", in_flight=3, response_time=backend_record.ResponseTime(0.005, responses=1000)
     )
-    idle = backend("idle", response_time=backend_record.ResponseTime(0.1, answers=1000))
+    idle = backend("idle", response_time=backend_record.ResponseTime(0.1, responses=1000))
     choice = dispatch.choose([silent, idle], dispatch.Demand("s"), None, 0.0, random.Random(1))
     assert choice.backend is idle
 
--- a/tests/test_new_back_ends.py
+++ b/tests/test_new_back_ends.py
@@ -77,7 +77,7 @@
     quicker = backend_record.Backend("quicker", "safe", "a:1", "zone", 0, 8)
     slower = backend_record.Backend("slower", "safe", "a:2", "zone", 0, 8)
     for backend, work_s in ((quicker, 0.0213), (slower, 0.0214)):
-        backend.response_time = backend_record.ResponseTime(work_s, answers=1000)
+        backend.response_time = backend_record.ResponseTime(work_s, responses=1000)
     chosen = [
         dispatch.choose([quicker, slower], dispatch.Demand("safe"), None, 0.0, rng).backend
         for _ in range(100)
