--- a/src/merlinthread/coordination/rate_limits.py
+++ b/src/merlinthread/coordination/rate_limits.py
@@ -2,7 +2,7 @@
 
 A back end advertises one limit for all VMs, but an entry sees only its own requests. One control VM
 therefore grants a permit for each request, with `PermitAllocator`. Entries that can't reach it use
-the time slots of `coordination.permit_turns`.
+the time slots of `coordination.permit_slots`.
 
 Permits follow the generic cell rate algorithm (ITU-T I.371). A request that can wait reserves its
 permit in advance, so it is known at once whether and when it is served.
@@ -16,7 +16,7 @@
 # Tolerance of the rate algorithm, as a share of the interval: how early a permit may be used.
 # Any window then holds at most its share of the limit plus two requests.
 TOLERANCE_SHARE = 0.85
-# Longest interval between two permits: a back end can lift its limit only in an answer.
+# Longest interval between two permits: a back end can lift its limit only in a response.
 INTERVAL_S_MAX = 10.0
 # State not used for this long is dropped.
 IDLE_EXPIRY_S = 60.0
@@ -59,7 +59,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Decision:
-    """The answer to a permit request: the granted `instance`, or "" if it was refused.
+    """The reply to a permit request: the granted `instance`, or "" if it was refused.
 
     All times are in seconds from now. A granted permit may be used in `start_in_s`. `free_in_s`
     tells for each requested back end when the account's next permit is available without waiting.
--- a/src/merlinthread/coordination/sessions.py
+++ b/src/merlinthread/coordination/sessions.py
@@ -79,7 +79,7 @@
         self.sessions: dict[str, Session] = {}
         self.reports: dict[str, agents.AgentReport] = {}
 
-    def take(
+    def apply_update(
         self,
         source: str,
         changed: list[agents.AgentReport],
@@ -98,7 +98,7 @@
         for report in changed:
             session.names.add(report.name)
             known = self.reports.get(report.name)
-            if known is None or report.order() > known.order():
+            if known is None or report.sort_key() > known.sort_key():
                 self.reports[report.name] = report
         return True
 
--- a/src/merlinthread/nodes/backend_pool.py
+++ b/src/merlinthread/nodes/backend_pool.py
@@ -8,15 +8,15 @@
 from collections.abc import Callable
 
 from merlinthread.coordination import (
+    backend_availability,
     backend_record,
-    backend_signals,
-    change_over,
     dispatch,
     fleet,
     incarnations,
     load_feed,
+    reload_schedule,
     retry_budget,
-    return_times,
+    retry_delays,
     wait_queue,
 )
 from merlinthread.nodes import (
@@ -74,7 +74,7 @@
         prober: load_prober.LoadProber,
         crashes: crash_detector.CrashDetector,
         permits: permits.PermitClient,
-        signals: backend_signals.BackendSignals,
+        signals: backend_availability.AvailabilityTable,
         reporter: limit_reporter.LimitReporter,
     ) -> None:
         self.settings = settings
@@ -84,7 +84,7 @@
         self.watcher = watcher
         self.clock = clock
         self.rng = rng
-        self.retry_delay_policy = return_times.POLICIES.get(settings.policy.returns)
+        self.retry_delay_policy = retry_delays.POLICIES.get(settings.policy.returns)
         self.backends: dict[str, backend_record.Backend] = {}
         self.backends_by_service: dict[str, list[backend_record.Backend]] = {}
         self.backends_by_address: dict[str, backend_record.Backend] = {}
@@ -152,7 +152,9 @@
             self.backends[instance] = backend
         backend.slots = heartbeat.slots
         if heartbeat.state != fleet.READY:
-            backend.availability.record_leaving(backend_signals.LeavingSource.NEWS, self.clock())
+            backend.availability.record_leaving(
+                backend_availability.LeavingSource.NEWS, self.clock()
+            )
         # A heartbeat in state `ready` does not revoke an earlier leaving signal.
         backend.is_draining = backend.availability.is_leaving
         backend.cold_until = self.watcher.cold_until.get(instance, 0.0)
@@ -201,7 +203,7 @@
         A new version is required some time before the old one expires, since the request may be
         queued at the back end.
         """
-        bound_s = self.settings.bounds.version_s - change_over.EXPIRY_MARGIN_S
+        bound_s = self.settings.bounds.version_s - reload_schedule.EXPIRY_MARGIN_S
         return self.watcher.version_due(model, now, bound_s)
 
     def version_soon(self, model: str, now: float) -> int:
@@ -276,7 +278,7 @@
         # Engines on one VM share an agent. Its timeout must count against all of them, or the only
         # one without the penalty would get all requests.
         for backend in probed:
-            backend.apply_probe_answer(replies[self.agent_of(backend)], self.clock())
+            backend.apply_probe_reply(replies[self.agent_of(backend)], self.clock())
 
     def ready_in_s(self, service: str) -> float | None:
         """Return when half of a service's engines are expected to serve, or None if not known.
--- a/src/merlinthread/nodes/crash_detector.py
+++ b/src/merlinthread/nodes/crash_detector.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 
 from merlinthread import errors, logs, metrics
-from merlinthread.coordination import backend_record, crash_ledger
+from merlinthread.coordination import backend_record, crash_tracker
 from merlinthread.nodes import fleet_watcher
 from merlinthread.protocol import node_messages
 from merlinthread.transport import node_bus, stream_client
@@ -42,9 +42,9 @@
     began_at: float
     at: float
 
-    def crash(self) -> crash_ledger.Crash:
+    def crash(self) -> crash_tracker.Crash:
         """Return the crash to record once it is confirmed."""
-        return crash_ledger.Crash(self.at, self.backend.instance, self.began_at)
+        return crash_tracker.Crash(self.at, self.backend.instance, self.began_at)
 
 
 class CrashDetector:
@@ -54,7 +54,7 @@
         self,
         name: str,
         watcher: fleet_watcher.FleetWatcher,
-        ledger: crash_ledger.CrashLedger,
+        ledger: crash_tracker.CrashTracker,
         caller: node_bus.RpcClient,
         clock: Callable[[], float],
     ) -> None:
--- a/src/merlinthread/nodes/entry_node.py
+++ b/src/merlinthread/nodes/entry_node.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from merlinthread import clocks, logs
-from merlinthread.coordination import backend_signals, crash_ledger
+from merlinthread.coordination import backend_availability, crash_tracker
 from merlinthread.nodes import (
     backend_pool,
     crash_detector,
@@ -44,8 +44,8 @@
         self.dialect = dialect
         self.clock = clock
         self.caller = node_bus.RpcClient(codec)
-        suspect_ledger = crash_ledger.CrashLedger()
-        signals = backend_signals.BackendSignals()
+        suspect_ledger = crash_tracker.CrashTracker()
+        signals = backend_availability.AvailabilityTable()
         self.watcher = fleet_watcher.FleetWatcher(
             settings, dialect, self.caller, clock, self.on_update, suspect_ledger, signals
         )
--- a/src/merlinthread/nodes/fleet_watcher.py
+++ b/src/merlinthread/nodes/fleet_watcher.py
@@ -14,9 +14,9 @@
 
 from merlinthread import errors, logs, metrics
 from merlinthread.coordination import (
-    backend_signals,
+    backend_availability,
     conflict_index,
-    crash_ledger,
+    crash_tracker,
     fleet,
     instances,
     route_table,
@@ -64,8 +64,8 @@
         caller: node_bus.RpcClient,
         clock: Callable[[], float],
         on_update: Callable[[], None],
-        suspect_ledger: crash_ledger.CrashLedger | None = None,
-        signals: backend_signals.BackendSignals | None = None,
+        suspect_ledger: crash_tracker.CrashTracker | None = None,
+        signals: backend_availability.AvailabilityTable | None = None,
     ) -> None:
         self.settings = settings
         self.dialect = dialect
--- a/src/merlinthread/nodes/limit_reporter.py
+++ b/src/merlinthread/nodes/limit_reporter.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from merlinthread import errors, logs
-from merlinthread.coordination import limit_ledger
+from merlinthread.coordination import limit_table
 from merlinthread.nodes import fleet_watcher
 from merlinthread.protocol import node_messages
 from merlinthread.transport import node_bus
@@ -22,7 +22,7 @@
         self.caller = caller
         self.tasks: set[asyncio.Task[None]] = set()
 
-    def report(self, limit: limit_ledger.LimitReport) -> None:
+    def report(self, limit: limit_table.LimitReport) -> None:
         """Start a task that reports a limit, unless no control VM is known."""
         if not self.watcher.current:
             return
@@ -30,7 +30,7 @@
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def send(self, limit: limit_ledger.LimitReport) -> None:
+    async def send(self, limit: limit_table.LimitReport) -> None:
         """Send a limit to a control VM, without retries.
 
         If the report is lost, each entry learns the limit from its own first response.
--- a/src/merlinthread/nodes/load_prober.py
+++ b/src/merlinthread/nodes/load_prober.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Sequence
 from typing import Any
 
-from merlinthread.coordination import load_ledger
+from merlinthread.coordination import load_tracker
 from merlinthread.protocol import node_messages
 
 Send = Callable[[str, Any], None]
@@ -22,11 +22,11 @@
         self.address = address
         self.send = send
         self.query_numbers = itertools.count(1)
-        self.waiting: dict[int, asyncio.Future[load_ledger.EngineLoad]] = {}
+        self.waiting: dict[int, asyncio.Future[load_tracker.EngineLoad]] = {}
 
     async def ask(
         self, agents: Sequence[str], wait_s: float
-    ) -> dict[str, load_ledger.EngineLoad | None]:
+    ) -> dict[str, load_tracker.EngineLoad | None]:
         """Query agents for their engines' loads; the load is None without a reply in `wait_s`."""
         loop = asyncio.get_running_loop()
         numbers = {agent: next(self.query_numbers) for agent in agents}
@@ -46,8 +46,8 @@
         """Accept an agent's reply, or drop it if the query has timed out."""
         future = self.waiting.pop(reply.number, None)
         if future is not None and not future.done():
-            others = load_ledger.Outstanding(reply.attempts, reply.unread, reply.tokens)
-            future.set_result(load_ledger.EngineLoad(others, reply.is_busy, reply.pace))
+            others = load_tracker.Outstanding(reply.attempts, reply.unread, reply.tokens)
+            future.set_result(load_tracker.EngineLoad(others, reply.is_busy, reply.pace))
 
     def send_notice(
         self, agent: str, number: int, stage: node_messages.AttemptStage, tokens: float
--- a/src/merlinthread/nodes/permits.py
+++ b/src/merlinthread/nodes/permits.py
@@ -1,7 +1,7 @@
 """Permits for requests to back ends with a rate limit that all VMs share.
 
 The leader of the control VMs grants them. While it does not answer, entries use time slots instead
-(`coordination.permit_turns`).
+(`coordination.permit_slots`).
 """
 
 import asyncio
@@ -12,7 +12,7 @@
 from typing import Any
 
 from merlinthread import logs, metrics
-from merlinthread.coordination import backend_record, permit_turns, rate_limits
+from merlinthread.coordination import backend_record, permit_slots, rate_limits
 from merlinthread.nodes import fleet_watcher
 from merlinthread.protocol import node_messages
 
@@ -81,7 +81,7 @@
         self.search_not_before = float("-inf")
         # Set when the current search ends; None if there is none.
         self.search_done: asyncio.Event | None = None
-        self.slots = permit_turns.PermitSlots(rng.randrange(permit_turns.DEFAULT_ENTRIES))
+        self.slots = permit_slots.PermitSlots(rng.randrange(permit_slots.DEFAULT_ENTRIES))
 
     async def acquire(
         self,
--- a/src/merlinthread/nodes/request_task.py
+++ b/src/merlinthread/nodes/request_task.py
@@ -7,7 +7,7 @@
 import math
 
 from merlinthread import errors, logs, metrics
-from merlinthread.coordination import backend_record, dispatch, fleet, return_times, route_table
+from merlinthread.coordination import backend_record, dispatch, fleet, retry_delays, route_table
 from merlinthread.nodes import (
     attempt_descriptions,
     attempts,
@@ -127,7 +127,7 @@
                 failures += 1
                 if failures >= CONNECT_FAILURES_MAX:
                     raise self.unavailable(
-                        "back ends can't be reached", return_times.RETRY_AFTER_MIN_S
+                        "back ends can't be reached", retry_delays.RETRY_AFTER_MIN_S
                     )
                 continue
             if not self.may_retry(outcome):
@@ -173,7 +173,7 @@
             await self.relay.send_response(outcome.response)
             return
         if outcome.state is attempts.State.NOT_RUN:
-            raise self.unavailable("back ends are full", return_times.RETRY_AFTER_MIN_S)
+            raise self.unavailable("back ends are full", retry_delays.RETRY_AFTER_MIN_S)
         if self.clock() >= self.context.deadline:
             raise errors.RequestError("deadline exceeded", kind=errors.ErrorKind.DEADLINE_EXCEEDED)
         raise errors.RequestError(
@@ -297,7 +297,7 @@
         if math.isinf(available_at):
             raise self.unavailable("all back ends are leaving", self.retry_after_s(True))
         available_in_s = available_at - self.clock()
-        retry_delay_s = return_times.delay_after_rest(available_in_s, self.pool.rng)
+        retry_delay_s = retry_delays.delay_after_rest(available_in_s, self.pool.rng)
         raise self.unavailable(
             f"all back ends are at rest for {available_in_s:.2f} s", retry_delay_s
         )
@@ -348,12 +348,11 @@
     def retry_after_s(self, is_unavailable: bool) -> float:
         """Return the retry delay for a refusal, in seconds.
 
-        `is_unavailable` is set if no back end could take the request at all.
-        """
+        `is_unavailable` is set if no back end could take the request at all."""
         assert self.context is not None
         remaining_s = self.context.deadline - self.clock()
         ready_in_s = self.pool.ready_in_s(self.service) if is_unavailable else None
-        refusal = return_times.Refusal(remaining_s, is_unavailable, ready_in_s)
+        refusal = retry_delays.Refusal(remaining_s, is_unavailable, ready_in_s)
         return self.pool.retry_delay_policy(refusal, self.pool.rng)
 
     async def attempt(self, backend: backend_record.Backend) -> attempts.Outcome:
--- a/src/merlinthread/nodes/signal_recorder.py
+++ b/src/merlinthread/nodes/signal_recorder.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable, Collection
 
 from merlinthread import logs, metrics
-from merlinthread.coordination import backend_signals, limit_ledger
+from merlinthread.coordination import backend_availability, limit_table
 from merlinthread.nodes import limit_reporter
 
 # Bounds the memory, since back ends may send any number of header names.
@@ -15,7 +15,7 @@
 
     def __init__(
         self,
-        signals: backend_signals.BackendSignals,
+        signals: backend_availability.AvailabilityTable,
         reporter: limit_reporter.LimitReporter,
         clock: Callable[[], float],
     ) -> None:
@@ -40,7 +40,7 @@
         one would otherwise stop all traffic to the back end until its process restarts.
         """
         availability = self.signals.availability_of(instance)
-        if availability.record_leaving(backend_signals.LeavingSource.ANSWER, self.clock()):
+        if availability.record_leaving(backend_availability.LeavingSource.ANSWER, self.clock()):
             logs.event("backend_leaves", instance=instance, request=request_id)
             self.update_metrics()
 
@@ -68,7 +68,7 @@
         logs.event(
             "backend_limit", instance=instance, per_s=per_s, before=before, request=request_id
         )
-        self.reporter.report(limit_ledger.LimitReport(instance, per_s, 0.0))
+        self.reporter.report(limit_table.LimitReport(instance, per_s, 0.0))
         self.update_metrics()
 
     def update_metrics(self) -> None:
--- a/src/merlinthread/protocol/node_messages.py
+++ b/src/merlinthread/protocol/node_messages.py
@@ -5,11 +5,11 @@
 
 from merlinthread import registry
 from merlinthread.coordination import (
-    crash_ledger,
+    crash_tracker,
     fleet,
     instances,
-    limit_ledger,
-    load_ledger,
+    limit_table,
+    load_tracker,
     rate_limits,
 )
 
@@ -86,9 +86,9 @@
     configuration: bytes
     controls: list[str]
     leader_age_s: float
-    suspicions: list[crash_ledger.SuspectReport] = dataclasses.field(default_factory=list)
+    suspicions: list[crash_tracker.SuspectReport] = dataclasses.field(default_factory=list)
     suspicion_revision: int = 0
-    limits: list[limit_ledger.LimitReport] = dataclasses.field(default_factory=list)
+    limits: list[limit_table.LimitReport] = dataclasses.field(default_factory=list)
     limit_revision: int = 0
 
 
@@ -99,7 +99,7 @@
 
     sender: str
     heartbeats: list[fleet.Heartbeat]
-    limits: list[limit_ledger.LimitReport] = dataclasses.field(default_factory=list)
+    limits: list[limit_table.LimitReport] = dataclasses.field(default_factory=list)
 
 
 @MESSAGES.add("node.crash_report")
@@ -109,13 +109,13 @@
 
     It also reports requests that were cleared of suspicion. With `is_passed_on`, the report was
     forwarded by a control VM and is not forwarded again. `limits` are rate limits that back ends
-    have just announced or lifted; control VMs forward them with heartbeats.
+    have just advertised or lifted; control VMs forward them with heartbeats.
     """
 
     sender: str
-    suspicions: list[crash_ledger.SuspectReport]
+    suspicions: list[crash_tracker.SuspectReport]
     is_passed_on: bool = False
-    limits: list[limit_ledger.LimitReport] = dataclasses.field(default_factory=list)
+    limits: list[limit_table.LimitReport] = dataclasses.field(default_factory=list)
 
 
 @MESSAGES.add("node.submit")
@@ -216,7 +216,7 @@
     address: str
     sequence: int
     report: fleet.EngineReport
-    others: load_ledger.Outstanding | None = None
+    others: load_tracker.Outstanding | None = None
 
 
 @MESSAGES.add("node.query")
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -7,9 +7,9 @@
 from hypothesis import strategies as st
 
 from merlinthread.coordination import (
-    backend_signals,
-    limit_ledger,
-    permit_turns,
+    backend_availability,
+    limit_table,
+    permit_slots,
     rate_limits,
 )
 
@@ -64,7 +64,7 @@
     rng = random.Random(seed)
     starts = []
     for rank in range(entries):
-        turns = permit_turns.PermitSlots(0)
+        turns = permit_slots.PermitSlots(0)
         # Clocks differ between entries; the offset to the leader's clock includes network delay.
         offset = rng.uniform(-100.0, 100.0)
         turns.update(entries, rank, -offset + rng.uniform(0.0, 0.01))
@@ -74,7 +74,7 @@
 
 
 def test_a_turn_is_not_lost_when_the_limit_falls():
-    turns = permit_turns.PermitSlots(0)
+    turns = permit_slots.PermitSlots(0)
     turns.update(1, 0, 1000.0)
     assert turns.decide(permit_request(named(8.0)), 1.0).instance
     decision = turns.decide(permit_request(named(0.5)), 1.0)
@@ -158,31 +158,31 @@
 
 def test_of_limits_that_nodes_tell_each_other_the_one_heard_last_holds():
     told = [
-        limit_ledger.LimitReport("i", 8.0, 3.0),
-        limit_ledger.LimitReport("i", 0.5, 2.0),
-        limit_ledger.LimitReport("i", None, 1.0),
+        limit_table.LimitReport("i", 8.0, 3.0),
+        limit_table.LimitReport("i", 0.5, 2.0),
+        limit_table.LimitReport("i", None, 1.0),
     ]
     for order in itertools.permutations(told):
-        ledger = limit_ledger.LimitTable()
+        ledger = limit_table.LimitTable()
         for each in [*order, *order]:
             ledger.merge(each, 10.0)
         assert ledger.records["i"].per_s is None, order
 
 
 def test_what_is_remembered_of_limits_is_bounded():
-    ledger = limit_ledger.LimitTable()
-    for number in range(limit_ledger.RECORDS_MAX + 50):
-        ledger.merge(limit_ledger.LimitReport(f"i-{number}", 1.0, 0.0), number)
-    assert len(ledger.records) == limit_ledger.RECORDS_MAX
+    ledger = limit_table.LimitTable()
+    for number in range(limit_table.RECORDS_MAX + 50):
+        ledger.merge(limit_table.LimitReport(f"i-{number}", 1.0, 0.0), number)
+    assert len(ledger.records) == limit_table.RECORDS_MAX
     assert len(ledger.since(ledger.revision - 3, 0.0)) == 3
-    ledger.merge(limit_ledger.LimitReport("over", None, 0.0), 10_000.0)
-    ledger.merge(limit_ledger.LimitReport("i-4000", None, 0.0), 10_000.0)
-    ledger.merge(limit_ledger.LimitReport("i-4001", 2.0, 0.0), 10_100.0)
+    ledger.merge(limit_table.LimitReport("over", None, 0.0), 10_000.0)
+    ledger.merge(limit_table.LimitReport("i-4000", None, 0.0), 10_000.0)
+    ledger.merge(limit_table.LimitReport("i-4001", 2.0, 0.0), 10_100.0)
     assert "i-4000" not in ledger.records
 
 
 def test_a_limit_that_another_vm_heard_before_does_not_undo_what_was_heard_since():
-    availability = backend_signals.Availability()
+    availability = backend_availability.Availability()
     availability.record_limit(2.0, sent_at=0.0, now=5.0)
     availability.merge_limit(None, heard_at=4.0)
     assert availability.limit_per_s == 2.0
@@ -191,7 +191,7 @@
 
 
 def test_an_answer_that_was_overtaken_does_not_lift_a_limit():
-    availability = backend_signals.Availability()
+    availability = backend_availability.Availability()
     availability.record_limit(8.0, sent_at=0.0, now=1.0)
     assert availability.record_limit(0.5, sent_at=0.5, now=2.0)
     assert not availability.record_limit(8.0, sent_at=1.9, now=2.1)
