--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -1,6 +1,6 @@
-"""Start a whole fleet of real processes on loopback, disturb it, and end it.
+"""A fleet of daemons and stand-ins on loopback, each a process of its own.
 
-Used by the demo, the benches and the tests. Ends only processes that it started, by id.
+Used by the demo, the benchmarks and the tests.
 """
 
 import dataclasses
@@ -30,7 +30,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Vm:
-    """One VM of the fleet: its daemon, its settings and its addresses."""
+    """A VM of the fleet: its daemon process, settings and addresses."""
 
     name: str
     process: processes.Process
@@ -41,7 +41,10 @@
 
 @dataclasses.dataclass(slots=True)
 class Shape:
-    """How large the fleet is and how it behaves."""
+    """Size of a fleet and settings of its processes.
+
+    `entry`, `agent` and `control` are merged into the settings of the daemons with that role.
+    """
 
     zones: tuple[str, ...] = ("zone-a", "zone-b", "zone-c")
     regions: tuple[str, ...] = ("region-1", "region-1", "region-2")
@@ -61,7 +64,7 @@
 
 
 class Fleet:
-    """All processes of one demo, bench or test; a context manager that ends them."""
+    """All processes of a demo, benchmark or test; a context manager that stops them."""
 
     def __init__(self, folder: pathlib.Path, shape: Shape | None = None) -> None:
         self.folder = folder
@@ -87,10 +90,8 @@
     def __exit__(self, *_: object) -> None:
         self.close()
 
-    # Starting
-
     def add(self, name: str, arguments: list[str]) -> processes.Process:
-        """Start a process and remember it."""
+        """Start a process and register it under its name."""
         process = processes.Process(name, arguments, self.folder / "logs" / f"{name}.log")
         process.start()
         self.processes[name] = process
@@ -103,14 +104,14 @@
         return f"http://127.0.0.1:{port}"
 
     def add_operator(self, name: str) -> pathlib.Path:
-        """Make an operator's key and return its file."""
+        """Generate an operator's key pair and return the path of the private key."""
         path = self.folder / "keys" / f"{name}.key"
         path.write_text(signatures.generate_private_key())
         self.operators[name] = signatures.derive_public_key(path.read_text())
         return path
 
     def link(self, name: str, goal: str) -> str:
-        """Return the address to reach `goal` by: itself, or a proxy link called `name`."""
+        """Return the address to connect to for `goal`: a proxy link called `name`, or `goal`."""
         if not self.shape.through_proxy:
             return goal
         port = self.ports.take()
@@ -118,11 +119,11 @@
         return f"127.0.0.1:{port}"
 
     def address(self) -> str:
-        """Return a free address."""
+        """Return an unused loopback address."""
         return f"127.0.0.1:{self.ports.take()}"
 
     def start(self) -> None:
-        """Start everything and wait until it is ready; end everything if that fails."""
+        """Start all processes and wait until they are ready; stop them if that fails."""
         try:
             self.start_all()
         except BaseException:
@@ -130,7 +131,7 @@
             raise
 
     def start_all(self) -> None:
-        """Start everything and wait until it is ready."""
+        """Start all processes and wait for a leader and for all agents to report."""
         if not self.operators:
             self.add_operator("ana")
         self.start_outside()
@@ -156,7 +157,7 @@
         )
 
     def start_outside(self) -> None:
-        """Start the stand-ins of the origin, the weight store and the platform."""
+        """Start the stand-ins for the origin, the weight store and the platform."""
         self.origin_url = self.add_stand_in(
             "origin",
             "origin",
@@ -168,18 +169,18 @@
         self.platform_url = self.add_stand_in("platform", "platform")
 
     def region_of(self, zone: str) -> str:
-        """Return a zone's region."""
+        """Return the region of a zone."""
         return self.shape.regions[self.shape.zones.index(zone) % len(self.shape.regions)]
 
     def plan_controls(self) -> None:
-        """Choose the control VMs' addresses."""
+        """Assign names and addresses to the control VMs."""
         self.control_peers = [
             {"name": f"control-{number}", "log_bus": self.address(), "bus": self.address()}
             for number in range(self.shape.controls)
         ]
 
     def common(self, name: str, zone: str, role: str) -> dict:
-        """Return the settings that every daemon has."""
+        """Return the settings that all roles share."""
         return {
             "name": name,
             "availability_zone": zone,
@@ -192,7 +193,7 @@
         }
 
     def add_daemon(self, settings: dict, process_name: str = "") -> Vm:
-        """Write the settings of a daemon and start it."""
+        """Write the settings of a daemon to a file and start it."""
         name = process_name or settings["name"]
         path = self.folder / "settings" / f"{name}.json"
         path.write_text(json.dumps(settings, indent=2))
@@ -202,7 +203,7 @@
         return self.vms[name]
 
     def add_control(self, number: int, **changed: Any) -> Vm:
-        """Start a control VM."""
+        """Start a control VM; `changed` overrides settings of its role."""
         peer = self.control_peers[number]
         zone = self.shape.zones[number % len(self.shape.zones)]
         settings = self.common(peer["name"], zone, "control")
@@ -229,7 +230,7 @@
         return self.add_daemon(settings)
 
     def replace_control(self, lost: str) -> Vm:
-        """Start a new control VM under a new name in place of a lost one."""
+        """Start a new control VM under a new name as the replacement for a lost one."""
         number = len(self.control_peers)
         self.control_peers.append(
             {"name": f"control-{number}", "log_bus": self.address(), "bus": self.address()}
@@ -237,7 +238,7 @@
         return self.add_control(number, replaces=lost)
 
     def remove_folder(self, name: str) -> None:
-        """Remove a control VM's data folder, as if its disk was lost."""
+        """Delete a control VM's data folder, as if its disk had been lost."""
         shutil.rmtree(self.folder / "data" / name)
 
     def add_entry(self, zone: str, number: int) -> Vm:
@@ -272,7 +273,7 @@
         return self.add_daemon(settings)
 
     def add_engine(self, zone: str, number: int) -> Vm:
-        """Start an engine's stand-in and its agent."""
+        """Start an engine stand-in and its agent."""
         name = f"engine-{zone}-{number}"
         url = self.add_stand_in("engine", f"{name}-target", *self.shape.engine_arguments)
         self.target_urls[name] = url
@@ -289,7 +290,7 @@
         return self.add_agent(name, zone, agent)
 
     def add_service(self, number: int) -> Vm:
-        """Start a plain service's stand-in and its agent."""
+        """Start a service stand-in and its agent."""
         name = f"tickets-{number}"
         zone = self.shape.zones[number % len(self.shape.zones)]
         self.target_urls[name] = self.add_stand_in("service", f"{name}-target")
@@ -304,13 +305,11 @@
         )
 
     def restart(self, name: str) -> None:
-        """Start an ended process again."""
+        """Start a process that has exited."""
         self.processes[name].start()
 
-    # Asking
-
     def get(self, address: str, path: str, timeout_s: float = 5.0) -> Any:
-        """Return the JSON that GET gives, or None if nobody answers well."""
+        """Return the JSON body of a GET request, or None if the request fails."""
         url = address if address.startswith("http") else f"http://{address}"
         try:
             reply = self.http.request_ok("GET", url + path, timeout_s=timeout_s)
@@ -327,11 +326,11 @@
         return [vm for vm in self.vms.values() if "entry" in vm.settings["roles"]]
 
     def agents(self) -> list[Vm]:
-        """Return the VMs with agents."""
+        """Return the agent VMs."""
         return [vm for vm in self.vms.values() if "agent" in vm.settings["roles"]]
 
     def status(self) -> dict:
-        """Return the leader's status, or nothing."""
+        """Return the leader's status, or an empty dict if no control VM has it."""
         for vm in self.controls():
             if vm.process.is_running() and not vm.process.is_frozen:
                 found = self.get(vm.http, "/v1/status", 2.0)
@@ -340,12 +339,12 @@
         return {}
 
     def leader(self) -> Vm | None:
-        """Return the control VM that leads."""
+        """Return the control VM that leads, or None."""
         name = self.status().get("leader")
         return self.vms.get(name) if name else None
 
     def serving(self, model: str) -> dict[str, int]:
-        """Return how many live engines serve each manifest of a model."""
+        """Return the number of running engines that serve each manifest of a model."""
         counts: dict[str, int] = {}
         for name, url in self.target_urls.items():
             if name.startswith("engine") and self.processes[f"{name}-target"].is_running():
@@ -354,10 +353,8 @@
                     counts[found[model]] = counts.get(found[model], 0) + 1
         return counts
 
-    # Weights and bundles
-
     def publish(self, name: str, size_bytes: int, chunk_bytes: int, seed: int = 0) -> str:
-        """Put an object of random bytes at the origin and return its manifest's digest."""
+        """Store an object of random bytes at the origin and return its manifest's digest."""
         path = self.folder / "origin" / "objects" / name
         path.write_bytes(random.Random(f"{name} {seed}").randbytes(size_bytes))
         manifest = manifests.from_file(path, name, chunk_bytes)
@@ -366,7 +363,7 @@
         return digest
 
     def write_bundle(self, bundle: dict) -> pathlib.Path:
-        """Write a bundle file and return its path."""
+        """Write a bundle to a file and return its path."""
         path = self.folder / f"bundle-{bundle['version']}.json"
         path.write_text(json.dumps(bundle, indent=2))
         return path
@@ -374,7 +371,10 @@
     def command(
         self, *arguments: str, timeout_s: float = 120.0, is_shown: bool = False
     ) -> subprocess.CompletedProcess:
-        """Run the operators' command line and return what came of it; show it or keep it."""
+        """Run the operators' command line and return the completed process.
+
+        With `is_shown`, its output goes to this process's output instead of being captured.
+        """
         controls = ",".join(vm.http for vm in self.controls())
         return subprocess.run(
             [sys.executable, "-m", "merlinthread.cli.main", *arguments],
@@ -385,14 +385,17 @@
         )
 
     def operate(self, *arguments: str, timeout_s: float = 120.0) -> dict:
-        """Run the operators' command line with --json; raise RuntimeError if it fails."""
+        """Run the operators' command line with --json and return the object that it prints.
+
+        Raises RuntimeError if the command fails.
+        """
         done = self.command(*arguments, "--json", timeout_s=timeout_s)
         if done.returncode:
             raise RuntimeError(f"merlinthread {' '.join(arguments)}: {done.stdout}{done.stderr}")
         return json.loads(done.stdout.splitlines()[0])
 
     def roll(self, bundle: dict, wait: bool = True) -> dict:
-        """Propose, sign and roll a bundle as operator ana."""
+        """Propose, sign and roll a bundle as operator ana, with the command line."""
         version = str(bundle["version"])
         key = str(self.folder / "keys" / "ana.key")
         self.operate("bundle", "propose", str(self.write_bundle(bundle)), "-o", "ana")
@@ -400,10 +403,8 @@
         more = ["--wait"] if wait else []
         return self.operate("bundle", "roll", version, "-o", "ana", *more)
 
-    # Ending
-
     def kill(self) -> None:
-        """End everything that was started, without warning."""
+        """Kill all processes."""
         for process in self.processes.values():
             process.signal(signal.SIGKILL)
         for process in self.processes.values():
@@ -411,7 +412,7 @@
         self.proxy.close()
 
     def close(self) -> None:
-        """End everything that was started: planned first, then by force."""
+        """Terminate all processes; kill those that have not exited after 6 s."""
         for process in self.processes.values():
             process.stop()
         stop_at = time.monotonic() + 6
@@ -424,7 +425,10 @@
 
 
 def simple_bundle(version: int, models: dict[str, tuple[str, int]], **more: Any) -> dict:
-    """Return a bundle with models (name to manifest and share) and two groups."""
+    """Return a bundle with two groups and the given models.
+
+    `models` maps a name to the digest of its manifest and its share in percent.
+    """
     return {
         "version": version,
         "models": [
--- a/bench/operators.py
+++ b/bench/operators.py
@@ -1,4 +1,4 @@
-"""An operator in this process: the same calls as the command line, without its start-up time."""
+"""An operator's client in this process: the calls of the command line without its start-up time."""
 
 import uuid
 from typing import Any
@@ -12,7 +12,7 @@
 
 
 class Operator:
-    """Proposes, signs and rolls bundles by HTTP."""
+    """Proposes, signs and rolls bundles over HTTP."""
 
     def __init__(self, fleet: fleets.Fleet, name: str = "ana", timeout_s: float = 20.0) -> None:
         self.fleet = fleet
@@ -27,7 +27,7 @@
         return msgspec.json.decode(data, type=operator_calls.CommandResult)
 
     def propose(self, bundle: dict, request_id: str = "") -> operator_calls.CommandResult:
-        """Put a bundle forward."""
+        """Propose a bundle."""
         call = operator_calls.ProposeRequest(request_id or uuid.uuid4().hex, self.name, bundle)
         return self.call("/v1/bundles", call)
 
@@ -44,7 +44,7 @@
     def roll(
         self, version: int, is_back: bool = False, request_id: str = ""
     ) -> operator_calls.CommandResult:
-        """Put a version in force."""
+        """Roll out a signed version; with `is_back`, one that was in force before."""
         return self.call(
             "/v1/rolls",
             operator_calls.RollRequest(request_id or uuid.uuid4().hex, self.name, version, is_back),
--- a/bench/processes.py
+++ b/bench/processes.py
@@ -1,4 +1,4 @@
-"""One process that the harness starts, free ports, and waiting for what must become true."""
+"""Child processes, free ports and polling."""
 
 import contextlib
 import datetime
@@ -16,13 +16,13 @@
 
 FIRST_PORT = 20000
 LAST_PORT = 32000
-# Processes that start fleets side by side take their ports from spans of their own, of this size.
+# Each process that starts a fleet allocates ports from a span of its own, of this size.
 SPAN_PORTS = 500
 POLL_S = 0.02
 
 
 class Ports:
-    """Gives out free loopback ports outside the range that the system gives to outgoing sockets."""
+    """Allocates free loopback ports, outside the ephemeral range."""
 
     def __init__(self) -> None:
         self.first = claimed_span() + 1
@@ -30,7 +30,7 @@
         self.next = random.randrange(self.first, self.last)
 
     def take(self) -> int:
-        """Return a port that nobody listens on."""
+        """Return a port that no socket is bound to."""
         while True:
             self.next = self.next + 1 if self.next < self.last else self.first
             with contextlib.closing(socket.socket()) as probe:
@@ -43,9 +43,9 @@
 
 @functools.cache
 def claim() -> socket.socket:
-    """Return a socket at the first port of a span; this process keeps it until it ends.
+    """Reserve a span by binding its first port; return the socket, which stays open.
 
-    Raises OSError naming the ports if all spans are taken.
+    Raises OSError if all spans are reserved.
     """
     for first in range(FIRST_PORT, LAST_PORT, SPAN_PORTS):
         found = socket.socket()
@@ -56,30 +56,30 @@
             continue
         return found
     raise OSError(
-        f"no span of {SPAN_PORTS} ports is free from {FIRST_PORT} to {LAST_PORT} on 127.0.0.1; "
-        "end other runs"
+        f"all spans of {SPAN_PORTS} ports from {FIRST_PORT} to {LAST_PORT} on 127.0.0.1 are in "
+        "use; stop other runs"
     )
 
 
 def claimed_span() -> int:
-    """Return the first port of this process's span."""
+    """Return the first port of the span of this process."""
     return claim().getsockname()[1]
 
 
 def wait_for(what: str, check: Callable[[], Any], timeout_s: float = 20.0) -> Any:
-    """Return the first true result of `check`; raise TimeoutError naming `what` otherwise."""
+    """Poll `check` until its result is true and return that; raise TimeoutError naming `what`."""
     stop_at = time.monotonic() + timeout_s
     while True:
         result = check()
         if result:
             return result
         if time.monotonic() >= stop_at:
-            raise TimeoutError(f"waited {timeout_s} s for {what}")
+            raise TimeoutError(f"timed out after {timeout_s} s waiting for {what}")
         time.sleep(POLL_S)
 
 
 class Process:
-    """One process that this module started."""
+    """A child process that runs Python; it may be started again after it has exited."""
 
     def __init__(self, name: str, arguments: list[str], log: pathlib.Path) -> None:
         self.name = name
@@ -89,7 +89,7 @@
         self.is_frozen = False
 
     def start(self) -> None:
-        """Start it; its output goes to its log."""
+        """Start the process; its output is appended to `log`."""
         with open(self.log, "ab") as file:
             self.handle = subprocess.Popen(
                 [sys.executable, *self.arguments],
@@ -100,37 +100,37 @@
             )
 
     def is_running(self) -> bool:
-        """Return whether it runs."""
+        """Return whether the process is running."""
         return self.handle is not None and self.handle.poll() is None
 
     def signal(self, number: int) -> None:
-        """Send it a signal, if it runs."""
+        """Send a signal if the process is running."""
         if self.handle is not None and self.is_running():
             self.handle.send_signal(number)
 
     def freeze(self) -> None:
-        """Stop it in its tracks."""
+        """Suspend the process."""
         self.signal(signal.SIGSTOP)
         self.is_frozen = True
 
     def thaw(self) -> None:
-        """Let it go on."""
+        """Resume the process."""
         self.signal(signal.SIGCONT)
         self.is_frozen = False
 
     def kill(self) -> None:
-        """End it without warning."""
+        """Kill the process and wait until it has exited."""
         self.signal(signal.SIGKILL)
         self.wait(10)
 
     def stop(self) -> None:
-        """Ask it to stop as planned."""
+        """Request a graceful shutdown; does not wait."""
         if self.is_frozen:
             self.thaw()
         self.signal(signal.SIGTERM)
 
     def wait(self, timeout_s: float) -> int | None:
-        """Wait for its end; return its exit code, or None if it still runs."""
+        """Wait for the process to exit; return its exit code, or None after `timeout_s`."""
         if self.handle is None:
             return None
         try:
@@ -139,7 +139,7 @@
             return None
 
     def events(self, name: str = "") -> list[dict]:
-        """Return its log lines, or those of one event."""
+        """Return the events in the process's log, or those called `name`."""
         found = []
         for line in self.log.read_text(encoding="utf-8", errors="replace").splitlines():
             try:
@@ -152,5 +152,5 @@
 
 
 def seconds_of(text: str) -> float:
-    """Return a log line's time as seconds since 1970."""
+    """Return an ISO 8601 timestamp in seconds since the epoch."""
     return datetime.datetime.fromisoformat(text).timestamp()
