--- a/bench/soak.py
+++ b/bench/soak.py
@@ -1,9 +1,9 @@
-"""A randomized soak: the real nodes as processes, faults by signals, promises checked meanwhile.
+"""Randomized soak test: nodes as processes under load and faults, with invariants checked.
 
 `python -m bench soak --seed N --seconds S --seeds COUNT`. Control VMs and entries are processes of
-their own; clients, workers and the operator live in this one. The seed decides faults and requests,
-not the machine's timing. The faults are in `bench.soak_faults`. Not there yet: links between nodes,
-clocks, full or slow disks, agents.
+their own; clients, workers and the operator run in this process. The seed determines faults and
+requests, but not their timing. The faults are in `bench.soak_faults`; they do not cover links
+between nodes, clocks, disks or agents.
 """
 
 import argparse
@@ -27,7 +27,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Tally:
-    """What was seen."""
+    """Counts of a run, and the invariants that it violated."""
 
     asked: int = 0
     answered: int = 0
@@ -40,7 +40,7 @@
 
 
 class Soak:
-    """One run with one seed."""
+    """A run with one seed."""
 
     def __init__(
         self, seed: int, seconds: float, folder: pathlib.Path, kinds: tuple[str, ...] = ()
@@ -59,10 +59,8 @@
         self.limits = soak_limits.Limits(self.words)
         self.faults.limits = self.limits
 
-    # Load
-
     async def heartbeats(self) -> None:
-        """Let every worker tell that it lives."""
+        """Send heartbeats of all workers until cancelled."""
         while True:
             await asyncio.gather(*(self.beat(worker) for worker in list(self.fleet.workers)))
             await asyncio.sleep(0.3)
@@ -82,7 +80,7 @@
         await self.call("PUT", f"/instances/{worker.instance}", body)
 
     async def call(self, method: str, path: str, body: dict | None = None) -> tuple[int, bytes]:
-        """Call a control VM by lot; return status 0 if there is no clear answer."""
+        """Call a random control VM; return its status and body, or status 0 if the call fails."""
         data = json.dumps(body).encode() if body is not None else b""
         headers = [(b"host", b"c"), (b"content-length", b"%d" % len(data))]
         request = http_messages.Request(method.encode(), path.encode(), headers, data)
@@ -94,7 +92,7 @@
         return answer.status, answer.body
 
     async def operator(self) -> None:
-        """Put one configuration after another in force, and read back meanwhile."""
+        """Apply one configuration after another and read it back, until cancelled."""
         loop = asyncio.get_running_loop()
         while True:
             self.version += self.rng.randrange(1, 4)
@@ -102,7 +100,7 @@
             for _ in range(self.rng.randrange(1, 12)):
                 status, _ = await self.call("PUT", "/config", body)
                 if 400 <= status < 500:
-                    self.break_rule(f"a valid configuration was refused: {status}")
+                    self.break_rule(f"a valid configuration was rejected with status {status}")
                 if status == 200:
                     self.acknowledged.append((loop.time(), self.version))
                     self.tally.acknowledged += 1
@@ -112,11 +110,14 @@
             await asyncio.sleep(self.rng.uniform(0.0, 0.3))
 
     def configuration(self, version: int) -> dict:
-        """Return what the operator sends under a version's number."""
+        """Return the configuration that the operator sends as `version`."""
         return soak_nodes.make_configuration(version)
 
     async def read(self) -> bool:
-        """Read the configuration; it must not be older than what was acknowledged for long."""
+        """Read and check the configuration; return whether the read succeeded.
+
+        It must be at least as new as any version that was acknowledged APPLY_S ago.
+        """
         due_at = asyncio.get_running_loop().time() - APPLY_S
         due = max((version for at, version in self.acknowledged if at <= due_at), default=0)
         status, body = await self.call("GET", "/config")
@@ -125,23 +126,23 @@
         self.tally.reads += 1
         found = json.loads(body)
         if found["version"] < due:
-            self.break_rule(f"version {found['version']} was read, {due} was acknowledged")
+            self.break_rule(f"read version {found['version']} after {due} was acknowledged")
         if found != self.configuration(found["version"]):
-            self.break_rule(f"version {found['version']} is not what was sent under its number")
+            self.break_rule(f"version {found['version']} differs from what was sent")
         return True
 
     async def clients(self) -> None:
-        """Send requests all the time, a few at once."""
+        """Send concurrent client requests until cancelled."""
         while True:
             await asyncio.sleep(self.rng.uniform(0.0, 0.02))
             asyncio.create_task(self.ask(self.rng.choice(["safe", "unsafe", "model"])))
 
     def pick_entry(self) -> str:
-        """Return the IP of the entry that a client's connection goes to."""
+        """Return the IP of the entry for a client's next request."""
         return self.rng.choice(soak_nodes.ENTRY_IPS)
 
     async def ask(self, service: str) -> bool:
-        """Send one request and check its answer; return whether it was served."""
+        """Send a request and check its response; return whether it was served."""
         self.requests += 1
         request_id = f"r{self.requests}"
         headers = [
@@ -168,7 +169,7 @@
         return self.check(service, request_id, answer)
 
     def check(self, service: str, request_id: str, answer: http_messages.Response) -> bool:
-        """Check one whole answer against what the workers ran."""
+        """Record and check a response; return whether it is a success."""
         if answer.status in NOT_RUN:
             self.tally.refused += 1
             if service == "unsafe":
@@ -187,13 +188,11 @@
         return True
 
     def break_rule(self, text: str) -> None:
-        """Note a broken promise."""
+        """Record a violation of an invariant."""
         self.tally.broken.append(text)
 
-    # The run
-
     async def run(self) -> Tally:
-        """Run the soak, heal everything, and check what must hold at the end."""
+        """Start the fleet, run the soak, and return its results."""
         await self.fleet.start()
         try:
             await self.run_faults()
@@ -203,7 +202,7 @@
         return self.tally
 
     async def run_faults(self) -> None:
-        """Run load and faults together, then only load."""
+        """Run load and faults for `seconds`, wait for recovery, and check the invariants."""
         load = [asyncio.create_task(self.heartbeats()), asyncio.create_task(self.operator())]
         await self.until_served("at the start")
         load.append(asyncio.create_task(self.clients()))
@@ -219,7 +218,7 @@
         self.check_runs()
 
     async def until_served(self, when: str) -> None:
-        """Wait until reads and requests are served again; too late is a broken promise."""
+        """Wait until reads and requests succeed; record a violation after RECOVER_S."""
         loop = asyncio.get_running_loop()
         deadline = loop.time() + soak_fleet.RECOVER_S
         wanted = {"safe", "unsafe", "model"}
@@ -236,7 +235,7 @@
             self.break_rule(f"{when}: not served within {soak_fleet.RECOVER_S} s: {sorted(wanted)}")
 
     def check_runs(self) -> None:
-        """Check that nothing ran twice or after it was refused."""
+        """Check that no unsafe request ran twice or after a refusal, and the workers' signals."""
         runs: collections.Counter = collections.Counter()
         for worker, service in self.fleet.workers.items():
             if service == "unsafe":
@@ -245,7 +244,7 @@
             if count > 1:
                 self.break_rule(f"{request_id} ran {count} times")
             if request_id in self.unsafe_not_run:
-                self.break_rule(f"{request_id} was refused and ran")
+                self.break_rule(f"{request_id} was refused as not run, but ran")
         for text in [*self.words.broken(), *self.limits.broken()]:
             self.break_rule(text)
 
@@ -253,9 +252,9 @@
 def run_seed(
     seed: int, seconds: float, keep: pathlib.Path | None = None, kinds: tuple[str, ...] = ()
 ) -> Tally:
-    """Run one seed; with `keep`, the logs of a run that broke a promise go there.
+    """Run one seed with faults of `kinds`, by default those in `soak_faults.USUAL`.
 
-    `kinds` are the faults to choose from, by default all.
+    If the run violates an invariant, its logs are copied to `keep`.
     """
     with tempfile.TemporaryDirectory() as name:
         folder = pathlib.Path(name)
@@ -266,12 +265,12 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Run some seeds; return 1 if any broke a promise."""
+    """Run a range of seeds; return 1 if any of them violated an invariant."""
     parser = argparse.ArgumentParser(prog="python -m bench soak")
     parser.add_argument("--seed", type=int, default=random.randrange(10**6))
     parser.add_argument("--seeds", type=int, default=1)
     parser.add_argument("--seconds", type=float, default=10.0)
-    parser.add_argument("--keep", type=pathlib.Path, help="folder for logs of seeds that failed")
+    parser.add_argument("--keep", type=pathlib.Path, help="folder for the logs of failed seeds")
     parser.add_argument(
         "--faults", nargs="+", choices=list(soak_faults.FAULTS), default=(), metavar="KIND"
     )
@@ -282,7 +281,7 @@
         print(
             f"seed {seed}: {tally.answered} of {tally.asked} answered, {tally.refused} refused,"
             f" {tally.failed} failed, {tally.acknowledged} configurations, {tally.reads} reads,"
-            f" faults {tally.faults}, broken {tally.broken}",
+            f" faults {tally.faults}, violations {tally.broken}",
             flush=True,
         )
         if tally.broken:
--- a/bench/soak_faults.py
+++ b/bench/soak_faults.py
@@ -1,4 +1,4 @@
-"""The faults of a soak: each is injected from outside and heals by itself."""
+"""Faults of the soak test; each one is injected from outside and ends by itself."""
 
 import asyncio
 import collections
@@ -13,8 +13,8 @@
 
 FAULTS: registry.Registry[Callable[["Faults"], Awaitable[None]]] = registry.Registry("soak fault")
 
-# What a run chooses from unless it is told otherwise. Kinds that came later are named by runs that
-# want them: one more in this list would make other runs of the seeds that once failed.
+# The kinds that a run chooses from by default. Adding one would change the runs of the regression
+# seeds, so other kinds are only used by runs that name them.
 USUAL = (
     "kill",
     "replace_control",
@@ -26,16 +26,18 @@
     "harm_link",
     "leave",
 )
-# How long a worker goes on after it has begun to say that it leaves; the rest that one asks for.
+# How long a worker goes on after it first signals that it is leaving.
 FAREWELL_S = 3.0
+# The Retry-After delay of an overloaded worker.
 REST_S = 1.5
-# How long a worker names a limit, and what it names, in requests a second.
+# How long a worker advertises a rate limit.
 LIMITED_S = (7.0, 11.0)
+# The advertised limits, in requests per second.
 LIMITS = (0.5, 1.0, 2.0, 4.0)
 
 
 class Faults:
-    """Injects faults by lot, some at the same time; `kinds` are names in `FAULTS`."""
+    """Injects random faults, some of them concurrently; `kinds` are names in `FAULTS`."""
 
     def __init__(
         self, fleet: soak_fleet.SoakFleet, rng: random.Random, kinds: tuple[str, ...]
@@ -43,18 +45,18 @@
         self.fleet = fleet
         self.rng = rng
         self.kinds = kinds or USUAL
-        # A run that names kinds surely has the first of them; the lot follows the timing.
+        # If kinds are named, the first one is injected first, so that every run includes it.
         self.first = kinds[0] if kinds else ""
-        # Set by the run, which checks what is named.
+        # Set by the run.
         self.limits: soak_limits.Limits | None = None
         self.injected: collections.Counter = collections.Counter()
         self.open_faults: set[asyncio.Task] = set()
-        # How many faults disturb control VMs now, and when the last one ended on the loop's clock.
+        # Number of faults that affect control VMs now, and the loop time when the last one ended.
         self.disturbing = 0
         self.disturbed_at = 0.0
 
     async def run(self) -> None:
-        """Inject one fault after another; some overlap."""
+        """Inject one fault after another, some of them overlapping, until cancelled."""
         while True:
             await asyncio.sleep(self.rng.uniform(0.3, 1.2))
             kind = self.rng.choice(self.kinds)
@@ -67,20 +69,20 @@
             self.open_faults.add(task)
             task.add_done_callback(self.open_faults.discard)
             if self.rng.random() < 0.7:
-                # The end of the run must not cut a fault off before it has healed.
+                # The end of the run must not interrupt a fault before it is healed.
                 await asyncio.shield(task)
 
     async def heal(self) -> None:
-        """Wait until the faults that were begun have healed."""
+        """Wait until all injected faults have ended."""
         await asyncio.gather(*self.open_faults)
 
     def pick(self, role: str = "") -> soak_nodes.Node:
-        """Return a node by lot."""
+        """Return a random node, of one role if given."""
         return self.rng.choice([node for node in self.fleet.nodes if role in ("", node.role)])
 
     @contextlib.contextmanager
     def disturbance(self, node: soak_nodes.Node) -> Iterator[None]:
-        """Note that a fault disturbs a control VM until it is whole again."""
+        """Count a fault as affecting a control VM while the context is open."""
         if node.role != "control":
             yield
             return
@@ -93,26 +95,26 @@
 
     @FAULTS.add("kill")
     async def kill(self) -> None:
-        """Kill one node and start it again."""
+        """Kill a node and restart it."""
         node = self.pick()
         node.signal(signal.SIGKILL)
         await self.again(node)
 
     def may_lose_control(self) -> bool:
-        """Return whether control VMs were whole for the time that a replacement has."""
+        """Return whether no control VM was faulty for as long as a replacement takes."""
         calm_s = asyncio.get_running_loop().time() - self.disturbed_at
         return not self.disturbing and calm_s >= soak_nodes.CATCH_UP_S
 
     @FAULTS.add("replace_control")
     async def replace_control(self) -> None:
-        """Lose a control VM for good; an empty one starts at another address."""
+        """Replace a control VM by one without data at another address."""
         lost = self.pick("control")
         self.fleet.nodes.remove(lost)
         with self.disturbance(lost):
             await self.replace(lost)
 
     async def replace(self, lost: soak_nodes.Node) -> None:
-        """End a control VM, before or after its successor has started."""
+        """Stop a control VM before or after its replacement has started."""
         is_planned = self.rng.random() < 0.3
         if not is_planned:
             await self.end(lost, signal.SIGKILL)
@@ -133,15 +135,15 @@
             node.write_settings()
 
     async def end(self, node: soak_nodes.Node, how: int) -> None:
-        """End a node for good."""
-        # One that stands still takes no signal but the kill.
+        """Stop a node permanently and wait until it has exited."""
+        # A suspended process handles no signal but SIGKILL.
         node.signal(signal.SIGCONT)
         node.signal(how)
         if node.process is not None:
             await asyncio.to_thread(node.process.wait)
 
     async def again(self, node: soak_nodes.Node) -> None:
-        """Start a node again once it has ended."""
+        """Restart a node after it has exited, unless it was replaced."""
         with self.disturbance(node):
             if node.process is not None:
                 await asyncio.to_thread(node.process.wait)
@@ -154,7 +156,7 @@
 
     @FAULTS.add("freeze")
     async def freeze(self) -> None:
-        """Let one node stand still for a while."""
+        """Suspend a node for a while."""
         node = self.pick()
         with self.disturbance(node):
             node.signal(signal.SIGSTOP)
@@ -163,14 +165,14 @@
 
     @FAULTS.add("stop")
     async def stop(self) -> None:
-        """Stop an entry as planned and start it again."""
+        """Stop an entry gracefully and restart it."""
         node = self.pick("entry")
         node.signal(signal.SIGTERM)
         await self.again(node)
 
     @FAULTS.add("stop_control")
     async def stop_control(self) -> None:
-        """Stop a control VM as planned and start it again."""
+        """Stop a control VM gracefully and restart it."""
         node = self.pick("control")
         with self.disturbance(node):
             node.signal(signal.SIGTERM)
@@ -178,7 +180,7 @@
 
     @FAULTS.add("kill_controls")
     async def kill_controls(self) -> None:
-        """Kill all control VMs at the same moment."""
+        """Kill all control VMs at once and restart them."""
         nodes = [node for node in self.fleet.nodes if node.role == "control"]
         for node in nodes:
             node.signal(signal.SIGKILL)
@@ -186,7 +188,7 @@
 
     @FAULTS.add("misbehave")
     async def misbehave(self) -> None:
-        """Let one worker misbehave for a while."""
+        """Let a worker violate its protocol, or reject or cut requests, for a while."""
         worker = self.rng.choice(list(self.fleet.workers))
         faults = [
             {"is_full": True},
@@ -205,7 +207,7 @@
 
     @FAULTS.add("harm_link")
     async def harm_link(self) -> None:
-        """Delay, stall, cut or refuse one worker's link for a while, or reset it."""
+        """Delay, stall or drop the traffic of a worker's link for a while, or reset it."""
         link = self.fleet.links[self.rng.choice(list(self.fleet.workers))]
         harms = [
             proxy.Faults(latency_s=0.1),
@@ -217,17 +219,17 @@
         ]
         link.faults = self.rng.choice(harms)
         await asyncio.sleep(self.rng.uniform(0.2, 2.0))
-        # Bytes that were dropped must not be followed by later ones of the same connection.
+        # A connection must not go on after bytes of it were dropped.
         link.reset_all()
         link.faults = proxy.Faults()
 
     @FAULTS.add("leave")
     async def leave(self) -> None:
-        """Replace a worker by a new instance, without a word about the old one."""
+        """Replace a worker by a new instance without notice."""
         await self.replace_worker(self.rng.choice(list(self.fleet.workers)))
 
     async def replace_worker(self, old: fleet_worker.Worker) -> None:
-        """End a worker; another instance takes its place."""
+        """Stop a worker and start a new instance in its place."""
         if old not in self.fleet.workers:
             return
         service = self.fleet.workers.pop(old)
@@ -241,7 +243,7 @@
 
     @FAULTS.add("say_leaving")
     async def say_leaving(self) -> None:
-        """Let one worker say in its answers that it leaves, and nothing else, then replace it."""
+        """Let a worker signal in its responses that it is leaving, then replace it."""
         worker = self.rng.choice(list(self.fleet.workers))
         worker.behaviour = fleet_worker.Behaviour(events=soak_fleet.EVENTS, is_leaving=True)
         await asyncio.sleep(FAREWELL_S)
@@ -249,10 +251,10 @@
 
     @FAULTS.add("ask_for_rest")
     async def ask_for_rest(self) -> None:
-        """Let some or all workers of a service turn requests away and ask for a rest."""
+        """Let some or all workers of a service reject requests with a Retry-After delay."""
         service = self.rng.choice(sorted(set(self.fleet.workers.values())))
         workers = [worker for worker, of in self.fleet.workers.items() if of == service]
-        # The one that most requests go to first.
+        # Busiest first.
         workers.sort(key=lambda worker: len(worker.runs), reverse=True)
         resting = workers[: self.rng.randrange(1, len(workers) + 1)]
         for worker in resting:
@@ -263,7 +265,7 @@
 
     @FAULTS.add("name_limit")
     async def name_limit(self) -> None:
-        """Let one worker name how many requests a second it takes, for longer than a window."""
+        """Let a worker advertise a rate limit, for longer than the window of the check."""
         assert self.limits is not None
         worker = self.rng.choice(list(self.fleet.workers))
         if worker.behaviour.limit is not None:
--- a/bench/soak_fleet.py
+++ b/bench/soak_fleet.py
@@ -1,4 +1,4 @@
-"""The fleet of a soak: nodes as processes, workers in this process behind links that break."""
+"""The fleet of the soak test: nodes as processes, workers in this process behind proxy links."""
 
 import asyncio
 import contextlib
@@ -16,7 +16,10 @@
 
 
 class SoakFleet:
-    """Control VMs, entries and workers; nodes that were replaced are kept to be ended."""
+    """Control VMs, entries and workers.
+
+    `workers` maps each worker to its service; `replaced` are former nodes, killed by `close`.
+    """
 
     def __init__(self, folder: pathlib.Path) -> None:
         self.folder = folder
@@ -32,14 +35,14 @@
         self.pool = stream_client.ConnectionPool(0.0, 0.5, 1.0)
 
     async def start(self) -> None:
-        """Start all workers and nodes."""
+        """Start all workers and nodes, without waiting for the nodes."""
         for worker in self.workers:
             await self.start_worker(worker)
         for node in self.nodes:
             node.start()
 
     def close(self) -> None:
-        """End all processes that were started here, and the links."""
+        """Kill all node processes and close the links."""
         for node in [*self.nodes, *self.replaced]:
             node.signal(signal.SIGKILL)
             if node.process is not None:
@@ -48,11 +51,11 @@
             link.close()
 
     def make_node(self, role: str, ip: str) -> soak_nodes.Node:
-        """Return a node that is not started."""
+        """Return a new node that is not started."""
         return soak_nodes.Node(self.folder, f"{role}-{ip}", role, ip, self.control_ips)
 
     async def until_up(self, node: soak_nodes.Node) -> None:
-        """Wait until a control VM that was started answers; starting takes seconds beside load."""
+        """Wait until a control VM responds, up to RECOVER_S; return at once for other roles."""
         if node.role != "control":
             return
         loop = asyncio.get_running_loop()
@@ -65,7 +68,7 @@
             await asyncio.sleep(0.05)
 
     async def start_worker(self, worker: fleet_worker.Worker) -> None:
-        """Start a worker behind a link of its own; callers know the link's address."""
+        """Start a worker behind a proxy link, whose address becomes the worker's address."""
         worker.behaviour.events = EVENTS
         host, port = (await worker.start()).split(":")
         link = proxy.Link((host, 0), (host, int(port)))
@@ -73,7 +76,7 @@
         self.links[worker] = link
 
     async def revive(self, node: soak_nodes.Node) -> None:
-        """Start a node that is down; one that stands still goes on, one that stops ends first."""
+        """Resume a node that is suspended, and start it if it has exited."""
         node.signal(signal.SIGCONT)
         if node.process is not None and node.process.poll() is None:
             return
--- a/bench/soak_limits.py
+++ b/bench/soak_limits.py
@@ -1,4 +1,4 @@
-"""Limits that workers named in a soak, and whether the entries that had heard one kept to it."""
+"""Check of the soak test: entries keep to the rate limits that workers advertise."""
 
 import dataclasses
 import math
@@ -7,8 +7,9 @@
 from bench import soak_words
 from stand_ins import fleet_worker
 
-# The platform's rule: from so long after a limit was first named on, in any window of this length,
-# requests of entries that passed on an answer with it so long before.
+# The platform's rule bounds the requests of entries that know a limit in any window of WINDOW_S:
+# SHARE_MAX times the limit, plus MORE_MAX. It applies from CONTACT_S after the limit was first
+# advertised, and to an entry from TOLD_S after a response with the limit.
 CONTACT_S = 3.0
 WINDOW_S = 4.0
 TOLD_S = 0.5
@@ -18,7 +19,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Episode:
-    """A time in which a worker named one limit, on the monotonic clock."""
+    """A period in which a worker advertises one limit, in monotonic time."""
 
     worker: fleet_worker.Worker
     per_s: float
@@ -26,14 +27,14 @@
     until: float = math.inf
 
     def runs(self) -> list[fleet_worker.Run]:
-        """Return what this worker ran: the one that takes its place goes on with its list."""
+        """Return the requests that this worker ran; its replacement shares the list."""
         return [run for run in self.worker.runs if run.instance == self.worker.instance]
 
 
 class Limits:
-    """The account of one run; `words` knows which entry each request went to.
+    """Records the limits of a run and finds violations of them.
 
-    `is_bound` tells whether an entry knew of limits at a time: builds of before do not.
+    `is_bound` returns whether an entry supported limits at a time; earlier builds do not.
     """
 
     def __init__(
@@ -46,23 +47,23 @@
         self.episodes: list[Episode] = []
 
     def begin(self, worker: fleet_worker.Worker, per_s: float, now: float) -> Episode:
-        """Let a worker name a limit; return the episode, which `end` ends."""
+        """Let a worker advertise a limit; return the episode, to be passed to `end`."""
         worker.behaviour.limit = f"{per_s:g}"
         episode = Episode(worker, per_s, now)
         self.episodes.append(episode)
         return episode
 
     def end(self, episode: Episode, now: float) -> None:
-        """Let the worker name none any more."""
+        """Let the worker of an episode advertise no limit any more."""
         episode.worker.behaviour.limit = None
         episode.until = now
 
     def broken(self) -> list[str]:
-        """Return the windows in which a worker got more than it had named."""
+        """Return a description of each episode in which the rule was violated."""
         return [text for episode in self.episodes for text in self.broken_in(episode)]
 
     def broken_in(self, episode: Episode) -> list[str]:
-        """Return the first window of an episode that has too many requests, if there is one."""
+        """Return a description of the first window of an episode with too many requests."""
         told_at = self.told_at(episode)
         begin = episode.since + CONTACT_S
         times = []
@@ -78,11 +79,11 @@
             count = sum(first <= at < first + WINDOW_S for at in times)
             if count > allowed:
                 name = episode.worker.instance
-                return [f"{name} named {episode.per_s:g} a second and got {count} in {WINDOW_S} s"]
+                return [f"{name}: {count} requests in {WINDOW_S} s, limit {episode.per_s:g} per s"]
         return []
 
     def told_at(self, episode: Episode) -> dict[str, float]:
-        """Return when each entry first had an answer with the limit, as its worker gave it."""
+        """Return when each entry first got a response with the limit, by the entry's IP."""
         told: dict[str, float] = {}
         for run in episode.runs():
             if episode.since <= run.at < episode.until:
--- a/bench/soak_nodes.py
+++ b/bench/soak_nodes.py
@@ -1,4 +1,4 @@
-"""The processes of a soak: control VMs and entries on loopback addresses of their own."""
+"""Node processes of the soak test, on loopback addresses of their own."""
 
 import dataclasses
 import json
@@ -9,11 +9,11 @@
 import sys
 import time
 
-# Loopback addresses of this process alone, so that several soaks may run at once.
+# Derived from the process id, so that several soak tests can run at once.
 NETWORK = f"127.{64 + os.getpid() // 250 % 128}.{os.getpid() % 250}"
 CONTROL_IPS = tuple(f"{NETWORK}.{number}" for number in (1, 2, 3))
 ENTRY_IPS = tuple(f"{NETWORK}.{number}" for number in (11, 12))
-# How long after the start of a replaced control VM the next loss may come.
+# Shortest time between the start of a replacement control VM and the next loss of one.
 CATCH_UP_S = 2.0
 CONTROL, FRONT, READY = 8000, 8005, 8002
 NODE_PORTS = (7700, 7703)
@@ -23,10 +23,10 @@
 
 @dataclasses.dataclass(slots=True)
 class Node:
-    """One process of the system; its settings, log and data lie in `folder`.
+    """A node process, with its settings, log and data in `folder`.
 
-    `seeds` are the IPs of the control VMs, one list for all nodes. `source` is the folder of the
-    build that it runs, from its next start on.
+    `seeds` are the IPs of the control VMs, a list shared by all nodes. `source` is the source
+    folder of the build to run, effective from the next start.
     """
 
     folder: pathlib.Path
@@ -37,13 +37,13 @@
     is_first: bool = True
     source: pathlib.Path = ROOT / "src"
     process: subprocess.Popen | None = None
-    # Settings besides those that all nodes have.
+    # Additional settings of this node.
     more_settings: dict = dataclasses.field(default_factory=dict)
-    # When it was started or got a signal, on the monotonic clock.
+    # Monotonic times of starts and signals.
     disturbances: list[float] = dataclasses.field(default_factory=list)
 
     def start(self) -> None:
-        """Start the process, for the first time or again."""
+        """Start or restart the process."""
         self.disturbances.append(time.monotonic())
         path = self.write_settings()
         with open(self.folder / f"{self.name}.log", "ab") as log:
@@ -57,7 +57,7 @@
         self.is_first = False
 
     def write_settings(self) -> pathlib.Path:
-        """Write the settings of this moment; a running process takes them over by itself."""
+        """Write the current settings, which a running process reloads by itself."""
         path = self.folder / f"{self.name}.json"
         scratch = path.with_suffix(".new")
         scratch.write_text(json.dumps(self.settings()))
@@ -65,7 +65,7 @@
         return path
 
     def settings(self) -> dict:
-        """Return the settings as the platform gives them."""
+        """Return the settings in the platform's format."""
         return {
             "node_name": self.name,
             "ip": self.ip,
@@ -86,7 +86,7 @@
         }
 
     def signal(self, how: int) -> None:
-        """Send a signal to the process if it runs."""
+        """Send a signal to the process if it is running."""
         if self.process is not None and self.process.poll() is None:
             if how != signal.SIGCONT:
                 self.disturbances.append(time.monotonic())
@@ -94,7 +94,7 @@
 
 
 def make_configuration(version: int, keys: tuple[str, ...] = ("key-1",)) -> dict:
-    """Return the configuration of one version; client account N holds the Nth of `keys`."""
+    """Return a configuration; client account N has the Nth of `keys`."""
     routes = [
         {
             "name": f"r-{service}",
--- a/bench/soak_words.py
+++ b/bench/soak_words.py
@@ -1,4 +1,4 @@
-"""What workers said of themselves in a soak, and whether the entries that heard it heeded it."""
+"""Check of the soak test: entries obey the availability signals in workers' responses."""
 
 import collections
 import dataclasses
@@ -8,11 +8,11 @@
 from merlinthread.transport import http_messages
 from stand_ins import fleet_worker
 
-# How long after a worker's word of leaving was passed on a client's request may still reach it.
+# How long requests may still reach a worker after an entry forwarded its leaving signal.
 LEAVE_S = 2.0
-# Requests that were on their way when a worker asked for a rest may come for so long after it.
+# How long after a response with Retry-After requests in flight may still arrive.
 ON_THE_WAY_S = 0.5
-# How many may come in the rest of the rest.
+# How many requests may arrive in the remainder of the Retry-After delay.
 ALLOWED = 2
 LEAVING = b"server-leaving"
 STAMP = b"x-merlinthread-response-stamp"
@@ -20,27 +20,27 @@
 
 @dataclasses.dataclass(slots=True)
 class Sent:
-    """When a client sent a request, on the monotonic clock, and to which entry."""
+    """The entry that a client sent a request to, and the monotonic time."""
 
     entry_ip: str
     at: float
 
 
 class Words:
-    """The account of one run."""
+    """Records the signals of a run and finds requests that violate them."""
 
     def __init__(self, fleet: soak_fleet.SoakFleet) -> None:
         self.fleet = fleet
         self.sent: dict[str, Sent] = {}
-        # When an entry first passed on an answer in which an instance says that it leaves.
+        # When an entry first forwarded a response with an instance's leaving signal.
         self.farewells: dict[tuple[str, str], float] = {}
 
     def note_sent(self, request_id: str, entry_ip: str) -> None:
-        """Note that a client sends a request to an entry."""
+        """Record that a client sends a request to an entry."""
         self.sent[request_id] = Sent(entry_ip, time.monotonic())
 
     def note_answer(self, entry_ip: str, answer: http_messages.Response) -> None:
-        """Note what an answer says of the worker that gave it."""
+        """Record the leaving signal of a response."""
         stamp = http_messages.get_header(answer.headers, STAMP)
         if stamp is None or http_messages.get_header(answer.headers, LEAVING) is None:
             return
@@ -48,16 +48,16 @@
         self.farewells.setdefault((instance, entry_ip), time.monotonic())
 
     def is_calm(self, entry_ip: str, since: float, until: float) -> bool:
-        """Return whether an entry was neither started nor stopped between two times."""
+        """Return whether an entry was neither started nor signalled between two times."""
         nodes = [node for node in self.fleet.nodes if node.ip == entry_ip]
         return not any(since <= at <= until for node in nodes for at in node.disturbances)
 
     def broken(self) -> list[str]:
-        """Return what reached workers that had said that they want nothing."""
+        """Return a description of each violation."""
         return [*self.after_farewells(), *self.in_rests()]
 
     def after_farewells(self) -> list[str]:
-        """Return the requests that reached a worker too long after its word of leaving."""
+        """Describe the requests that reached a worker too long after its leaving signal."""
         found = []
         for worker in self.fleet.workers:
             for run in worker.runs:
@@ -67,11 +67,14 @@
                     continue
                 if self.is_calm(sent.entry_ip, told_at, sent.at):
                     late_s = sent.at - told_at
-                    found.append(f"{run.request_id} reached {run.instance} {late_s:.1f} s late")
+                    found.append(
+                        f"{run.request_id} reached {run.instance} {late_s:.1f} s after its leaving"
+                        " signal"
+                    )
         return found
 
     def in_rests(self) -> list[str]:
-        """Return the rests in which too many requests came from one entry."""
+        """Describe the Retry-After delays in which one entry sent too many requests."""
         found = []
         for worker in self.fleet.workers:
             by_entry: dict[str, list[fleet_worker.Rejection]] = collections.defaultdict(list)
@@ -84,7 +87,7 @@
     def in_rests_of(
         self, instance: str, entry_ip: str, refusals: list[fleet_worker.Rejection]
     ) -> list[str]:
-        """Return the rests of one worker in which too many requests came from one entry."""
+        """Describe such delays of one worker and one entry."""
         found = []
         for first in refusals:
             begin, end = first.at + ON_THE_WAY_S, first.at + first.rest_s
@@ -92,5 +95,7 @@
                 continue
             count = sum(begin < other.at < end for other in refusals)
             if count > ALLOWED:
-                found.append(f"{instance} got {count} requests from {entry_ip} in its rest")
+                found.append(
+                    f"{instance} got {count} requests from {entry_ip} in its Retry-After delay"
+                )
         return found
