--- a/bench/release_bytes.py
+++ b/bench/release_bytes.py
@@ -1,10 +1,9 @@
-"""One sample of all that builds write for each other: made by one build, read by another.
+"""Compatibility check: samples of encoded data, written by one build and read by another.
 
-`python -m bench.release_bytes write FILE` writes, as JSON, the bytes of each message between
-control VMs, entries and agents, of each entry of the log, of a snapshot and of a data folder, as
-the build on the path makes them. `read FILE` reads them with the build on the path, and prints one
-line for each that it can't read. Both run with builds of before: they import nothing but those
-modules.
+`python -m bench.release_bytes write FILE` writes a JSON file with the encoded form of each message
+between nodes, each log command, a snapshot and a data folder, produced by the build on the path.
+`read FILE` decodes them with the build on the path and prints the name of each sample that it can't
+read. Both must also run with earlier builds, so this module imports only modules that those have.
 """
 
 import dataclasses
@@ -29,7 +28,7 @@
 
 
 def sample(kind: typing.Any) -> typing.Any:
-    """Return a value of a type, with one element in each list and table."""
+    """Return a value of a type, with one element in each list and dict."""
     if kind in PLAIN:
         return PLAIN[kind]
     if isinstance(kind, type) and issubclass(kind, enum.Enum):
@@ -48,7 +47,7 @@
 
 
 def commands() -> dict[str, bytes]:
-    """Return a sample of each entry of the log, by its name."""
+    """Return an encoded sample of each log command, by name."""
     return {
         name: msgspec.msgpack.encode((name, sample(kind)))
         for name, kind in fleet_state.COMMANDS.entries.items()
@@ -56,7 +55,7 @@
 
 
 def data_folder(entries: list[bytes]) -> dict[str, str]:
-    """Return the files of a member's folder: a snapshot, and a log with these commands."""
+    """Return the files of a data folder with a snapshot and a log of these commands, as hex."""
     with tempfile.TemporaryDirectory() as name:
         saved = journal.Journal(pathlib.Path(name))
         state = msgspec.msgpack.encode(sample(fleet_state.FleetState))
@@ -69,7 +68,7 @@
 
 
 def write(path: pathlib.Path) -> None:
-    """Write the samples of the build on the path."""
+    """Write samples of all encoded data to a file."""
     found = commands()
     frames = {name: CODEC.encode(sample(kind)).hex() for name, kind in CODEC.types.items()}
     state = msgspec.msgpack.encode(sample(fleet_state.FleetState)).hex()
@@ -83,7 +82,7 @@
 
 
 def unread(path: pathlib.Path) -> list[str]:
-    """Return the names of the samples that the build on the path can't read."""
+    """Return the names of the samples in a file that this build can't read."""
     samples = json.loads(path.read_text())
     found = [name for name, text in samples["messages"].items() if not is_message(name, text)]
     found += [name for name, text in samples["commands"].items() if not is_command(text)]
@@ -96,7 +95,7 @@
 
 
 def is_message(name: str, text: str) -> bool:
-    """Return whether a frame is read as the message of that name."""
+    """Return whether a frame decodes to the message called `name`."""
     try:
         return CODEC.names[type(CODEC.decode(bytes.fromhex(text)))] == name
     except errors.ProtocolError:
@@ -104,7 +103,7 @@
 
 
 def is_command(text: str) -> bool:
-    """Return whether an entry of the log is read."""
+    """Return whether a log command is known and decodes."""
     name, raw = msgspec.msgpack.decode(bytes.fromhex(text), type=tuple[str, msgspec.Raw])
     if name not in fleet_state.COMMANDS.entries:
         return False
@@ -113,7 +112,7 @@
 
 
 def folder_entries(files: dict[str, str]) -> list[str]:
-    """Return the entries that are read from a data folder."""
+    """Return the log commands read from a data folder, sorted, as hex."""
     with tempfile.TemporaryDirectory() as name:
         for file, text in files.items():
             (pathlib.Path(name) / file).write_bytes(bytes.fromhex(text))
@@ -123,7 +122,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Write samples, or read some; return 1 if any can't be read."""
+    """Write or read samples; return 1 if any can't be read, 2 for wrong usage."""
     if len(arguments) != 2 or arguments[0] not in ("write", "read"):
         print("usage: python -m bench.release_bytes write|read FILE")
         return 2
--- a/bench/upgrade.py
+++ b/bench/upgrade.py
@@ -1,11 +1,11 @@
-"""Two builds side by side: VMs are replaced one after the other by another build, beside load.
-
-`python -m bench upgrade --from COMMIT --route forward --seed N`. The build of a commit of this
-repository's history is laid out by a git worktree and runs with the libraries that are installed.
-Control VMs and entries are processes; clients, workers and the operator live in this one. Each VM
-is stopped as planned and started again with the other build, in place. Checked, beside what the
-soak checks: no process ends by itself, the last acknowledged configuration is read back, and as
-many requests are served as in a calm run, less 0.01.
+"""Rolling upgrade test: under load, VMs are restarted one by one with another build.
+
+`python -m bench upgrade --from COMMIT --route forward --seed N`. The old build is a commit of this
+repository, checked out as a git worktree and run with the installed libraries. Control VMs and
+entries are processes; clients, workers and the operator run in this process. Each VM is stopped
+gracefully and started in place with the other build. Besides the invariants of the soak test, a run
+checks that no process exits by itself, that the last acknowledged configuration is read back, and
+that the success rate is at most SERVED_LESS_MAX below that of a run without an upgrade.
 """
 
 import argparse
@@ -36,7 +36,7 @@
 from stand_ins import fleet_worker
 
 NEW, OLD = "new", "old"
-# Where each route begins, and the builds that all VMs are brought to in turn.
+# The build that all VMs start with, and the builds that they are upgraded to in turn.
 ROUTES: dict[str, tuple[str, ...]] = {
     "calm": (NEW,),
     "calm-old": (OLD,),
@@ -46,18 +46,17 @@
     "forward-back-forward": (OLD, NEW, OLD, NEW),
 }
 ORDERS = ("controls", "entries", "mixed")
-# How long a VM that was replaced runs before the next one is stopped: two heartbeats of workers and
-# an election.
+# Delay between restarts; long enough for two heartbeats of workers and an election.
 SETTLE_S = 1.5
 CALM_S = 3.0
 SERVED_LESS_MAX = 0.01
-# What one worker names where limits are asked for, in requests a second.
+# The rate limit that a worker advertises with --limited, in requests per second.
 LIMIT_PER_S = 2.0
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Plan:
-    """What a run is to do; `troubles` are kinds of `bench.upgrade_troubles`."""
+    """Options of a run; `troubles` are names in `upgrade_troubles.TROUBLES`."""
 
     route: str
     order: str
@@ -70,12 +69,12 @@
 
 @dataclasses.dataclass(slots=True)
 class Verdict:
-    """What one run showed.
+    """Results of a run; the fields are keys of the JSON output.
 
-    `workers_ended` counts the workers that the deadly request ended, `ended_late` those of them
-    after the last VM was replaced. `key_answers` counts the answers to a key that is taken away, by
-    status: those before it surely was, and those after. `named` is the version of weights that was
-    named last.
+    `workers_ended` counts the workers that crashed on a request, `ended_late` those of them that
+    crashed after the last VM was upgraded. `key_answers` counts the responses to a revoked key by
+    status, before and after the revocation had to be effective. `named` is the last version of
+    weights. `ended` are the processes that exited by themselves, `broken` the violations.
     """
 
     plan: Plan
@@ -90,19 +89,19 @@
     broken: list[str] = dataclasses.field(default_factory=list)
 
     def served(self) -> float:
-        """Return the share of requests that were answered."""
+        """Return the share of requests that succeeded."""
         return self.answered / max(1, self.asked)
 
 
 class Upgrade(soak.Soak):
-    """One run: load as in a soak, and VMs that change their build."""
+    """A run: the load of the soak test while VMs are upgraded."""
 
     def __init__(self, plan: Plan, old: pathlib.Path, folder: pathlib.Path) -> None:
         super().__init__(plan.seed, 0.0, folder)
         self.plan = plan
-        # The newest version of weights that was named.
+        # The newest version of weights that was announced.
         self.named = 1
-        # The first version without the key that is taken away.
+        # The first configuration version without the revoked key.
         self.revoked_from = math.inf
         self.key_answers: tuple[collections.Counter, ...] = (
             collections.Counter(),
@@ -118,7 +117,7 @@
             self.fleet = self.weights
             self.words = soak_words.Words(self.fleet)
         self.limits = soak_limits.Limits(self.words, self.runs_new_build)
-        # When each node was started with which build, by its IP.
+        # Times of starts and their builds, by the node's IP.
         self.started: dict[str, list[tuple[float, str]]] = {}
         self.builds = {NEW: soak_nodes.ROOT / "src", OLD: old}
         self.route = ROUTES[plan.route]
@@ -130,7 +129,7 @@
             self.started[node.ip] = [(float("-inf"), self.route[0])]
 
     async def run_faults(self) -> None:
-        """Bring all VMs to each build of the route in turn, beside load."""
+        """Upgrade all VMs to each build of the route in turn, under load."""
         load = [asyncio.create_task(self.heartbeats()), asyncio.create_task(self.operator())]
         load.append(asyncio.create_task(self.balancer.run()))
         await self.until_served("at the start")
@@ -169,25 +168,23 @@
         self.check_runs()
 
     def configuration(self, version: int) -> dict:
-        """Return what the operator sends under a version's number."""
+        """Return the configuration that the operator sends as `version`."""
         is_held = "revoke" in self.plan.troubles and version < self.revoked_from
         keys = ("key-1", upgrade_troubles.REVOKED_KEY) if is_held else ("key-1",)
         body = soak_nodes.make_configuration(version, keys)
         return self.weights.configuration(body) if self.weights is not None else body
 
     async def beat(self, worker: fleet_worker.Worker) -> None:
-        """Send one worker's heartbeat, unless it is away."""
+        """Send a worker's heartbeat unless the worker is down."""
         if not getattr(worker, "is_down", False):
             await super().beat(worker)
 
     def pick_entry(self) -> str:
-        """Return the IP of the entry that the balancer gives a new connection to."""
+        """Return the IP of the entry that the balancer selects for a new connection."""
         return self.balancer.pick(self.rng)
 
-    # The upgrade
-
     def in_order(self) -> list[soak_nodes.Node]:
-        """Return the nodes in the order in which they are replaced."""
+        """Return the nodes in the order of their upgrade."""
         nodes = list(self.fleet.nodes)
         if self.plan.order == "mixed":
             self.rng.shuffle(nodes)
@@ -197,7 +194,7 @@
         return nodes
 
     async def replace(self, node: soak_nodes.Node, build: str) -> None:
-        """Stop a VM as planned and start it again with another build."""
+        """Stop a node gracefully and start it with another build."""
         async with self.changing(node):
             node.signal(signal.SIGTERM)
             assert node.process is not None
@@ -209,7 +206,7 @@
 
     @contextlib.asynccontextmanager
     async def changing(self, node: soak_nodes.Node) -> AsyncIterator[None]:
-        """Hold a node alone while it is stopped, started or disturbed: its end is no fault then."""
+        """Lock a node for a restart or a fault; its exit is not reported meanwhile."""
         async with self.locks[node.name]:
             self.is_stopping.add(node.name)
             try:
@@ -219,11 +216,11 @@
                 self.is_stopping.discard(node.name)
 
     def runs_new_build(self, ip: str, at: float) -> bool:
-        """Return whether a node ran today's build at a time."""
+        """Return whether a node ran the new build at a time."""
         return [build for since, build in self.started[ip] if since <= at][-1] == NEW
 
     async def watch_ends(self) -> None:
-        """Note processes that end by themselves, and start them again as the platform does."""
+        """Record processes that exit by themselves, and restart them as the platform does."""
         while True:
             for node in self.fleet.nodes:
                 if node.name in self.is_stopping or node.process is None:
@@ -234,7 +231,7 @@
             await asyncio.sleep(0.05)
 
     async def until_read_back(self) -> None:
-        """Check that the last acknowledged configuration, or a later one, is in force."""
+        """Wait until the last acknowledged configuration, or a later one, is read back."""
         last = max((version for _, version in self.acknowledged), default=0)
         deadline = asyncio.get_running_loop().time() + soak.APPLY_S + 4.0
         while asyncio.get_running_loop().time() < deadline:
@@ -242,11 +239,11 @@
             if status == 200 and json.loads(body)["version"] >= last:
                 return
             await asyncio.sleep(0.1)
-        self.break_rule(f"version {last} was acknowledged and is not read back")
+        self.break_rule(f"version {last} was acknowledged but is not read back")
 
 
 def run(plan: Plan, old: pathlib.Path, folder: pathlib.Path) -> Verdict:
-    """Carry a plan out; return what it showed. Logs are left in `folder`."""
+    """Run a plan and return its results; logs are written to `folder`."""
     upgrade = Upgrade(plan, old, folder)
     tally = asyncio.run(upgrade.run())
     upgrade.verdict.named = upgrade.named
@@ -256,43 +253,48 @@
 
 
 def problems(verdict: Verdict, calm_share: float) -> list[str]:
-    """Return what a run broke, compared with the share that a calm run serves."""
-    found = [*verdict.broken, *(f"ended by itself: {name}" for name in verdict.ended)]
+    """Return the violations of a run, given the success rate of a run without an upgrade."""
+    found = [*verdict.broken, *(f"exited by itself: {name}" for name in verdict.ended)]
     if verdict.served() < calm_share - SERVED_LESS_MAX:
-        found.append(f"served {verdict.served():.3f}, a calm run {calm_share:.3f}")
+        found.append(f"success rate {verdict.served():.3f}, without upgrade {calm_share:.3f}")
     return found
 
 
 def main(arguments: list[str]) -> int:
-    """Run routes with some seeds; return 1 if any broke something, 2 for a commit not here."""
+    """Run a route with a range of seeds; return 1 for violations, 2 if the commit is missing."""
     parser = argparse.ArgumentParser(prog="python -m bench upgrade")
     parser.add_argument(
-        "--from", dest="commit", default=upgrade_builds.LANDED[0], help="the old build's commit"
+        "--from", dest="commit", default=upgrade_builds.LANDED[0], help="commit of the old build"
     )
     parser.add_argument("--route", choices=[*ROUTES], default="forward")
     parser.add_argument("--order", choices=ORDERS, default="controls")
     parser.add_argument("--seed", type=int, default=random.randrange(10**6))
     parser.add_argument("--seeds", type=int, default=1)
-    parser.add_argument("--deadly", action="store_true", help="with a request that ends workers")
-    parser.add_argument("--limited", action="store_true", help="with a worker that names a limit")
-    parser.add_argument("--weights", action="store_true", help="with weights on their way")
+    parser.add_argument("--deadly", action="store_true", help="add a request that crashes workers")
+    parser.add_argument(
+        "--limited", action="store_true", help="let a worker advertise a rate limit"
+    )
+    parser.add_argument("--weights", action="store_true", help="distribute weights meanwhile")
     parser.add_argument(
         "--trouble", nargs="+", choices=list(upgrade_troubles.TROUBLES), default=(), metavar="KIND"
     )
-    parser.add_argument("--keep", type=pathlib.Path, help="folder for the nodes' logs")
+    parser.add_argument("--keep", type=pathlib.Path, help="folder for logs of the nodes")
     options = parser.parse_args(arguments)
     figures: dict[str, object] = {"from": options.commit, "runs": []}
     is_broken = False
     try:
         with upgrade_builds.build_of(options.commit) as old:
             for seed in range(options.seed, options.seed + options.seeds):
-                # What the old build serves by itself the upgrade can't be asked to better.
+                # The upgrade need not do better than either build does alone.
                 routes = ("calm", "calm-old") if OLD in ROUTES[options.route] else ("calm",)
                 calm = min(play(route, options, seed, old).served() for route in routes)
                 verdict = play(options.route, options, seed, old)
                 found = problems(verdict, calm)
                 is_broken |= bool(found)
-                print(f"seed {seed}: served {verdict.served():.4f}, calm {calm:.4f}, {found}")
+                print(
+                    f"seed {seed}: success rate {verdict.served():.4f}, without upgrade"
+                    f" {calm:.4f}, {found}"
+                )
                 row = dataclasses.asdict(verdict) | {"calm": round(calm, 4), "problems": found}
                 figures["runs"].append(row)  # type: ignore[attr-defined]
     except upgrade_builds.MissingCommitError as error:
@@ -302,14 +304,14 @@
 
 
 def play(route: str, options: argparse.Namespace, seed: int, old: pathlib.Path) -> Verdict:
-    """Run one route in a folder that is kept if that was asked for."""
+    """Run a route in a folder that is deleted afterwards, unless --keep is given."""
     with contextlib.ExitStack() as stack:
         folder = options.keep
         if folder is None:
             folder = pathlib.Path(stack.enter_context(tempfile.TemporaryDirectory()))
         folder = folder / f"{route}-{seed}"
         folder.mkdir(parents=True, exist_ok=True)
-        # What calm runs serve is what is compared with: nothing goes wrong in them.
+        # Calm runs are the baseline, so they have no faults.
         troubles = () if route.startswith("calm") else tuple(options.trouble)
         plan = Plan(
             route,
--- a/bench/upgrade_balancer.py
+++ b/bench/upgrade_balancer.py
@@ -1,4 +1,4 @@
-"""The platform's balancer, as far as entries see it: who is not ready gets no new connections."""
+"""A model of the platform's load balancer, which selects entries by their readiness."""
 
 import asyncio
 import contextlib
@@ -8,27 +8,27 @@
 from merlinthread import errors
 from merlinthread.transport import http_messages, stream_client
 
-# The balancer takes an entry out that was not ready this often in a row, and in again once it is.
 READY_EVERY_S = 1.0
+# An entry gets no new connections after this many failed checks in a row, until one succeeds.
 MISSES_MAX = 2
 
 
 class Balancer:
-    """Asks the entries again and again whether they are ready."""
+    """Checks the readiness of all entries periodically."""
 
     def __init__(self, pool: stream_client.ConnectionPool) -> None:
         self.pool = pool
-        # How often in a row an entry was not ready when it was asked, by its IP.
+        # Consecutive failed checks, by the entry's IP.
         self.misses = dict.fromkeys(soak_nodes.ENTRY_IPS, MISSES_MAX)
 
     async def run(self) -> None:
-        """Ask the entries again and again whether they are ready, as a balancer does."""
+        """Check all entries periodically until cancelled."""
         while True:
             await asyncio.gather(*(self.ask_one(ip) for ip in self.misses))
             await asyncio.sleep(READY_EVERY_S)
 
     async def ask_one(self, ip: str) -> None:
-        """Ask one entry whether it is ready."""
+        """Check one entry."""
         request = http_messages.Request(b"GET", b"/readyz", [(b"host", b"c")])
         is_ready = False
         with contextlib.suppress(errors.MerlinthreadError):
@@ -43,6 +43,6 @@
                 await asyncio.sleep(0.05)
 
     def pick(self, rng: random.Random) -> str:
-        """Return the IP of an entry that takes new connections, or any if none does."""
+        """Return the IP of a random entry that takes new connections, or of any if none does."""
         ready = [ip for ip, misses in self.misses.items() if misses < MISSES_MAX]
         return rng.choice(ready or list(self.misses))
--- a/bench/upgrade_builds.py
+++ b/bench/upgrade_builds.py
@@ -1,4 +1,4 @@
-"""The builds of this repository's history that run beside today's."""
+"""Earlier builds of this repository, for tests of compatibility."""
 
 import contextlib
 import pathlib
@@ -8,7 +8,7 @@
 
 from bench import soak_nodes
 
-# The last landings, newest first: what may run beside this build while a fleet is upgraded.
+# Commits of the last releases, newest first, which a fleet may run during an upgrade.
 LANDED = (
     "e50aefd424375498785de571c458026d0f940458",
     "6a7c99ae915282e56ea2d6ce0f965c0da019a52d",
@@ -17,12 +17,15 @@
 
 
 class MissingCommitError(Exception):
-    """This clone does not have the commit."""
+    """Raised when this clone lacks a commit."""
 
 
 @contextlib.contextmanager
 def build_of(commit: str) -> Iterator[pathlib.Path]:
-    """Lay the sources of a commit out; give their folder. Raises MissingCommitError."""
+    """Check out a commit in a temporary worktree; yield its source folder.
+
+    Raises MissingCommitError if this clone lacks the commit.
+    """
     found = subprocess.run(
         ["git", "cat-file", "-e", f"{commit}^{{commit}}"], cwd=soak_nodes.ROOT, capture_output=True
     )
@@ -38,7 +41,7 @@
 
 
 def git(*arguments: str) -> None:
-    """Run git in this repository; raise CalledProcessError with what it said."""
+    """Run git in this repository; raise CalledProcessError if it fails."""
     subprocess.run(
         ["git", *arguments], cwd=soak_nodes.ROOT, check=True, capture_output=True, text=True
     )
--- a/bench/upgrade_deadly.py
+++ b/bench/upgrade_deadly.py
@@ -1,4 +1,4 @@
-"""A request that ends the workers that run it, beside an upgrade: `bench upgrade --deadly`."""
+"""A request that crashes the workers that run it, for `bench upgrade --deadly`."""
 
 import asyncio
 import contextlib
@@ -10,13 +10,13 @@
 from merlinthread.transport import http_messages
 from stand_ins import crashing_worker, fleet_worker
 
-# The request that ends workers, and how often it comes.
+# The body of the request, and the interval between such requests.
 DEADLY = b"deadly"
 DEADLY_EVERY_S = 0.7
 
 
 class CrashingFleet(soak_fleet.SoakFleet):
-    """The fleet of a soak whose workers a certain request ends; no links lie before them."""
+    """The fleet of the soak test with workers that crash; they have no proxy links."""
 
     def __init__(self, folder: pathlib.Path) -> None:
         super().__init__(folder)
@@ -26,17 +26,17 @@
         }
 
     async def start_worker(self, worker: fleet_worker.Worker) -> None:
-        """Start a worker; callers know its own address."""
+        """Start a worker without a proxy link."""
         worker.behaviour.events = soak_fleet.EVENTS
         await worker.start()
 
     def crash_times(self) -> list[float]:
-        """Return when workers ended, on the event loop's clock."""
+        """Return the loop times of all crashes."""
         return [at for worker in self.workers for at in worker.crash_times]  # type: ignore[attr-defined]
 
 
 async def send_deadly(upgrade: Any) -> None:
-    """Let the request that ends workers come again and again, under other ids."""
+    """Send the request periodically until cancelled, each time with a new id."""
     while True:
         await asyncio.sleep(DEADLY_EVERY_S)
         upgrade.requests += 1
--- a/bench/upgrade_troubles.py
+++ b/bench/upgrade_troubles.py
@@ -1,7 +1,7 @@
-"""What goes wrong while VMs are replaced by another build: `bench upgrade --trouble KIND ...`.
+"""Faults during a rolling upgrade, for `bench upgrade --trouble KIND ...`.
 
-Each kind comes again and again beside the replacements, at moments that the seed draws. Requests go
-on to be served: none of these ends an entry.
+Each kind is injected repeatedly, at random times that the seed determines. No kind stops an entry,
+so requests must still succeed.
 """
 
 import asyncio
@@ -17,10 +17,10 @@
 
 EVERY_S = (1.5, 3.0)
 FROZEN_S = 1.5
-# The key that is taken away, and how often a client comes with it.
+# The key that is revoked, and the interval between requests with it.
 REVOKED_KEY = "key-2"
 KEY_EVERY_S = 0.1
-# Replacements go on for so long before the key is taken away.
+# How long after the start of the upgrade the key is revoked.
 HELD_S = 4.0
 
 Trouble = Callable[[Any], Awaitable[None]]
@@ -28,14 +28,18 @@
 
 
 def leading(nodes: list[soak_nodes.Node]) -> soak_nodes.Node:
-    """Return the control VM that leads, by what the control VMs' logs told last."""
+    """Return the leader according to the latest log event of any control VM."""
     controls = [node for node in nodes if node.role == "control"]
     _, member = max(last_leader(node) for node in controls)
     return next(node for node in controls if node.ip in member)
 
 
 def last_leader(node: soak_nodes.Node) -> tuple[str, str]:
-    """Return when a node last told of a leader, and that member's name, which holds its IP."""
+    """Return the time and the leader in the last `leader` event of a node's log.
+
+    The leader's member name contains its IP. Without such an event, the time is empty and the
+    node itself is taken as the leader.
+    """
     for line in reversed((node.folder / f"{node.name}.log").read_text().splitlines()):
         with contextlib.suppress(ValueError):
             event = json.loads(line)
@@ -46,7 +50,7 @@
 
 @TROUBLES.add("kill-leader")
 async def kill_leader(upgrade: Any) -> None:
-    """Kill the control VM that leads; the platform starts it again with the build that it had."""
+    """Kill the leader repeatedly; it is restarted with the same build."""
     while True:
         await asyncio.sleep(upgrade.rng.uniform(*EVERY_S))
         node = leading(upgrade.fleet.nodes)
@@ -59,7 +63,7 @@
 
 @TROUBLES.add("freeze")
 async def freeze(upgrade: Any) -> None:
-    """Let a control VM stand still for a while: for the others it is cut off."""
+    """Suspend a control VM repeatedly; to the others it appears partitioned."""
     while True:
         await asyncio.sleep(upgrade.rng.uniform(*EVERY_S))
         controls = [node for node in upgrade.fleet.nodes if node.role == "control"]
@@ -72,7 +76,7 @@
 
 @TROUBLES.add("revoke")
 async def revoke(upgrade: Any) -> None:
-    """Take a key away while a client uses it; it must not be served again, whatever comes back."""
+    """Revoke a key while a client uses it, and check that it is not accepted again."""
     loop = asyncio.get_running_loop()
     began = loop.time()
     while True:
@@ -87,11 +91,11 @@
         if status is not None:
             upgrade.key_answers[is_revoked][status] += 1
         if is_revoked and status == 200:
-            upgrade.break_rule("a key that was taken away was served")
+            upgrade.break_rule("a revoked key was accepted")
 
 
 async def ask_with_key(upgrade: Any) -> int | None:
-    """Send one request with the key; return the answer's status, None if there is none."""
+    """Send a request with the key; return the status of the response, or None if it fails."""
     upgrade.requests += 1
     entry_ip = upgrade.pick_entry()
     request_id = f"k{upgrade.requests}"
--- a/bench/upgrade_weights.py
+++ b/bench/upgrade_weights.py
@@ -1,7 +1,7 @@
-"""Weights on their way while VMs are replaced by another build: `bench upgrade --weights`.
+"""Distribution of weights during a rolling upgrade, for `bench upgrade --weights`.
 
-The engines of the soak's model stand beside agents of their own, at the agents' addresses; versions
-are named one after the other during the replacements, and agents are replaced as all other VMs.
+Each engine of the soak test gets an agent at the same IP. Versions of weights are announced one
+after another during the upgrade, and the agents are upgraded like all other VMs.
 """
 
 import asyncio
@@ -16,20 +16,20 @@
 PIECES = 24
 PIECE_BYTES = 4096
 VERSIONS = 4
-# The link of an agent's VM, so that a version is on its way for seconds.
+# Link rate of the agents' VMs, at which the download of a version takes seconds.
 LINK_MBPS = 0.4
 NAME_EVERY_S = 6.0
 WHOLE_S = 15.0
 
 
 def make_pieces(version: int) -> list[bytes]:
-    """Return the pieces of a version."""
+    """Return the pieces of a version, derived from its number."""
     rng = random.Random(version)
     return [rng.randbytes(PIECE_BYTES) for _ in range(PIECES)]
 
 
 class WeightsFleet(soak_fleet.SoakFleet):
-    """The fleet of a soak with an agent beside each engine, and an origin; without links."""
+    """The fleet of the soak test with an agent per engine and an origin, without proxy links."""
 
     def __init__(self, folder: pathlib.Path) -> None:
         super().__init__(folder)
@@ -39,12 +39,12 @@
         self.nodes += [self.make_node("agent", ip) for ip in AGENT_IPS]
 
     async def start(self) -> None:
-        """Start the origin, then all others."""
+        """Start the origin, then all workers and nodes."""
         await self.origin.start()
         await super().start()
 
     async def start_worker(self, worker: fleet_worker.Worker) -> None:
-        """Start a worker, an engine at its agent's address; its agent's settings name it."""
+        """Start a worker; an engine gets its agent's IP and is added to the agent's settings."""
         worker.behaviour.events = soak_fleet.EVENTS
         await worker.start(self.ip_of.get(worker, "127.0.0.1"))
         for node in self.nodes:
@@ -57,7 +57,7 @@
                 }
 
     def configuration(self, body: dict) -> dict:
-        """Return a configuration with the origin and the engines' figures added."""
+        """Return a configuration with the origin and the engines' weight settings added."""
         figures = {"chunks": PIECES, "chunk_bytes": PIECE_BYTES, "step_ms": 1, "stride": 1}
         for service in body["services"]:
             if "engine" in service:
@@ -67,7 +67,7 @@
 
 
 async def name_versions(upgrade: Any) -> None:
-    """Name one version after the other, until each is acknowledged."""
+    """Announce one version after another; repeat each until it is acknowledged."""
     for version in range(2, VERSIONS + 1):
         body = {"model": "m", "version": version}
         upgrade.fleet.origin.pieces[version] = make_pieces(version)
@@ -78,16 +78,16 @@
 
 
 async def check_whole(upgrade: Any) -> None:
-    """Check that every engine comes to hold the version named last, whole."""
+    """Wait until every engine has loaded the last version, and check its pieces."""
     fleet = upgrade.fleet
     deadline = asyncio.get_running_loop().time() + WHOLE_S
     while any(engine.version != upgrade.named for engine in fleet.engines):
         if asyncio.get_running_loop().time() > deadline:
             held = [engine.version for engine in fleet.engines]
-            upgrade.break_rule(f"version {upgrade.named} was named, engines hold {held}")
+            upgrade.break_rule(f"version {upgrade.named} was announced, engines have {held}")
             return
         await asyncio.sleep(0.1)
     pieces = make_pieces(upgrade.named)
     for engine in fleet.engines:
         if [engine.loaded_pieces.get(index) for index in range(PIECES)] != pieces:
-            upgrade.break_rule(f"{engine.instance} took version {engine.version} spoilt or mixed")
+            upgrade.break_rule(f"{engine.instance} loaded wrong pieces of {engine.version}")
