--- a/bench/compare.py
+++ b/bench/compare.py
@@ -1,9 +1,9 @@
-"""Plays the same days with each way of a decision, and tells which way is the better one.
+"""Compare the policies of one field of the policy file on the same simulated days.
 
-`--list` prints what there is to decide. Each way has its own copy of the tree under `--folder`,
-with that way in `deploy/policy.json`; the program that plays days is the users' and is named by its
-path. Plays that were made are not made again, so a comparison that was stopped goes on. The last
-line of output is one JSON object.
+`--decision` names the field and `--ways` its policies; `--list` prints all fields and policies.
+Each policy runs in its own copy of the source tree under `--folder`, selected in its
+`deploy/policy.json`. `--program` is the path of the users' simulator. Results are stored, so an
+interrupted comparison can be resumed. The last line of output is one JSON object.
 """
 
 import argparse
@@ -30,7 +30,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Play:
-    """One day played with one way; `seed` 0 is the day's own."""
+    """A simulation of one day with one policy; `seed` 0 selects the day's default seed."""
 
     site: pathlib.Path
     day: str
@@ -38,13 +38,13 @@
     way: str
 
     def key(self) -> str:
-        """Return a name for it that is the same in a later run."""
+        """Return the key of this simulation in the results file."""
         return f"{self.site.stem} {self.day} {self.seed} {self.way}"
 
 
 @dataclasses.dataclass(slots=True)
 class Task:
-    """What is to be compared, and how days are played."""
+    """The field to compare, and how simulations run."""
 
     program: pathlib.Path
     folder: pathlib.Path
@@ -52,11 +52,11 @@
     is_small: bool
 
     def tree(self, way: str) -> pathlib.Path:
-        """Return the folder of a way's copy of the tree."""
+        """Return the folder of a policy's copy of the source tree."""
         return self.folder / f"{self.decision}-{way}"
 
     def command(self, play: Play, report: pathlib.Path) -> list[str]:
-        """Return the command that plays a day."""
+        """Return the command line of a simulation."""
         why = f"compare {self.decision}: {play.way}"
         command = [str(self.program), "run", str(play.site), play.day]
         if play.seed:
@@ -67,31 +67,31 @@
 
 
 def ways_of(decision: str) -> registry.Registry:
-    """Return the ways of a decision; raise SystemExit naming what there is."""
+    """Return the policies of a field; raise SystemExit if the field is unknown."""
     if decision not in node_policy.POLICY_REGISTRIES:
-        give_up(f"no decision {decision!r}; there is {', '.join(node_policy.POLICY_REGISTRIES)}")
+        give_up(f"unknown decision {decision!r}; known: {', '.join(node_policy.POLICY_REGISTRIES)}")
     return node_policy.POLICY_REGISTRIES[decision]
 
 
 def give_up(reason: str) -> None:
-    """End with the code for bad use and one line."""
+    """Print a one-line error and exit with code 2."""
     print(f"compare: {reason}", file=sys.stderr)
     raise SystemExit(BAD_USE)
 
 
 def check_days(site: pathlib.Path, days: Sequence[str]) -> None:
-    """Make sure that a site file has the days; raise SystemExit otherwise."""
+    """Raise SystemExit if a site file is unreadable or lacks one of the days."""
     try:
         known = [day["name"] for day in tomllib.loads(site.read_text()).get("day", [])]
     except (OSError, tomllib.TOMLDecodeError) as error:
-        give_up(f"{site}: {error}; name a site file")
+        give_up(f"{site}: {error}; a site file is required")
     for day in days:
         if day not in known:
-            give_up(f"{site}: no day {day!r}; there is {', '.join(known)}")
+            give_up(f"{site}: unknown day {day!r}; known: {', '.join(known)}")
 
 
 def copy_tree(task: Task, way: str) -> None:
-    """Lay a copy of the tree as it is, with a way in force, unless there is one."""
+    """Copy the working tree and select a policy in the copy, unless the copy exists."""
     tree = task.tree(way)
     if tree.exists():
         return
@@ -104,7 +104,7 @@
 
 
 def bring_journal(task: Task, ways: Sequence[str]) -> None:
-    """Bring the journal's entries of the plays here, to be committed with the others."""
+    """Copy new journal entries of the simulations into this tree."""
     for way in ways:
         for entry in (task.tree(way) / JOURNAL).glob("*.json"):
             if not (JOURNAL / entry.name).exists():
@@ -112,7 +112,7 @@
 
 
 def read_results(path: pathlib.Path) -> dict[str, float]:
-    """Return the worth of each play that was made, by its key."""
+    """Return the score of each stored simulation, by its key."""
     if not path.exists():
         return {}
     rows = [json.loads(line) for line in path.read_text().splitlines()]
@@ -120,7 +120,7 @@
 
 
 def carry_out(task: Task, play: Play) -> dict[str, object]:
-    """Play a day; return its worth and the rules that it broke."""
+    """Run a simulation; return its score and the rules that it broke."""
     report = task.tree(play.way) / f"{play.key().replace(' ', '-')}.json"
     done = subprocess.run(
         task.command(play, report), cwd=task.tree(play.way), capture_output=True, text=True
@@ -132,7 +132,7 @@
 
 
 def pairs_of(plays: Sequence[Play], worths: dict[str, float], way: str, standing: str) -> list:
-    """Return the differences of a way against the standing one, day by day."""
+    """Return the score differences of a policy and the baseline, per site, day and seed."""
     return [
         worths[play.key()] - worths[dataclasses.replace(play, way=standing).key()]
         for play in plays
@@ -141,17 +141,17 @@
 
 
 def main(argv: list[str]) -> int:
-    """Compare the ways of one decision."""
+    """Run the command."""
     parser = argparse.ArgumentParser(prog="bench compare", description=__doc__)
-    parser.add_argument("--list", action="store_true", help="print decisions and their ways")
+    parser.add_argument("--list", action="store_true", help="print all decisions and their ways")
     parser.add_argument("--decision", default="")
-    parser.add_argument("--ways", nargs="*", default=[], help="the standing one goes first")
-    parser.add_argument("--program", type=pathlib.Path, help="what plays days")
+    parser.add_argument("--ways", nargs="*", default=[], help="policies; the first is the baseline")
+    parser.add_argument("--program", type=pathlib.Path, help="path of the simulator")
     parser.add_argument("--site", type=pathlib.Path, nargs="*", default=[])
     parser.add_argument("--day", nargs="*", default=[])
     parser.add_argument("--seed", type=int, nargs="*", default=[0])
-    parser.add_argument("--small", action="store_true", help="twins of large days")
-    parser.add_argument("--folder", type=pathlib.Path, help="where copies and results lie")
+    parser.add_argument("--small", action="store_true", help="use the small variants of the days")
+    parser.add_argument("--folder", type=pathlib.Path, help="for copies and results")
     parser.add_argument("--jobs", type=int, default=2)
     options = parser.parse_args(argv)
     if options.list:
@@ -163,9 +163,9 @@
     ways = options.ways or sorted(known)
     for way in ways:
         if way not in known.entries:
-            give_up(f"{options.decision}: no way {way!r}; there is {', '.join(known)}")
+            give_up(f"{options.decision}: unknown way {way!r}; known: {', '.join(known)}")
     if options.program is None or options.folder is None or not options.site or not options.day:
-        give_up("--program, --folder, --site and --day are needed")
+        give_up("--program, --folder, --site and --day are required")
     for site in options.site:
         check_days(site, options.day)
     task = Task(options.program, options.folder, options.decision, options.small)
@@ -180,7 +180,7 @@
 
 
 def compare(task: Task, plays: Sequence[Play], ways: Sequence[str], jobs: int) -> int:
-    """Make the plays that are missing and print what they tell."""
+    """Run the missing simulations and print the comparison of each policy with the baseline."""
     for way in ways:
         copy_tree(task, way)
     results = task.folder / RESULTS_FILE
--- a/bench/measure.py
+++ b/bench/measure.py
@@ -1,4 +1,4 @@
-"""What the benches share: percentiles, process costs, the closing JSON line."""
+"""Helpers of the benchmarks: statistics, resource usage of processes, the JSON output."""
 
 import dataclasses
 import json
@@ -12,27 +12,27 @@
 
 @dataclasses.dataclass(slots=True)
 class Cost:
-    """What a process has used so far: seconds of processor time, resident bytes."""
+    """Resource usage of a process: CPU time so far, and resident memory."""
 
     cpu_s: float
     rss_bytes: int
 
 
 def cost_of(pid: int) -> Cost:
-    """Return what a process has used so far."""
+    """Return the resource usage of a process."""
     process = psutil.Process(pid)
     times = process.cpu_times()
     return Cost(times.user + times.system, process.memory_info().rss)
 
 
 def percentile(values: list[float], share: float) -> float:
-    """Return the smallest value that at least `share` of all values do not exceed."""
+    """Return the smallest value that at least a share `share` of all values do not exceed."""
     ordered = sorted(values)
     return ordered[max(0, math.ceil(share * len(ordered)) - 1)]
 
 
 def slope(points: list[tuple[float, float]]) -> tuple[float, float]:
-    """Return intercept and slope of the least-squares line through (size, figure) points."""
+    """Return the intercept and slope of the least-squares line through (x, y) points."""
     count = len(points)
     mean_x = sum(x for x, _ in points) / count
     mean_y = sum(y for _, y in points) / count
@@ -44,12 +44,12 @@
 
 
 def machine() -> dict:
-    """Return what the figures were measured on."""
+    """Return a description of the machine and its load."""
     return {"cores": os.cpu_count(), "load_before": os.getloadavg()[0]}
 
 
 def finish(name: str, figures: dict, save: str = "") -> int:
-    """Print the closing line, and save it if asked to; return the exit code."""
+    """Print the results as one line of JSON, and write them to file `save` if given; return 0."""
     closing = {"bench": name, "at": int(time.time()), **figures}
     if save:
         pathlib.Path(save).write_text(json.dumps(closing, indent=1) + "\n")
--- a/bench/verdict.py
+++ b/bench/verdict.py
@@ -1,24 +1,24 @@
-"""What paired differences between two ways tell: which one is better, or how many more it takes."""
+"""Significance test on paired score differences between two policies."""
 
 import dataclasses
 import math
 import statistics
 from collections.abc import Sequence
 
-# Two standard errors: about 19 of 20 such intervals hold the true mean where there are ten pairs.
+# Half the width of the confidence interval, in standard errors; about 95 % with ten pairs.
 ERRORS = 2.0
-# Fewer pairs give no spread worth the name.
+# The standard deviation of fewer pairs is too uncertain.
 LEAST_PAIRS = 3
-# A smaller difference is not worth a line of code, however sure it is (worth a day).
+# A smaller difference of scores is irrelevant even if it is significant.
 LEAST_DIFFERENCE = 0.002
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Verdict:
-    """The mean of the paired differences, its spread, and what it tells.
+    """Result of the test; the fields are keys of the JSON output.
 
-    `spread` is the standard deviation of single differences; `more` is how many further pairs it
-    would take to tell a difference of this mean, 0 if it is told.
+    `spread` is the standard deviation of the differences. `more` is the number of further pairs
+    needed to make a difference of this mean significant, 0 if it is significant.
     """
 
     word: str
@@ -29,7 +29,7 @@
 
 
 def judge(differences: Sequence[float]) -> Verdict:
-    """Return the verdict on differences of a way against the standing one, on the same days."""
+    """Test the differences of a policy's scores and those of the baseline on the same days."""
     pairs = len(differences)
     if pairs < LEAST_PAIRS:
         mean = statistics.fmean(differences) if differences else 0.0
