--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -1,7 +1,7 @@
-"""The figures behind docs/CAPACITY.md: each role's slopes, measured, worked out at the target.
+"""Capacity model: measures how the cost of each role grows, and extrapolates to the target size.
 
-Writes raw figures to docs/capacity/*.json and the page itself; `--page-only` writes just the page
-from the raw figures there are.
+Writes raw figures to docs/capacity/*.json and the page docs/CAPACITY.md; `--page-only` writes only
+the page, from the existing raw figures.
 """
 
 import argparse
@@ -43,7 +43,7 @@
 
 
 def measure_nodes(sizes: tuple[tuple[int, int], ...]) -> list[dict]:
-    """Return what control costs each role at each size (entries and agents in each zone)."""
+    """Measure the cost of each role in fleets of the given sizes (entries and agents per zone)."""
     rows = []
     for entries, count in sizes:
         folder = pathlib.Path(tempfile.mkdtemp(prefix="merlinthread-capacity-"))
@@ -63,7 +63,7 @@
 
 
 def timed(work: Callable[[], Any], rounds: int) -> float:
-    """Return the least processor time of `work` over some rounds, in seconds."""
+    """Return the least CPU time of `work` over some rounds, in seconds."""
     best = float("inf")
     for _ in range(rounds):
         before = time.process_time()
@@ -73,7 +73,7 @@
 
 
 def synthetic(count: int) -> tuple[bundles.Bundle, list[agents.AgentReport]]:
-    """Return a bundle of 10 models and so many agents over 8 zones."""
+    """Return a bundle of 10 models, and reports of `count` agents in 8 zones."""
     models = [bundles.Model(f"model-{i}", "v1", f"{i:064x}", 10) for i in range(10)]
     groups = [
         bundles.Group(f"g{i}", 10, [f"account-{i}-{j}" for j in range(10)]) for i in range(10)
@@ -97,7 +97,7 @@
 
 
 def measure_parts() -> list[dict]:
-    """Return bytes and processor time of the parts whose cost grows with the fleet."""
+    """Measure size and CPU time of operations whose cost grows with the fleet."""
     codec = messages.make_codec([])
     rows = []
     for count in (100, 400, 1500):
@@ -129,14 +129,14 @@
 
 
 def new_plan(peers: list[fetch.Peer]) -> fetch.FetchPlan:
-    """Return a plan over 1,000 chunks that has been told its peers."""
+    """Return a fetch plan of 1,000 chunks with peers."""
     plan = fetch_policies.Spread("me", "m", 1000, 0, 2, 0.0, fetch.random.Random(1))
     plan.set_peers(peers)
     return plan
 
 
 def choose_many(candidates: list[routing.Candidate]) -> None:
-    """Choose a target 1,000 times."""
+    """Run the routing policy 1,000 times."""
     rng = routing.random.Random(1)
     policy = routing.POLICIES.get("least_loaded")
     place = routing.Location("zone-0", "region-0")
@@ -144,11 +144,8 @@
         policy(candidates, routing.Requirements("generate", "model-0"), place, rng)
 
 
-# Working out
-
-
 def fit(rows: list[dict], role: str, figure: str, inputs: list[str]) -> list[float]:
-    """Return intercept and slopes of a role's figure over the inputs, none below 0."""
+    """Fit a figure of a role by least squares; return the intercept and non-negative slopes."""
     matrix = numpy.array([[1.0, *(float(row[name]) for name in inputs)] for row in rows])
     values = numpy.array([row["costs"][role][figure] for row in rows])
     found, *_ = numpy.linalg.lstsq(matrix, values, rcond=None)
@@ -158,16 +155,17 @@
 MODELS = {
     "entry": (["agents_per_entry", "entries"], [WORKERS * REPORTS_TO / ENTRIES, 32.0]),
     "agent": (["reports_to"], [float(REPORTS_TO)]),
-    # A control VM of the target serves the polls of its part of the entries.
+    # Each control VM serves the polls of an equal share of the entries.
     "control": (["entries", "agents"], [ENTRIES / CONTROLS, WORKERS / CONTROLS]),
 }
 FIGURES = ("core_share", "rss_mb", "bytes_per_s")
-# Entries and agents: the mean node, as the inputs are means; of control VMs one has all the polls.
+# Entries and agents: the mean, as the inputs are means. Control: the maximum, as one control VM
+# serves all polls.
 COLUMNS = {"entry": "mean", "agent": "mean", "control": "max"}
 
 
 def predict(nodes: list[dict]) -> dict[str, dict[str, dict[str, Any]]]:
-    """Return for each role and figure: intercept, slopes, the figure at the target, kept or not."""
+    """Return the fitted terms, the value at the target and the budget, by role and figure."""
     found: dict[str, dict[str, dict[str, Any]]] = {}
     for role, (inputs, sizes) in MODELS.items():
         found[role] = {}
@@ -186,7 +184,7 @@
 
 
 def changes_cost(parts: list[dict]) -> dict[str, float]:
-    """Return what changes of configuration cost a node at the target size."""
+    """Return the cost of configuration changes for a node at the target size."""
     size = measure.slope([(row["vms"], row["directive_bytes"]) for row in parts])
     decode = measure.slope([(row["vms"], row["directive_decode_s"]) for row in parts])
     a_day = CHANGES_A_DAY + RESTARTS_A_DAY
@@ -200,13 +198,13 @@
 
 
 def read(name: str) -> Any:
-    """Return a raw file's content, or None."""
+    """Return the raw figures of a file, or None if it is missing."""
     path = RAW / f"{name}.json"
     return json.loads(path.read_text()) if path.exists() else None
 
 
 def page() -> str:
-    """Return the page, from the raw figures and nothing else."""
+    """Return the page; it depends only on the files in docs/capacity."""
     nodes, parts, rollout, controls = (read(n) for n in ("nodes", "parts", "rollout", "control"))
     lines = INTRODUCTION.format(
         entries=ENTRIES, workers=WORKERS, vms=ROLL_VMS, zones=ZONES, controls=CONTROLS
@@ -253,7 +251,7 @@
 
 
 def budget_table(predicted: dict) -> list[str]:
-    """Return the table of roles and budgets."""
+    """Return the table of predicted figures and budgets."""
     lines = ["", "| role | figure | intercept | slopes | at the target | budget | kept |"]
     lines += ["|---|---|---|---|---|---|---|"]
     for role, figures in predicted.items():
@@ -268,7 +266,7 @@
 
 
 def control_lines(raw: dict | None) -> list[str]:
-    """Return the part on changes in force."""
+    """Return the section about changes in force."""
     if raw is None:
         return ["", "No figures of `bench control` yet."]
     lines = ["", "## Changes in force", ""]
@@ -291,7 +289,7 @@
 
 
 def rollout_lines(raw: dict | None) -> list[str]:
-    """Return the part on rollouts."""
+    """Return the section about rollouts."""
     if raw is None:
         return ["", "No figures of `bench rollout` yet."]
     lines = [
@@ -323,7 +321,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Run the bench."""
+    """Run the benchmark."""
     parser = argparse.ArgumentParser(prog="bench capacity")
     parser.add_argument("--page-only", action="store_true")
     options = parser.parse_args(arguments)
--- a/bench/control.py
+++ b/bench/control.py
@@ -1,4 +1,7 @@
-"""How soon a change is in force everywhere, and what control costs each node, at several sizes."""
+"""Benchmark of the control plane at several fleet sizes.
+
+Measures how soon a change is in force on all VMs, and the cost of an idle fleet for each node.
+"""
 
 import argparse
 import pathlib
@@ -17,14 +20,14 @@
 
 
 class Watch:
-    """Notes when each agent and entry logs that it adopted a generation."""
+    """Times at which agents and entries adopted each generation, by their logs."""
 
     def __init__(self, fleet: fleets.Fleet) -> None:
         self.fleet = fleet
         self.seen: dict[int, dict[str, float]] = {}
 
     def read(self) -> None:
-        """Read all logs; times are the processes' own wall clocks on one machine."""
+        """Read all logs; the timestamps are comparable, since all run on one machine."""
         for vm in self.fleet.agents() + self.fleet.entries():
             for event in vm.process.events("directive_adopted"):
                 at = processes.seconds_of(event["at"])
@@ -32,7 +35,7 @@
 
 
 def shape_of(entries: int, agents: int) -> fleets.Shape:
-    """Return a fleet of three zones with so many entries and agents a zone, behind latency."""
+    """Return the options of a fleet with three zones, with entries and agents per zone."""
     return fleets.Shape(
         entries_per_zone=entries,
         engines_per_zone=0,
@@ -43,7 +46,7 @@
 
 
 def start(folder: pathlib.Path, entries: int, agents: int) -> fleets.Fleet:
-    """Start a fleet and put a first bundle in force."""
+    """Start a fleet and roll out a first bundle."""
     fleet = fleets.Fleet(folder, shape_of(entries, agents))
     fleet.start()
     try:
@@ -55,12 +58,12 @@
 
 
 def bundle(version: int) -> dict:
-    """Return a bundle of the size of today's."""
+    """Return a small bundle."""
     return fleets.simple_bundle(version, {"hint": ("a" * 64, 100)})
 
 
 def in_force_times(fleet: fleets.Fleet, changes: int) -> list[float]:
-    """Make changes and return for each how long the last VM took to enforce it."""
+    """Make changes; return for each how long it took to be in force on all VMs."""
     ana = operators.Operator(fleet)
     asked: dict[int, float] = {}
     for _ in range(changes):
@@ -74,7 +77,7 @@
 
 
 def worst_of(watch: Watch, generation: int, asked_at: float) -> float:
-    """Return when the last VM enforced `generation` or a later one, in seconds after the asking."""
+    """Return how long the last VM took to adopt `generation` or a later one, in seconds."""
     worst = 0.0
     for vm in watch.fleet.agents() + watch.fleet.entries():
         times = [
@@ -85,7 +88,7 @@
 
 
 def wait_everywhere(fleet: fleets.Fleet, generation: int) -> None:
-    """Wait until every agent reports a generation."""
+    """Wait until every agent reports `generation` or a later one."""
     processes.wait_for(
         f"generation {generation} everywhere",
         lambda: (agents := fleet.status().get("agents"))
@@ -96,7 +99,7 @@
 
 
 def through_trouble(fleet: fleets.Fleet, trouble: str) -> float:
-    """Disturb the leader, ask for a change at once, and return when it is in force everywhere."""
+    """Kill or suspend the leader, make a change, and return how long it took to be in force."""
     ana = operators.Operator(fleet)
     leader = fleet.leader()
     assert leader is not None
@@ -120,7 +123,7 @@
 
 
 def node_costs(fleet: fleets.Fleet) -> dict[str, dict[str, float]]:
-    """Return what control costs each role while nothing happens: core share, memory, messages."""
+    """Return the CPU share, memory and message traffic of each role in an idle fleet."""
     groups = {"control": fleet.controls(), "entry": fleet.entries(), "agent": fleet.agents()}
     before = {
         vm.name: measure.cost_of(vm.process.handle.pid) for vms in groups.values() for vm in vms
@@ -146,7 +149,7 @@
 
 
 def bus_bytes(fleet: fleets.Fleet, vm: fleets.Vm) -> float:
-    """Return the bytes of messages that a daemon has sent and received, by its own metric."""
+    """Return the bytes of messages that a daemon sent and received, from its metrics."""
     text = fleet.http.request("GET", f"http://{vm.http}/metrics").body.decode()
     return sum(
         float(line.split()[1])
@@ -156,7 +159,7 @@
 
 
 def changes_per_s(fleet: fleets.Fleet, threads: int, seconds: float) -> float:
-    """Return how many claims a second the leader commits with a sync, from many callers at once."""
+    """Return the rate at which the leader commits claims, with fsync, from concurrent callers."""
     leader = fleet.leader()
     assert leader is not None
     mesh = messages.make_codec([codec.parse_key(fleet.mesh_key)])
@@ -183,7 +186,7 @@
 
 
 def recovery(folder: pathlib.Path, changes: int) -> dict[str, float]:
-    """Make changes, restart every control VM, and return how long until one leads again."""
+    """Make changes, kill and restart all control VMs, and measure the time to a new leader."""
     shape = fleets.Shape(zones=("zone-a",), regions=("region-1",), engines_per_zone=0, services=0)
     with fleets.Fleet(folder, shape) as fleet:
         fleet.start()
@@ -215,7 +218,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Run the bench."""
+    """Run the benchmark."""
     parser = argparse.ArgumentParser(prog="bench control")
     parser.add_argument("--changes", type=int, default=100)
     parser.add_argument("--sizes", default="2x4,3x8,4x16", help="entries x agents in each zone")
--- a/bench/permits.py
+++ b/bench/permits.py
@@ -1,8 +1,8 @@
-"""What permits for limited back ends cost: `python -m bench permits --entries N --backends M`.
+"""Benchmark of permits for rate-limited back ends.
 
-The account, the encoding and the leader's answer are the product's; datagrams are not sent. Told as
-JSON: microseconds of processor time a question takes at the leader (decode, decide, encode) and at
-the entry, bytes of both ways, memory of the leader's account.
+`python -m bench permits --entries N --backends M`. Runs the permit server and the codec without
+sending datagrams. Reports the CPU time of a query in microseconds at the leader (decode, grant,
+encode) and at the entry, the bytes of query and reply, and the leader's memory.
 """
 
 import argparse
@@ -18,12 +18,12 @@
 from merlinthread.protocol import node_messages
 
 QUESTIONS = 5000
-# Heads of UDP and IP, in bytes.
+# Size of UDP and IP headers.
 HEADS = 28
 
 
 class Leader:
-    """A member of the log that leads."""
+    """A log member that is the leader."""
 
     address = "10.0.0.1:7700"
 
@@ -34,7 +34,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Cost:
-    """What one question costs."""
+    """Cost of one query."""
 
     entries: int
     backends: int
@@ -47,7 +47,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Spent:
-    """What all questions took together: processor time in seconds, bytes on the wire."""
+    """Total cost of all queries: CPU time in seconds, bytes on the wire."""
 
     leader_s: float = 0.0
     entry_s: float = 0.0
@@ -56,7 +56,7 @@
 
 
 def ask_all(entries: int, backends: int, named: int, rng: random.Random) -> Spent:
-    """Ask for permits by lot; `named` is how many back ends a question names."""
+    """Send random permit queries; each contains the limits of `named` back ends."""
     codec = codecs.Codec([node_messages.MESSAGES], [])
     times = [0.0]
     office = permit_server.PermitServer(Leader(), lambda: times[0])  # type: ignore[arg-type]
@@ -83,7 +83,10 @@
 
 
 def measure(entries: int, backends: int, named: int, seed: int = 1) -> Cost:
-    """Ask twice: tracing of memory would be most of the processor time."""
+    """Return the cost of a query.
+
+    Memory is measured in a second run, since tracing it would dominate the CPU time.
+    """
     spent = ask_all(entries, backends, named, random.Random(seed))
     tracemalloc.start()
     ask_all(entries, backends, named, random.Random(seed))
@@ -105,8 +108,8 @@
     """Run the command."""
     parser = argparse.ArgumentParser(prog="bench permits", description=__doc__)
     parser.add_argument("--entries", type=int, default=330)
-    parser.add_argument("--backends", type=int, default=150, help="back ends that name limits")
-    parser.add_argument("--named", type=int, default=1, help="back ends that a question names")
+    parser.add_argument("--backends", type=int, default=150, help="number of limited back ends")
+    parser.add_argument("--named", type=int, default=1, help="back ends in a query")
     options = parser.parse_args(arguments)
     print(json.dumps(dataclasses.asdict(measure(options.entries, options.backends, options.named))))
     return 0
--- a/bench/rollout.py
+++ b/bench/rollout.py
@@ -1,9 +1,8 @@
-"""Time to N replicas and origin bytes, for each fetch policy, against the links' bound.
+"""Benchmark of fetch policies: time to N replicas and bytes read from the origin.
 
-Links as the brief says: in the window T the origin carries 4 copies and a VM's link 2 each way.
-With S a version's size, Ro and Rv the rates: bound = max(S/Ro, S/Rv, N*S/(Ro + N*Rv)). The agents
-are the product's own code, several in one process, each behind its own paced link; the load time of
-engines is left out (0) on both sides.
+Times are compared with the lower bound max(S/Ro, S/Rv, N*S/(Ro + N*Rv)), where S is the size of a
+version, Ro the rate of the origin and Rv that of a VM's link. The agents run the product's code,
+several in one process, each with a paced link of its own. The load time of engines is excluded.
 """
 
 import argparse
@@ -25,7 +24,7 @@
 
 
 class Swarm:
-    """Workers with agents, and the origin."""
+    """The origin and the worker processes with the agents."""
 
     def __init__(self, folder: pathlib.Path, count: int, options: argparse.Namespace) -> None:
         self.fleet = fleets.Fleet(folder)
@@ -50,14 +49,14 @@
         ]
 
     def order(self, handle: subprocess.Popen, order: dict) -> dict:
-        """Give one worker an order and return its answer."""
+        """Send a command to a worker and return its reply."""
         assert handle.stdin is not None and handle.stdout is not None
         handle.stdin.write(json.dumps(order) + "\n")
         handle.stdin.flush()
         return json.loads(handle.stdout.readline())
 
     def order_all(self, order: dict) -> list[dict]:
-        """Give all workers an order and return their answers."""
+        """Send a command to all workers and return their replies."""
         return [self.order(handle, order) for handle in self.handles]
 
     def start(self, policy: str, corrupt_share: float) -> None:
@@ -70,7 +69,7 @@
             self.order(handle, {"do": "start", "agents": configs})
 
     def settings_of(self, peer: tuple, policy: str) -> dict:
-        """Return an agent's settings."""
+        """Return the settings of an agent."""
         name, zone, region, address = peer
         return {
             "name": name,
@@ -92,7 +91,7 @@
         }
 
     def wait(self, manifest: str, started: float, faults: "Faults") -> dict:
-        """Wait until every live agent is complete or the limit is passed."""
+        """Wait until every live agent is complete, up to a limit, and return the results."""
         bound = self.bound()
         live = set(self.names)
         while True:
@@ -119,11 +118,11 @@
             time.sleep(POLL_S)
 
     def want(self, manifest: str, peers: list[tuple], cut: str = "") -> None:
-        """Let all agents fetch, with whom they reach."""
+        """Let all agents fetch a manifest from the reachable peers."""
         self.order_all({"do": "want", "manifest": manifest, "peers": peers, "cut": cut})
 
     def bound(self) -> float:
-        """Return the least time that the links allow, in seconds."""
+        """Return the lower bound of the time to N replicas, in seconds."""
         count = len(self.names)
         origin, link = 2 * self.rate, self.rate
         return max(
@@ -131,7 +130,7 @@
         )
 
     def close(self) -> None:
-        """End everything that was started."""
+        """Stop all processes."""
         for handle in self.handles:
             assert handle.stdin is not None
             handle.stdin.close()
@@ -145,7 +144,7 @@
 
 
 class Faults:
-    """What goes wrong during a run, by the share of the bound that has passed."""
+    """Faults injected during a run, timed as shares of the bound."""
 
     def __init__(self, is_on: bool) -> None:
         self.is_on = is_on
@@ -154,7 +153,7 @@
         self.was_cut = False
 
     def act(self, swarm: Swarm, manifest: str, share: float, live: set[str]) -> None:
-        """Kill a tenth at 0.4; cut a zone from 0.3 to 0.63."""
+        """Kill a tenth of the agents at 0.4, and partition a zone from 0.3 to 0.63."""
         if not self.is_on:
             return
         if share >= 0.4 and not self.killed:
@@ -172,7 +171,7 @@
 def run(
     folder: pathlib.Path, count: int, policy: str, with_faults: bool, options: argparse.Namespace
 ) -> dict:
-    """Run one rollout and return its figures."""
+    """Run one rollout and return its results."""
     swarm = Swarm(folder, count, options)
     try:
         manifest = swarm.fleet.publish("model-1", swarm.size, options.chunk_bytes)
@@ -205,7 +204,7 @@
 
 
 def plot(path: str, rows: list[dict]) -> None:
-    """Write a picture of replicas over time."""
+    """Write a plot of the number of replicas over time."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -224,7 +223,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Run the bench."""
+    """Run the benchmark."""
     parser = argparse.ArgumentParser(prog="bench rollout")
     parser.add_argument("--sizes", default="25,50,100")
     parser.add_argument("--policies", default="spread,tree,origin_only")
--- a/bench/swarm.py
+++ b/bench/swarm.py
@@ -1,8 +1,8 @@
-"""A worker of the rollout bench: many agents' weights in one process, without engines or HTTP.
+"""Worker process of the rollout benchmark: the weight managers of many agents.
 
-Reads its orders as JSON lines from standard input and answers on standard output. The agents are
-the product's own `Weights`, chunk store and bus; only heartbeats are replaced by the bench, which
-tells each agent its peers.
+Reads commands as JSON lines from standard input and replies on standard output. The agents use the
+product's `WeightManager`, chunk store and bus, but no engines or HTTP. They send no heartbeats: the
+benchmark passes each agent its peers.
 """
 
 import collections
@@ -25,12 +25,12 @@
 
 
 class CorruptingGiver(chunk_server.ChunkServer):
-    """A giver whose chunks are damaged now and then."""
+    """A chunk server that corrupts a random share of its chunks."""
 
     corrupt_share = 0.0
 
     def handle(self, message: object) -> object:
-        """Answer another agent, sometimes with a damaged chunk."""
+        """Handle a message of another agent, and corrupt the reply by chance."""
         answer = super().handle(message)
         if isinstance(answer, messages.ChunkReply) and answer.data:
             if random.random() < self.corrupt_share:
@@ -39,7 +39,7 @@
 
 
 class SwarmAgent:
-    """One agent of the swarm."""
+    """An agent: its weight manager and chunk server."""
 
     def __init__(self, config: dict) -> None:
         checked = settings.parse(json.dumps(config["settings"]), "bench")
@@ -64,7 +64,7 @@
         self.is_dead = False
 
     def kill(self) -> None:
-        """Fall silent at once."""
+        """Stop responding and downloading at once."""
         self.is_dead = True
         self.responder.socket.close()
         with self.weights.lock:
@@ -72,7 +72,7 @@
 
 
 class Worker:
-    """Carries out the bench's orders."""
+    """Executes commands; `on_NAME` handles the command with `NAME` in its field `do`."""
 
     def __init__(self) -> None:
         self.agents: dict[str, SwarmAgent] = {}
@@ -84,7 +84,10 @@
         return {"started": len(self.agents)}
 
     def on_want(self, order: dict) -> dict:
-        """Begin to fetch, or change with whom; across a cut zone's border nobody is reached."""
+        """Start to fetch a manifest, or change the peers.
+
+        Peers across the border of the zone `cut` get an unreachable address.
+        """
         cut = order.get("cut", "")
         for agent in self.agents.values():
             if agent.is_dead:
@@ -108,7 +111,7 @@
         return {}
 
     def on_poll(self, order: dict) -> dict:
-        """Return when each agent was complete, on the machine's monotonic clock."""
+        """Return the monotonic times at which agents completed manifests, and resource usage."""
         for agent in self.agents.values():
             for digest in agent.weights.complete_manifests():
                 agent.done_at.setdefault(digest, time.monotonic())
@@ -120,7 +123,7 @@
         }
 
     def tally(self) -> dict[str, int]:
-        """Return what all fetches have cost so far, in chunks and questions."""
+        """Return the fetch statistics, summed over all agents and downloads."""
         total: collections.Counter[str] = collections.Counter()
         for agent in self.agents.values():
             for download in agent.weights.downloads.values():
@@ -129,7 +132,7 @@
         return dict(total)
 
     def run(self) -> None:
-        """Carry out orders until the input ends."""
+        """Execute commands until the end of input."""
         for line in sys.stdin:
             order = json.loads(line)
             answer = getattr(self, f"on_{order['do']}")(order)
--- a/bench/transfer.py
+++ b/bench/transfer.py
@@ -1,10 +1,8 @@
-"""A rollout of weights in simulated time: the planner of the agents over modelled links.
+"""Discrete-event simulation of the distribution of weights, for `python -m bench transfer`.
 
-Events on a heap, no sockets and no waiting: what `coordination.fetch_policies` decides is carried
-out on links that send small parts one after the other, those of several transfers in turn. The time
-at which each agent is whole is told as a multiple of the bound that the links set, beside how long
-a request's packet waits at an engine's link meanwhile. Used by `python -m bench transfer` and by
-tests.
+The agents' fetch policies run over modelled links, on which concurrent transfers share the link in
+small parts. Reports when agents complete, as a multiple of the lower bound that the links set, and
+how long packets of requests wait at the agents' links meanwhile.
 """
 
 import argparse
@@ -20,26 +18,26 @@
 from merlinthread.nodes import piece_fetcher, piece_server
 from merlinthread.transport import node_bus
 
-# The modules whose decorators fill `fetch.POLICIES`.
+# Imported for their decorators, which register the policies.
 POLICY_MODULES = (fetch_claimed, fetch_policies)
 STEP_S = piece_fetcher.POLL_INTERVAL_S
-# One way: within a zone, between regions (large site).
+# One-way delays by distance (fetch.SAME_ZONE to fetch.OTHER_REGION).
 DELAY_S = (0.0005, 0.0005, 0.001)
-# What a TCP connection sends at a time before another one has its turn.
+# How much a TCP connection sends before the next connection of the link sends.
 QUANTUM_BYTES = node_bus.SEND_CHUNK_BYTES
 LIMIT_S = 120.0
-# A question for a piece and an answer without one, with the heads of HTTP, TCP and IP.
+# A request for a piece and a reply without one, with HTTP, TCP and IP headers.
 ASK_BYTES = 400
 ANSWER_BYTES = 250
-# A packet of a request or of an answer's event comes to each link this often, on average, and is
-# this long: 4 requests a second with 14 events each (large site).
+# Mean interval and size of the packets of requests and events at each link: 4 requests per second
+# with 14 events each.
 PACKET_EVERY_S = 0.016
 PACKET_BYTES = 210
 
 
 @dataclasses.dataclass(slots=True)
 class Shape:
-    """What is to be moved and over which links; rates in bytes a second. Large site by default."""
+    """Size of the fleet and of the weights, and link rates in bytes per second."""
 
     agents: int = 60
     pieces: int = 96
@@ -47,17 +45,17 @@
     link_rate: float = 456_250.0
     origin_rate: float = 912_500.0
     zones: int = 5
-    # How many agents hold all pieces from the start: others have just joined.
+    # Number of agents that hold all pieces from the start.
     holders: int = 0
     seed: int = 1
     policy: str = "claimed"
-    # By when all should be whole, in seconds: agents that will not be are late.
+    # Deadline for all agents; those that are predicted to miss it are late.
     due_s: float = float("inf")
 
 
 @dataclasses.dataclass(slots=True)
 class Fault:
-    """What goes wrong, in seconds from the start; an agent's number, or -1 for none."""
+    """A fault; times are in seconds from the start, and -1 means no agent or zone."""
 
     origin_down_from: float = float("inf")
     origin_down_to: float = float("inf")
@@ -69,7 +67,7 @@
 
 
 class Link:
-    """A link that sends quanta one after the other; `waits` are those of requests' packets."""
+    """A FIFO link of a given rate; `waits` are the queueing delays of request packets."""
 
     def __init__(self, rate: float) -> None:
         self.rate = rate
@@ -77,18 +75,18 @@
         self.waits: list[float] = []
 
     def carry(self, size: int, now: float) -> float:
-        """Return when `size` bytes handed over now are through."""
+        """Queue `size` bytes; return when they are transmitted."""
         self.free_at = max(self.free_at, now) + size / self.rate
         return self.free_at
 
     def carry_packet(self, now: float) -> None:
-        """Carry a request's packet, and note how long it waited."""
+        """Queue a request packet and record its queueing delay."""
         self.waits.append(max(0.0, self.free_at - now))
         self.carry(PACKET_BYTES, now)
 
 
 class Agent:
-    """One agent: its plan, its links, and its paces, which reckon with the links as told."""
+    """An agent: its fetch plan, its links, and pacers for the nominal link rate."""
 
     def __init__(self, number: int, shape: Shape, rate: float) -> None:
         self.name = f"vm-{number:04d}"
@@ -124,7 +122,7 @@
 
 
 class Rollout:
-    """All agents, the origin, and what happens when."""
+    """A simulation: all agents, the origin, and the event queue."""
 
     def __init__(self, shape: Shape, fault: Fault, announces: bool = True) -> None:
         self.shape = shape
@@ -161,11 +159,11 @@
         return fetch.SAME_ZONE if one.zone == other.zone else fetch.OTHER_REGION
 
     def at(self, when: float, do: Callable[[], None]) -> None:
-        """Let something happen at a time."""
+        """Schedule an event."""
         heapq.heappush(self.events, (when, next(self.numbers), do))
 
     def run(self) -> "Rollout":
-        """Play until all agents are whole, or too long."""
+        """Run until all agents are complete, or LIMIT_S of simulated time have passed."""
         for agent in self.agents.values():
             if not agent.is_dead:
                 self.at(self.rng.uniform(0.0, STEP_S), lambda agent=agent: self.tick(agent))
@@ -178,11 +176,11 @@
         return self
 
     def is_over(self) -> bool:
-        """Return whether all agents are whole, but for the dead ones."""
+        """Return whether all live agents are complete."""
         return all(a.whole_at is not None or a.is_dead for a in self.agents.values())
 
     def request(self, agent: Agent) -> None:
-        """Let a request's packets pass both of an agent's links, again and again."""
+        """Queue request packets at both links of an agent, and schedule the next ones."""
         agent.link_in.carry_packet(self.now)
         agent.link_out.carry_packet(self.now)
         if not self.is_over():
@@ -190,7 +188,7 @@
             self.at(self.now + wait_s, lambda: self.request(agent))
 
     def tick(self, agent: Agent) -> None:
-        """Let an agent look for work, again and again."""
+        """Run the agent's periodic step and schedule the next one."""
         agent.rate.record(agent.plan.held.bit_count(), self.now)
         agent.plan.is_late = self.is_late(agent)
         self.work(agent)
@@ -198,14 +196,14 @@
             self.at(self.now + STEP_S, lambda: self.tick(agent))
 
     def is_late(self, agent: Agent) -> bool:
-        """Return whether an agent will not be whole in time at the rate seen so far."""
+        """Return whether an agent will miss the deadline at its recent rate."""
         if self.now < piece_fetcher.RATE_WARMUP_S:
             return False
         missing = self.shape.pieces - agent.plan.held.bit_count()
         return self.now + missing / max(agent.rate.per_s(), 1.0) > self.shape.due_s
 
     def work(self, agent: Agent) -> None:
-        """Begin what the plan says, as long as the pace allows."""
+        """Start actions of the agent's plan as far as its window and pacer allow."""
         plan = agent.plan
         while agent.window.has_room(plan.open_requests.total() + plan.origin_reads):
             if agent.incoming.wait_s(self.now):
@@ -223,7 +221,7 @@
                 self.ask(agent, action)
 
     def end(self, agent: Agent, action: fetch.Action, index: int) -> None:
-        """Close an action that brought the piece `index`, or none (-1)."""
+        """Finish an action that fetched the piece `index`, or failed if it is -1."""
         plan = agent.plan
         plan.on_action_finished(action)
         took_s = self.now - agent.began.pop(id(action))
@@ -240,7 +238,7 @@
         self.work(agent)
 
     def announce(self, agent: Agent, action: fetch.Action, index: int) -> None:
-        """Tell those whom it concerns of a piece."""
+        """Announce a fetched piece to the recipients that the plan selects."""
         if not self.announces:
             return
         for name in agent.plan.announcement_recipients(action):
@@ -250,22 +248,22 @@
             self.at(when, lambda other=other: other.plan.on_announcement(agent.name, index))
 
     def claim(self, agent: Agent, action: fetch.OriginRead) -> None:
-        """Tell other readers which piece is being read."""
+        """Send the claim of a piece to other readers of the origin."""
         for name in agent.plan.claim_recipients():
             other = self.agents[name]
             when = self.now + DELAY_S[self.distance(agent, other)]
             self.at(when, lambda other=other: other.plan.on_claim(action.index, self.now))
 
     def is_cut(self, zone: int) -> bool:
-        """Return whether a zone can't be reached from the others now."""
+        """Return whether a zone is partitioned now."""
         return zone == self.fault.cut_zone and self.now < self.fault.cut_to
 
     def are_apart(self, one: int, other: int) -> bool:
-        """Return whether two zones can't reach each other now."""
+        """Return whether a partition separates two zones now."""
         return one != other and (self.is_cut(one) or self.is_cut(other))
 
     def read_origin(self, agent: Agent, action: fetch.OriginRead) -> None:
-        """Read a piece from the origin, which stands in zone 0."""
+        """Read a piece from the origin, which is in zone 0."""
         delay = DELAY_S[0 if agent.zone == 0 else 2]
         is_down = self.fault.origin_down_from <= self.now < self.fault.origin_down_to
         if is_down or self.are_apart(agent.zone, 0):
@@ -281,7 +279,7 @@
         )
 
     def refused(self, agent: Agent, action: fetch.OriginRead) -> None:
-        """Note that the origin gave nothing."""
+        """Handle a failed read from the origin."""
         agent.plan.on_origin_failed(self.now, piece_fetcher.ORIGIN_RETRY_DELAY_S, action.index)
         self.end(agent, action, -1)
 
@@ -294,7 +292,10 @@
         gap_s: float,
         done: Callable[[], None],
     ) -> None:
-        """Send the next part of a piece; each leaves `gap_s` after the one before, or after it."""
+        """Send the next part of a piece, and schedule the one after it.
+
+        Parts are spaced by `gap_s`; if it is 0, each part follows when the previous one is sent.
+        """
         size = min(QUANTUM_BYTES, self.shape.piece_bytes - sent)
         through = link.carry(size, self.now)
         left = sent + size
@@ -302,12 +303,12 @@
             self.at(through + delay, lambda: self.at(agent.link_in.carry(size, self.now), done))
             return
         self.at(through + delay, lambda: agent.link_in.carry(size, self.now) and None)
-        # A window of TCP holds a whole piece: its sender does not notice that its link is slow.
+        # A TCP window holds a whole piece, so the pacing does not depend on the link.
         when = self.now + gap_s if gap_s else through
         self.at(when, lambda: self.send(link, agent, delay, left, gap_s, done))
 
     def ask(self, agent: Agent, action: fetch.PeerRequest) -> None:
-        """Ask a peer for a piece."""
+        """Request a piece from a peer."""
         peer = self.agents[action.peer]
         delay = DELAY_S[self.distance(agent, peer)]
         if peer.is_dead or self.are_apart(agent.zone, peer.zone):
@@ -319,14 +320,14 @@
         self.at(left + delay, lambda: self.give(agent, peer, action, held, delay))
 
     def failed(self, agent: Agent, action: fetch.PeerRequest) -> None:
-        """Note that a peer did not answer."""
+        """Handle a request to a peer that failed."""
         agent.plan.on_peer_failed(action.peer, self.now)
         self.end(agent, action, -1)
 
     def give(
         self, agent: Agent, peer: Agent, action: fetch.PeerRequest, held: int, delay: float
     ) -> None:
-        """Let a peer answer."""
+        """Handle a request at the peer: send a piece, or reply that it is busy or has none."""
         peer.plan.on_peer_report(agent.name, held, self.now)
         if agent.took_s.get(peer.name):
             peer.outgoing.record(agent.name, agent.took_s.pop(peer.name))
@@ -349,7 +350,7 @@
         self.at(start, lambda: self.send(peer.link_out, agent, delay, 0, gap_s, done))
 
     def nothing(self, agent: Agent, action: fetch.PeerRequest, told: int, free_in_s: float) -> None:
-        """Note that a peer is busy for so long, or (0) has nothing of what was asked."""
+        """Handle a reply without a piece: the peer is busy for `free_in_s`, or if 0 has none."""
         self.counts["in vain"] += 1
         agent.plan.on_peer_report(action.peer, told, self.now)
         if free_in_s:
@@ -359,14 +360,14 @@
         self.end(agent, action, -1)
 
     def bound_s(self) -> float:
-        """Return the least time that the links allow without a fault."""
+        """Return the lower bound of the time that the links allow without faults."""
         shape = self.shape
         size = shape.pieces * shape.piece_bytes
         together = shape.origin_rate + (shape.agents - 1) * shape.link_rate
         return max(size / shape.origin_rate, size / shape.link_rate, shape.agents * size / together)
 
     def figures(self) -> dict[str, float]:
-        """Return when agents were whole against the bound, copies, and the waits of requests."""
+        """Return completion times relative to the bound, copies sent, and queueing delays."""
         whole = [a.whole_at for a in self.agents.values() if a.whole_at and not a.is_dead]
         times = sorted(whole) + [LIMIT_S] * (not self.is_over())
         waits = sorted(
@@ -401,15 +402,15 @@
 
 
 def main(argv: list[str]) -> None:
-    """Print the figures of rollouts of several sizes under each fault; the last line is JSON."""
+    """Simulate fleets of several sizes under each fault; the last line of output is JSON."""
     parser = argparse.ArgumentParser(prog="bench transfer", description=__doc__)
     parser.add_argument("--agents", type=int, nargs="*", default=[10, 60, 102])
     parser.add_argument("--seeds", type=int, default=1)
-    parser.add_argument("--fault", choices=sorted(FAULTS), help="only this one")
+    parser.add_argument("--fault", choices=sorted(FAULTS), help="only this fault")
     parser.add_argument("--policy", choices=["claimed", "zoned"], default="claimed")
-    parser.add_argument("--origin-mbps", type=float, default=7.3, help="the origin's link")
+    parser.add_argument("--origin-mbps", type=float, default=7.3, help="rate of the origin's link")
     parser.add_argument("--zones", type=int, default=5)
-    parser.add_argument("--due", type=float, default=float("inf"), help="seconds until all are due")
+    parser.add_argument("--due", type=float, default=float("inf"), help="deadline in seconds")
     options = parser.parse_args(argv)
     worst = 0.0
     for count in options.agents:
