--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Benches, the demo, and the harness that starts real processes."""
+"""Benchmarks, the demo, and the harness that starts their processes."""
--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m bench NAME`: run one bench; its last line of output is one JSON object."""
+"""`python -m bench NAME`: run a benchmark, whose last line of output is one JSON object."""
 
 import importlib
 import pkgutil
@@ -27,16 +27,16 @@
 
 
 def names() -> list[str]:
-    """Return the benches there are."""
+    """Return the names of all benchmarks."""
     return sorted(m.name for m in pkgutil.iter_modules(bench.__path__) if m.name not in HELPERS)
 
 
 def main() -> int:
-    """Run the bench that the first argument names."""
+    """Run the benchmark named by the first argument."""
     if len(sys.argv) < 2 or sys.argv[1] not in names():
         print(f"usage: python -m bench NAME, with NAME one of {', '.join(names())}")
         return 2
-    # So that context managers end what they started.
+    # Exit by an exception, so that context managers stop the processes that they started.
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(143))
     module = importlib.import_module(f"bench.{sys.argv[1]}")
     return module.main(sys.argv[2:])
--- a/bench/demo.py
+++ b/bench/demo.py
@@ -1,4 +1,4 @@
-"""The demo: a whole fleet on loopback, two bundles rolled, one rolled back, requests throughout."""
+"""Demo: a fleet on loopback rolls out two bundles and rolls back, while it serves requests."""
 
 import pathlib
 import subprocess
@@ -20,7 +20,7 @@
 
 
 class Tally:
-    """Counts of what callers saw."""
+    """Counts of outcomes as seen by clients."""
 
     def __init__(self) -> None:
         self.answered = 0
@@ -40,12 +40,12 @@
         self.rows: list[tuple[str, str]] = []
 
     def say(self, step: str) -> None:
-        """Begin a step."""
+        """Start a step and print its title."""
         self.step = step
         print(f"== {step}", flush=True)
 
     def run(self) -> None:
-        """Run all steps; raise on the first that fails."""
+        """Run all steps; raise an exception at the first that fails."""
         started = time.monotonic()
         self.say("start: 3 availability zones, 3 control VMs, entries, agents, stand-ins")
         key = self.make_keys()
@@ -74,14 +74,14 @@
         self.report(started)
 
     def make_keys(self) -> pathlib.Path:
-        """Make the operator's key with the command line."""
+        """Generate the operator's key pair with the command line."""
         path = self.fleet.folder / "keys" / "ana.key"
         made = self.fleet.operate("keys", "new", "--out", str(path))
         self.fleet.operators["ana"] = made["public_key"]
         return path
 
     def bundle(self, version: int, hint: str, digests: dict[str, str]) -> dict:
-        """Return a bundle with two models and an adapter."""
+        """Return a bundle with two models, one of them with an adapter."""
         bundle = fleets.simple_bundle(
             version, {"hint": (hint, 50), "assistant": (digests["assistant-1"], 50)}
         )
@@ -91,14 +91,14 @@
         return bundle
 
     def live(self, *arguments: str) -> None:
-        """Run a command and let its output be seen; raise RuntimeError if it fails."""
+        """Run a command and show its output; raise RuntimeError if it fails."""
         print("$ merlinthread " + " ".join(arguments), flush=True)
         done = self.fleet.command(*arguments, is_shown=True)
         if done.returncode:
             raise RuntimeError(f"merlinthread {' '.join(arguments)} ended with {done.returncode}")
 
     def roll(self, bundle: dict, key: pathlib.Path) -> None:
-        """Bring a bundle in force, step by step, with the command line."""
+        """Check, propose, sign and roll a bundle with the command line."""
         path = str(self.fleet.write_bundle(bundle))
         version = str(bundle["version"])
         self.live("bundle", "check", path)
@@ -107,7 +107,7 @@
         self.live("bundle", "roll", version, "-o", "ana", "--wait")
 
     def note_replicas(self, when: str, digests: dict[str, str]) -> None:
-        """Note how many replicas of each version serve."""
+        """Record the number of replicas of each version; raise RuntimeError if a model has none."""
         names = {digest: name for name, digest in digests.items()}
         for model in ("hint", "assistant", "crosswords"):
             counts = self.fleet.serving(model)
@@ -123,7 +123,7 @@
         self.fleet.processes[name].kill()
 
     def ask_everywhere(self, rounds: int) -> None:
-        """Ask every entry for streamed and whole answers and for plain calls."""
+        """Send streamed and plain completion requests and service calls to every entry."""
         for number in range(rounds):
             for vm in self.fleet.entries():
                 account = ACCOUNTS[number % len(ACCOUNTS)]
@@ -132,7 +132,7 @@
                 self.draft(vm.http, account)
 
     def ask(self, address: str, account: str, model: str, adapter: str, is_streamed: bool) -> None:
-        """Ask for a completion and check that the answer is whole and its own."""
+        """Request a completion and check that the response is complete and belongs to it."""
         prompt = f"explain clue {uuid.uuid4().hex}"
         body = msgspec.json.encode(
             {
@@ -157,12 +157,12 @@
             return
         text, digest = read_stream(data) if is_streamed else read_whole(data)
         if text != engine.completion_text(digest, prompt, 8):
-            self.lose(f"{model}: the answer is not whole: {text!r}")
+            self.lose(f"{model}: incomplete or wrong response: {text!r}")
             return
         self.tally.answered += 1
 
     def draft(self, address: str, account: str) -> None:
-        """Draft a ticket, which must not be repeated, twice under one key."""
+        """Send a non-repeatable call twice with one idempotency key; it must run once."""
         body = msgspec.json.encode({"lamp": uuid.uuid4().hex})
         headers = self.headers(account) | {"Idempotency-Key": str(new_key())}
         url = f"http://{address}/v1/services/tickets/draft"
@@ -179,21 +179,21 @@
                 return
             tickets.append(msgspec.json.decode(reply.body)["ticket"])
         if tickets[0] != tickets[1]:
-            self.lose(f"one key, two tickets: {tickets}")
+            self.lose(f"two tickets for one idempotency key: {tickets}")
             return
         self.tally.answered += 1
 
     def headers(self, account: str) -> dict[str, str]:
-        """Return a caller's headers."""
+        """Return the headers of a client's request."""
         return {"X-Account": account, "Content-Type": "application/json"}
 
     def lose(self, reason: str) -> None:
-        """Count a lost or wrong answer."""
+        """Count and print a lost or wrong response."""
         self.tally.lost += 1
         print(f"lost: {reason}", flush=True)
 
     def report(self, started: float) -> None:
-        """Print the table; raise RuntimeError if an answer was lost."""
+        """Print the results; raise RuntimeError if a request was lost or refused."""
         self.say("report")
         stats = self.fleet.get(self.fleet.origin_url, "/stats")
         for name, sent in sorted(stats["by_object"].items()):
@@ -212,7 +212,7 @@
 
 
 def new_key() -> uuid.UUID:
-    """Return a new UUIDv7 (RFC 9562): 48 bits of milliseconds, the rest random."""
+    """Return a new UUIDv7 (RFC 9562) with a timestamp in milliseconds."""
     milliseconds = int(time.time() * 1000) & ((1 << 48) - 1)
     rest = uuid.uuid4().int & ((1 << 80) - 1)
     value = (milliseconds << 80) | rest
@@ -221,7 +221,7 @@
 
 
 def read_stream(data: bytes) -> tuple[str, str]:
-    """Return text and digest of a streamed answer; the digest is empty if it has no end."""
+    """Return text and digest of a streamed response; the digest is empty if it has no end."""
     texts, digest = [], ""
     for event in events.decode(data.split(b"\n")):
         if event.kind == events.TOKEN:
@@ -232,20 +232,20 @@
 
 
 def read_whole(data: bytes) -> tuple[str, str]:
-    """Return text and digest of a whole answer."""
+    """Return the text and digest of a response that is not streamed."""
     answer = msgspec.json.decode(data)
     return answer["text"], answer["digest"]
 
 
 def main(arguments: list[str]) -> int:
-    """Run the demo in a new folder; say which step failed and where its logs are."""
+    """Run the demo in a new folder; if a step fails, print it and where the logs are."""
     folder = pathlib.Path(tempfile.mkdtemp(prefix="merlinthread-demo-"))
     with fleets.Fleet(folder) as fleet:
         demo = Demo(fleet)
         try:
             demo.run()
         except KeyboardInterrupt:
-            print(f"stopped during: {demo.step}")
+            print(f"interrupted in step {demo.step!r}")
             return 130
         except (RuntimeError, TimeoutError, subprocess.TimeoutExpired) as error:
             print(f"demo failed in step {demo.step!r}: {error}")
--- a/bench/layers.py
+++ b/bench/layers.py
@@ -1,4 +1,4 @@
-"""Check that imports between the layers go downwards only, and that deciders have one clock."""
+"""Check that layers import only lower layers, and that modules with timeouts use one clock."""
 
 import ast
 import pathlib
@@ -6,16 +6,16 @@
 
 PACKAGE = "merlinthread"
 LAYERS = ("transport", "protocol", "coordination", "state")
-# Modules at the root that every layer may import; all others stand above the layers.
+# Modules at the root that every layer may import; all others are above the layers.
 FOUNDATION = ("errors", "registry", "logs", "metrics", "clocks")
-# Pure layers write no logs and keep no metrics.
+# Pure layers neither log nor record metrics.
 PURE = ("coordination", "state", "protocol")
-# What compares ages and deadlines: it is given the time, and never asks another clock for it.
+# Packages that compare ages and deadlines; they get the time as an argument or from clocks.now.
 ONE_CLOCK = ("coordination", "state", "protocol", "nodes", "platform")
 
 
 def imported(path: pathlib.Path) -> list[str]:
-    """Return the parts of this package that a module imports, as "layer" or "module"."""
+    """Return the layers and root modules of this package that a module imports."""
     found = []
     for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
         if isinstance(node, ast.ImportFrom) and (node.module or "").startswith(PACKAGE):
@@ -28,7 +28,7 @@
 
 
 def problems_of(path: pathlib.Path, layer: str) -> list[str]:
-    """Return the imports of a layer's module that do not go downwards."""
+    """Return the forbidden imports of a layer's module."""
     allowed = set(LAYERS[LAYERS.index(layer) :]) | set(FOUNDATION)
     if layer in PURE:
         allowed -= {"logs", "metrics", "clocks"}
@@ -40,7 +40,7 @@
 
 
 def clock_problems(path: pathlib.Path) -> list[str]:
-    """Return where a module imports the standard library's clocks."""
+    """Return the imports of the standard library's `time` in a module."""
     found = []
     for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
         names = [alias.name for alias in node.names] if isinstance(node, ast.Import) else []
@@ -52,7 +52,7 @@
 
 
 def find_problems(root: pathlib.Path) -> list[str]:
-    """Return all imports below `root` that do not go downwards, and all other clocks."""
+    """Return all forbidden imports below `root`."""
     found = []
     for folder in ONE_CLOCK:
         for path in sorted((root / folder).rglob("*.py")):
--- a/bench/pages.py
+++ b/bench/pages.py
@@ -1,4 +1,4 @@
-"""Write the pages that follow from the code: docs/CONFIG.md and docs/CLI.md."""
+"""Generate the reference pages docs/CONFIG.md and docs/CLI.md from the code."""
 
 import pathlib
 import types
@@ -25,7 +25,7 @@
 
 
 def config_page() -> str:
-    """Return the page on settings."""
+    """Return the page about settings."""
     lines = [
         "# Settings",
         "",
@@ -50,7 +50,7 @@
 
 
 def type_name(annotation: typing.Any) -> str:
-    """Return a type as readers of the page know it."""
+    """Return the description of a type on the page."""
     origin = typing.get_origin(annotation)
     if origin is typing.Annotated:
         return type_name(typing.get_args(annotation)[0])
@@ -69,7 +69,7 @@
 
 
 def default_of(field: pydantic.fields.FieldInfo) -> str:
-    """Return a default as the page shows it."""
+    """Return the description of a field's default on the page."""
     if field.is_required():
         return "required"
     if isinstance(field.default, pydantic.BaseModel):
@@ -78,7 +78,7 @@
 
 
 def cli_page() -> str:
-    """Return the page on the command line."""
+    """Return the page about the command line."""
     lines = [
         "# The command line",
         "",
--- a/bench/requests.py
+++ b/bench/requests.py
@@ -1,4 +1,4 @@
-"""Requests: overhead, latency under open load, shares under a burst, counts under faults."""
+"""Benchmark of requests: overhead, latency under open-loop load, fair shares, faults."""
 
 import argparse
 import concurrent.futures
@@ -43,7 +43,7 @@
 
 
 class Outcomes:
-    """Counts of what callers saw; safe to use from several threads."""
+    """Counts of outcomes and latencies as seen by clients; thread-safe."""
 
     def __init__(self) -> None:
         self.lock = threading.Lock()
@@ -58,7 +58,7 @@
             self.counts[name] = self.counts.get(name, 0) + 1
 
     def note(self, target: HdrHistogram, seconds: float) -> None:
-        """Note a time."""
+        """Record a duration."""
         with self.lock:
             target.record_value(max(1, int(seconds * 1e6)))
 
@@ -66,7 +66,7 @@
 def ask(
     url: str, account: str, tokens: int, due: float, outcomes: Outcomes, deadline_ms: int
 ) -> None:
-    """Ask once; times count from `due`, so that waiting to be sent counts too."""
+    """Request a completion; latencies count from `due`, so they include the delay of sending."""
     prompt = f"clue {uuid.uuid4().hex}"
     headers = BODY_HEADERS | {"X-Account": account, "X-Deadline-Ms": str(deadline_ms)}
     texts: list[str] = []
@@ -106,7 +106,7 @@
 def open_loop(
     urls: list[str], rate: float, seconds: float, tokens: int, accounts: list[str], deadline_ms: int
 ) -> Outcomes:
-    """Send requests at a fixed rate, whatever comes back."""
+    """Send requests at a fixed rate, independently of responses."""
     outcomes = Outcomes()
     rng = random.Random(1)
     started = time.monotonic()
@@ -120,7 +120,7 @@
 
 
 def overhead(fleet: fleets.Fleet, rounds: int) -> dict[str, float]:
-    """Return what the way through entry and agent adds to a call of a plain service."""
+    """Measure the latency of direct service calls, and the overhead of entry and agent."""
     direct, through = histogram(), histogram()
     service = fleet.target_urls["tickets-0"]
     agent = fleet.vms["tickets-0"]
@@ -147,10 +147,10 @@
 
 
 def shares(policy: str, seconds: float) -> dict[str, float]:
-    """Return each account's distance from its share of one engine under another's burst.
+    """Simulate one engine under a burst of one account; return the error of shares.
 
-    The queue decides in simulated time: an engine with 8 places makes 100 steps a second, one token
-    a step and place. Account a0 asks 10 times its share, the others a little more than theirs.
+    The engine has 8 slots and makes 100 steps a second, each one token per slot. Account a0 sends
+    10 times its share, the others a little more than theirs. Also returns the utilisation.
     """
     weights = {"a0": 1.0, "a1": 2.0, "a2": 3.0, "a3": 4.0}
     found = fair_queue.FairQueue(8, 1_000_000)
@@ -188,7 +188,7 @@
 
 
 class Chaos:
-    """Kills, freezes and restarts VMs one at a time until stopped."""
+    """Kills, suspends and restarts processes one at a time until `stopping` is set."""
 
     def __init__(self, fleet: fleets.Fleet) -> None:
         self.fleet = fleet
@@ -197,7 +197,7 @@
         self.thread = threading.Thread(target=self.run)
 
     def run(self) -> None:
-        """Disturb one VM after another; each is well again before the next."""
+        """Inject one fault after another; each process recovers before the next fault."""
         rng = random.Random(5)
         while not self.stopping.is_set():
             kind = rng.choice(
@@ -220,7 +220,7 @@
             self.stopping.wait(5.0)
 
     def victim(self, kind: str, rng: random.Random) -> str:
-        """Return whom to disturb."""
+        """Return the name of the process for a fault."""
         engines = [name for name in self.fleet.target_urls if name.startswith("engine")]
         if kind.endswith("control"):
             return rng.choice([vm.name for vm in self.fleet.controls()])
@@ -229,7 +229,7 @@
 
 
 def draft_many(fleet: fleets.Fleet, count: int, outcomes: Outcomes) -> list[bytes]:
-    """Make calls that must not be repeated, each sent to two entries; return their bodies."""
+    """Send non-repeatable calls, each to two entries with one key; return their bodies."""
     bodies: list[bytes] = []
     todo: queue.SimpleQueue = queue.SimpleQueue()
     for number in range(count):
@@ -256,7 +256,7 @@
 
 
 def draft(address: str, body: bytes, headers: dict[str, str], outcomes: Outcomes) -> bytes:
-    """Make one call; return its answer, or nothing if it was refused."""
+    """Send one call; return the response body, b"not_run", or b"" if it failed or was refused."""
     url = f"http://{address}/v1/services/tickets/draft"
     try:
         reply = SHARED_CLIENT.request("POST", url, body, headers, 30)
@@ -272,7 +272,7 @@
 
 
 def under_faults(fleet: fleets.Fleet, rate: float, seconds: float, drafts: int) -> dict:
-    """Return counts of a run with kills, freezes and planned stops."""
+    """Run the load with kills, suspensions and graceful stops; return counts of outcomes."""
     urls = [f"http://{vm.http}/v1/completions" for vm in fleet.entries()]
     chaos = Chaos(fleet)
     chaos.thread.start()
@@ -303,7 +303,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Run the bench."""
+    """Run the benchmark."""
     parser = argparse.ArgumentParser(prog="bench requests")
     parser.add_argument("--rate", type=float, default=40.0)
     parser.add_argument("--seconds", type=float, default=20.0)
