--- a/deploy/node.py
+++ b/deploy/node.py
@@ -1,10 +1,10 @@
-"""Start a node of merlinthread on the users' platform, from what the build laid under target/."""
+"""Start a node on the users' platform, with the package and libraries built under target/."""
 
 import gc
 import pathlib
 import sys
 
-# The imports make no garbage to look for (a tenth of their time or less). `main` switches it on.
+# Imports produce little garbage, so collecting it only slows the start; `main` enables it again.
 gc.disable()
 
 sys.path.insert(0, str(pathlib.Path(__file__).resolve().parent.parent / "target" / "app"))
--- a/examples/embed_fair_queue.py
+++ b/examples/embed_fair_queue.py
@@ -1,4 +1,4 @@
-"""One engine with one place: a burst of one account does not hold up another, and shares hold."""
+"""Embed the fair queue: two accounts share an engine with one slot by their weights."""
 
 from merlinthread.coordination import fair_queue
 
--- a/examples/embed_log.py
+++ b/examples/embed_log.py
@@ -1,4 +1,4 @@
-"""Three members of a replicated log in one process: a command, a lease, a lost leader."""
+"""Embed the replicated log: three members in one process commit commands and lose a leader."""
 
 import pathlib
 import tempfile
@@ -11,7 +11,7 @@
 
 
 class Member:
-    """One member: it owns a journal on disk and carries out what the log decides."""
+    """A member of the log, with a journal on disk."""
 
     def __init__(self, name: str, folder: pathlib.Path, now: float) -> None:
         folder.mkdir()
@@ -21,7 +21,10 @@
         self.applied: list[bytes] = []
 
     def work(self) -> list[tuple[str, object]]:
-        """Save, apply, and return the messages to send, in the order that the log asks for."""
+        """Save entries, apply committed ones, and return the messages to send.
+
+        Messages must not be sent before the entries are saved.
+        """
         messages: list[tuple[str, object]] = []
         while not (ready := self.raft.ready()).is_empty():
             self.journal.save(ready.hard_state, ready.entries)
@@ -32,7 +35,7 @@
 
 
 def run(members: dict[str, Member], now: float, seconds: float) -> float:
-    """Let time pass; deliver every message at once; return the new time."""
+    """Advance the time and deliver every message at once; return the new time."""
     stop_at = now + seconds
     while now < stop_at:
         now += STEP_S
