--- a/bench/upgrade.py
+++ b/bench/upgrade.py
@@ -99,7 +99,7 @@
     def __init__(self, plan: Plan, old: pathlib.Path, folder: pathlib.Path) -> None:
         super().__init__(plan.seed, 0.0, folder)
         self.plan = plan
-        # The newest version of weights that was announced.
+        # The newest version of weights that was named.
         self.named = 1
         # The first configuration version without the revoked key.
         self.revoked_from = math.inf
--- a/bench/upgrade_weights.py
+++ b/bench/upgrade_weights.py
@@ -1,6 +1,6 @@
 """Distribution of weights during a rolling upgrade, for `bench upgrade --weights`.
 
-Each engine of the soak test gets an agent at the same IP. Versions of weights are announced one
+Each engine of the soak test gets an agent at the same IP. Versions of weights are named one
 after another during the upgrade, and the agents are upgraded like all other VMs.
 """
 
@@ -67,7 +67,7 @@
 
 
 async def name_versions(upgrade: Any) -> None:
-    """Announce one version after another; repeat each until it is acknowledged."""
+    """Name one version after another; repeat each request until it is acknowledged."""
     for version in range(2, VERSIONS + 1):
         body = {"model": "m", "version": version}
         upgrade.fleet.origin.pieces[version] = make_pieces(version)
@@ -84,7 +84,7 @@
     while any(engine.version != upgrade.named for engine in fleet.engines):
         if asyncio.get_running_loop().time() > deadline:
             held = [engine.version for engine in fleet.engines]
-            upgrade.break_rule(f"version {upgrade.named} was announced, engines have {held}")
+            upgrade.break_rule(f"version {upgrade.named} was named, engines have {held}")
             return
         await asyncio.sleep(0.1)
     pieces = make_pieces(upgrade.named)
