--- a/bench/soak.py
+++ b/bench/soak.py
@@ -21,7 +21,7 @@
 from merlinthread.transport import http_messages
 from stand_ins import fleet_worker
 
-NOT_RUN = (408, 421, 429, 503)
+NOT_RUN_STATUSES = (408, 421, 429, 503)
 APPLY_S = 2.0
 
 
@@ -49,32 +49,34 @@
         self.seconds = seconds
         self.fleet = soak_fleet.SoakFleet(folder)
         self.faults = soak_faults.Faults(self.fleet, self.rng, kinds)
-        self.beats: collections.Counter = collections.Counter()
+        self.sequences: collections.Counter = collections.Counter()
         self.tally = Tally()
         self.version = 0
         self.acknowledged: list[tuple[float, int]] = []
-        self.unsafe_not_run: set[str] = set()
+        self.refused_unsafe: set[str] = set()
         self.requests = 0
         self.words = soak_words.Words(self.fleet)
         self.limits = soak_limits.Limits(self.words)
         self.faults.limits = self.limits
 
-    async def heartbeats(self) -> None:
+    async def send_heartbeats(self) -> None:
         """Send heartbeats of all workers until cancelled."""
         while True:
-            await asyncio.gather(*(self.beat(worker) for worker in list(self.fleet.workers)))
+            await asyncio.gather(
+                *(self.send_heartbeat(worker) for worker in list(self.fleet.workers))
+            )
             await asyncio.sleep(0.3)
 
-    async def beat(self, worker: fleet_worker.Worker) -> None:
+    async def send_heartbeat(self, worker: fleet_worker.Worker) -> None:
         """Send one worker's heartbeat to a control VM."""
-        self.beats[worker.instance] += 1
+        self.sequences[worker.instance] += 1
         body = {
             "service": self.fleet.workers.get(worker, "safe"),
             "address": worker.address,
             "zone": "zone-a",
             "slots": 8,
             "state": "ready",
-            "sequence": self.beats[worker.instance],
+            "sequence": self.sequences[worker.instance],
             "models": [{"name": "m", "version": worker.version}] if worker.model else [],
         }
         await self.call("PUT", f"/instances/{worker.instance}", body)
@@ -91,7 +93,7 @@
             return 0, b""
         return answer.status, answer.body
 
-    async def operator(self) -> None:
+    async def run_operator(self) -> None:
         """Apply one configuration after another and read it back, until cancelled."""
         loop = asyncio.get_running_loop()
         while True:
@@ -131,7 +133,7 @@
             self.break_rule(f"version {found['version']} differs from what was sent")
         return True
 
-    async def clients(self) -> None:
+    async def run_clients(self) -> None:
         """Send concurrent client requests until cancelled."""
         while True:
             await asyncio.sleep(self.rng.uniform(0.0, 0.02))
@@ -170,10 +172,10 @@
 
     def check(self, service: str, request_id: str, answer: http_messages.Response) -> bool:
         """Record and check a response; return whether it is a success."""
-        if answer.status in NOT_RUN:
+        if answer.status in NOT_RUN_STATUSES:
             self.tally.refused += 1
             if service == "unsafe":
-                self.unsafe_not_run.add(request_id)
+                self.refused_unsafe.add(request_id)
             return False
         if answer.status != 200:
             self.tally.failed += 1
@@ -203,21 +205,24 @@
 
     async def run_faults(self) -> None:
         """Run load and faults for `seconds`, wait for recovery, and check the invariants."""
-        load = [asyncio.create_task(self.heartbeats()), asyncio.create_task(self.operator())]
-        await self.until_served("at the start")
-        load.append(asyncio.create_task(self.clients()))
+        load = [
+            asyncio.create_task(self.send_heartbeats()),
+            asyncio.create_task(self.run_operator()),
+        ]
+        await self.wait_until_served("at the start")
+        load.append(asyncio.create_task(self.run_clients()))
         faults = asyncio.create_task(self.faults.run())
         await asyncio.sleep(self.seconds)
         faults.cancel()
         await self.faults.heal()
         for node in self.fleet.nodes:
             await self.fleet.revive(node)
-        await self.until_served("after the last fault")
+        await self.wait_until_served("after the last fault")
         for task in load:
             task.cancel()
-        self.check_runs()
+        self.check_invariants()
 
-    async def until_served(self, when: str) -> None:
+    async def wait_until_served(self, when: str) -> None:
         """Wait until reads and requests succeed; record a violation after RECOVER_S."""
         loop = asyncio.get_running_loop()
         deadline = loop.time() + soak_fleet.RECOVER_S
@@ -234,7 +239,7 @@
         if wanted or not has_read:
             self.break_rule(f"{when}: not served within {soak_fleet.RECOVER_S} s: {sorted(wanted)}")
 
-    def check_runs(self) -> None:
+    def check_invariants(self) -> None:
         """Check that no unsafe request ran twice or after a refusal, and the workers' signals."""
         runs: collections.Counter = collections.Counter()
         for worker, service in self.fleet.workers.items():
@@ -243,7 +248,7 @@
         for request_id, count in runs.items():
             if count > 1:
                 self.break_rule(f"{request_id} ran {count} times")
-            if request_id in self.unsafe_not_run:
+            if request_id in self.refused_unsafe:
                 self.break_rule(f"{request_id} was refused as not run, but ran")
         for text in [*self.words.broken(), *self.limits.broken()]:
             self.break_rule(text)
--- a/bench/soak_faults.py
+++ b/bench/soak_faults.py
@@ -15,7 +15,7 @@
 
 # The kinds that a run chooses from by default. Adding one would change the runs of the regression
 # seeds, so other kinds are only used by runs that name them.
-USUAL = (
+DEFAULT_KINDS = (
     "kill",
     "replace_control",
     "freeze",
@@ -27,11 +27,11 @@
     "leave",
 )
 # How long a worker goes on after it first signals that it is leaving.
-FAREWELL_S = 3.0
+LEAVING_S = 3.0
 # The Retry-After delay of an overloaded worker.
-REST_S = 1.5
+RETRY_AFTER_S = 1.5
 # How long a worker advertises a rate limit.
-LIMITED_S = (7.0, 11.0)
+LIMIT_DURATION_S = (7.0, 11.0)
 # The advertised limits, in requests per second.
 LIMITS = (0.5, 1.0, 2.0, 4.0)
 
@@ -44,25 +44,25 @@
     ) -> None:
         self.fleet = fleet
         self.rng = rng
-        self.kinds = kinds or USUAL
+        self.kinds = kinds or DEFAULT_KINDS
         # If kinds are named, the first one is injected first, so that every run includes it.
-        self.first = kinds[0] if kinds else ""
+        self.first_kind = kinds[0] if kinds else ""
         # Set by the run.
         self.limits: soak_limits.Limits | None = None
         self.injected: collections.Counter = collections.Counter()
         self.open_faults: set[asyncio.Task] = set()
         # Number of faults that affect control VMs now, and the loop time when the last one ended.
-        self.disturbing = 0
-        self.disturbed_at = 0.0
+        self.control_fault_count = 0
+        self.control_fault_ended_at = 0.0
 
     async def run(self) -> None:
         """Inject one fault after another, some of them overlapping, until cancelled."""
         while True:
             await asyncio.sleep(self.rng.uniform(0.3, 1.2))
             kind = self.rng.choice(self.kinds)
-            if self.first:
-                kind, self.first = self.first, ""
-            if kind == "replace_control" and not self.may_lose_control():
+            if self.first_kind:
+                kind, self.first_kind = self.first_kind, ""
+            if kind == "replace_control" and not self.may_replace_control():
                 continue
             self.injected[kind] += 1
             task = asyncio.create_task(FAULTS.get(kind)(self))
@@ -76,48 +76,48 @@
         """Wait until all injected faults have ended."""
         await asyncio.gather(*self.open_faults)
 
-    def pick(self, role: str = "") -> soak_nodes.Node:
+    def pick_node(self, role: str = "") -> soak_nodes.Node:
         """Return a random node, of one role if given."""
         return self.rng.choice([node for node in self.fleet.nodes if role in ("", node.role)])
 
     @contextlib.contextmanager
-    def disturbance(self, node: soak_nodes.Node) -> Iterator[None]:
+    def control_fault(self, node: soak_nodes.Node) -> Iterator[None]:
         """Count a fault as affecting a control VM while the context is open."""
         if node.role != "control":
             yield
             return
-        self.disturbing += 1
+        self.control_fault_count += 1
         try:
             yield
         finally:
-            self.disturbing -= 1
-            self.disturbed_at = asyncio.get_running_loop().time()
+            self.control_fault_count -= 1
+            self.control_fault_ended_at = asyncio.get_running_loop().time()
 
     @FAULTS.add("kill")
     async def kill(self) -> None:
         """Kill a node and restart it."""
-        node = self.pick()
+        node = self.pick_node()
         node.signal(signal.SIGKILL)
-        await self.again(node)
+        await self.restart(node)
 
-    def may_lose_control(self) -> bool:
+    def may_replace_control(self) -> bool:
         """Return whether no control VM was faulty for as long as a replacement takes."""
-        calm_s = asyncio.get_running_loop().time() - self.disturbed_at
-        return not self.disturbing and calm_s >= soak_nodes.CATCH_UP_S
+        calm_s = asyncio.get_running_loop().time() - self.control_fault_ended_at
+        return not self.control_fault_count and calm_s >= soak_nodes.CATCH_UP_S
 
     @FAULTS.add("replace_control")
     async def replace_control(self) -> None:
         """Replace a control VM by one without data at another address."""
-        lost = self.pick("control")
+        lost = self.pick_node("control")
         self.fleet.nodes.remove(lost)
-        with self.disturbance(lost):
+        with self.control_fault(lost):
             await self.replace(lost)
 
     async def replace(self, lost: soak_nodes.Node) -> None:
         """Stop a control VM before or after its replacement has started."""
         is_planned = self.rng.random() < 0.3
         if not is_planned:
-            await self.end(lost, signal.SIGKILL)
+            await self.stop_node(lost, signal.SIGKILL)
         await asyncio.sleep(self.rng.uniform(0.0, 1.0))
         self.fleet.replaced.append(lost)
         new = self.fleet.make_node(
@@ -130,21 +130,21 @@
         await self.fleet.until_up(new)
         if is_planned:
             await asyncio.sleep(self.rng.uniform(0.5, 1.5))
-            await self.end(lost, signal.SIGTERM)
+            await self.stop_node(lost, signal.SIGTERM)
         for node in self.fleet.nodes:
             node.write_settings()
 
-    async def end(self, node: soak_nodes.Node, how: int) -> None:
+    async def stop_node(self, node: soak_nodes.Node, signal_number: int) -> None:
         """Stop a node permanently and wait until it has exited."""
         # A suspended process handles no signal but SIGKILL.
         node.signal(signal.SIGCONT)
-        node.signal(how)
+        node.signal(signal_number)
         if node.process is not None:
             await asyncio.to_thread(node.process.wait)
 
-    async def again(self, node: soak_nodes.Node) -> None:
+    async def restart(self, node: soak_nodes.Node) -> None:
         """Restart a node after it has exited, unless it was replaced."""
-        with self.disturbance(node):
+        with self.control_fault(node):
             if node.process is not None:
                 await asyncio.to_thread(node.process.wait)
             await asyncio.sleep(self.rng.uniform(0.0, 0.8))
@@ -157,8 +157,8 @@
     @FAULTS.add("freeze")
     async def freeze(self) -> None:
         """Suspend a node for a while."""
-        node = self.pick()
-        with self.disturbance(node):
+        node = self.pick_node()
+        with self.control_fault(node):
             node.signal(signal.SIGSTOP)
             await asyncio.sleep(self.rng.uniform(0.2, 2.0))
             node.signal(signal.SIGCONT)
@@ -166,17 +166,17 @@
     @FAULTS.add("stop")
     async def stop(self) -> None:
         """Stop an entry gracefully and restart it."""
-        node = self.pick("entry")
+        node = self.pick_node("entry")
         node.signal(signal.SIGTERM)
-        await self.again(node)
+        await self.restart(node)
 
     @FAULTS.add("stop_control")
     async def stop_control(self) -> None:
         """Stop a control VM gracefully and restart it."""
-        node = self.pick("control")
-        with self.disturbance(node):
+        node = self.pick_node("control")
+        with self.control_fault(node):
             node.signal(signal.SIGTERM)
-            await self.again(node)
+            await self.restart(node)
 
     @FAULTS.add("kill_controls")
     async def kill_controls(self) -> None:
@@ -184,7 +184,7 @@
         nodes = [node for node in self.fleet.nodes if node.role == "control"]
         for node in nodes:
             node.signal(signal.SIGKILL)
-        await asyncio.gather(*(self.again(node) for node in nodes))
+        await asyncio.gather(*(self.restart(node) for node in nodes))
 
     @FAULTS.add("misbehave")
     async def misbehave(self) -> None:
@@ -206,10 +206,10 @@
         worker.behaviour = fleet_worker.Behaviour(events=soak_fleet.EVENTS)
 
     @FAULTS.add("harm_link")
-    async def harm_link(self) -> None:
+    async def degrade_link(self) -> None:
         """Delay, stall or drop the traffic of a worker's link for a while, or reset it."""
         link = self.fleet.links[self.rng.choice(list(self.fleet.workers))]
-        harms = [
+        link_faults = [
             proxy.Faults(latency_s=0.1),
             proxy.Faults(stall=True),
             proxy.Faults(drop_to_upstream=True),
@@ -217,7 +217,7 @@
             proxy.Faults(refuse=True),
             proxy.Faults(),
         ]
-        link.faults = self.rng.choice(harms)
+        link.faults = self.rng.choice(link_faults)
         await asyncio.sleep(self.rng.uniform(0.2, 2.0))
         # A connection must not go on after bytes of it were dropped.
         link.reset_all()
@@ -242,29 +242,29 @@
         self.fleet.workers[new] = service
 
     @FAULTS.add("say_leaving")
-    async def say_leaving(self) -> None:
+    async def signal_leaving(self) -> None:
         """Let a worker signal in its responses that it is leaving, then replace it."""
         worker = self.rng.choice(list(self.fleet.workers))
         worker.behaviour = fleet_worker.Behaviour(events=soak_fleet.EVENTS, is_leaving=True)
-        await asyncio.sleep(FAREWELL_S)
+        await asyncio.sleep(LEAVING_S)
         await self.replace_worker(worker)
 
     @FAULTS.add("ask_for_rest")
-    async def ask_for_rest(self) -> None:
+    async def reject_with_retry_after(self) -> None:
         """Let some or all workers of a service reject requests with a Retry-After delay."""
         service = self.rng.choice(sorted(set(self.fleet.workers.values())))
         workers = [worker for worker, of in self.fleet.workers.items() if of == service]
         # Busiest first.
         workers.sort(key=lambda worker: len(worker.runs), reverse=True)
-        resting = workers[: self.rng.randrange(1, len(workers) + 1)]
-        for worker in resting:
-            worker.behaviour.is_full, worker.behaviour.retry_after = True, str(REST_S)
+        overloaded = workers[: self.rng.randrange(1, len(workers) + 1)]
+        for worker in overloaded:
+            worker.behaviour.is_full, worker.behaviour.retry_after = True, str(RETRY_AFTER_S)
         await asyncio.sleep(self.rng.uniform(0.5, 2.5))
-        for worker in resting:
+        for worker in overloaded:
             worker.behaviour.is_full, worker.behaviour.retry_after = False, None
 
     @FAULTS.add("name_limit")
-    async def name_limit(self) -> None:
+    async def advertise_limit(self) -> None:
         """Let a worker advertise a rate limit, for longer than the window of the check."""
         assert self.limits is not None
         worker = self.rng.choice(list(self.fleet.workers))
@@ -272,5 +272,5 @@
             return
         now = asyncio.get_running_loop().time
         episode = self.limits.begin(worker, self.rng.choice(LIMITS), now())
-        await asyncio.sleep(self.rng.uniform(*LIMITED_S))
+        await asyncio.sleep(self.rng.uniform(*LIMIT_DURATION_S))
         self.limits.end(episode, now())
--- a/bench/soak_limits.py
+++ b/bench/soak_limits.py
@@ -12,9 +12,9 @@
 # advertised, and to an entry from TOLD_S after a response with the limit.
 CONTACT_S = 3.0
 WINDOW_S = 4.0
-TOLD_S = 0.5
-SHARE_MAX = 1.5
-MORE_MAX = 5
+ENTRY_DELAY_S = 0.5
+LIMIT_FACTOR = 1.5
+EXTRA_REQUESTS = 5
 
 
 @dataclasses.dataclass(slots=True)
@@ -34,16 +34,16 @@
 class Limits:
     """Records the limits of a run and finds violations of them.
 
-    `is_bound` returns whether an entry supported limits at a time; earlier builds do not.
+    `supports_limits` returns whether an entry supported limits at a time; earlier builds do not.
     """
 
     def __init__(
         self,
         words: soak_words.Words,
-        is_bound: Callable[[str, float], bool] = lambda entry_ip, at: True,
+        supports_limits: Callable[[str, float], bool] = lambda entry_ip, at: True,
     ) -> None:
         self.words = words
-        self.is_bound = is_bound
+        self.supports_limits = supports_limits
         self.episodes: list[Episode] = []
 
     def begin(self, worker: fleet_worker.Worker, per_s: float, now: float) -> Episode:
@@ -60,21 +60,21 @@
 
     def broken(self) -> list[str]:
         """Return a description of each episode in which the rule was violated."""
-        return [text for episode in self.episodes for text in self.broken_in(episode)]
+        return [text for episode in self.episodes for text in self.find_violation(episode)]
 
-    def broken_in(self, episode: Episode) -> list[str]:
+    def find_violation(self, episode: Episode) -> list[str]:
         """Return a description of the first window of an episode with too many requests."""
-        told_at = self.told_at(episode)
+        limit_known_times = self.limit_known_times(episode)
         begin = episode.since + CONTACT_S
         times = []
         for run in episode.runs():
             entry_ip = self.words.sent[run.request_id].entry_ip
-            heard_at = told_at.get(entry_ip, math.inf) + TOLD_S
-            is_counted = max(begin, heard_at) <= run.at < episode.until
-            is_calm = self.words.is_calm(entry_ip, run.at - WINDOW_S, run.at)
-            if is_counted and is_calm and self.is_bound(entry_ip, run.at):
+            known_at = limit_known_times.get(entry_ip, math.inf) + ENTRY_DELAY_S
+            is_bound = max(begin, known_at) <= run.at < episode.until
+            is_undisturbed = self.words.is_undisturbed(entry_ip, run.at - WINDOW_S, run.at)
+            if is_bound and is_undisturbed and self.supports_limits(entry_ip, run.at):
                 times.append(run.at)
-        allowed = SHARE_MAX * episode.per_s * WINDOW_S + MORE_MAX
+        allowed = LIMIT_FACTOR * episode.per_s * WINDOW_S + EXTRA_REQUESTS
         for first in times:
             count = sum(first <= at < first + WINDOW_S for at in times)
             if count > allowed:
@@ -82,10 +82,10 @@
                 return [f"{name}: {count} requests in {WINDOW_S} s, limit {episode.per_s:g} per s"]
         return []
 
-    def told_at(self, episode: Episode) -> dict[str, float]:
+    def limit_known_times(self, episode: Episode) -> dict[str, float]:
         """Return when each entry first got a response with the limit, by the entry's IP."""
-        told: dict[str, float] = {}
+        times_by_entry: dict[str, float] = {}
         for run in episode.runs():
             if episode.since <= run.at < episode.until:
-                told.setdefault(self.words.sent[run.request_id].entry_ip, run.at)
-        return told
+                times_by_entry.setdefault(self.words.sent[run.request_id].entry_ip, run.at)
+        return times_by_entry
--- a/bench/soak_nodes.py
+++ b/bench/soak_nodes.py
@@ -16,7 +16,7 @@
 # Shortest time between the start of a replacement control VM and the next loss of one.
 CATCH_UP_S = 2.0
 CONTROL, FRONT, READY = 8000, 8005, 8002
-NODE_PORTS = (7700, 7703)
+PORT_RANGE = (7700, 7703)
 STARTER = "import sys; from merlinthread.platform import main; sys.exit(main.main(sys.argv[1:]))"
 ROOT = pathlib.Path(__file__).parent.parent
 
@@ -38,7 +38,7 @@
     source: pathlib.Path = ROOT / "src"
     process: subprocess.Popen | None = None
     # Additional settings of this node.
-    more_settings: dict = dataclasses.field(default_factory=dict)
+    extra_settings: dict = dataclasses.field(default_factory=dict)
     # Monotonic times of starts and signals.
     disturbances: list[float] = dataclasses.field(default_factory=list)
 
@@ -71,7 +71,7 @@
             "ip": self.ip,
             "zone": "zone-a",
             "zones": {"zone-a": "region"},
-            "port_range": NODE_PORTS,
+            "port_range": PORT_RANGE,
             "seeds": [f"{ip}:{CONTROL}" for ip in self.seeds],
             "listen": {
                 "control": f"{self.ip}:{CONTROL}",
@@ -82,15 +82,15 @@
             "data_dir": str(self.folder / self.name),
             "heartbeat_ms": 400,
             "bounds": {"grace_s": 4, "catch_up_s": CATCH_UP_S},
-            **self.more_settings,
+            **self.extra_settings,
         }
 
-    def signal(self, how: int) -> None:
+    def signal(self, number: int) -> None:
         """Send a signal to the process if it is running."""
         if self.process is not None and self.process.poll() is None:
-            if how != signal.SIGCONT:
+            if number != signal.SIGCONT:
                 self.disturbances.append(time.monotonic())
-            self.process.send_signal(how)
+            self.process.send_signal(number)
 
 
 def make_configuration(version: int, keys: tuple[str, ...] = ("key-1",)) -> dict:
--- a/bench/upgrade.py
+++ b/bench/upgrade.py
@@ -130,12 +130,15 @@
 
     async def run_faults(self) -> None:
         """Upgrade all VMs to each build of the route in turn, under load."""
-        load = [asyncio.create_task(self.heartbeats()), asyncio.create_task(self.operator())]
+        load = [
+            asyncio.create_task(self.send_heartbeats()),
+            asyncio.create_task(self.run_operator()),
+        ]
         load.append(asyncio.create_task(self.balancer.run()))
-        await self.until_served("at the start")
+        await self.wait_until_served("at the start")
         await self.balancer.until_ready()
         self.tally.asked = self.tally.answered = 0
-        load.append(asyncio.create_task(self.clients()))
+        load.append(asyncio.create_task(self.run_clients()))
         load.append(asyncio.create_task(self.watch_ends()))
         if self.crashing is not None:
             load.append(asyncio.create_task(upgrade_deadly.send_deadly(self)))
@@ -165,7 +168,7 @@
         await self.until_read_back()
         self.verdict.asked, self.verdict.answered = asked, answered
         self.verdict.key_answers = [dict(found) for found in self.key_answers]
-        self.check_runs()
+        self.check_invariants()
 
     def configuration(self, version: int) -> dict:
         """Return the configuration that the operator sends as `version`."""
@@ -174,10 +177,10 @@
         body = soak_nodes.make_configuration(version, keys)
         return self.weights.configuration(body) if self.weights is not None else body
 
-    async def beat(self, worker: fleet_worker.Worker) -> None:
+    async def send_heartbeat(self, worker: fleet_worker.Worker) -> None:
         """Send a worker's heartbeat unless the worker is down."""
         if not getattr(worker, "is_down", False):
-            await super().beat(worker)
+            await super().send_heartbeat(worker)
 
     def pick_entry(self) -> str:
         """Return the IP of the entry that the balancer selects for a new connection."""
--- a/bench/upgrade_weights.py
+++ b/bench/upgrade_weights.py
@@ -49,7 +49,7 @@
         await worker.start(self.ip_of.get(worker, "127.0.0.1"))
         for node in self.nodes:
             if node.ip == self.ip_of.get(worker):
-                node.more_settings = {
+                node.extra_settings = {
                     "app": worker.address,
                     "service": "model",
                     "limits": {"link_mbps": LINK_MBPS},
