--- a/bench/upgrade.py
+++ b/bench/upgrade.py
@@ -48,8 +48,8 @@
 ORDERS = ("controls", "entries", "mixed")
 # Delay between restarts; long enough for two heartbeats of workers and an election.
 SETTLE_S = 1.5
-CALM_S = 3.0
-SERVED_LESS_MAX = 0.01
+STEADY_S = 3.0
+SUCCESS_RATE_DROP_MAX = 0.01
 # The rate limit that a worker advertises with --limited, in requests per second.
 LIMIT_PER_S = 2.0
 
@@ -68,7 +68,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Verdict:
+class UpgradeResult:
     """Results of a run; the fields are keys of the JSON output.
 
     `workers_ended` counts the workers that crashed on a request, `ended_late` those of them that
@@ -88,7 +88,7 @@
     ended: list[str] = dataclasses.field(default_factory=list)
     broken: list[str] = dataclasses.field(default_factory=list)
 
-    def served(self) -> float:
+    def success_rate(self) -> float:
         """Return the share of requests that succeeded."""
         return self.answered / max(1, self.asked)
 
@@ -108,25 +108,25 @@
             collections.Counter(),
         )
         self.locks: dict[str, asyncio.Lock] = collections.defaultdict(asyncio.Lock)
-        self.crashing = upgrade_deadly.CrashingFleet(folder) if plan.is_deadly else None
-        if self.crashing is not None:
-            self.fleet = self.crashing
+        self.crashing_fleet = upgrade_deadly.CrashingFleet(folder) if plan.is_deadly else None
+        if self.crashing_fleet is not None:
+            self.fleet = self.crashing_fleet
             self.words = soak_words.Words(self.fleet)
-        self.weights = upgrade_weights.WeightsFleet(folder) if plan.has_weights else None
-        if self.weights is not None:
-            self.fleet = self.weights
+        self.weights_fleet = upgrade_weights.WeightsFleet(folder) if plan.has_weights else None
+        if self.weights_fleet is not None:
+            self.fleet = self.weights_fleet
             self.words = soak_words.Words(self.fleet)
         self.limits = soak_limits.Limits(self.words, self.runs_new_build)
         # Times of starts and their builds, by the node's IP.
-        self.started: dict[str, list[tuple[float, str]]] = {}
+        self.starts: dict[str, list[tuple[float, str]]] = {}
         self.builds = {NEW: soak_nodes.ROOT / "src", OLD: old}
         self.route = ROUTES[plan.route]
-        self.verdict = Verdict(plan)
-        self.is_stopping: set[str] = set()
+        self.result = UpgradeResult(plan)
+        self.locked_nodes: set[str] = set()
         self.balancer = upgrade_balancer.Balancer(self.fleet.pool)
         for node in self.fleet.nodes:
             node.source = self.builds[self.route[0]]
-            self.started[node.ip] = [(float("-inf"), self.route[0])]
+            self.starts[node.ip] = [(float("-inf"), self.route[0])]
 
     async def run_faults(self) -> None:
         """Upgrade all VMs to each build of the route in turn, under load."""
@@ -136,46 +136,46 @@
         ]
         load.append(asyncio.create_task(self.balancer.run()))
         await self.wait_until_served("at the start")
-        await self.balancer.until_ready()
+        await self.balancer.wait_until_ready()
         self.tally.asked = self.tally.answered = 0
         load.append(asyncio.create_task(self.run_clients()))
-        load.append(asyncio.create_task(self.watch_ends()))
-        if self.crashing is not None:
-            load.append(asyncio.create_task(upgrade_deadly.send_deadly(self)))
+        load.append(asyncio.create_task(self.watch_exits()))
+        if self.crashing_fleet is not None:
+            load.append(asyncio.create_task(upgrade_deadly.send_crashing_requests(self)))
         if self.plan.is_limited:
             worker = next(iter(self.fleet.workers))
             self.limits.begin(worker, LIMIT_PER_S, asyncio.get_running_loop().time())
-        await asyncio.sleep(CALM_S)
+        await asyncio.sleep(STEADY_S)
         for kind in self.plan.troubles:
             load.append(asyncio.create_task(upgrade_troubles.TROUBLES.get(kind)(self)))
-        if self.weights is not None:
+        if self.weights_fleet is not None:
             load.append(asyncio.create_task(upgrade_weights.name_versions(self)))
         for build in self.route[1:]:
-            for node in self.in_order():
-                await self.replace(node, build)
+            for node in self.ordered_nodes():
+                await self.upgrade_node(node, build)
                 await asyncio.sleep(SETTLE_S)
         replaced_at = asyncio.get_running_loop().time()
-        await asyncio.sleep(CALM_S)
-        if self.crashing is not None:
-            ends = self.crashing.crash_times()
-            self.verdict.workers_ended = len(ends)
-            self.verdict.ended_late = sum(at > replaced_at for at in ends)
+        await asyncio.sleep(STEADY_S)
+        if self.crashing_fleet is not None:
+            ends = self.crashing_fleet.crash_times()
+            self.result.workers_ended = len(ends)
+            self.result.ended_late = sum(at > replaced_at for at in ends)
         asked, answered = self.tally.asked, self.tally.answered
-        if self.weights is not None:
-            await upgrade_weights.check_whole(self)
+        if self.weights_fleet is not None:
+            await upgrade_weights.check_loaded_weights(self)
         for task in load:
             task.cancel()
-        await self.until_read_back()
-        self.verdict.asked, self.verdict.answered = asked, answered
-        self.verdict.key_answers = [dict(found) for found in self.key_answers]
+        await self.wait_until_read_back()
+        self.result.asked, self.result.answered = asked, answered
+        self.result.key_answers = [dict(found) for found in self.key_answers]
         self.check_invariants()
 
     def configuration(self, version: int) -> dict:
         """Return the configuration that the operator sends as `version`."""
-        is_held = "revoke" in self.plan.troubles and version < self.revoked_from
-        keys = ("key-1", upgrade_troubles.REVOKED_KEY) if is_held else ("key-1",)
+        is_valid = "revoke" in self.plan.troubles and version < self.revoked_from
+        keys = ("key-1", upgrade_troubles.REVOKED_KEY) if is_valid else ("key-1",)
         body = soak_nodes.make_configuration(version, keys)
-        return self.weights.configuration(body) if self.weights is not None else body
+        return self.weights_fleet.configuration(body) if self.weights_fleet is not None else body
 
     async def send_heartbeat(self, worker: fleet_worker.Worker) -> None:
         """Send a worker's heartbeat unless the worker is down."""
@@ -186,7 +186,7 @@
         """Return the IP of the entry that the balancer selects for a new connection."""
         return self.balancer.pick(self.rng)
 
-    def in_order(self) -> list[soak_nodes.Node]:
+    def ordered_nodes(self) -> list[soak_nodes.Node]:
         """Return the nodes in the order of their upgrade."""
         nodes = list(self.fleet.nodes)
         if self.plan.order == "mixed":
@@ -196,44 +196,44 @@
             nodes.sort(key=lambda node: node.role != first)
         return nodes
 
-    async def replace(self, node: soak_nodes.Node, build: str) -> None:
+    async def upgrade_node(self, node: soak_nodes.Node, build: str) -> None:
         """Stop a node gracefully and start it with another build."""
-        async with self.changing(node):
+        async with self.locked(node):
             node.signal(signal.SIGTERM)
             assert node.process is not None
             await asyncio.to_thread(node.process.wait)
             node.source = self.builds[build]
-            self.started[node.ip].append((asyncio.get_running_loop().time(), build))
+            self.starts[node.ip].append((asyncio.get_running_loop().time(), build))
             node.start()
             await self.fleet.until_up(node)
 
     @contextlib.asynccontextmanager
-    async def changing(self, node: soak_nodes.Node) -> AsyncIterator[None]:
+    async def locked(self, node: soak_nodes.Node) -> AsyncIterator[None]:
         """Lock a node for a restart or a fault; its exit is not reported meanwhile."""
         async with self.locks[node.name]:
-            self.is_stopping.add(node.name)
+            self.locked_nodes.add(node.name)
             try:
                 yield
             finally:
                 node.signal(signal.SIGCONT)
-                self.is_stopping.discard(node.name)
+                self.locked_nodes.discard(node.name)
 
     def runs_new_build(self, ip: str, at: float) -> bool:
         """Return whether a node ran the new build at a time."""
-        return [build for since, build in self.started[ip] if since <= at][-1] == NEW
+        return [build for since, build in self.starts[ip] if since <= at][-1] == NEW
 
-    async def watch_ends(self) -> None:
+    async def watch_exits(self) -> None:
         """Record processes that exit by themselves, and restart them as the platform does."""
         while True:
             for node in self.fleet.nodes:
-                if node.name in self.is_stopping or node.process is None:
+                if node.name in self.locked_nodes or node.process is None:
                     continue
                 if node.process.poll() is not None:
-                    self.verdict.ended.append(f"{node.name}: code {node.process.returncode}")
+                    self.result.ended.append(f"{node.name}: code {node.process.returncode}")
                     node.start()
             await asyncio.sleep(0.05)
 
-    async def until_read_back(self) -> None:
+    async def wait_until_read_back(self) -> None:
         """Wait until the last acknowledged configuration, or a later one, is read back."""
         last = max((version for _, version in self.acknowledged), default=0)
         deadline = asyncio.get_running_loop().time() + soak.APPLY_S + 4.0
@@ -245,21 +245,21 @@
         self.break_rule(f"version {last} was acknowledged but is not read back")
 
 
-def run(plan: Plan, old: pathlib.Path, folder: pathlib.Path) -> Verdict:
+def run(plan: Plan, old: pathlib.Path, folder: pathlib.Path) -> UpgradeResult:
     """Run a plan and return its results; logs are written to `folder`."""
     upgrade = Upgrade(plan, old, folder)
     tally = asyncio.run(upgrade.run())
-    upgrade.verdict.named = upgrade.named
-    upgrade.verdict.acknowledged = tally.acknowledged
-    upgrade.verdict.broken = tally.broken
-    return upgrade.verdict
+    upgrade.result.named = upgrade.named
+    upgrade.result.acknowledged = tally.acknowledged
+    upgrade.result.broken = tally.broken
+    return upgrade.result
 
 
-def problems(verdict: Verdict, calm_share: float) -> list[str]:
+def problems(result: UpgradeResult, calm_share: float) -> list[str]:
     """Return the violations of a run, given the success rate of a run without an upgrade."""
-    found = [*verdict.broken, *(f"exited by itself: {name}" for name in verdict.ended)]
-    if verdict.served() < calm_share - SERVED_LESS_MAX:
-        found.append(f"success rate {verdict.served():.3f}, without upgrade {calm_share:.3f}")
+    found = [*result.broken, *(f"exited by itself: {name}" for name in result.ended)]
+    if result.success_rate() < calm_share - SUCCESS_RATE_DROP_MAX:
+        found.append(f"success rate {result.success_rate():.3f}, without upgrade {calm_share:.3f}")
     return found
 
 
@@ -284,29 +284,33 @@
     parser.add_argument("--keep", type=pathlib.Path, help="folder for logs of the nodes")
     options = parser.parse_args(arguments)
     figures: dict[str, object] = {"from": options.commit, "runs": []}
-    is_broken = False
+    has_violations = False
     try:
         with upgrade_builds.build_of(options.commit) as old:
             for seed in range(options.seed, options.seed + options.seeds):
                 # The upgrade need not do better than either build does alone.
                 routes = ("calm", "calm-old") if OLD in ROUTES[options.route] else ("calm",)
-                calm = min(play(route, options, seed, old).served() for route in routes)
-                verdict = play(options.route, options, seed, old)
-                found = problems(verdict, calm)
-                is_broken |= bool(found)
+                baseline = min(
+                    run_route(route, options, seed, old).success_rate() for route in routes
+                )
+                result = run_route(options.route, options, seed, old)
+                found = problems(result, baseline)
+                has_violations |= bool(found)
                 print(
-                    f"seed {seed}: success rate {verdict.served():.4f}, without upgrade"
-                    f" {calm:.4f}, {found}"
+                    f"seed {seed}: success rate {result.success_rate():.4f}, without upgrade"
+                    f" {baseline:.4f}, {found}"
                 )
-                row = dataclasses.asdict(verdict) | {"calm": round(calm, 4), "problems": found}
+                row = dataclasses.asdict(result) | {"calm": round(baseline, 4), "problems": found}
                 figures["runs"].append(row)  # type: ignore[attr-defined]
     except upgrade_builds.MissingCommitError as error:
         print(f"upgrade: {error}")
         return 2
-    return measure.finish("upgrade", figures) or (1 if is_broken else 0)
+    return measure.finish("upgrade", figures) or (1 if has_violations else 0)
 
 
-def play(route: str, options: argparse.Namespace, seed: int, old: pathlib.Path) -> Verdict:
+def run_route(
+    route: str, options: argparse.Namespace, seed: int, old: pathlib.Path
+) -> UpgradeResult:
     """Run a route in a folder that is deleted afterwards, unless --keep is given."""
     with contextlib.ExitStack() as stack:
         folder = options.keep
--- a/bench/upgrade_balancer.py
+++ b/bench/upgrade_balancer.py
@@ -8,9 +8,9 @@
 from merlinthread import errors
 from merlinthread.transport import http_messages, stream_client
 
-READY_EVERY_S = 1.0
+CHECK_INTERVAL_S = 1.0
 # An entry gets no new connections after this many failed checks in a row, until one succeeds.
-MISSES_MAX = 2
+FAILURES_MAX = 2
 
 
 class Balancer:
@@ -19,30 +19,30 @@
     def __init__(self, pool: stream_client.ConnectionPool) -> None:
         self.pool = pool
         # Consecutive failed checks, by the entry's IP.
-        self.misses = dict.fromkeys(soak_nodes.ENTRY_IPS, MISSES_MAX)
+        self.failures = dict.fromkeys(soak_nodes.ENTRY_IPS, FAILURES_MAX)
 
     async def run(self) -> None:
         """Check all entries periodically until cancelled."""
         while True:
-            await asyncio.gather(*(self.ask_one(ip) for ip in self.misses))
-            await asyncio.sleep(READY_EVERY_S)
+            await asyncio.gather(*(self.check_entry(ip) for ip in self.failures))
+            await asyncio.sleep(CHECK_INTERVAL_S)
 
-    async def ask_one(self, ip: str) -> None:
+    async def check_entry(self, ip: str) -> None:
         """Check one entry."""
         request = http_messages.Request(b"GET", b"/readyz", [(b"host", b"c")])
         is_ready = False
         with contextlib.suppress(errors.MerlinthreadError):
             answer = await self.pool.request(f"{ip}:{soak_nodes.READY}", request, 0.5)
             is_ready = answer.status == 200
-        self.misses[ip] = 0 if is_ready else self.misses[ip] + 1
+        self.failures[ip] = 0 if is_ready else self.failures[ip] + 1
 
-    async def until_ready(self) -> None:
+    async def wait_until_ready(self) -> None:
         """Wait until all entries take new connections."""
         async with asyncio.timeout(soak_fleet.RECOVER_S):
-            while any(self.misses.values()):
+            while any(self.failures.values()):
                 await asyncio.sleep(0.05)
 
     def pick(self, rng: random.Random) -> str:
         """Return the IP of a random entry that takes new connections, or of any if none does."""
-        ready = [ip for ip, misses in self.misses.items() if misses < MISSES_MAX]
-        return rng.choice(ready or list(self.misses))
+        ready = [ip for ip, failures in self.failures.items() if failures < FAILURES_MAX]
+        return rng.choice(ready or list(self.failures))
--- a/bench/upgrade_deadly.py
+++ b/bench/upgrade_deadly.py
@@ -11,8 +11,8 @@
 from stand_ins import crashing_worker, fleet_worker
 
 # The body of the request, and the interval between such requests.
-DEADLY = b"deadly"
-DEADLY_EVERY_S = 0.7
+CRASH_BODY = b"deadly"
+CRASH_INTERVAL_S = 0.7
 
 
 class CrashingFleet(soak_fleet.SoakFleet):
@@ -35,10 +35,10 @@
         return [at for worker in self.workers for at in worker.crash_times]  # type: ignore[attr-defined]
 
 
-async def send_deadly(upgrade: Any) -> None:
+async def send_crashing_requests(upgrade: Any) -> None:
     """Send the request periodically until cancelled, each time with a new id."""
     while True:
-        await asyncio.sleep(DEADLY_EVERY_S)
+        await asyncio.sleep(CRASH_INTERVAL_S)
         upgrade.requests += 1
         request_id = f"d{upgrade.requests}"
         entry_ip = upgrade.pick_entry()
@@ -48,8 +48,8 @@
             (b"X-Merlinthread-Request-Id", request_id.encode()),
             (b"X-Merlinthread-Deadline-Ms", b"2500"),
             (b"Api-Key", b"key-1"),
-            (b"content-length", b"%d" % len(DEADLY)),
+            (b"content-length", b"%d" % len(CRASH_BODY)),
         ]
-        request = http_messages.Request(b"POST", b"/safe/", headers, DEADLY)
+        request = http_messages.Request(b"POST", b"/safe/", headers, CRASH_BODY)
         with contextlib.suppress(errors.MerlinthreadError):
             await upgrade.fleet.pool.request(f"{entry_ip}:{soak_nodes.FRONT}", request, 4.0)
--- a/bench/upgrade_troubles.py
+++ b/bench/upgrade_troubles.py
@@ -15,26 +15,26 @@
 from merlinthread import errors, registry
 from merlinthread.transport import http_messages
 
-EVERY_S = (1.5, 3.0)
-FROZEN_S = 1.5
+FAULT_INTERVAL_S = (1.5, 3.0)
+SUSPENDED_S = 1.5
 # The key that is revoked, and the interval between requests with it.
 REVOKED_KEY = "key-2"
-KEY_EVERY_S = 0.1
+KEY_INTERVAL_S = 0.1
 # How long after the start of the upgrade the key is revoked.
-HELD_S = 4.0
+REVOKE_AFTER_S = 4.0
 
 Trouble = Callable[[Any], Awaitable[None]]
 TROUBLES: registry.Registry[Trouble] = registry.Registry("upgrade trouble")
 
 
-def leading(nodes: list[soak_nodes.Node]) -> soak_nodes.Node:
+def find_leader(nodes: list[soak_nodes.Node]) -> soak_nodes.Node:
     """Return the leader according to the latest log event of any control VM."""
     controls = [node for node in nodes if node.role == "control"]
-    _, member = max(last_leader(node) for node in controls)
+    _, member = max(last_leader_event(node) for node in controls)
     return next(node for node in controls if node.ip in member)
 
 
-def last_leader(node: soak_nodes.Node) -> tuple[str, str]:
+def last_leader_event(node: soak_nodes.Node) -> tuple[str, str]:
     """Return the time and the leader in the last `leader` event of a node's log.
 
     The leader's member name contains its IP. Without such an event, the time is empty and the
@@ -52,9 +52,9 @@
 async def kill_leader(upgrade: Any) -> None:
     """Kill the leader repeatedly; it is restarted with the same build."""
     while True:
-        await asyncio.sleep(upgrade.rng.uniform(*EVERY_S))
-        node = leading(upgrade.fleet.nodes)
-        async with upgrade.changing(node):
+        await asyncio.sleep(upgrade.rng.uniform(*FAULT_INTERVAL_S))
+        node = find_leader(upgrade.fleet.nodes)
+        async with upgrade.locked(node):
             node.signal(signal.SIGKILL)
             await asyncio.to_thread(node.process.wait)
             node.start()
@@ -65,12 +65,12 @@
 async def freeze(upgrade: Any) -> None:
     """Suspend a control VM repeatedly; to the others it appears partitioned."""
     while True:
-        await asyncio.sleep(upgrade.rng.uniform(*EVERY_S))
+        await asyncio.sleep(upgrade.rng.uniform(*FAULT_INTERVAL_S))
         controls = [node for node in upgrade.fleet.nodes if node.role == "control"]
         node = upgrade.rng.choice(controls)
-        async with upgrade.changing(node):
+        async with upgrade.locked(node):
             node.signal(signal.SIGSTOP)
-            await asyncio.sleep(FROZEN_S)
+            await asyncio.sleep(SUSPENDED_S)
             node.signal(signal.SIGCONT)
 
 
@@ -80,21 +80,21 @@
     loop = asyncio.get_running_loop()
     began = loop.time()
     while True:
-        await asyncio.sleep(KEY_EVERY_S)
-        if loop.time() >= began + HELD_S:
+        await asyncio.sleep(KEY_INTERVAL_S)
+        if loop.time() >= began + REVOKE_AFTER_S:
             upgrade.revoked_from = min(upgrade.revoked_from, upgrade.version + 1)
         due_at = loop.time() - soak.APPLY_S
         is_revoked = any(
             at <= due_at and version >= upgrade.revoked_from for at, version in upgrade.acknowledged
         )
-        status = await ask_with_key(upgrade)
+        status = await send_with_key(upgrade)
         if status is not None:
             upgrade.key_answers[is_revoked][status] += 1
         if is_revoked and status == 200:
             upgrade.break_rule("a revoked key was accepted")
 
 
-async def ask_with_key(upgrade: Any) -> int | None:
+async def send_with_key(upgrade: Any) -> int | None:
     """Send a request with the key; return the status of the response, or None if it fails."""
     upgrade.requests += 1
     entry_ip = upgrade.pick_entry()
--- a/bench/upgrade_weights.py
+++ b/bench/upgrade_weights.py
@@ -18,8 +18,8 @@
 VERSIONS = 4
 # Link rate of the agents' VMs, at which the download of a version takes seconds.
 LINK_MBPS = 0.4
-NAME_EVERY_S = 6.0
-WHOLE_S = 15.0
+NAMING_INTERVAL_S = 6.0
+LOAD_TIMEOUT_S = 15.0
 
 
 def make_pieces(version: int) -> list[bytes]:
@@ -35,7 +35,7 @@
         super().__init__(folder)
         self.origin = fleet_worker.WeightOrigin({1: make_pieces(1)})
         self.engines = [worker for worker in self.workers if worker.model]
-        self.ip_of = dict(zip(self.engines, AGENT_IPS, strict=True))
+        self.agent_ips = dict(zip(self.engines, AGENT_IPS, strict=True))
         self.nodes += [self.make_node("agent", ip) for ip in AGENT_IPS]
 
     async def start(self) -> None:
@@ -46,9 +46,9 @@
     async def start_worker(self, worker: fleet_worker.Worker) -> None:
         """Start a worker; an engine gets its agent's IP and is added to the agent's settings."""
         worker.behaviour.events = soak_fleet.EVENTS
-        await worker.start(self.ip_of.get(worker, "127.0.0.1"))
+        await worker.start(self.agent_ips.get(worker, "127.0.0.1"))
         for node in self.nodes:
-            if node.ip == self.ip_of.get(worker):
+            if node.ip == self.agent_ips.get(worker):
                 node.extra_settings = {
                     "app": worker.address,
                     "service": "model",
@@ -74,17 +74,17 @@
         while (await upgrade.call("POST", "/version-put", body))[0] != 200:
             await asyncio.sleep(0.1)
         upgrade.named = version
-        await asyncio.sleep(NAME_EVERY_S)
+        await asyncio.sleep(NAMING_INTERVAL_S)
 
 
-async def check_whole(upgrade: Any) -> None:
+async def check_loaded_weights(upgrade: Any) -> None:
     """Wait until every engine has loaded the last version, and check its pieces."""
     fleet = upgrade.fleet
-    deadline = asyncio.get_running_loop().time() + WHOLE_S
+    deadline = asyncio.get_running_loop().time() + LOAD_TIMEOUT_S
     while any(engine.version != upgrade.named for engine in fleet.engines):
         if asyncio.get_running_loop().time() > deadline:
-            held = [engine.version for engine in fleet.engines]
-            upgrade.break_rule(f"version {upgrade.named} was named, engines have {held}")
+            loaded_versions = [engine.version for engine in fleet.engines]
+            upgrade.break_rule(f"version {upgrade.named} was named, engines have {loaded_versions}")
             return
         await asyncio.sleep(0.1)
     pieces = make_pieces(upgrade.named)
