--- a/bench/compare.py
+++ b/bench/compare.py
@@ -25,7 +25,7 @@
 JOURNAL = pathlib.Path("journal")
 POLICY_FILE = pathlib.Path("deploy/policy.json")
 RESULTS_FILE = "results.jsonl"
-BAD_USE = 2
+USAGE_ERROR = 2
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -43,40 +43,42 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Task:
+class Comparison:
     """The field to compare, and how simulations run."""
 
     program: pathlib.Path
     folder: pathlib.Path
-    decision: str
+    field: str
     is_small: bool
 
     def tree(self, way: str) -> pathlib.Path:
         """Return the folder of a policy's copy of the source tree."""
-        return self.folder / f"{self.decision}-{way}"
+        return self.folder / f"{self.field}-{way}"
 
-    def command(self, play: Play, report: pathlib.Path) -> list[str]:
+    def command(self, simulation: Play, report: pathlib.Path) -> list[str]:
         """Return the command line of a simulation."""
-        why = f"compare {self.decision}: {play.way}"
-        command = [str(self.program), "run", str(play.site), play.day]
-        if play.seed:
-            command += ["--seed", str(play.seed)]
+        why = f"compare {self.field}: {simulation.way}"
+        command = [str(self.program), "run", str(simulation.site), simulation.day]
+        if simulation.seed:
+            command += ["--seed", str(simulation.seed)]
         if self.is_small:
             command.append("--small")
         return [*command, "--report", str(report), "--why", why]
 
 
-def ways_of(decision: str) -> registry.Registry:
+def get_policies(decision: str) -> registry.Registry:
     """Return the policies of a field; raise SystemExit if the field is unknown."""
     if decision not in node_policy.POLICY_REGISTRIES:
-        give_up(f"unknown decision {decision!r}; known: {', '.join(node_policy.POLICY_REGISTRIES)}")
+        exit_with_error(
+            f"unknown decision {decision!r}; known: {', '.join(node_policy.POLICY_REGISTRIES)}"
+        )
     return node_policy.POLICY_REGISTRIES[decision]
 
 
-def give_up(reason: str) -> None:
+def exit_with_error(reason: str) -> None:
     """Print a one-line error and exit with code 2."""
     print(f"compare: {reason}", file=sys.stderr)
-    raise SystemExit(BAD_USE)
+    raise SystemExit(USAGE_ERROR)
 
 
 def check_days(site: pathlib.Path, days: Sequence[str]) -> None:
@@ -84,34 +86,34 @@
     try:
         known = [day["name"] for day in tomllib.loads(site.read_text()).get("day", [])]
     except (OSError, tomllib.TOMLDecodeError) as error:
-        give_up(f"{site}: {error}; a site file is required")
+        exit_with_error(f"{site}: {error}; a site file is required")
     for day in days:
         if day not in known:
-            give_up(f"{site}: unknown day {day!r}; known: {', '.join(known)}")
+            exit_with_error(f"{site}: unknown day {day!r}; known: {', '.join(known)}")
 
 
-def copy_tree(task: Task, way: str) -> None:
+def copy_tree(comparison: Comparison, way: str) -> None:
     """Copy the working tree and select a policy in the copy, unless the copy exists."""
-    tree = task.tree(way)
+    tree = comparison.tree(way)
     if tree.exists():
         return
     subprocess.run(["git", "clone", "--quiet", ".", str(tree)], check=True)
     for name in COPIED:
         shutil.rmtree(tree / name)
         shutil.copytree(name, tree / name, ignore=shutil.ignore_patterns("__pycache__"))
-    policy = json.loads(POLICY_FILE.read_text()) | {task.decision: way}
+    policy = json.loads(POLICY_FILE.read_text()) | {comparison.field: way}
     (tree / POLICY_FILE).write_text(json.dumps(policy, indent=4) + "\n")
 
 
-def bring_journal(task: Task, ways: Sequence[str]) -> None:
+def copy_journal(comparison: Comparison, ways: Sequence[str]) -> None:
     """Copy new journal entries of the simulations into this tree."""
     for way in ways:
-        for entry in (task.tree(way) / JOURNAL).glob("*.json"):
+        for entry in (comparison.tree(way) / JOURNAL).glob("*.json"):
             if not (JOURNAL / entry.name).exists():
                 shutil.copy(entry, JOURNAL / entry.name)
 
 
-def read_results(path: pathlib.Path) -> dict[str, float]:
+def read_scores(path: pathlib.Path) -> dict[str, float]:
     """Return the score of each stored simulation, by its key."""
     if not path.exists():
         return {}
@@ -119,24 +121,31 @@
     return {row["play"]: row["worth"] for row in rows}
 
 
-def carry_out(task: Task, play: Play) -> dict[str, object]:
+def run_simulation(comparison: Comparison, simulation: Play) -> dict[str, object]:
     """Run a simulation; return its score and the rules that it broke."""
-    report = task.tree(play.way) / f"{play.key().replace(' ', '-')}.json"
-    done = subprocess.run(
-        task.command(play, report), cwd=task.tree(play.way), capture_output=True, text=True
+    report = comparison.tree(simulation.way) / f"{simulation.key().replace(' ', '-')}.json"
+    completed = subprocess.run(
+        comparison.command(simulation, report),
+        cwd=comparison.tree(simulation.way),
+        capture_output=True,
+        text=True,
     )
     if not report.exists():
-        raise SystemExit(f"compare: {play.key()}: {done.stderr.strip() or done.stdout[-500:]}")
-    told = json.loads(report.read_text())
-    return {"play": play.key(), "worth": told["G"], "rules": told["breaks"]}
+        raise SystemExit(
+            f"compare: {simulation.key()}: {completed.stderr.strip() or completed.stdout[-500:]}"
+        )
+    result = json.loads(report.read_text())
+    return {"play": simulation.key(), "worth": result["G"], "rules": result["breaks"]}
 
 
-def pairs_of(plays: Sequence[Play], worths: dict[str, float], way: str, standing: str) -> list:
+def pairs_of(
+    simulations: Sequence[Play], scores: dict[str, float], way: str, baseline: str
+) -> list:
     """Return the score differences of a policy and the baseline, per site, day and seed."""
     return [
-        worths[play.key()] - worths[dataclasses.replace(play, way=standing).key()]
-        for play in plays
-        if play.way == way
+        scores[simulation.key()] - scores[dataclasses.replace(simulation, way=baseline).key()]
+        for simulation in simulations
+        if simulation.way == way
     ]
 
 
@@ -159,47 +168,53 @@
             json.dumps({name: sorted(ways) for name, ways in node_policy.POLICY_REGISTRIES.items()})
         )
         return 0
-    known = ways_of(options.decision)
-    ways = options.ways or sorted(known)
+    policies = get_policies(options.decision)
+    ways = options.ways or sorted(policies)
     for way in ways:
-        if way not in known.entries:
-            give_up(f"{options.decision}: unknown way {way!r}; known: {', '.join(known)}")
+        if way not in policies.entries:
+            exit_with_error(
+                f"{options.decision}: unknown way {way!r}; known: {', '.join(policies)}"
+            )
     if options.program is None or options.folder is None or not options.site or not options.day:
-        give_up("--program, --folder, --site and --day are required")
+        exit_with_error("--program, --folder, --site and --day are required")
     for site in options.site:
         check_days(site, options.day)
-    task = Task(options.program, options.folder, options.decision, options.small)
-    plays = [
+    comparison = Comparison(options.program, options.folder, options.decision, options.small)
+    simulations = [
         Play(site, day, seed, way)
         for site in options.site
         for day in options.day
         for seed in options.seed
         for way in ways
     ]
-    return compare(task, plays, ways, options.jobs)
+    return compare(comparison, simulations, ways, options.jobs)
 
 
-def compare(task: Task, plays: Sequence[Play], ways: Sequence[str], jobs: int) -> int:
+def compare(
+    comparison: Comparison, simulations: Sequence[Play], ways: Sequence[str], jobs: int
+) -> int:
     """Run the missing simulations and print the comparison of each policy with the baseline."""
     for way in ways:
-        copy_tree(task, way)
-    results = task.folder / RESULTS_FILE
-    worths = read_results(results)
-    missing = [play for play in plays if play.key() not in worths]
+        copy_tree(comparison, way)
+    results = comparison.folder / RESULTS_FILE
+    scores = read_scores(results)
+    not_run = [simulation for simulation in simulations if simulation.key() not in scores]
     with concurrent.futures.ThreadPoolExecutor(jobs) as pool:
-        for row in pool.map(lambda play: carry_out(task, play), missing):
+        for row in pool.map(lambda simulation: run_simulation(comparison, simulation), not_run):
             with results.open("a") as file:
                 file.write(json.dumps(row) + "\n")
             print(row, flush=True)
-    bring_journal(task, ways)
-    worths = read_results(results)
-    standing, found = ways[0], {}
+    copy_journal(comparison, ways)
+    scores = read_scores(results)
+    baseline, found = ways[0], {}
     for way in ways[1:]:
-        for site in sorted({play.site for play in plays}):
-            here = [play for play in plays if play.site == site]
-            told = verdict.judge(pairs_of(here, worths, way, standing))
-            print(f"{site.stem}: {way} against {standing}: {told}")
-        told = verdict.judge(pairs_of(plays, worths, way, standing))
-        found[way] = dataclasses.asdict(told)
-    print(json.dumps({"bench": "compare", "decision": task.decision, "against": standing} | found))
+        for site in sorted({simulation.site for simulation in simulations}):
+            of_site = [simulation for simulation in simulations if simulation.site == site]
+            result = verdict.judge(pairs_of(of_site, scores, way, baseline))
+            print(f"{site.stem}: {way} against {baseline}: {result}")
+        result = verdict.judge(pairs_of(simulations, scores, way, baseline))
+        found[way] = dataclasses.asdict(result)
+    print(
+        json.dumps({"bench": "compare", "decision": comparison.field, "against": baseline} | found)
+    )
     return 0
--- a/bench/verdict.py
+++ b/bench/verdict.py
@@ -6,11 +6,11 @@
 from collections.abc import Sequence
 
 # Half the width of the confidence interval, in standard errors; about 95 % with ten pairs.
-ERRORS = 2.0
+STANDARD_ERRORS = 2.0
 # The standard deviation of fewer pairs is too uncertain.
 LEAST_PAIRS = 3
 # A smaller difference of scores is irrelevant even if it is significant.
-LEAST_DIFFERENCE = 0.002
+DIFFERENCE_MIN = 0.002
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -37,8 +37,8 @@
     mean = statistics.fmean(differences)
     spread = statistics.stdev(differences)
     error = spread / math.sqrt(pairs)
-    if abs(mean) > ERRORS * error and abs(mean) >= LEAST_DIFFERENCE:
+    if abs(mean) > STANDARD_ERRORS * error and abs(mean) >= DIFFERENCE_MIN:
         return Verdict("better" if mean > 0 else "worse", pairs, mean, spread, 0)
-    worth_telling = max(abs(mean), LEAST_DIFFERENCE)
-    needed = math.ceil((ERRORS * spread / worth_telling) ** 2)
-    return Verdict("not told apart", pairs, mean, spread, max(0, needed - pairs))
+    relevant = max(abs(mean), DIFFERENCE_MIN)
+    pairs_needed = math.ceil((STANDARD_ERRORS * spread / relevant) ** 2)
+    return Verdict("not told apart", pairs, mean, spread, max(0, pairs_needed - pairs))
