--- a/bench/verdict.py
+++ b/bench/verdict.py
@@ -36,9 +36,9 @@
         return Verdict("not told apart", pairs, mean, 0.0, LEAST_PAIRS - pairs)
     mean = statistics.fmean(differences)
     spread = statistics.stdev(differences)
-    error = spread / math.sqrt(pairs)
-    if abs(mean) > STANDARD_ERRORS * error and abs(mean) >= DIFFERENCE_MIN:
+    standard_error = spread / math.sqrt(pairs)
+    if abs(mean) > STANDARD_ERRORS * standard_error and abs(mean) >= DIFFERENCE_MIN:
         return Verdict("better" if mean > 0 else "worse", pairs, mean, spread, 0)
-    relevant = max(abs(mean), DIFFERENCE_MIN)
-    pairs_needed = math.ceil((STANDARD_ERRORS * spread / relevant) ** 2)
+    relevant_difference = max(abs(mean), DIFFERENCE_MIN)
+    pairs_needed = math.ceil((STANDARD_ERRORS * spread / relevant_difference) ** 2)
     return Verdict("not told apart", pairs, mean, spread, max(0, pairs_needed - pairs))
