--- a/bench/transfer.py
+++ b/bench/transfer.py
@@ -25,10 +25,10 @@
 DELAY_S = (0.0005, 0.0005, 0.001)
 # How much a TCP connection sends before the next connection of the link sends.
 QUANTUM_BYTES = node_bus.SEND_CHUNK_BYTES
-LIMIT_S = 120.0
+TIME_LIMIT_S = 120.0
 # A request for a piece and a reply without one, with HTTP, TCP and IP headers.
-ASK_BYTES = 400
-ANSWER_BYTES = 250
+REQUEST_BYTES = 400
+EMPTY_REPLY_BYTES = 250
 # Mean interval and size of the packets of requests and events at each link: 4 requests per second
 # with 14 events each.
 PACKET_EVERY_S = 0.016
@@ -74,15 +74,15 @@
         self.free_at = 0.0
         self.waits: list[float] = []
 
-    def carry(self, size: int, now: float) -> float:
+    def transmit(self, size: int, now: float) -> float:
         """Queue `size` bytes; return when they are transmitted."""
         self.free_at = max(self.free_at, now) + size / self.rate
         return self.free_at
 
-    def carry_packet(self, now: float) -> None:
+    def transmit_packet(self, now: float) -> None:
         """Queue a request packet and record its queueing delay."""
         self.waits.append(max(0.0, self.free_at - now))
-        self.carry(PACKET_BYTES, now)
+        self.transmit(PACKET_BYTES, now)
 
 
 class Agent:
@@ -99,7 +99,7 @@
         self.outgoing = pacing.FeedbackPacer(
             piece_server.UPLOAD_SHARE * shape.link_rate, 0.0, piece_server.UPLOAD_TARGET_S
         )
-        self.took_s: dict[str, float] = {}
+        self.transfer_times: dict[str, float] = {}
         self.plan = fetch.POLICIES.get(shape.policy)(
             self.name,
             "m@2",
@@ -116,7 +116,7 @@
             piece_fetcher.TRANSFERS_MAX, piece_fetcher.TRANSFER_TARGET_S
         )
         self.rate = pacing.RecentRate(piece_fetcher.RATE_WINDOW_S)
-        self.began: dict[int, float] = {}
+        self.started_at: dict[int, float] = {}
         self.whole_at: float | None = None
         self.is_dead = False
 
@@ -130,7 +130,7 @@
         self.announces = announces
         self.rng = random.Random(shape.seed)
         self.now = 0.0
-        self.numbers = itertools.count()
+        self.event_numbers = itertools.count()
         self.events: list[tuple[float, int, Callable[[], None]]] = []
         self.origin = Link(shape.origin_rate)
         self.counts: collections.Counter[str] = collections.Counter()
@@ -158,42 +158,42 @@
         """Return the distance between two agents."""
         return fetch.SAME_ZONE if one.zone == other.zone else fetch.OTHER_REGION
 
-    def at(self, when: float, do: Callable[[], None]) -> None:
+    def schedule(self, when: float, callback: Callable[[], None]) -> None:
         """Schedule an event."""
-        heapq.heappush(self.events, (when, next(self.numbers), do))
+        heapq.heappush(self.events, (when, next(self.event_numbers), callback))
 
     def run(self) -> "Rollout":
         """Run until all agents are complete, or LIMIT_S of simulated time have passed."""
         for agent in self.agents.values():
             if not agent.is_dead:
-                self.at(self.rng.uniform(0.0, STEP_S), lambda agent=agent: self.tick(agent))
-                self.at(0.0, lambda agent=agent: self.request(agent))
-        while self.events and self.now < LIMIT_S:
-            self.now, _, do = heapq.heappop(self.events)
-            do()
-            if self.is_over():
+                self.schedule(self.rng.uniform(0.0, STEP_S), lambda agent=agent: self.step(agent))
+                self.schedule(0.0, lambda agent=agent: self.send_request_packets(agent))
+        while self.events and self.now < TIME_LIMIT_S:
+            self.now, _, callback = heapq.heappop(self.events)
+            callback()
+            if self.is_finished():
                 break
         return self
 
-    def is_over(self) -> bool:
+    def is_finished(self) -> bool:
         """Return whether all live agents are complete."""
         return all(a.whole_at is not None or a.is_dead for a in self.agents.values())
 
-    def request(self, agent: Agent) -> None:
+    def send_request_packets(self, agent: Agent) -> None:
         """Queue request packets at both links of an agent, and schedule the next ones."""
-        agent.link_in.carry_packet(self.now)
-        agent.link_out.carry_packet(self.now)
-        if not self.is_over():
+        agent.link_in.transmit_packet(self.now)
+        agent.link_out.transmit_packet(self.now)
+        if not self.is_finished():
             wait_s = self.rng.expovariate(1 / PACKET_EVERY_S)
-            self.at(self.now + wait_s, lambda: self.request(agent))
+            self.schedule(self.now + wait_s, lambda: self.send_request_packets(agent))
 
-    def tick(self, agent: Agent) -> None:
+    def step(self, agent: Agent) -> None:
         """Run the agent's periodic step and schedule the next one."""
         agent.rate.record(agent.plan.held.bit_count(), self.now)
         agent.plan.is_late = self.is_late(agent)
-        self.work(agent)
+        self.start_actions(agent)
         if agent.whole_at is None:
-            self.at(self.now + STEP_S, lambda: self.tick(agent))
+            self.schedule(self.now + STEP_S, lambda: self.step(agent))
 
     def is_late(self, agent: Agent) -> bool:
         """Return whether an agent will miss the deadline at its recent rate."""
@@ -202,7 +202,7 @@
         missing = self.shape.pieces - agent.plan.held.bit_count()
         return self.now + missing / max(agent.rate.per_s(), 1.0) > self.shape.due_s
 
-    def work(self, agent: Agent) -> None:
+    def start_actions(self, agent: Agent) -> None:
         """Start actions of the agent's plan as far as its window and pacer allow."""
         plan = agent.plan
         while agent.window.has_room(plan.open_requests.total() + plan.origin_reads):
@@ -212,30 +212,30 @@
             if action is None:
                 return
             plan.on_action_started(action)
-            agent.began[id(action)] = self.now
+            agent.started_at[id(action)] = self.now
             agent.incoming.reserve(self.shape.piece_bytes, self.now)
             if isinstance(action, fetch.OriginRead):
-                self.claim(agent, action)
+                self.send_claim(agent, action)
                 self.read_origin(agent, action)
             else:
-                self.ask(agent, action)
+                self.request_piece(agent, action)
 
-    def end(self, agent: Agent, action: fetch.Action, index: int) -> None:
+    def finish_action(self, agent: Agent, action: fetch.Action, index: int) -> None:
         """Finish an action that fetched the piece `index`, or failed if it is -1."""
         plan = agent.plan
         plan.on_action_finished(action)
-        took_s = self.now - agent.began.pop(id(action))
+        took_s = self.now - agent.started_at.pop(id(action))
         if index < 0:
             agent.incoming.cancel_reservation(self.shape.piece_bytes)
         else:
             if isinstance(action, fetch.PeerRequest):
-                agent.took_s[action.peer] = took_s
+                agent.transfer_times[action.peer] = took_s
                 agent.window.record(took_s, self.now)
             plan.on_chunk_received(index, isinstance(action, fetch.OriginRead), self.now)
             self.announce(agent, action, index)
         if plan.is_complete() and agent.whole_at is None:
             agent.whole_at = self.now
-        self.work(agent)
+        self.start_actions(agent)
 
     def announce(self, agent: Agent, action: fetch.Action, index: int) -> None:
         """Announce a fetched piece to the recipients that the plan selects."""
@@ -245,43 +245,48 @@
             other = self.agents[name]
             self.counts["announced"] += 1
             when = self.now + DELAY_S[self.distance(agent, other)]
-            self.at(when, lambda other=other: other.plan.on_announcement(agent.name, index))
+            self.schedule(when, lambda other=other: other.plan.on_announcement(agent.name, index))
 
-    def claim(self, agent: Agent, action: fetch.OriginRead) -> None:
+    def send_claim(self, agent: Agent, action: fetch.OriginRead) -> None:
         """Send the claim of a piece to other readers of the origin."""
         for name in agent.plan.claim_recipients():
             other = self.agents[name]
             when = self.now + DELAY_S[self.distance(agent, other)]
-            self.at(when, lambda other=other: other.plan.on_claim(action.index, self.now))
+            self.schedule(when, lambda other=other: other.plan.on_claim(action.index, self.now))
 
-    def is_cut(self, zone: int) -> bool:
+    def is_partitioned(self, zone: int) -> bool:
         """Return whether a zone is partitioned now."""
         return zone == self.fault.cut_zone and self.now < self.fault.cut_to
 
-    def are_apart(self, one: int, other: int) -> bool:
+    def are_separated(self, one: int, other: int) -> bool:
         """Return whether a partition separates two zones now."""
-        return one != other and (self.is_cut(one) or self.is_cut(other))
+        return one != other and (self.is_partitioned(one) or self.is_partitioned(other))
 
     def read_origin(self, agent: Agent, action: fetch.OriginRead) -> None:
         """Read a piece from the origin, which is in zone 0."""
         delay = DELAY_S[0 if agent.zone == 0 else 2]
         is_down = self.fault.origin_down_from <= self.now < self.fault.origin_down_to
-        if is_down or self.are_apart(agent.zone, 0):
-            self.at(self.now + 2 * delay + 0.02, lambda: self.refused(agent, action))
+        if is_down or self.are_separated(agent.zone, 0):
+            self.schedule(self.now + 2 * delay + 0.02, lambda: self.on_origin_failed(agent, action))
             return
         self.counts["origin"] += 1
         self.counts["crossed"] += agent.zone != 0
-        self.at(
+        self.schedule(
             self.now + delay,
             lambda: self.send(
-                self.origin, agent, delay, 0, 0.0, lambda: self.end(agent, action, action.index)
+                self.origin,
+                agent,
+                delay,
+                0,
+                0.0,
+                lambda: self.finish_action(agent, action, action.index),
             ),
         )
 
-    def refused(self, agent: Agent, action: fetch.OriginRead) -> None:
+    def on_origin_failed(self, agent: Agent, action: fetch.OriginRead) -> None:
         """Handle a failed read from the origin."""
         agent.plan.on_origin_failed(self.now, piece_fetcher.ORIGIN_RETRY_DELAY_S, action.index)
-        self.end(agent, action, -1)
+        self.finish_action(agent, action, -1)
 
     def send(
         self,
@@ -290,86 +295,97 @@
         delay: float,
         sent: int,
         gap_s: float,
-        done: Callable[[], None],
+        on_done: Callable[[], None],
     ) -> None:
         """Send the next part of a piece, and schedule the one after it.
 
         Parts are spaced by `gap_s`; if it is 0, each part follows when the previous one is sent.
         """
         size = min(QUANTUM_BYTES, self.shape.piece_bytes - sent)
-        through = link.carry(size, self.now)
-        left = sent + size
-        if left >= self.shape.piece_bytes:
-            self.at(through + delay, lambda: self.at(agent.link_in.carry(size, self.now), done))
+        sent_at = link.transmit(size, self.now)
+        sent_after = sent + size
+        if sent_after >= self.shape.piece_bytes:
+            self.schedule(
+                sent_at + delay,
+                lambda: self.schedule(agent.link_in.transmit(size, self.now), on_done),
+            )
             return
-        self.at(through + delay, lambda: agent.link_in.carry(size, self.now) and None)
+        self.schedule(sent_at + delay, lambda: agent.link_in.transmit(size, self.now) and None)
         # A TCP window holds a whole piece, so the pacing does not depend on the link.
-        when = self.now + gap_s if gap_s else through
-        self.at(when, lambda: self.send(link, agent, delay, left, gap_s, done))
+        when = self.now + gap_s if gap_s else sent_at
+        self.schedule(when, lambda: self.send(link, agent, delay, sent_after, gap_s, on_done))
 
-    def ask(self, agent: Agent, action: fetch.PeerRequest) -> None:
+    def request_piece(self, agent: Agent, action: fetch.PeerRequest) -> None:
         """Request a piece from a peer."""
         peer = self.agents[action.peer]
         delay = DELAY_S[self.distance(agent, peer)]
-        if peer.is_dead or self.are_apart(agent.zone, peer.zone):
+        if peer.is_dead or self.are_separated(agent.zone, peer.zone):
             wait_s = 2 * delay if peer.is_dead else piece_fetcher.PEER_TIMEOUT_S
-            self.at(self.now + wait_s, lambda: self.failed(agent, action))
+            self.schedule(self.now + wait_s, lambda: self.on_peer_failed(agent, action))
             return
         held = agent.plan.held
-        left = agent.link_out.carry(ASK_BYTES, self.now)
-        self.at(left + delay, lambda: self.give(agent, peer, action, held, delay))
+        sent_at = agent.link_out.transmit(REQUEST_BYTES, self.now)
+        self.schedule(
+            sent_at + delay, lambda: self.handle_request(agent, peer, action, held, delay)
+        )
 
-    def failed(self, agent: Agent, action: fetch.PeerRequest) -> None:
+    def on_peer_failed(self, agent: Agent, action: fetch.PeerRequest) -> None:
         """Handle a request to a peer that failed."""
         agent.plan.on_peer_failed(action.peer, self.now)
-        self.end(agent, action, -1)
+        self.finish_action(agent, action, -1)
 
-    def give(
+    def handle_request(
         self, agent: Agent, peer: Agent, action: fetch.PeerRequest, held: int, delay: float
     ) -> None:
         """Handle a request at the peer: send a piece, or reply that it is busy or has none."""
         peer.plan.on_peer_report(agent.name, held, self.now)
-        if agent.took_s.get(peer.name):
-            peer.outgoing.record(agent.name, agent.took_s.pop(peer.name))
+        if agent.transfer_times.get(peer.name):
+            peer.outgoing.record(agent.name, agent.transfer_times.pop(peer.name))
         wanted = fetch.bit_positions(action.wanted & peer.plan.held)
-        told = peer.plan.held
+        reported = peer.plan.held
         free_in_s = peer.outgoing.wait_s(self.now) if wanted else 0.0
         if not wanted or free_in_s > piece_server.UPLOAD_WAIT_S_MAX:
-            left = peer.link_out.carry(ANSWER_BYTES, self.now)
-            self.at(left + delay, lambda: self.nothing(agent, action, told, free_in_s))
+            sent_at = peer.link_out.transmit(EMPTY_REPLY_BYTES, self.now)
+            self.schedule(
+                sent_at + delay, lambda: self.on_no_piece(agent, action, reported, free_in_s)
+            )
             return
         index = self.rng.choice(wanted)
         start = self.now + peer.outgoing.reserve(self.shape.piece_bytes, self.now)
         self.counts["crossed"] += agent.zone != peer.zone
         gap_s = QUANTUM_BYTES / peer.outgoing.bytes_per_s
 
-        def done() -> None:
-            agent.plan.on_peer_report(action.peer, told, self.now)
-            self.end(agent, action, index)
+        def on_done() -> None:
+            agent.plan.on_peer_report(action.peer, reported, self.now)
+            self.finish_action(agent, action, index)
 
-        self.at(start, lambda: self.send(peer.link_out, agent, delay, 0, gap_s, done))
+        self.schedule(start, lambda: self.send(peer.link_out, agent, delay, 0, gap_s, on_done))
 
-    def nothing(self, agent: Agent, action: fetch.PeerRequest, told: int, free_in_s: float) -> None:
+    def on_no_piece(
+        self, agent: Agent, action: fetch.PeerRequest, reported: int, free_in_s: float
+    ) -> None:
         """Handle a reply without a piece: the peer is busy for `free_in_s`, or if 0 has none."""
         self.counts["in vain"] += 1
-        agent.plan.on_peer_report(action.peer, told, self.now)
+        agent.plan.on_peer_report(action.peer, reported, self.now)
         if free_in_s:
             agent.plan.on_peer_busy(action.peer, self.now, free_in_s)
         else:
             agent.plan.on_peer_empty(action.peer, self.now)
-        self.end(agent, action, -1)
+        self.finish_action(agent, action, -1)
 
     def bound_s(self) -> float:
         """Return the lower bound of the time that the links allow without faults."""
         shape = self.shape
         size = shape.pieces * shape.piece_bytes
-        together = shape.origin_rate + (shape.agents - 1) * shape.link_rate
-        return max(size / shape.origin_rate, size / shape.link_rate, shape.agents * size / together)
+        total_rate = shape.origin_rate + (shape.agents - 1) * shape.link_rate
+        return max(
+            size / shape.origin_rate, size / shape.link_rate, shape.agents * size / total_rate
+        )
 
     def figures(self) -> dict[str, float]:
         """Return completion times relative to the bound, copies sent, and queueing delays."""
-        whole = [a.whole_at for a in self.agents.values() if a.whole_at and not a.is_dead]
-        times = sorted(whole) + [LIMIT_S] * (not self.is_over())
+        completed = [a.whole_at for a in self.agents.values() if a.whole_at and not a.is_dead]
+        times = sorted(completed) + [TIME_LIMIT_S] * (not self.is_finished())
         waits = sorted(
             wait for a in self.agents.values() for wait in a.link_in.waits + a.link_out.waits
         )
