--- a/bench/permits.py
+++ b/bench/permits.py
@@ -17,9 +17,9 @@
 from merlinthread.protocol import codec as codecs
 from merlinthread.protocol import node_messages
 
-QUESTIONS = 5000
+QUERIES = 5000
 # Size of UDP and IP headers.
-HEADS = 28
+HEADER_BYTES = 28
 
 
 class Leader:
@@ -46,7 +46,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Spent:
+class Totals:
     """Total cost of all queries: CPU time in seconds, bytes on the wire."""
 
     leader_s: float = 0.0
@@ -55,51 +55,51 @@
     answer_bytes: int = 0
 
 
-def ask_all(entries: int, backends: int, named: int, rng: random.Random) -> Spent:
+def run_queries(entries: int, backends: int, named: int, rng: random.Random) -> Totals:
     """Send random permit queries; each contains the limits of `named` back ends."""
     codec = codecs.Codec([node_messages.MESSAGES], [])
     times = [0.0]
-    office = permit_server.PermitServer(Leader(), lambda: times[0])  # type: ignore[arg-type]
+    server = permit_server.PermitServer(Leader(), lambda: times[0])  # type: ignore[arg-type]
     names = [f"i-{rng.getrandbits(40):010x}@1767000000000" for _ in range(backends)]
-    spent = Spent()
-    for number in range(QUESTIONS):
+    totals = Totals()
+    for number in range(QUERIES):
         times[0] += 0.008
         limits = [rate_limits.AdvertisedLimit(name, 1.5, 0.25) for name in rng.sample(names, named)]
-        request = rate_limits.PermitRequest("service", "account", 0.048, limits)
+        permit_request = rate_limits.PermitRequest("service", "account", 0.048, limits)
         address = f"10.0.{rng.randrange(entries) // 250}.{rng.randrange(250)}:7702"
-        began = time.process_time()
-        frame = codec.encode(node_messages.LoadQuery(address, number, request))
-        asked = time.process_time()
+        started_at = time.process_time()
+        frame = codec.encode(node_messages.LoadQuery(address, number, permit_request))
+        encoded_at = time.process_time()
         query = codec.decode(frame)
-        answer = node_messages.LoadReply(number, 0, 0, 0.0, permit=office.answer(query))
-        reply = codec.encode(answer)
-        answered = time.process_time()
+        reply_message = node_messages.LoadReply(number, 0, 0, 0.0, permit=server.answer(query))
+        reply = codec.encode(reply_message)
+        replied_at = time.process_time()
         codec.decode(reply)
-        spent.entry_s += asked - began + time.process_time() - answered
-        spent.leader_s += answered - asked
-        spent.query_bytes += len(frame) + HEADS
-        spent.answer_bytes += len(reply) + HEADS
-    return spent
+        totals.entry_s += encoded_at - started_at + time.process_time() - replied_at
+        totals.leader_s += replied_at - encoded_at
+        totals.query_bytes += len(frame) + HEADER_BYTES
+        totals.answer_bytes += len(reply) + HEADER_BYTES
+    return totals
 
 
-def measure(entries: int, backends: int, named: int, seed: int = 1) -> Cost:
+def measure_cost(entries: int, backends: int, named: int, seed: int = 1) -> Cost:
     """Return the cost of a query.
 
     Memory is measured in a second run, since tracing it would dominate the CPU time.
     """
-    spent = ask_all(entries, backends, named, random.Random(seed))
+    totals = run_queries(entries, backends, named, random.Random(seed))
     tracemalloc.start()
-    ask_all(entries, backends, named, random.Random(seed))
+    run_queries(entries, backends, named, random.Random(seed))
     memory_kb = tracemalloc.get_traced_memory()[1] / 1024
     tracemalloc.stop()
-    per = 1 / QUESTIONS
+    per_query = 1 / QUERIES
     return Cost(
         entries,
         backends,
-        round(1e6 * spent.leader_s * per, 1),
-        round(1e6 * spent.entry_s * per, 1),
-        round(spent.query_bytes * per),
-        round(spent.answer_bytes * per),
+        round(1e6 * totals.leader_s * per_query, 1),
+        round(1e6 * totals.entry_s * per_query, 1),
+        round(totals.query_bytes * per_query),
+        round(totals.answer_bytes * per_query),
         round(memory_kb),
     )
 
@@ -111,5 +111,9 @@
     parser.add_argument("--backends", type=int, default=150, help="number of limited back ends")
     parser.add_argument("--named", type=int, default=1, help="back ends in a query")
     options = parser.parse_args(arguments)
-    print(json.dumps(dataclasses.asdict(measure(options.entries, options.backends, options.named))))
+    print(
+        json.dumps(
+            dataclasses.asdict(measure_cost(options.entries, options.backends, options.named))
+        )
+    )
     return 0
--- a/bench/rollout.py
+++ b/bench/rollout.py
@@ -20,7 +20,7 @@
 WORKERS = 7
 POLL_S = 0.1
 ZONES = ("zone-a", "zone-b", "zone-c")
-LIMIT_OVER_BOUND = 12.0
+TIMEOUT_OVER_BOUND = 12.0
 
 
 class Swarm:
@@ -48,27 +48,27 @@
             for i, name in enumerate(self.names)
         ]
 
-    def order(self, handle: subprocess.Popen, order: dict) -> dict:
+    def send_command(self, handle: subprocess.Popen, command: dict) -> dict:
         """Send a command to a worker and return its reply."""
         assert handle.stdin is not None and handle.stdout is not None
-        handle.stdin.write(json.dumps(order) + "\n")
+        handle.stdin.write(json.dumps(command) + "\n")
         handle.stdin.flush()
         return json.loads(handle.stdout.readline())
 
-    def order_all(self, order: dict) -> list[dict]:
+    def send_to_all(self, command: dict) -> list[dict]:
         """Send a command to all workers and return their replies."""
-        return [self.order(handle, order) for handle in self.handles]
+        return [self.send_command(handle, command) for handle in self.handles]
 
     def start(self, policy: str, corrupt_share: float) -> None:
         """Start the agents."""
         for number, handle in enumerate(self.handles):
             configs = [
-                {"settings": self.settings_of(peer, policy), "corrupt_share": corrupt_share}
+                {"settings": self.agent_settings(peer, policy), "corrupt_share": corrupt_share}
                 for peer in self.peers[number :: len(self.handles)]
             ]
-            self.order(handle, {"do": "start", "agents": configs})
+            self.send_command(handle, {"do": "start", "agents": configs})
 
-    def settings_of(self, peer: tuple, policy: str) -> dict:
+    def agent_settings(self, peer: tuple, policy: str) -> dict:
         """Return the settings of an agent."""
         name, zone, region, address = peer
         return {
@@ -90,38 +90,38 @@
             },
         }
 
-    def wait(self, manifest: str, started: float, faults: "Faults") -> dict:
+    def wait_until_complete(self, manifest: str, started: float, faults: "FaultSchedule") -> dict:
         """Wait until every live agent is complete, up to a limit, and return the results."""
-        bound = self.bound()
+        bound = self.lower_bound()
         live = set(self.names)
         while True:
             elapsed = time.monotonic() - started
-            faults.act(self, manifest, elapsed / bound, live)
-            answers = self.order_all({"do": "poll"})
+            faults.apply(self, manifest, elapsed / bound, live)
+            replies = self.send_to_all({"do": "poll"})
             done = {
                 name: at[manifest] - started
-                for answer in answers
-                for name, at in answer["done"].items()
+                for reply in replies
+                for name, at in reply["done"].items()
                 if manifest in at
             }
-            if live <= set(done) or elapsed > LIMIT_OVER_BOUND * bound:
+            if live <= set(done) or elapsed > TIMEOUT_OVER_BOUND * bound:
                 return {
                     "times": sorted(done[name] for name in live if name in done),
                     "missing": len(live - set(done)),
-                    "cpu_s": sum(answer["cpu_s"] for answer in answers),
-                    "rss_mb": sum(answer["rss_mb"] for answer in answers),
+                    "cpu_s": sum(reply["cpu_s"] for reply in replies),
+                    "rss_mb": sum(reply["rss_mb"] for reply in replies),
                     "tally": {
-                        key: sum(answer["tally"].get(key, 0) for answer in answers)
-                        for key in answers[0]["tally"]
+                        key: sum(reply["tally"].get(key, 0) for reply in replies)
+                        for key in replies[0]["tally"]
                     },
                 }
             time.sleep(POLL_S)
 
-    def want(self, manifest: str, peers: list[tuple], cut: str = "") -> None:
+    def start_fetch(self, manifest: str, peers: list[tuple], cut: str = "") -> None:
         """Let all agents fetch a manifest from the reachable peers."""
-        self.order_all({"do": "want", "manifest": manifest, "peers": peers, "cut": cut})
+        self.send_to_all({"do": "want", "manifest": manifest, "peers": peers, "cut": cut})
 
-    def bound(self) -> float:
+    def lower_bound(self) -> float:
         """Return the lower bound of the time to N replicas, in seconds."""
         count = len(self.names)
         origin, link = 2 * self.rate, self.rate
@@ -143,29 +143,29 @@
         self.fleet.close()
 
 
-class Faults:
+class FaultSchedule:
     """Faults injected during a run, timed as shares of the bound."""
 
-    def __init__(self, is_on: bool) -> None:
-        self.is_on = is_on
+    def __init__(self, is_enabled: bool) -> None:
+        self.is_enabled = is_enabled
         self.killed: list[str] = []
-        self.is_cut = False
+        self.is_partitioned = False
         self.was_cut = False
 
-    def act(self, swarm: Swarm, manifest: str, share: float, live: set[str]) -> None:
+    def apply(self, swarm: Swarm, manifest: str, share: float, live: set[str]) -> None:
         """Kill a tenth of the agents at 0.4, and partition a zone from 0.3 to 0.63."""
-        if not self.is_on:
+        if not self.is_enabled:
             return
         if share >= 0.4 and not self.killed:
             self.killed = random.Random(1).sample(swarm.names, max(1, len(swarm.names) // 10))
             live -= set(self.killed)
-            swarm.order_all({"do": "kill", "names": self.killed})
-        wants_cut = 0.3 <= share < 0.63
-        if wants_cut != self.is_cut:
-            self.is_cut = wants_cut
+            swarm.send_to_all({"do": "kill", "names": self.killed})
+        is_partition_due = 0.3 <= share < 0.63
+        if is_partition_due != self.is_partitioned:
+            self.is_partitioned = is_partition_due
             peers = [peer for peer in swarm.peers if peer[0] not in self.killed]
-            cut = ZONES[2] if wants_cut else ""
-            swarm.want(manifest, peers, cut)
+            cut = ZONES[2] if is_partition_due else ""
+            swarm.start_fetch(manifest, peers, cut)
 
 
 def run(
@@ -179,24 +179,24 @@
         processes.wait_for("the origin", lambda: swarm.fleet.get(swarm.fleet.origin_url, "/stats"))
         time.sleep(0.5)
         started = time.monotonic()
-        swarm.want(manifest, swarm.peers)
-        found = swarm.wait(manifest, started, Faults(with_faults))
+        swarm.start_fetch(manifest, swarm.peers)
+        results = swarm.wait_until_complete(manifest, started, FaultSchedule(with_faults))
         stats = swarm.fleet.get(swarm.fleet.origin_url, "/stats")
-        times = found["times"]
-        slowest = times[-1] if times and not found["missing"] else None
+        times = results["times"]
+        slowest = times[-1] if times and not results["missing"] else None
         return {
             "policy": policy,
             "n": count,
             "faults": with_faults,
-            "bound_s": round(swarm.bound(), 3),
+            "bound_s": round(swarm.lower_bound(), 3),
             "time_to_n_s": round(slowest, 3) if slowest else None,
             "time_to_half_s": round(times[len(times) // 2], 3) if times else None,
-            "time_to_n_over_bound": round(slowest / swarm.bound(), 3) if slowest else None,
-            "missing": found["missing"],
+            "time_to_n_over_bound": round(slowest / swarm.lower_bound(), 3) if slowest else None,
+            "missing": results["missing"],
             "origin_copies": round(stats["sent_bytes"] / swarm.size, 3),
-            "agent_cpu_s_per_gb": round(found["cpu_s"] / (count * swarm.size / 1e9), 2),
-            "rss_mb_per_agent": round(found["rss_mb"] / count, 1),
-            "tally": found["tally"],
+            "agent_cpu_s_per_gb": round(results["cpu_s"] / (count * swarm.size / 1e9), 2),
+            "rss_mb_per_agent": round(results["rss_mb"] / count, 1),
+            "tally": results["tally"],
             "times": [round(value, 3) for value in times],
         }
     finally:
--- a/bench/swarm.py
+++ b/bench/swarm.py
@@ -20,22 +20,22 @@
 from merlinthread.state import chunks
 from merlinthread.transport import bus, http_server
 
-RESPONDERS = 6
-NOWHERE = "127.0.0.1:1"
+RPC_WORKERS = 6
+UNREACHABLE = "127.0.0.1:1"
 
 
-class CorruptingGiver(chunk_server.ChunkServer):
+class CorruptingChunkServer(chunk_server.ChunkServer):
     """A chunk server that corrupts a random share of its chunks."""
 
     corrupt_share = 0.0
 
     def handle(self, message: object) -> object:
         """Handle a message of another agent, and corrupt the reply by chance."""
-        answer = super().handle(message)
-        if isinstance(answer, messages.ChunkReply) and answer.data:
+        reply = super().handle(message)
+        if isinstance(reply, messages.ChunkReply) and reply.data:
             if random.random() < self.corrupt_share:
-                answer.data = bytes([answer.data[0] ^ 1]) + answer.data[1:]
-        return answer
+                reply.data = bytes([reply.data[0] ^ 1]) + reply.data[1:]
+        return reply
 
 
 class SwarmAgent:
@@ -53,20 +53,20 @@
         folder = pathlib.Path(config["folder"]) if config.get("folder") else None
         store = chunks.ChunkStore(folder, 1 << 34)
         self.weights = weights.WeightManager(context, checked.agent, store)
-        self.giver = CorruptingGiver(self.weights)
-        self.giver.corrupt_share = config.get("corrupt_share", 0.0)
-        self.responder = bus.RpcServer(
-            checked.bus, context.codec, self.giver.handle, workers=RESPONDERS
+        self.chunk_server = CorruptingChunkServer(self.weights)
+        self.chunk_server.corrupt_share = config.get("corrupt_share", 0.0)
+        self.rpc_server = bus.RpcServer(
+            checked.bus, context.codec, self.chunk_server.handle, workers=RPC_WORKERS
         )
-        self.responder.start()
+        self.rpc_server.start()
         self.weights.start()
         self.done_at: dict[str, float] = {}
-        self.is_dead = False
+        self.is_killed = False
 
     def kill(self) -> None:
         """Stop responding and downloading at once."""
-        self.is_dead = True
-        self.responder.socket.close()
+        self.is_killed = True
+        self.rpc_server.socket.close()
         with self.weights.lock:
             self.weights.stopping = True
 
@@ -77,40 +77,40 @@
     def __init__(self) -> None:
         self.agents: dict[str, SwarmAgent] = {}
 
-    def on_start(self, order: dict) -> dict:
+    def on_start(self, command: dict) -> dict:
         """Start agents."""
-        for config in order["agents"]:
+        for config in command["agents"]:
             self.agents[config["settings"]["name"]] = SwarmAgent(config)
         return {"started": len(self.agents)}
 
-    def on_want(self, order: dict) -> dict:
+    def on_want(self, command: dict) -> dict:
         """Start to fetch a manifest, or change the peers.
 
         Peers across the border of the zone `cut` get an unreachable address.
         """
-        cut = order.get("cut", "")
+        cut = command.get("cut", "")
         for agent in self.agents.values():
-            if agent.is_dead:
+            if agent.is_killed:
                 continue
             zone = agent.weights.context.settings.availability_zone
             peers = []
-            for name, other, _, address in order["peers"]:
+            for name, other, _, address in command["peers"]:
                 if name == agent.weights.name:
                     continue
                 is_reached = (other == cut) == (zone == cut)
                 distance = fetch.SAME_ZONE if other == zone else fetch.SAME_REGION
-                peers.append(fetch.Peer(name, address if is_reached else NOWHERE, distance))
-            agent.weights.set_wanted({order["manifest"]: peers})
+                peers.append(fetch.Peer(name, address if is_reached else UNREACHABLE, distance))
+            agent.weights.set_wanted({command["manifest"]: peers})
         return {}
 
-    def on_kill(self, order: dict) -> dict:
+    def on_kill(self, command: dict) -> dict:
         """Kill agents."""
-        for name in order["names"]:
+        for name in command["names"]:
             if name in self.agents:
                 self.agents[name].kill()
         return {}
 
-    def on_poll(self, order: dict) -> dict:
+    def on_poll(self, command: dict) -> dict:
         """Return the monotonic times at which agents completed manifests, and resource usage."""
         for agent in self.agents.values():
             for digest in agent.weights.complete_manifests():
@@ -118,11 +118,11 @@
         return {
             "done": {name: agent.done_at for name, agent in self.agents.items()},
             "cpu_s": time.process_time(),
-            "tally": self.tally(),
+            "tally": self.fetch_stats(),
             "rss_mb": rss_mb(),
         }
 
-    def tally(self) -> dict[str, int]:
+    def fetch_stats(self) -> dict[str, int]:
         """Return the fetch statistics, summed over all agents and downloads."""
         total: collections.Counter[str] = collections.Counter()
         for agent in self.agents.values():
@@ -134,9 +134,9 @@
     def run(self) -> None:
         """Execute commands until the end of input."""
         for line in sys.stdin:
-            order = json.loads(line)
-            answer = getattr(self, f"on_{order['do']}")(order)
-            print(json.dumps(answer), flush=True)
+            command = json.loads(line)
+            reply = getattr(self, f"on_{command['do']}")(command)
+            print(json.dumps(reply), flush=True)
 
 
 def rss_mb() -> float:
