--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -33,9 +33,9 @@
 ZONES = 8
 ROLL_VMS = 1400
 CONTROLS = 18
-CHANGES_A_DAY = 3000
-RESTARTS_A_DAY = 590
-REPORTS_TO = 2
+CHANGES_PER_DAY = 3000
+RESTARTS_PER_DAY = 590
+ENTRIES_PER_AGENT = 2
 REQUESTS_PER_S = 1300
 TOKENS_PER_S = 500_000
 BUDGET = {"core_share": 0.028, "rss_mb": 256.0, "bytes_per_s": 7000.0}
@@ -53,26 +53,26 @@
                 {
                     "entries": entries * 3,
                     "agents": count * 3,
-                    "agents_per_entry": count * min(entries, REPORTS_TO) / entries,
-                    "reports_to": min(entries, REPORTS_TO),
-                    "costs": control.node_costs(fleet),
+                    "agents_per_entry": count * min(entries, ENTRIES_PER_AGENT) / entries,
+                    "reports_to": min(entries, ENTRIES_PER_AGENT),
+                    "costs": control.measure_node_costs(fleet),
                 }
             )
             print(rows[-1], flush=True)
     return rows
 
 
-def timed(work: Callable[[], Any], rounds: int) -> float:
-    """Return the least CPU time of `work` over some rounds, in seconds."""
+def min_cpu_time(operation: Callable[[], Any], rounds: int) -> float:
+    """Return the least CPU time of `operation` over some rounds, in seconds."""
     best = float("inf")
     for _ in range(rounds):
-        before = time.process_time()
-        work()
-        best = min(best, time.process_time() - before)
+        started_at = time.process_time()
+        operation()
+        best = min(best, time.process_time() - started_at)
     return best
 
 
-def synthetic(count: int) -> tuple[bundles.Bundle, list[agents.AgentReport]]:
+def make_synthetic_fleet(count: int) -> tuple[bundles.Bundle, list[agents.AgentReport]]:
     """Return a bundle of 10 models, and reports of `count` agents in 8 zones."""
     models = [bundles.Model(f"model-{i}", "v1", f"{i:064x}", 10) for i in range(10)]
     groups = [
@@ -101,7 +101,7 @@
     codec = messages.make_codec([])
     rows = []
     for count in (100, 400, 1500):
-        bundle, reports = synthetic(count)
+        bundle, reports = make_synthetic_fleet(count)
         plan = placement.plan(bundle, reports, {})
         directive = control_state.Directive(1, 1, "", bundle, "0" * 64, {}, plan.changes)
         reply = messages.PollReply("control-1", "control-1", 0.0, 1, {}, directive)
@@ -114,28 +114,28 @@
             {
                 "vms": count,
                 "directive_bytes": len(frame),
-                "directive_decode_s": timed(lambda f=frame: codec.decode(f), 5),
-                "directive_encode_s": timed(lambda r=reply: codec.encode(r), 5),
-                "placement_s": timed(
+                "directive_decode_s": min_cpu_time(lambda f=frame: codec.decode(f), 5),
+                "directive_encode_s": min_cpu_time(lambda r=reply: codec.encode(r), 5),
+                "placement_s": min_cpu_time(
                     lambda b=bundle, r=reports, c=plan.changes: placement.plan(b, r, c), 5
                 ),
-                "fetch_peers_s": timed(lambda p=peers: new_plan(p), 3),
+                "fetch_peers_s": min_cpu_time(lambda p=peers: make_fetch_plan(p), 3),
                 "route_candidates": len(candidates),
-                "route_s": timed(lambda c=candidates: choose_many(c), 3) / 1000,
+                "route_s": min_cpu_time(lambda c=candidates: choose_targets(c), 3) / 1000,
             }
         )
         print(rows[-1], flush=True)
     return rows
 
 
-def new_plan(peers: list[fetch.Peer]) -> fetch.FetchPlan:
+def make_fetch_plan(peers: list[fetch.Peer]) -> fetch.FetchPlan:
     """Return a fetch plan of 1,000 chunks with peers."""
     plan = fetch_policies.Spread("me", "m", 1000, 0, 2, 0.0, fetch.random.Random(1))
     plan.set_peers(peers)
     return plan
 
 
-def choose_many(candidates: list[routing.Candidate]) -> None:
+def choose_targets(candidates: list[routing.Candidate]) -> None:
     """Run the routing policy 1,000 times."""
     rng = routing.random.Random(1)
     policy = routing.POLICIES.get("least_loaded")
@@ -153,8 +153,8 @@
 
 
 MODELS = {
-    "entry": (["agents_per_entry", "entries"], [WORKERS * REPORTS_TO / ENTRIES, 32.0]),
-    "agent": (["reports_to"], [float(REPORTS_TO)]),
+    "entry": (["agents_per_entry", "entries"], [WORKERS * ENTRIES_PER_AGENT / ENTRIES, 32.0]),
+    "agent": (["reports_to"], [float(ENTRIES_PER_AGENT)]),
     # Each control VM serves the polls of an equal share of the entries.
     "control": (["entries", "agents"], [ENTRIES / CONTROLS, WORKERS / CONTROLS]),
 }
@@ -187,17 +187,17 @@
     """Return the cost of configuration changes for a node at the target size."""
     size = measure.slope([(row["vms"], row["directive_bytes"]) for row in parts])
     decode = measure.slope([(row["vms"], row["directive_decode_s"]) for row in parts])
-    a_day = CHANGES_A_DAY + RESTARTS_A_DAY
+    changes_per_day = CHANGES_PER_DAY + RESTARTS_PER_DAY
     directive_bytes = size[0] + size[1] * ROLL_VMS
     seconds = decode[0] + decode[1] * ROLL_VMS
     return {
         "directive_bytes": round(directive_bytes),
-        "bytes_per_s": round(directive_bytes * a_day / 86400, 1),
-        "core_share": round(seconds * a_day / 86400, 6),
+        "bytes_per_s": round(directive_bytes * changes_per_day / 86400, 1),
+        "core_share": round(seconds * changes_per_day / 86400, 6),
     }
 
 
-def read(name: str) -> Any:
+def read_raw(name: str) -> Any:
     """Return the raw figures of a file, or None if it is missing."""
     path = RAW / f"{name}.json"
     return json.loads(path.read_text()) if path.exists() else None
@@ -205,7 +205,9 @@
 
 def page() -> str:
     """Return the page; it depends only on the files in docs/capacity."""
-    nodes, parts, rollout, controls = (read(n) for n in ("nodes", "parts", "rollout", "control"))
+    nodes, parts, rollout, controls = (
+        read_raw(n) for n in ("nodes", "parts", "rollout", "control")
+    )
     lines = INTRODUCTION.format(
         entries=ENTRIES, workers=WORKERS, vms=ROLL_VMS, zones=ZONES, controls=CONTROLS
     ).splitlines()
@@ -224,7 +226,8 @@
     lines += [
         "",
         f"At {ROLL_VMS} VMs a directive has {cost['directive_bytes']} bytes.",
-        f"{CHANGES_A_DAY} changes and {RESTARTS_A_DAY} restarts a day, each a new directive, cost",
+        f"{CHANGES_PER_DAY} changes and {RESTARTS_PER_DAY} restarts a day, each a new directive, "
+        "cost",
         f"a node {cost['bytes_per_s']} bytes/s and {cost['core_share'] * 100:.4f} % of a core.",
     ]
     lines += control_lines(controls)
@@ -304,13 +307,13 @@
             f"| {row['policy']} | {row['n']} | {'yes' if row['faults'] else 'no'} "
             f"| {row['time_to_n_over_bound']} | {row['origin_copies']} | {row['missing']} |"
         )
-    plain = [
+    without_faults = [
         (float(numpy.log2(row["n"])), row["time_to_n_over_bound"])
         for row in raw["rows"]
         if row["policy"] == "spread" and not row["faults"] and row["time_to_n_over_bound"]
     ]
-    if len(plain) > 2:
-        intercept, rise = measure.slope(plain)
+    if len(without_faults) > 2:
+        intercept, rise = measure.slope(without_faults)
         value = intercept + rise * float(numpy.log2(ROLL_VMS))
         lines += [
             "",
@@ -330,7 +333,7 @@
         (RAW / "parts.json").write_text(json.dumps(measure_parts(), indent=1) + "\n")
         (RAW / "nodes.json").write_text(json.dumps(measure_nodes(SIZES), indent=1) + "\n")
     (DOCS / "CAPACITY.md").write_text(page(), encoding="utf-8")
-    predicted = predict(read("nodes"))
+    predicted = predict(read_raw("nodes"))
     figures = {
         f"{role}_{figure}": row["at_target"]
         for role, rows in predicted.items()
--- a/bench/control.py
+++ b/bench/control.py
@@ -19,7 +19,7 @@
 ONE_WAY_S = 0.0015
 
 
-class Watch:
+class AdoptionTimes:
     """Times at which agents and entries adopted each generation, by their logs."""
 
     def __init__(self, fleet: fleets.Fleet) -> None:
@@ -34,7 +34,7 @@
                 self.seen.setdefault(event["generation"], {}).setdefault(vm.name, at)
 
 
-def shape_of(entries: int, agents: int) -> fleets.Shape:
+def make_shape(entries: int, agents: int) -> fleets.Shape:
     """Return the options of a fleet with three zones, with entries and agents per zone."""
     return fleets.Shape(
         entries_per_zone=entries,
@@ -47,17 +47,17 @@
 
 def start(folder: pathlib.Path, entries: int, agents: int) -> fleets.Fleet:
     """Start a fleet and roll out a first bundle."""
-    fleet = fleets.Fleet(folder, shape_of(entries, agents))
+    fleet = fleets.Fleet(folder, make_shape(entries, agents))
     fleet.start()
     try:
-        operators.Operator(fleet).bring_in(bundle(1))
+        operators.Operator(fleet).bring_in(make_bundle(1))
     except BaseException:
         fleet.close()
         raise
     return fleet
 
 
-def bundle(version: int) -> dict:
+def make_bundle(version: int) -> dict:
     """Return a small bundle."""
     return fleets.simple_bundle(version, {"hint": ("a" * 64, 100)})
 
@@ -65,29 +65,31 @@
 def in_force_times(fleet: fleets.Fleet, changes: int) -> list[float]:
     """Make changes; return for each how long it took to be in force on all VMs."""
     ana = operators.Operator(fleet)
-    asked: dict[int, float] = {}
+    requested_at: dict[int, float] = {}
     for _ in range(changes):
         before = time.time()
-        asked[ana.roll(1, is_back=True).generation] = before
+        requested_at[ana.roll(1, is_back=True).generation] = before
         time.sleep(0.15)
-    wait_everywhere(fleet, max(asked))
-    watch = Watch(fleet)
-    watch.read()
-    return [worst_of(watch, generation, at) for generation, at in asked.items()]
+    wait_until_adopted(fleet, max(requested_at))
+    adoptions = AdoptionTimes(fleet)
+    adoptions.read()
+    return [adoption_delay(adoptions, generation, at) for generation, at in requested_at.items()]
 
 
-def worst_of(watch: Watch, generation: int, asked_at: float) -> float:
+def adoption_delay(adoptions: AdoptionTimes, generation: int, requested_at: float) -> float:
     """Return how long the last VM took to adopt `generation` or a later one, in seconds."""
-    worst = 0.0
-    for vm in watch.fleet.agents() + watch.fleet.entries():
+    longest = 0.0
+    for vm in adoptions.fleet.agents() + adoptions.fleet.entries():
         times = [
-            seen[vm.name] for g, seen in watch.seen.items() if g >= generation and vm.name in seen
+            seen[vm.name]
+            for g, seen in adoptions.seen.items()
+            if g >= generation and vm.name in seen
         ]
-        worst = max(worst, min(times) - asked_at)
-    return worst
+        longest = max(longest, min(times) - requested_at)
+    return longest
 
 
-def wait_everywhere(fleet: fleets.Fleet, generation: int) -> None:
+def wait_until_adopted(fleet: fleets.Fleet, generation: int) -> None:
     """Wait until every agent reports `generation` or a later one."""
     processes.wait_for(
         f"generation {generation} everywhere",
@@ -98,31 +100,31 @@
     time.sleep(1.0)
 
 
-def through_trouble(fleet: fleets.Fleet, trouble: str) -> float:
+def change_during_fault(fleet: fleets.Fleet, fault: str) -> float:
     """Kill or suspend the leader, make a change, and return how long it took to be in force."""
     ana = operators.Operator(fleet)
     leader = fleet.leader()
     assert leader is not None
     before = time.time()
-    if trouble == "kill":
+    if fault == "kill":
         leader.process.kill()
     else:
         leader.process.freeze()
     generation = ana.roll(1, is_back=True).generation
-    wait_everywhere(fleet, generation)
-    watch = Watch(fleet)
-    watch.read()
-    took = worst_of(watch, generation, before)
-    if trouble == "kill":
+    wait_until_adopted(fleet, generation)
+    adoptions = AdoptionTimes(fleet)
+    adoptions.read()
+    delay_s = adoption_delay(adoptions, generation, before)
+    if fault == "kill":
         fleet.restart(leader.name)
     else:
         leader.process.thaw()
     processes.wait_for("three members", lambda: len(fleet.status().get("members", [])) == 3)
     time.sleep(2.0)
-    return took
+    return delay_s
 
 
-def node_costs(fleet: fleets.Fleet) -> dict[str, dict[str, float]]:
+def measure_node_costs(fleet: fleets.Fleet) -> dict[str, dict[str, float]]:
     """Return the CPU share, memory and message traffic of each role in an idle fleet."""
     groups = {"control": fleet.controls(), "entry": fleet.entries(), "agent": fleet.agents()}
     before = {
@@ -130,7 +132,7 @@
     }
     traffic = {vm.name: bus_bytes(fleet, vm) for vms in groups.values() for vm in vms}
     time.sleep(IDLE_S)
-    found: dict[str, dict[str, float]] = {}
+    costs: dict[str, dict[str, float]] = {}
     for role, vms in groups.items():
         shares, sizes, rates = [], [], []
         for vm in vms:
@@ -138,14 +140,14 @@
             shares.append((after.cpu_s - before[vm.name].cpu_s) / IDLE_S)
             sizes.append(after.rss_bytes / 1e6)
             rates.append((bus_bytes(fleet, vm) - traffic[vm.name]) / IDLE_S)
-        found[role] = {
+        costs[role] = {
             "core_share_max": round(max(shares), 5),
             "core_share_mean": round(sum(shares) / len(shares), 5),
             "rss_mb_max": round(max(sizes), 1),
             "bytes_per_s_max": round(max(rates), 1),
             "bytes_per_s_mean": round(sum(rates) / len(rates), 1),
         }
-    return found
+    return costs
 
 
 def bus_bytes(fleet: fleets.Fleet, vm: fleets.Vm) -> float:
@@ -158,20 +160,20 @@
     )
 
 
-def changes_per_s(fleet: fleets.Fleet, threads: int, seconds: float) -> float:
+def claims_per_s(fleet: fleets.Fleet, threads: int, seconds: float) -> float:
     """Return the rate at which the leader commits claims, with fsync, from concurrent callers."""
     leader = fleet.leader()
     assert leader is not None
-    mesh = messages.make_codec([codec.parse_key(fleet.mesh_key)])
+    mesh_codec = messages.make_codec([codec.parse_key(fleet.mesh_key)])
     counts = [0] * threads
     stop_at = time.monotonic() + seconds
 
     def work(number: int) -> None:
-        caller = bus.RpcClient(leader.bus, mesh)
+        caller = bus.RpcClient(leader.bus, mesh_codec)
         while time.monotonic() < stop_at:
             key = f"bench {number} {counts[number]}"
             claim = commands.Claim(key, "0" * 64, "attempt", time.time())
-            name = mesh.names[commands.Claim]
+            name = mesh_codec.names[commands.Claim]
             command = codec.msgspec.msgpack.encode((name, claim))
             caller.call(messages.CommandRequest(command), 5.0)
             counts[number] += 1
@@ -185,13 +187,13 @@
     return sum(counts) / seconds
 
 
-def recovery(folder: pathlib.Path, changes: int) -> dict[str, float]:
+def measure_recovery(folder: pathlib.Path, changes: int) -> dict[str, float]:
     """Make changes, kill and restart all control VMs, and measure the time to a new leader."""
     shape = fleets.Shape(zones=("zone-a",), regions=("region-1",), engines_per_zone=0, services=0)
     with fleets.Fleet(folder, shape) as fleet:
         fleet.start()
         ana = operators.Operator(fleet)
-        ana.bring_in(bundle(1))
+        ana.bring_in(make_bundle(1))
         started = time.monotonic()
         for _ in range(changes - 1):
             ana.roll(1, is_back=True)
@@ -203,10 +205,10 @@
         for vm in fleet.controls():
             fleet.restart(vm.name)
         processes.wait_for("a leader", lambda: fleet.leader(), 30)
-        took = time.monotonic() - started
+        delay_s = time.monotonic() - started
         assert ana.status().generation == changes
         return {
-            "recovery_s": round(took, 3),
+            "recovery_s": round(delay_s, 3),
             "data_folder_bytes": size,
             "changes_per_s_one_operator": round((changes - 1) / seconds, 1),
         }
@@ -233,18 +235,20 @@
             time.sleep(2.0)
             row = {"entries": entries * 3, "agents": agents * 3, "controls": 3}
             row["processes"] = len(fleet.controls() + fleet.entries() + fleet.agents())
-            row["costs"] = node_costs(fleet)
+            row["costs"] = measure_node_costs(fleet)
             times = in_force_times(fleet, options.changes)
             row["in_force_p50_s"] = round(measure.percentile(times, 0.5), 3)
             row["in_force_p99_s"] = round(measure.percentile(times, 0.99), 3)
-            row["in_force_after_leader_kill_s"] = round(through_trouble(fleet, "kill"), 3)
-            row["in_force_after_leader_freeze_s"] = round(through_trouble(fleet, "freeze"), 3)
-            row["claims_per_s_with_sync"] = round(changes_per_s(fleet, 16, 4.0), 1)
+            row["in_force_after_leader_kill_s"] = round(change_during_fault(fleet, "kill"), 3)
+            row["in_force_after_leader_freeze_s"] = round(change_during_fault(fleet, "freeze"), 3)
+            row["claims_per_s_with_sync"] = round(claims_per_s(fleet, 16, 4.0), 1)
             figures["sizes"].append(row)
             print(row, flush=True)
     for changes in options.histories.split(","):
         if changes:
-            figures[f"history_{changes}"] = recovery(root / f"history-{changes}", int(changes))
+            figures[f"history_{changes}"] = measure_recovery(
+                root / f"history-{changes}", int(changes)
+            )
     largest = figures["sizes"][-1]
     for name in (
         "in_force_p50_s",
