--- a/bench/demo.py
+++ b/bench/demo.py
@@ -19,7 +19,7 @@
 ACCOUNTS = ("a1", "a2", "b1")
 
 
-class Tally:
+class Outcomes:
     """Counts of outcomes as seen by clients."""
 
     def __init__(self) -> None:
@@ -35,11 +35,11 @@
     def __init__(self, fleet: fleets.Fleet) -> None:
         self.fleet = fleet
         self.http = http_client.Client()
-        self.tally = Tally()
+        self.outcomes = Outcomes()
         self.step = "start"
         self.rows: list[tuple[str, str]] = []
 
-    def say(self, step: str) -> None:
+    def begin_step(self, step: str) -> None:
         """Start a step and print its title."""
         self.step = step
         print(f"== {step}", flush=True)
@@ -47,37 +47,37 @@
     def run(self) -> None:
         """Run all steps; raise an exception at the first that fails."""
         started = time.monotonic()
-        self.say("start: 3 availability zones, 3 control VMs, entries, agents, stand-ins")
-        key = self.make_keys()
+        self.begin_step("start: 3 availability zones, 3 control VMs, entries, agents, stand-ins")
+        key = self.generate_key()
         self.fleet.start()
-        self.say("publish weights at the origin")
+        self.begin_step("publish weights at the origin")
         digests = {
             name: self.fleet.publish(name, OBJECT_BYTES, CHUNK_BYTES)
             for name in ("hint-1", "assistant-1", "crosswords-1", "hint-2")
         }
-        self.say("check, propose, sign and roll version 1")
+        self.begin_step("check, propose, sign and roll version 1")
         self.roll(self.bundle(1, digests["hint-1"], digests), key)
-        self.note_replicas("version 1", digests)
-        self.say("streamed and plain requests through every entry")
-        self.ask_everywhere(rounds=4)
-        self.say("kill one target VM and go on asking")
-        self.kill_one()
-        self.ask_everywhere(rounds=4)
-        self.say("roll version 2")
+        self.record_replicas("version 1", digests)
+        self.begin_step("streamed and plain requests through every entry")
+        self.send_requests(rounds=4)
+        self.begin_step("kill one target VM and send more requests")
+        self.kill_target()
+        self.send_requests(rounds=4)
+        self.begin_step("roll version 2")
         self.roll(self.bundle(2, digests["hint-2"], digests), key)
-        self.note_replicas("version 2", digests)
-        self.ask_everywhere(rounds=2)
-        self.say("roll back to version 1")
-        self.live("bundle", "rollback", "1", "-o", "ana", "--wait")
-        self.note_replicas("after rollback", digests)
-        self.ask_everywhere(rounds=2)
+        self.record_replicas("version 2", digests)
+        self.send_requests(rounds=2)
+        self.begin_step("roll back to version 1")
+        self.run_command("bundle", "rollback", "1", "-o", "ana", "--wait")
+        self.record_replicas("after rollback", digests)
+        self.send_requests(rounds=2)
         self.report(started)
 
-    def make_keys(self) -> pathlib.Path:
+    def generate_key(self) -> pathlib.Path:
         """Generate the operator's key pair with the command line."""
         path = self.fleet.folder / "keys" / "ana.key"
-        made = self.fleet.operate("keys", "new", "--out", str(path))
-        self.fleet.operators["ana"] = made["public_key"]
+        generated = self.fleet.operate("keys", "new", "--out", str(path))
+        self.fleet.operators["ana"] = generated["public_key"]
         return path
 
     def bundle(self, version: int, hint: str, digests: dict[str, str]) -> dict:
@@ -90,23 +90,25 @@
         ]
         return bundle
 
-    def live(self, *arguments: str) -> None:
+    def run_command(self, *arguments: str) -> None:
         """Run a command and show its output; raise RuntimeError if it fails."""
         print("$ merlinthread " + " ".join(arguments), flush=True)
-        done = self.fleet.command(*arguments, is_shown=True)
-        if done.returncode:
-            raise RuntimeError(f"merlinthread {' '.join(arguments)} ended with {done.returncode}")
+        completed = self.fleet.command(*arguments, is_shown=True)
+        if completed.returncode:
+            raise RuntimeError(
+                f"merlinthread {' '.join(arguments)} exited with {completed.returncode}"
+            )
 
     def roll(self, bundle: dict, key: pathlib.Path) -> None:
         """Check, propose, sign and roll a bundle with the command line."""
         path = str(self.fleet.write_bundle(bundle))
         version = str(bundle["version"])
-        self.live("bundle", "check", path)
-        self.live("bundle", "propose", path, "-o", "ana")
-        self.live("bundle", "sign", version, "-o", "ana", "-k", str(key))
-        self.live("bundle", "roll", version, "-o", "ana", "--wait")
+        self.run_command("bundle", "check", path)
+        self.run_command("bundle", "propose", path, "-o", "ana")
+        self.run_command("bundle", "sign", version, "-o", "ana", "-k", str(key))
+        self.run_command("bundle", "roll", version, "-o", "ana", "--wait")
 
-    def note_replicas(self, when: str, digests: dict[str, str]) -> None:
+    def record_replicas(self, when: str, digests: dict[str, str]) -> None:
         """Record the number of replicas of each version; raise RuntimeError if a model has none."""
         names = {digest: name for name, digest in digests.items()}
         for model in ("hint", "assistant", "crosswords"):
@@ -116,22 +118,24 @@
             if not counts:
                 raise RuntimeError(f"{when}: no engine serves {model}")
 
-    def kill_one(self) -> None:
+    def kill_target(self) -> None:
         """Kill one target VM: its engine and its agent."""
         name = next(name for name in self.fleet.target_urls if name.startswith("engine"))
         self.fleet.processes[f"{name}-target"].kill()
         self.fleet.processes[name].kill()
 
-    def ask_everywhere(self, rounds: int) -> None:
+    def send_requests(self, rounds: int) -> None:
         """Send streamed and plain completion requests and service calls to every entry."""
         for number in range(rounds):
             for vm in self.fleet.entries():
                 account = ACCOUNTS[number % len(ACCOUNTS)]
-                self.ask(vm.http, account, "hint", "crosswords", is_streamed=True)
-                self.ask(vm.http, account, "assistant", "", is_streamed=False)
-                self.draft(vm.http, account)
+                self.request_completion(vm.http, account, "hint", "crosswords", is_streamed=True)
+                self.request_completion(vm.http, account, "assistant", "", is_streamed=False)
+                self.draft_ticket(vm.http, account)
 
-    def ask(self, address: str, account: str, model: str, adapter: str, is_streamed: bool) -> None:
+    def request_completion(
+        self, address: str, account: str, model: str, adapter: str, is_streamed: bool
+    ) -> None:
         """Request a completion and check that the response is complete and belongs to it."""
         prompt = f"explain clue {uuid.uuid4().hex}"
         body = msgspec.json.encode(
@@ -149,19 +153,19 @@
             )
             data = stream.read(1 << 20)
         except errors.MerlinthreadError as error:
-            self.lose(error.message)
+            self.record_loss(error.message)
             return
         if stream.status != 200:
-            self.tally.refused += 1
-            self.tally.last_refusal = data.decode()
+            self.outcomes.refused += 1
+            self.outcomes.last_refusal = data.decode()
             return
         text, digest = read_stream(data) if is_streamed else read_whole(data)
         if text != engine.completion_text(digest, prompt, 8):
-            self.lose(f"{model}: incomplete or wrong response: {text!r}")
+            self.record_loss(f"{model}: incomplete or wrong response: {text!r}")
             return
-        self.tally.answered += 1
+        self.outcomes.answered += 1
 
-    def draft(self, address: str, account: str) -> None:
+    def draft_ticket(self, address: str, account: str) -> None:
         """Send a non-repeatable call twice with one idempotency key; it must run once."""
         body = msgspec.json.encode({"lamp": uuid.uuid4().hex})
         headers = self.headers(account) | {"Idempotency-Key": str(new_key())}
@@ -171,44 +175,44 @@
             try:
                 reply = self.http.request("POST", url, body, headers)
             except errors.MerlinthreadError as error:
-                self.lose(error.message)
+                self.record_loss(error.message)
                 return
             if reply.status != 200:
-                self.tally.refused += 1
-                self.tally.last_refusal = reply.body.decode()
+                self.outcomes.refused += 1
+                self.outcomes.last_refusal = reply.body.decode()
                 return
             tickets.append(msgspec.json.decode(reply.body)["ticket"])
         if tickets[0] != tickets[1]:
-            self.lose(f"two tickets for one idempotency key: {tickets}")
+            self.record_loss(f"two tickets for one idempotency key: {tickets}")
             return
-        self.tally.answered += 1
+        self.outcomes.answered += 1
 
     def headers(self, account: str) -> dict[str, str]:
         """Return the headers of a client's request."""
         return {"X-Account": account, "Content-Type": "application/json"}
 
-    def lose(self, reason: str) -> None:
+    def record_loss(self, reason: str) -> None:
         """Count and print a lost or wrong response."""
-        self.tally.lost += 1
+        self.outcomes.lost += 1
         print(f"lost: {reason}", flush=True)
 
     def report(self, started: float) -> None:
         """Print the results; raise RuntimeError if a request was lost or refused."""
-        self.say("report")
+        self.begin_step("report")
         stats = self.fleet.get(self.fleet.origin_url, "/stats")
         for name, sent in sorted(stats["by_object"].items()):
             self.rows.append((f"origin copies read, {name}", f"{sent / OBJECT_BYTES:.2f}"))
         self.rows += [
-            ("requests answered", str(self.tally.answered)),
-            ("requests refused", f"{self.tally.refused} {self.tally.last_refusal}"),
-            ("requests lost", str(self.tally.lost)),
+            ("requests answered", str(self.outcomes.answered)),
+            ("requests refused", f"{self.outcomes.refused} {self.outcomes.last_refusal}"),
+            ("requests lost", str(self.outcomes.lost)),
             ("seconds", f"{time.monotonic() - started:.1f}"),
         ]
         width = max(len(name) for name, _ in self.rows)
         for name, value in self.rows:
             print(f"{name:<{width}}  {value}")
-        if self.tally.lost or self.tally.refused:
-            raise RuntimeError(f"{self.tally.lost} lost, {self.tally.refused} refused")
+        if self.outcomes.lost or self.outcomes.refused:
+            raise RuntimeError(f"{self.outcomes.lost} lost, {self.outcomes.refused} refused")
 
 
 def new_key() -> uuid.UUID:
--- a/bench/requests.py
+++ b/bench/requests.py
@@ -25,14 +25,14 @@
 BODY_HEADERS = {"Content-Type": "application/json"}
 
 
-def histogram() -> HdrHistogram:
+def make_histogram() -> HdrHistogram:
     """Return a histogram of microseconds up to two minutes."""
     return HdrHistogram(1, 120_000_000, 3)
 
 
-def milliseconds(found: HdrHistogram, percent: float) -> float:
+def milliseconds(histogram: HdrHistogram, percent: float) -> float:
     """Return a percentile in milliseconds."""
-    return round(found.get_value_at_percentile(percent) / 1000, 2)
+    return round(histogram.get_value_at_percentile(percent) / 1000, 2)
 
 
 def completion_body(prompt: str, tokens: int) -> bytes:
@@ -48,22 +48,22 @@
     def __init__(self) -> None:
         self.lock = threading.Lock()
         self.counts: dict[str, int] = {}
-        self.first = histogram()
-        self.between = histogram()
-        self.whole = histogram()
+        self.first_token = make_histogram()
+        self.between_tokens = make_histogram()
+        self.whole_response = make_histogram()
 
     def add(self, name: str) -> None:
         """Count one outcome."""
         with self.lock:
             self.counts[name] = self.counts.get(name, 0) + 1
 
-    def note(self, target: HdrHistogram, seconds: float) -> None:
+    def record(self, target: HdrHistogram, seconds: float) -> None:
         """Record a duration."""
         with self.lock:
             target.record_value(max(1, int(seconds * 1e6)))
 
 
-def ask(
+def request_completion(
     url: str, account: str, tokens: int, due: float, outcomes: Outcomes, deadline_ms: int
 ) -> None:
     """Request a completion; latencies count from `due`, so they include the delay of sending."""
@@ -84,15 +84,16 @@
             now = time.monotonic()
             if event.kind == events.TOKEN:
                 texts.append(msgspec.json.decode(event.data, type=events.Token).text)
-                outcomes.note(
-                    outcomes.between if previous else outcomes.first, now - (previous or due)
+                outcomes.record(
+                    outcomes.between_tokens if previous else outcomes.first_token,
+                    now - (previous or due),
                 )
                 previous = now
             elif event.kind == events.DONE:
                 digest = msgspec.json.decode(event.data, type=events.Done).digest
                 is_right = "".join(texts) == engine.completion_text(digest, prompt, tokens)
                 outcomes.add("answered" if is_right else "crossed_or_wrong")
-                outcomes.note(outcomes.whole, now - due)
+                outcomes.record(outcomes.whole_response, now - due)
                 stream.release()
                 return
             else:
@@ -115,13 +116,13 @@
             due = started + number / rate
             time.sleep(max(0.0, due - time.monotonic()))
             url, account = rng.choice(urls), rng.choice(accounts)
-            pool.submit(ask, url, account, tokens, due, outcomes, deadline_ms)
+            pool.submit(request_completion, url, account, tokens, due, outcomes, deadline_ms)
     return outcomes
 
 
-def overhead(fleet: fleets.Fleet, rounds: int) -> dict[str, float]:
+def measure_overhead(fleet: fleets.Fleet, rounds: int) -> dict[str, float]:
     """Measure the latency of direct service calls, and the overhead of entry and agent."""
-    direct, through = histogram(), histogram()
+    direct, through = make_histogram(), make_histogram()
     service = fleet.target_urls["tickets-0"]
     agent = fleet.vms["tickets-0"]
     entry = next(
@@ -130,14 +131,14 @@
         if vm.settings["availability_zone"] == agent.settings["availability_zone"]
     )
     for _ in range(rounds):
-        for found, url in (
+        for histogram, url in (
             (direct, f"{service}/lookup"),
             (through, f"http://{entry.http}/v1/services/tickets/lookup"),
         ):
             before = time.perf_counter()
             reply = SHARED_CLIENT.request("POST", url, b"{}", BODY_HEADERS | {"X-Account": "a1"})
             assert reply.status == 200, reply.body
-            found.record_value(max(1, int((time.perf_counter() - before) * 1e6)))
+            histogram.record_value(max(1, int((time.perf_counter() - before) * 1e6)))
     return {
         "direct_p50_ms": milliseconds(direct, 50),
         "direct_p99_ms": milliseconds(direct, 99),
@@ -146,20 +147,20 @@
     }
 
 
-def shares(policy: str, seconds: float) -> dict[str, float]:
+def simulate_shares(policy: str, seconds: float) -> dict[str, float]:
     """Simulate one engine under a burst of one account; return the error of shares.
 
     The engine has 8 slots and makes 100 steps a second, each one token per slot. Account a0 sends
     10 times its share, the others a little more than theirs. Also returns the utilisation.
     """
     weights = {"a0": 1.0, "a1": 2.0, "a2": 3.0, "a3": 4.0}
-    found = fair_queue.FairQueue(8, 1_000_000)
+    queue_model = fair_queue.FairQueue(8, 1_000_000)
     if policy == "fair":
-        found.set_weights(weights)
+        queue_model.set_weights(weights)
     rng = random.Random(2)
     number = 0
-    left: dict[str, int] = {}
-    got = dict.fromkeys(weights, 0.0)
+    remaining: dict[str, int] = {}
+    received = dict.fromkeys(weights, 0.0)
     busy = 0
     steps = int(seconds * 100)
     for step in range(steps):
@@ -167,33 +168,35 @@
             load = 10.0 if account == "a0" else 1.3
             if rng.random() < load * weight / 10 * 8 / 40:
                 tokens = rng.randrange(20, 60)
-                shown = account if policy == "fair" else "everybody"
-                found.add(
-                    fair_queue.QueuedRequest(f"{account} {number}", shown, 1, 0, tokens, step)
+                queue_account = account if policy == "fair" else "everybody"
+                queue_model.add(
+                    fair_queue.QueuedRequest(
+                        f"{account} {number}", queue_account, 1, 0, tokens, step
+                    )
                 )
                 number += 1
-        while (ticket := found.start_next()) is not None:
-            left[ticket.id] = ticket.output_tokens
-        busy += len(left)
-        for name in list(left):
-            found.charge(name, 1)
-            got[name.split()[0]] += 1
-            left[name] -= 1
-            if not left[name]:
-                del left[name]
-                found.finish(name)
-    total = sum(got.values())
-    error = max(abs(got[a] / total - w / 10) for a, w in weights.items())
+        while (ticket := queue_model.start_next()) is not None:
+            remaining[ticket.id] = ticket.output_tokens
+        busy += len(remaining)
+        for name in list(remaining):
+            queue_model.charge(name, 1)
+            received[name.split()[0]] += 1
+            remaining[name] -= 1
+            if not remaining[name]:
+                del remaining[name]
+                queue_model.finish(name)
+    total = sum(received.values())
+    error = max(abs(received[a] / total - w / 10) for a, w in weights.items())
     return {"share_error": round(error, 4), "utilisation": round(busy / (steps * 8), 4)}
 
 
-class Chaos:
+class FaultInjector:
     """Kills, suspends and restarts processes one at a time until `stopping` is set."""
 
     def __init__(self, fleet: fleets.Fleet) -> None:
         self.fleet = fleet
         self.stopping = threading.Event()
-        self.done: list[str] = []
+        self.injected: list[str] = []
         self.thread = threading.Thread(target=self.run)
 
     def run(self) -> None:
@@ -203,9 +206,9 @@
             kind = rng.choice(
                 ["kill agent", "kill engine", "freeze agent", "stop agent", "kill control"]
             )
-            name = self.victim(kind, rng)
+            name = self.pick_target(kind, rng)
             process = self.fleet.processes[name]
-            self.done.append(f"{kind}: {name}")
+            self.injected.append(f"{kind}: {name}")
             if kind.startswith("freeze"):
                 process.freeze()
                 self.stopping.wait(1.0)
@@ -219,7 +222,7 @@
                 process.start()
             self.stopping.wait(5.0)
 
-    def victim(self, kind: str, rng: random.Random) -> str:
+    def pick_target(self, kind: str, rng: random.Random) -> str:
         """Return the name of the process for a fault."""
         engines = [name for name in self.fleet.target_urls if name.startswith("engine")]
         if kind.endswith("control"):
@@ -228,24 +231,26 @@
         return f"{name}-target" if kind.endswith("engine") else name
 
 
-def draft_many(fleet: fleets.Fleet, count: int, outcomes: Outcomes) -> list[bytes]:
+def draft_tickets(fleet: fleets.Fleet, count: int, outcomes: Outcomes) -> list[bytes]:
     """Send non-repeatable calls, each to two entries with one key; return their bodies."""
     bodies: list[bytes] = []
-    todo: queue.SimpleQueue = queue.SimpleQueue()
+    pending: queue.SimpleQueue = queue.SimpleQueue()
     for number in range(count):
-        todo.put(number)
+        pending.put(number)
 
     def work() -> None:
         while True:
             try:
-                number = todo.get_nowait()
+                number = pending.get_nowait()
             except queue.Empty:
                 return
             body = msgspec.json.encode({"lamp": f"bench {number}"})
             bodies.append(body)
             headers = BODY_HEADERS | {"X-Account": "a1", "Idempotency-Key": str(demo.new_key())}
-            seen = [draft(vm.http, body, headers, outcomes) for vm in fleet.entries()[:2]]
-            tickets = {answer for answer in seen if answer}
+            responses = [
+                draft_ticket(vm.http, body, headers, outcomes) for vm in fleet.entries()[:2]
+            ]
+            tickets = {answer for answer in responses if answer}
             if len(tickets) > 1:
                 outcomes.add("two_answers_for_one_key")
 
@@ -255,7 +260,7 @@
     return bodies
 
 
-def draft(address: str, body: bytes, headers: dict[str, str], outcomes: Outcomes) -> bytes:
+def draft_ticket(address: str, body: bytes, headers: dict[str, str], outcomes: Outcomes) -> bytes:
     """Send one call; return the response body, b"not_run", or b"" if it failed or was refused."""
     url = f"http://{address}/v1/services/tickets/draft"
     try:
@@ -271,18 +276,18 @@
     return b"not_run" if kind == "not_run" else b""
 
 
-def under_faults(fleet: fleets.Fleet, rate: float, seconds: float, drafts: int) -> dict:
+def run_with_faults(fleet: fleets.Fleet, rate: float, seconds: float, drafts: int) -> dict:
     """Run the load with kills, suspensions and graceful stops; return counts of outcomes."""
     urls = [f"http://{vm.http}/v1/completions" for vm in fleet.entries()]
-    chaos = Chaos(fleet)
-    chaos.thread.start()
+    fault_injector = FaultInjector(fleet)
+    fault_injector.thread.start()
     drafted = Outcomes()
     with concurrent.futures.ThreadPoolExecutor(1) as pool:
-        waiting = pool.submit(draft_many, fleet, drafts, drafted)
+        draft_future = pool.submit(draft_tickets, fleet, drafts, drafted)
         outcomes = open_loop(urls, rate, seconds, 8, ["a1", "a2", "b1"], 20_000)
-        bodies = waiting.result()
-    chaos.stopping.set()
-    chaos.thread.join()
+        bodies = draft_future.result()
+    fault_injector.stopping.set()
+    fault_injector.thread.join()
     runs: dict[str, int] = {}
     for name, url in fleet.target_urls.items():
         if name.startswith("tickets"):
@@ -298,7 +303,7 @@
         "doubled": sum(1 for body in bodies if runs.get(body.decode(), 0) > 1),
         "two_answers_for_one_key": drafted.counts.get("two_answers_for_one_key", 0),
         "outcomes": counts | drafted.counts,
-        "disturbances": len(chaos.done),
+        "disturbances": len(fault_injector.injected),
     }
 
 
@@ -322,19 +327,21 @@
         operators.Operator(fleet).bring_in(fleets.simple_bundle(1, {"hint": (digest, 100)}))
         processes.wait_for("6 engines", lambda: fleet.serving("hint").get(digest) == 6)
         time.sleep(2)
-        figures |= overhead(fleet, 300)
+        figures |= measure_overhead(fleet, 300)
         print(figures, flush=True)
         urls = [f"http://{vm.http}/v1/completions" for vm in fleet.entries()]
-        usual = open_loop(urls, options.rate, options.seconds, 16, ["a1", "a2", "b1"], 20_000)
+        baseline = open_loop(urls, options.rate, options.seconds, 16, ["a1", "a2", "b1"], 20_000)
         figures |= {
             "rate": options.rate,
-            "first_token_p95_ms": milliseconds(usual.first, 95),
-            "between_tokens_p95_ms": milliseconds(usual.between, 95),
-            "whole_p50_ms": milliseconds(usual.whole, 50),
-            "usual_outcomes": usual.counts,
+            "first_token_p95_ms": milliseconds(baseline.first_token, 95),
+            "between_tokens_p95_ms": milliseconds(baseline.between_tokens, 95),
+            "whole_p50_ms": milliseconds(baseline.whole_response, 50),
+            "usual_outcomes": baseline.counts,
         }
         print(figures, flush=True)
-        figures["shares_fair"] = shares("fair", 600.0)
-        figures["shares_fifo"] = shares("fifo", 600.0)
-        figures["faults"] = under_faults(fleet, options.rate, options.fault_seconds, options.drafts)
+        figures["shares_fair"] = simulate_shares("fair", 600.0)
+        figures["shares_fifo"] = simulate_shares("fifo", 600.0)
+        figures["faults"] = run_with_faults(
+            fleet, options.rate, options.fault_seconds, options.drafts
+        )
     return measure.finish("requests", figures, options.save)
