--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -26,15 +26,15 @@
 )
 
 
-def names() -> list[str]:
+def benchmark_names() -> list[str]:
     """Return the names of all benchmarks."""
     return sorted(m.name for m in pkgutil.iter_modules(bench.__path__) if m.name not in HELPERS)
 
 
 def main() -> int:
     """Run the benchmark named by the first argument."""
-    if len(sys.argv) < 2 or sys.argv[1] not in names():
-        print(f"usage: python -m bench NAME, with NAME one of {', '.join(names())}")
+    if len(sys.argv) < 2 or sys.argv[1] not in benchmark_names():
+        print(f"usage: python -m bench NAME, with NAME one of {', '.join(benchmark_names())}")
         return 2
     # Exit by an exception, so that context managers stop the processes that they started.
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(143))
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -90,7 +90,7 @@
     def __exit__(self, *_: object) -> None:
         self.close()
 
-    def add(self, name: str, arguments: list[str]) -> processes.Process:
+    def start_process(self, name: str, arguments: list[str]) -> processes.Process:
         """Start a process and register it under its name."""
         process = processes.Process(name, arguments, self.folder / "logs" / f"{name}.log")
         process.start()
@@ -100,7 +100,7 @@
     def add_stand_in(self, module: str, name: str, *arguments: str) -> str:
         """Start a stand-in and return its URL."""
         port = self.ports.take()
-        self.add(name, ["-m", f"stand_ins.{module}", "--port", str(port), *arguments])
+        self.start_process(name, ["-m", f"stand_ins.{module}", "--port", str(port), *arguments])
         return f"http://127.0.0.1:{port}"
 
     def add_operator(self, name: str) -> pathlib.Path:
@@ -110,15 +110,15 @@
         self.operators[name] = signatures.derive_public_key(path.read_text())
         return path
 
-    def link(self, name: str, goal: str) -> str:
-        """Return the address to connect to for `goal`: a proxy link called `name`, or `goal`."""
+    def proxied_address(self, name: str, upstream: str) -> str:
+        """Return the address of a new proxy link to `upstream`, or `upstream` without proxies."""
         if not self.shape.through_proxy:
-            return goal
+            return upstream
         port = self.ports.take()
-        self.proxy.add(name, port, int(goal.rpartition(":")[2]))
+        self.proxy.add(name, port, int(upstream.rpartition(":")[2]))
         return f"127.0.0.1:{port}"
 
-    def address(self) -> str:
+    def free_address(self) -> str:
         """Return an unused loopback address."""
         return f"127.0.0.1:{self.ports.take()}"
 
@@ -134,12 +134,14 @@
         """Start all processes and wait for a leader and for all agents to report."""
         if not self.operators:
             self.add_operator("ana")
-        self.start_outside()
-        self.plan_controls()
+        self.start_stand_ins()
+        self.assign_control_addresses()
         for number in range(self.shape.controls):
             self.add_control(number)
         for zone in self.shape.zones:
-            self.entry_buses[zone] = [self.address() for _ in range(self.shape.entries_per_zone)]
+            self.entry_buses[zone] = [
+                self.free_address() for _ in range(self.shape.entries_per_zone)
+            ]
         for zone in self.shape.zones:
             for number in range(self.shape.entries_per_zone):
                 self.add_entry(zone, number)
@@ -156,7 +158,7 @@
             START_TIMEOUT_S,
         )
 
-    def start_outside(self) -> None:
+    def start_stand_ins(self) -> None:
         """Start the stand-ins for the origin, the weight store and the platform."""
         self.origin_url = self.add_stand_in(
             "origin",
@@ -172,14 +174,18 @@
         """Return the region of a zone."""
         return self.shape.regions[self.shape.zones.index(zone) % len(self.shape.regions)]
 
-    def plan_controls(self) -> None:
+    def assign_control_addresses(self) -> None:
         """Assign names and addresses to the control VMs."""
         self.control_peers = [
-            {"name": f"control-{number}", "log_bus": self.address(), "bus": self.address()}
+            {
+                "name": f"control-{number}",
+                "log_bus": self.free_address(),
+                "bus": self.free_address(),
+            }
             for number in range(self.shape.controls)
         ]
 
-    def common(self, name: str, zone: str, role: str) -> dict:
+    def common_settings(self, name: str, zone: str, role: str) -> dict:
         """Return the settings that all roles share."""
         return {
             "name": name,
@@ -187,7 +193,7 @@
             "region": self.region_of(zone),
             "roles": [role],
             "http": {"address": "127.0.0.1", "port": self.ports.take()},
-            "bus": self.address(),
+            "bus": self.free_address(),
             "mesh_keys": [self.mesh_key],
             "log": {"level": self.shape.log_level},
         }
@@ -197,7 +203,7 @@
         name = process_name or settings["name"]
         path = self.folder / "settings" / f"{name}.json"
         path.write_text(json.dumps(settings, indent=2))
-        process = self.add(name, ["-m", "merlinthread.daemon", "--config", str(path)])
+        process = self.start_process(name, ["-m", "merlinthread.daemon", "--config", str(path)])
         http = f"127.0.0.1:{settings['http']['port']}"
         self.vms[name] = Vm(name, process, settings, http, settings["bus"])
         return self.vms[name]
@@ -206,7 +212,7 @@
         """Start a control VM; `changed` overrides settings of its role."""
         peer = self.control_peers[number]
         zone = self.shape.zones[number % len(self.shape.zones)]
-        settings = self.common(peer["name"], zone, "control")
+        settings = self.common_settings(peer["name"], zone, "control")
         settings["bus"] = peer["bus"]
         settings["control"] = {
             "data_folder": str(self.folder / "data" / peer["name"]),
@@ -214,7 +220,9 @@
                 (
                     dict(
                         other,
-                        log_bus=self.link(f"{peer['name']}>{other['name']}", other["log_bus"]),
+                        log_bus=self.proxied_address(
+                            f"{peer['name']}>{other['name']}", other["log_bus"]
+                        ),
                     )
                     if other is not peer
                     else peer
@@ -233,7 +241,11 @@
         """Start a new control VM under a new name as the replacement for a lost one."""
         number = len(self.control_peers)
         self.control_peers.append(
-            {"name": f"control-{number}", "log_bus": self.address(), "bus": self.address()}
+            {
+                "name": f"control-{number}",
+                "log_bus": self.free_address(),
+                "bus": self.free_address(),
+            }
         )
         return self.add_control(number, replaces=lost)
 
@@ -244,17 +256,18 @@
     def add_entry(self, zone: str, number: int) -> Vm:
         """Start an entry VM."""
         name = f"entry-{zone}-{number}"
-        settings = self.common(name, zone, "entry")
+        settings = self.common_settings(name, zone, "entry")
         settings["bus"] = self.entry_buses[zone][number]
         others = [
-            self.link(f"{name}>{bus}", bus)
+            self.proxied_address(f"{name}>{bus}", bus)
             for buses in self.entry_buses.values()
             for bus in buses
             if bus != settings["bus"]
         ]
         settings["entry"] = {
             "controls": [
-                self.link(f"{name}>{peer['name']}", peer["bus"]) for peer in self.control_peers
+                self.proxied_address(f"{name}>{peer['name']}", peer["bus"])
+                for peer in self.control_peers
             ],
             "entries": others,
             "platform_url": self.platform_url,
@@ -264,9 +277,11 @@
 
     def add_agent(self, name: str, zone: str, agent: dict) -> Vm:
         """Start an agent."""
-        settings = self.common(name, zone, "agent")
+        settings = self.common_settings(name, zone, "agent")
         settings["agent"] = {
-            "entries": [self.link(f"{name}>{bus}", bus) for bus in self.entry_buses[zone]],
+            "entries": [
+                self.proxied_address(f"{name}>{bus}", bus) for bus in self.entry_buses[zone]
+            ],
             **agent,
             **self.shape.agent,
         }
@@ -277,7 +292,7 @@
         name = f"engine-{zone}-{number}"
         url = self.add_stand_in("engine", f"{name}-target", *self.shape.engine_arguments)
         self.target_urls[name] = url
-        origin = self.link(f"{name}>origin", self.origin_url.removeprefix("http://"))
+        origin = self.proxied_address(f"{name}>origin", self.origin_url.removeprefix("http://"))
         agent = {
             "target_url": url,
             "target_kind": "generate",
@@ -389,10 +404,12 @@
 
         Raises RuntimeError if the command fails.
         """
-        done = self.command(*arguments, "--json", timeout_s=timeout_s)
-        if done.returncode:
-            raise RuntimeError(f"merlinthread {' '.join(arguments)}: {done.stdout}{done.stderr}")
-        return json.loads(done.stdout.splitlines()[0])
+        completed = self.command(*arguments, "--json", timeout_s=timeout_s)
+        if completed.returncode:
+            raise RuntimeError(
+                f"merlinthread {' '.join(arguments)}: {completed.stdout}{completed.stderr}"
+            )
+        return json.loads(completed.stdout.splitlines()[0])
 
     def roll(self, bundle: dict, wait: bool = True) -> dict:
         """Propose, sign and roll a bundle as operator ana, with the command line."""
--- a/bench/layers.py
+++ b/bench/layers.py
@@ -14,7 +14,7 @@
 ONE_CLOCK = ("coordination", "state", "protocol", "nodes", "platform")
 
 
-def imported(path: pathlib.Path) -> list[str]:
+def imported_names(path: pathlib.Path) -> list[str]:
     """Return the layers and root modules of this package that a module imports."""
     found = []
     for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
@@ -27,19 +27,19 @@
     return found
 
 
-def problems_of(path: pathlib.Path, layer: str) -> list[str]:
+def find_import_problems(path: pathlib.Path, layer: str) -> list[str]:
     """Return the forbidden imports of a layer's module."""
     allowed = set(LAYERS[LAYERS.index(layer) :]) | set(FOUNDATION)
     if layer in PURE:
         allowed -= {"logs", "metrics", "clocks"}
     return [
         f"{path}: layer {layer!r} imports {name!r}; it may import {', '.join(sorted(allowed))}"
-        for name in imported(path)
+        for name in imported_names(path)
         if name not in allowed and name != "__version__"
     ]
 
 
-def clock_problems(path: pathlib.Path) -> list[str]:
+def find_clock_problems(path: pathlib.Path) -> list[str]:
     """Return the imports of the standard library's `time` in a module."""
     found = []
     for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
@@ -56,10 +56,10 @@
     found = []
     for folder in ONE_CLOCK:
         for path in sorted((root / folder).rglob("*.py")):
-            found.extend(clock_problems(path))
+            found.extend(find_clock_problems(path))
     for layer in LAYERS:
         for path in sorted((root / layer).rglob("*.py")):
-            found.extend(problems_of(path, layer))
+            found.extend(find_import_problems(path, layer))
     return found
 
 
--- a/bench/operators.py
+++ b/bench/operators.py
@@ -17,7 +17,7 @@
     def __init__(self, fleet: fleets.Fleet, name: str = "ana", timeout_s: float = 20.0) -> None:
         self.fleet = fleet
         self.name = name
-        self.private = (fleet.folder / "keys" / f"{name}.key").read_text()
+        self.private_key = (fleet.folder / "keys" / f"{name}.key").read_text()
         addresses = [vm.http for vm in fleet.controls()]
         self.controls = client.ControlClient(addresses, timeout_s)
 
@@ -35,7 +35,7 @@
         """Sign a bundle."""
         version = bundle["version"]
         digest = bundles.digest(bundle_file.from_data(bundle, "bundle"))
-        signature = signatures.sign(self.private, version, digest)
+        signature = signatures.sign(self.private_key, version, digest)
         return self.call(
             "/v1/signatures",
             operator_calls.SignRequest(uuid.uuid4().hex, self.name, version, digest, signature),
--- a/bench/processes.py
+++ b/bench/processes.py
@@ -25,7 +25,7 @@
     """Allocates free loopback ports, outside the ephemeral range."""
 
     def __init__(self) -> None:
-        self.first = claimed_span() + 1
+        self.first = first_port_of_span() + 1
         self.last = self.first + SPAN_PORTS - 2
         self.next = random.randrange(self.first, self.last)
 
@@ -42,7 +42,7 @@
 
 
 @functools.cache
-def claim() -> socket.socket:
+def reserve_span() -> socket.socket:
     """Reserve a span by binding its first port; return the socket, which stays open.
 
     Raises OSError if all spans are reserved.
@@ -61,9 +61,9 @@
     )
 
 
-def claimed_span() -> int:
+def first_port_of_span() -> int:
     """Return the first port of the span of this process."""
-    return claim().getsockname()[1]
+    return reserve_span().getsockname()[1]
 
 
 def wait_for(what: str, check: Callable[[], Any], timeout_s: float = 20.0) -> Any:
--- a/bench/release_bytes.py
+++ b/bench/release_bytes.py
@@ -46,7 +46,7 @@
     raise TypeError(f"no sample of {kind}")
 
 
-def commands() -> dict[str, bytes]:
+def command_samples() -> dict[str, bytes]:
     """Return an encoded sample of each log command, by name."""
     return {
         name: msgspec.msgpack.encode((name, sample(kind)))
@@ -69,7 +69,7 @@
 
 def write(path: pathlib.Path) -> None:
     """Write samples of all encoded data to a file."""
-    found = commands()
+    found = command_samples()
     frames = {name: CODEC.encode(sample(kind)).hex() for name, kind in CODEC.types.items()}
     state = msgspec.msgpack.encode(sample(fleet_state.FleetState)).hex()
     samples = {
--- a/bench/rollout.py
+++ b/bench/rollout.py
@@ -32,7 +32,7 @@
         self.size = options.chunks * options.chunk_bytes
         self.rate = self.size / options.link_s
         self.fleet.shape.origin_bytes_per_s = 2 * self.rate
-        self.fleet.start_outside()
+        self.fleet.start_stand_ins()
         self.handles = [
             subprocess.Popen(
                 [sys.executable, "-m", "bench.swarm"],
@@ -44,7 +44,7 @@
         ]
         self.names = [f"vm-{number:04d}" for number in range(count)]
         self.peers = [
-            (name, ZONES[i % 3], "region-1", self.fleet.address())
+            (name, ZONES[i % 3], "region-1", self.fleet.free_address())
             for i, name in enumerate(self.names)
         ]
 
