--- a/bench/soak.py
+++ b/bench/soak.py
@@ -26,17 +26,17 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Tally:
+class SoakResult:
     """Counts of a run, and the invariants that it violated."""
 
-    asked: int = 0
+    sent: int = 0
     answered: int = 0
     refused: int = 0
     failed: int = 0
     acknowledged: int = 0
     reads: int = 0
     faults: dict[str, int] = dataclasses.field(default_factory=dict)
-    broken: list[str] = dataclasses.field(default_factory=list)
+    violations: list[str] = dataclasses.field(default_factory=list)
 
 
 class Soak:
@@ -50,7 +50,7 @@
         self.fleet = soak_fleet.SoakFleet(folder)
         self.faults = soak_faults.Faults(self.fleet, self.rng, kinds)
         self.sequences: collections.Counter = collections.Counter()
-        self.tally = Tally()
+        self.soak_result = SoakResult()
         self.version = 0
         self.acknowledged: list[tuple[float, int]] = []
         self.refused_unsafe: set[str] = set()
@@ -105,7 +105,7 @@
                     self.break_rule(f"a valid configuration was rejected with status {status}")
                 if status == 200:
                     self.acknowledged.append((loop.time(), self.version))
-                    self.tally.acknowledged += 1
+                    self.soak_result.acknowledged += 1
                     break
                 await asyncio.sleep(0.1)
             await self.read()
@@ -125,7 +125,7 @@
         status, body = await self.call("GET", "/config")
         if status != 200:
             return False
-        self.tally.reads += 1
+        self.soak_result.reads += 1
         found = json.loads(body)
         if found["version"] < due:
             self.break_rule(f"read version {found['version']} after {due} was acknowledged")
@@ -160,12 +160,12 @@
         request = http_messages.Request(b"POST", f"/{service}/".encode(), headers)
         entry_ip = self.pick_entry()
         address = f"{entry_ip}:{soak_nodes.FRONT}"
-        self.tally.asked += 1
+        self.soak_result.sent += 1
         self.words.note_sent(request_id, entry_ip)
         try:
             answer = await self.fleet.pool.request(address, request, 4.0)
         except errors.MerlinthreadError:
-            self.tally.failed += 1
+            self.soak_result.failed += 1
             return False
         self.words.note_answer(entry_ip, answer)
         return self.check(service, request_id, answer)
@@ -173,14 +173,14 @@
     def check(self, service: str, request_id: str, answer: http_messages.Response) -> bool:
         """Record and check a response; return whether it is a success."""
         if answer.status in NOT_RUN_STATUSES:
-            self.tally.refused += 1
+            self.soak_result.refused += 1
             if service == "unsafe":
                 self.refused_unsafe.add(request_id)
             return False
         if answer.status != 200:
-            self.tally.failed += 1
+            self.soak_result.failed += 1
             return False
-        self.tally.answered += 1
+        self.soak_result.answered += 1
         if service == "model":
             ids = [int(x[4:]) for x in answer.body.split(b"\n") if x.startswith(b"id: ")]
             if ids != list(range(1, soak_fleet.EVENTS + 1)):
@@ -191,17 +191,17 @@
 
     def break_rule(self, text: str) -> None:
         """Record a violation of an invariant."""
-        self.tally.broken.append(text)
+        self.soak_result.violations.append(text)
 
-    async def run(self) -> Tally:
+    async def run(self) -> SoakResult:
         """Start the fleet, run the soak, and return its results."""
         await self.fleet.start()
         try:
             await self.run_faults()
         finally:
             self.fleet.close()
-        self.tally.faults = dict(self.faults.injected)
-        return self.tally
+        self.soak_result.faults = dict(self.faults.injected)
+        return self.soak_result
 
     async def run_faults(self) -> None:
         """Run load and faults for `seconds`, wait for recovery, and check the invariants."""
@@ -256,17 +256,17 @@
 
 def run_seed(
     seed: int, seconds: float, keep: pathlib.Path | None = None, kinds: tuple[str, ...] = ()
-) -> Tally:
+) -> SoakResult:
     """Run one seed with faults of `kinds`, by default those in `soak_faults.USUAL`.
 
     If the run violates an invariant, its logs are copied to `keep`.
     """
     with tempfile.TemporaryDirectory() as name:
         folder = pathlib.Path(name)
-        tally = asyncio.run(Soak(seed, seconds, folder, kinds).run())
-        if tally.broken and keep is not None:
+        result = asyncio.run(Soak(seed, seconds, folder, kinds).run())
+        if result.violations and keep is not None:
             shutil.copytree(folder, keep / f"seed-{seed}", dirs_exist_ok=True)
-    return tally
+    return result
 
 
 def main(arguments: list[str]) -> int:
@@ -280,16 +280,16 @@
         "--faults", nargs="+", choices=list(soak_faults.FAULTS), default=(), metavar="KIND"
     )
     options = parser.parse_args(arguments)
-    broken: dict[int, list[str]] = {}
+    violations: dict[int, list[str]] = {}
     for seed in range(options.seed, options.seed + options.seeds):
-        tally = run_seed(seed, options.seconds, options.keep, tuple(options.faults))
+        result = run_seed(seed, options.seconds, options.keep, tuple(options.faults))
         print(
-            f"seed {seed}: {tally.answered} of {tally.asked} answered, {tally.refused} refused,"
-            f" {tally.failed} failed, {tally.acknowledged} configurations, {tally.reads} reads,"
-            f" faults {tally.faults}, violations {tally.broken}",
+            f"seed {seed}: {result.answered} of {result.sent} answered, {result.refused} refused,"
+            f" {result.failed} failed, {result.acknowledged} configurations, {result.reads} reads,"
+            f" faults {result.faults}, violations {result.violations}",
             flush=True,
         )
-        if tally.broken:
-            broken[seed] = tally.broken
-    figures = {"seeds": options.seeds, "first": options.seed, "broken": broken}
-    return measure.finish("soak", figures) or (1 if broken else 0)
+        if result.violations:
+            violations[seed] = result.violations
+    figures = {"seeds": options.seeds, "first": options.seed, "broken": violations}
+    return measure.finish("soak", figures) or (1 if violations else 0)
--- a/bench/upgrade.py
+++ b/bench/upgrade.py
@@ -137,7 +137,7 @@
         load.append(asyncio.create_task(self.balancer.run()))
         await self.wait_until_served("at the start")
         await self.balancer.wait_until_ready()
-        self.tally.asked = self.tally.answered = 0
+        self.soak_result.sent = self.soak_result.answered = 0
         load.append(asyncio.create_task(self.run_clients()))
         load.append(asyncio.create_task(self.watch_exits()))
         if self.crashing_fleet is not None:
@@ -160,7 +160,7 @@
             ends = self.crashing_fleet.crash_times()
             self.result.workers_ended = len(ends)
             self.result.ended_late = sum(at > replaced_at for at in ends)
-        asked, answered = self.tally.asked, self.tally.answered
+        asked, answered = self.soak_result.sent, self.soak_result.answered
         if self.weights_fleet is not None:
             await upgrade_weights.check_loaded_weights(self)
         for task in load:
@@ -248,10 +248,10 @@
 def run(plan: Plan, old: pathlib.Path, folder: pathlib.Path) -> UpgradeResult:
     """Run a plan and return its results; logs are written to `folder`."""
     upgrade = Upgrade(plan, old, folder)
-    tally = asyncio.run(upgrade.run())
+    soak_result = asyncio.run(upgrade.run())
     upgrade.result.named = upgrade.named
-    upgrade.result.acknowledged = tally.acknowledged
-    upgrade.result.broken = tally.broken
+    upgrade.result.acknowledged = soak_result.acknowledged
+    upgrade.result.broken = soak_result.violations
     return upgrade.result
 
 
