--- a/bench/soak.py
+++ b/bench/soak.py
@@ -102,7 +102,9 @@
             for _ in range(self.rng.randrange(1, 12)):
                 status, _ = await self.call("PUT", "/config", body)
                 if 400 <= status < 500:
-                    self.break_rule(f"a valid configuration was rejected with status {status}")
+                    self.record_violation(
+                        f"a valid configuration was rejected with status {status}"
+                    )
                 if status == 200:
                     self.acknowledged.append((loop.time(), self.version))
                     self.soak_result.acknowledged += 1
@@ -128,9 +130,9 @@
         self.soak_result.reads += 1
         found = json.loads(body)
         if found["version"] < due:
-            self.break_rule(f"read version {found['version']} after {due} was acknowledged")
+            self.record_violation(f"read version {found['version']} after {due} was acknowledged")
         if found != self.configuration(found["version"]):
-            self.break_rule(f"version {found['version']} differs from what was sent")
+            self.record_violation(f"version {found['version']} differs from what was sent")
         return True
 
     async def run_clients(self) -> None:
@@ -184,12 +186,12 @@
         if service == "model":
             ids = [int(x[4:]) for x in answer.body.split(b"\n") if x.startswith(b"id: ")]
             if ids != list(range(1, soak_fleet.EVENTS + 1)):
-                self.break_rule(f"the stream of {request_id} has events {ids}")
+                self.record_violation(f"the stream of {request_id} has events {ids}")
         elif not answer.body.endswith(f"to {request_id}".encode()):
-            self.break_rule(f"{request_id} got {answer.body!r}")
+            self.record_violation(f"{request_id} got {answer.body!r}")
         return True
 
-    def break_rule(self, text: str) -> None:
+    def record_violation(self, text: str) -> None:
         """Record a violation of an invariant."""
         self.soak_result.violations.append(text)
 
@@ -237,7 +239,9 @@
                 await self.fleet.revive(node)
             await asyncio.sleep(0.05)
         if wanted or not has_read:
-            self.break_rule(f"{when}: not served within {soak_fleet.RECOVER_S} s: {sorted(wanted)}")
+            self.record_violation(
+                f"{when}: not served within {soak_fleet.RECOVER_S} s: {sorted(wanted)}"
+            )
 
     def check_invariants(self) -> None:
         """Check that no unsafe request ran twice or after a refusal, and the workers' signals."""
@@ -247,11 +251,11 @@
                 runs.update(run.request_id for run in worker.runs)
         for request_id, count in runs.items():
             if count > 1:
-                self.break_rule(f"{request_id} ran {count} times")
+                self.record_violation(f"{request_id} ran {count} times")
             if request_id in self.refused_unsafe:
-                self.break_rule(f"{request_id} was refused as not run, but ran")
+                self.record_violation(f"{request_id} was refused as not run, but ran")
         for text in [*self.words.broken(), *self.limits.broken()]:
-            self.break_rule(text)
+            self.record_violation(text)
 
 
 def run_seed(
--- a/bench/upgrade.py
+++ b/bench/upgrade.py
@@ -242,7 +242,7 @@
             if status == 200 and json.loads(body)["version"] >= last:
                 return
             await asyncio.sleep(0.1)
-        self.break_rule(f"version {last} was acknowledged but is not read back")
+        self.record_violation(f"version {last} was acknowledged but is not read back")
 
 
 def run(plan: Plan, old: pathlib.Path, folder: pathlib.Path) -> UpgradeResult:
--- a/bench/upgrade_troubles.py
+++ b/bench/upgrade_troubles.py
@@ -91,7 +91,7 @@
         if status is not None:
             upgrade.key_answers[is_revoked][status] += 1
         if is_revoked and status == 200:
-            upgrade.break_rule("a revoked key was accepted")
+            upgrade.record_violation("a revoked key was accepted")
 
 
 async def send_with_key(upgrade: Any) -> int | None:
--- a/bench/upgrade_weights.py
+++ b/bench/upgrade_weights.py
@@ -84,10 +84,12 @@
     while any(engine.version != upgrade.named for engine in fleet.engines):
         if asyncio.get_running_loop().time() > deadline:
             loaded_versions = [engine.version for engine in fleet.engines]
-            upgrade.break_rule(f"version {upgrade.named} was named, engines have {loaded_versions}")
+            upgrade.record_violation(
+                f"version {upgrade.named} was named, engines have {loaded_versions}"
+            )
             return
         await asyncio.sleep(0.1)
     pieces = make_pieces(upgrade.named)
     for engine in fleet.engines:
         if [engine.loaded_pieces.get(index) for index in range(PIECES)] != pieces:
-            upgrade.break_rule(f"{engine.instance} loaded wrong pieces of {engine.version}")
+            upgrade.record_violation(f"{engine.instance} loaded wrong pieces of {engine.version}")
