--- a/bench/soak.py
+++ b/bench/soak.py
@@ -139,13 +139,13 @@
         """Send concurrent client requests until cancelled."""
         while True:
             await asyncio.sleep(self.rng.uniform(0.0, 0.02))
-            asyncio.create_task(self.ask(self.rng.choice(["safe", "unsafe", "model"])))
+            asyncio.create_task(self.send_request(self.rng.choice(["safe", "unsafe", "model"])))
 
     def pick_entry(self) -> str:
         """Return the IP of the entry for a client's next request."""
         return self.rng.choice(soak_nodes.ENTRY_IPS)
 
-    async def ask(self, service: str) -> bool:
+    async def send_request(self, service: str) -> bool:
         """Send a request and check its response; return whether it was served."""
         self.requests += 1
         request_id = f"r{self.requests}"
@@ -233,7 +233,7 @@
         while (wanted or not has_read) and loop.time() < deadline:
             has_read = has_read or await self.read()
             for service in sorted(wanted):
-                if await self.ask(service):
+                if await self.send_request(service):
                     wanted.discard(service)
             for node in self.fleet.nodes:
                 await self.fleet.revive(node)
