--- a/bench/soak.py
+++ b/bench/soak.py
@@ -79,9 +79,11 @@
             "sequence": self.sequences[worker.instance],
             "models": [{"name": "m", "version": worker.version}] if worker.model else [],
         }
-        await self.call("PUT", f"/instances/{worker.instance}", body)
+        await self.call_control("PUT", f"/instances/{worker.instance}", body)
 
-    async def call(self, method: str, path: str, body: dict | None = None) -> tuple[int, bytes]:
+    async def call_control(
+        self, method: str, path: str, body: dict | None = None
+    ) -> tuple[int, bytes]:
         """Call a random control VM; return its status and body, or status 0 if the call fails."""
         data = json.dumps(body).encode() if body is not None else b""
         headers = [(b"host", b"c"), (b"content-length", b"%d" % len(data))]
@@ -100,7 +102,7 @@
             self.version += self.rng.randrange(1, 4)
             body = self.configuration(self.version)
             for _ in range(self.rng.randrange(1, 12)):
-                status, _ = await self.call("PUT", "/config", body)
+                status, _ = await self.call_control("PUT", "/config", body)
                 if 400 <= status < 500:
                     self.record_violation(
                         f"a valid configuration was rejected with status {status}"
@@ -124,7 +126,7 @@
         """
         due_at = asyncio.get_running_loop().time() - APPLY_S
         due = max((version for at, version in self.acknowledged if at <= due_at), default=0)
-        status, body = await self.call("GET", "/config")
+        status, body = await self.call_control("GET", "/config")
         if status != 200:
             return False
         self.soak_result.reads += 1
--- a/bench/upgrade.py
+++ b/bench/upgrade.py
@@ -238,7 +238,7 @@
         last = max((version for _, version in self.acknowledged), default=0)
         deadline = asyncio.get_running_loop().time() + soak.APPLY_S + 4.0
         while asyncio.get_running_loop().time() < deadline:
-            status, body = await self.call("GET", "/config")
+            status, body = await self.call_control("GET", "/config")
             if status == 200 and json.loads(body)["version"] >= last:
                 return
             await asyncio.sleep(0.1)
--- a/bench/upgrade_weights.py
+++ b/bench/upgrade_weights.py
@@ -71,7 +71,7 @@
     for version in range(2, VERSIONS + 1):
         body = {"model": "m", "version": version}
         upgrade.fleet.origin.pieces[version] = make_pieces(version)
-        while (await upgrade.call("POST", "/version-put", body))[0] != 200:
+        while (await upgrade.call_control("POST", "/version-put", body))[0] != 200:
             await asyncio.sleep(0.1)
         upgrade.named = version
         await asyncio.sleep(NAMING_INTERVAL_S)
