--- a/bench/soak.py
+++ b/bench/soak.py
@@ -172,9 +172,9 @@
             self.soak_result.failed += 1
             return False
         self.words.note_answer(entry_ip, answer)
-        return self.check(service, request_id, answer)
+        return self.check_response(service, request_id, answer)
 
-    def check(self, service: str, request_id: str, answer: http_messages.Response) -> bool:
+    def check_response(self, service: str, request_id: str, answer: http_messages.Response) -> bool:
         """Record and check a response; return whether it is a success."""
         if answer.status in NOT_RUN_STATUSES:
             self.soak_result.refused += 1
