--- a/bench/soak.py
+++ b/bench/soak.py
@@ -112,14 +112,14 @@
                     self.soak_result.acknowledged += 1
                     break
                 await asyncio.sleep(0.1)
-            await self.read()
+            await self.read_configuration()
             await asyncio.sleep(self.rng.uniform(0.0, 0.3))
 
     def configuration(self, version: int) -> dict:
         """Return the configuration that the operator sends as `version`."""
         return soak_nodes.make_configuration(version)
 
-    async def read(self) -> bool:
+    async def read_configuration(self) -> bool:
         """Read and check the configuration; return whether the read succeeded.
 
         It must be at least as new as any version that was acknowledged APPLY_S ago.
@@ -233,7 +233,7 @@
         wanted = {"safe", "unsafe", "model"}
         has_read = False
         while (wanted or not has_read) and loop.time() < deadline:
-            has_read = has_read or await self.read()
+            has_read = has_read or await self.read_configuration()
             for service in sorted(wanted):
                 if await self.send_request(service):
                     wanted.discard(service)
