--- a/bench/soak.py
+++ b/bench/soak.py
@@ -54,7 +54,7 @@
         self.version = 0
         self.acknowledged: list[tuple[float, int]] = []
         self.refused_unsafe: set[str] = set()
-        self.requests = 0
+        self.request_count = 0
         self.words = soak_words.Words(self.fleet)
         self.limits = soak_limits.Limits(self.words)
         self.faults.limits = self.limits
@@ -149,8 +149,8 @@
 
     async def send_request(self, service: str) -> bool:
         """Send a request and check its response; return whether it was served."""
-        self.requests += 1
-        request_id = f"r{self.requests}"
+        self.request_count += 1
+        request_id = f"r{self.request_count}"
         headers = [
             (b"Host", b"h.example"),
             (b"X-Merlinthread-Request-Id", request_id.encode()),
--- a/bench/upgrade_deadly.py
+++ b/bench/upgrade_deadly.py
@@ -39,8 +39,8 @@
     """Send the request periodically until cancelled, each time with a new id."""
     while True:
         await asyncio.sleep(CRASH_INTERVAL_S)
-        upgrade.requests += 1
-        request_id = f"d{upgrade.requests}"
+        upgrade.request_count += 1
+        request_id = f"d{upgrade.request_count}"
         entry_ip = upgrade.pick_entry()
         upgrade.words.note_sent(request_id, entry_ip)
         headers = [
--- a/bench/upgrade_troubles.py
+++ b/bench/upgrade_troubles.py
@@ -96,9 +96,9 @@
 
 async def send_with_key(upgrade: Any) -> int | None:
     """Send a request with the key; return the status of the response, or None if it fails."""
-    upgrade.requests += 1
+    upgrade.request_count += 1
     entry_ip = upgrade.pick_entry()
-    request_id = f"k{upgrade.requests}"
+    request_id = f"k{upgrade.request_count}"
     upgrade.words.note_sent(request_id, entry_ip)
     headers = [
         (b"Host", b"h.example"),
