--- a/bench/soak.py
+++ b/bench/soak.py
@@ -48,7 +48,7 @@
         self.rng = random.Random(seed)
         self.seconds = seconds
         self.fleet = soak_fleet.SoakFleet(folder)
-        self.faults = soak_faults.Faults(self.fleet, self.rng, kinds)
+        self.fault_injector = soak_faults.Faults(self.fleet, self.rng, kinds)
         self.sequences: collections.Counter = collections.Counter()
         self.soak_result = SoakResult()
         self.version = 0
@@ -57,7 +57,7 @@
         self.request_count = 0
         self.words = soak_words.Words(self.fleet)
         self.limits = soak_limits.Limits(self.words)
-        self.faults.limits = self.limits
+        self.fault_injector.limits = self.limits
 
     async def send_heartbeats(self) -> None:
         """Send heartbeats of all workers until cancelled."""
@@ -204,7 +204,7 @@
             await self.run_faults()
         finally:
             self.fleet.close()
-        self.soak_result.faults = dict(self.faults.injected)
+        self.soak_result.faults = dict(self.fault_injector.injected)
         return self.soak_result
 
     async def run_faults(self) -> None:
@@ -215,10 +215,10 @@
         ]
         await self.wait_until_served("at the start")
         load.append(asyncio.create_task(self.run_clients()))
-        faults = asyncio.create_task(self.faults.run())
+        faults = asyncio.create_task(self.fault_injector.run())
         await asyncio.sleep(self.seconds)
         faults.cancel()
-        await self.faults.heal()
+        await self.fault_injector.heal()
         for node in self.fleet.nodes:
             await self.fleet.revive(node)
         await self.wait_until_served("after the last fault")
