--- a/bench/soak.py
+++ b/bench/soak.py
@@ -218,7 +218,7 @@
         faults = asyncio.create_task(self.fault_injector.run())
         await asyncio.sleep(self.seconds)
         faults.cancel()
-        await self.fault_injector.heal()
+        await self.fault_injector.wait_until_healed()
         for node in self.fleet.nodes:
             await self.fleet.revive(node)
         await self.wait_until_served("after the last fault")
--- a/bench/soak_faults.py
+++ b/bench/soak_faults.py
@@ -72,7 +72,7 @@
                 # The end of the run must not interrupt a fault before it is healed.
                 await asyncio.shield(task)
 
-    async def heal(self) -> None:
+    async def wait_until_healed(self) -> None:
         """Wait until all injected faults have ended."""
         await asyncio.gather(*self.open_faults)
 
