--- a/bench/soak.py
+++ b/bench/soak.py
@@ -48,7 +48,7 @@
         self.rng = random.Random(seed)
         self.seconds = seconds
         self.fleet = soak_fleet.SoakFleet(folder)
-        self.fault_injector = soak_faults.Faults(self.fleet, self.rng, kinds)
+        self.fault_injector = soak_faults.FaultInjector(self.fleet, self.rng, kinds)
         self.sequences: collections.Counter = collections.Counter()
         self.soak_result = SoakResult()
         self.version = 0
--- a/bench/soak_faults.py
+++ b/bench/soak_faults.py
@@ -11,7 +11,9 @@
 from merlinthread import registry
 from stand_ins import fleet_worker, proxy
 
-FAULTS: registry.Registry[Callable[["Faults"], Awaitable[None]]] = registry.Registry("soak fault")
+FAULTS: registry.Registry[Callable[["FaultInjector"], Awaitable[None]]] = registry.Registry(
+    "soak fault"
+)
 
 # The kinds that a run chooses from by default. Adding one would change the runs of the regression
 # seeds, so other kinds are only used by runs that name them.
@@ -36,7 +38,7 @@
 LIMITS = (0.5, 1.0, 2.0, 4.0)
 
 
-class Faults:
+class FaultInjector:
     """Injects random faults, some of them concurrently; `kinds` are names in `FAULTS`."""
 
     def __init__(
