--- a/bench/soak.py
+++ b/bench/soak.py
@@ -56,7 +56,7 @@
         self.refused_unsafe: set[str] = set()
         self.request_count = 0
         self.words = soak_words.Words(self.fleet)
-        self.limits = soak_limits.Limits(self.words)
+        self.limits = soak_limits.LimitChecker(self.words)
         self.fault_injector.limits = self.limits
 
     async def send_heartbeats(self) -> None:
--- a/bench/soak_faults.py
+++ b/bench/soak_faults.py
@@ -50,7 +50,7 @@
         # If kinds are named, the first one is injected first, so that every run includes it.
         self.first_kind = kinds[0] if kinds else ""
         # Set by the run.
-        self.limits: soak_limits.Limits | None = None
+        self.limits: soak_limits.LimitChecker | None = None
         self.injected: collections.Counter = collections.Counter()
         self.open_faults: set[asyncio.Task] = set()
         # Number of faults that affect control VMs now, and the loop time when the last one ended.
--- a/bench/soak_limits.py
+++ b/bench/soak_limits.py
@@ -31,7 +31,7 @@
         return [run for run in self.worker.runs if run.instance == self.worker.instance]
 
 
-class Limits:
+class LimitChecker:
     """Records the limits of a run and finds violations of them.
 
     `supports_limits` returns whether an entry supported limits at a time; earlier builds do not.
--- a/bench/upgrade.py
+++ b/bench/upgrade.py
@@ -116,7 +116,7 @@
         if self.weights_fleet is not None:
             self.fleet = self.weights_fleet
             self.words = soak_words.Words(self.fleet)
-        self.limits = soak_limits.Limits(self.words, self.runs_new_build)
+        self.limits = soak_limits.LimitChecker(self.words, self.runs_new_build)
         # Times of starts and their builds, by the node's IP.
         self.starts: dict[str, list[tuple[float, str]]] = {}
         self.builds = {NEW: soak_nodes.ROOT / "src", OLD: old}
