--- a/bench/soak.py
+++ b/bench/soak.py
@@ -56,8 +56,8 @@
         self.refused_unsafe: set[str] = set()
         self.request_count = 0
         self.words = soak_words.Words(self.fleet)
-        self.limits = soak_limits.LimitChecker(self.words)
-        self.fault_injector.limits = self.limits
+        self.limit_checker = soak_limits.LimitChecker(self.words)
+        self.fault_injector.limit_checker = self.limit_checker
 
     async def send_heartbeats(self) -> None:
         """Send heartbeats of all workers until cancelled."""
@@ -256,7 +256,7 @@
                 self.record_violation(f"{request_id} ran {count} times")
             if request_id in self.refused_unsafe:
                 self.record_violation(f"{request_id} was refused as not run, but ran")
-        for text in [*self.words.broken(), *self.limits.broken()]:
+        for text in [*self.words.broken(), *self.limit_checker.broken()]:
             self.record_violation(text)
 
 
--- a/bench/soak_faults.py
+++ b/bench/soak_faults.py
@@ -50,7 +50,7 @@
         # If kinds are named, the first one is injected first, so that every run includes it.
         self.first_kind = kinds[0] if kinds else ""
         # Set by the run.
-        self.limits: soak_limits.LimitChecker | None = None
+        self.limit_checker: soak_limits.LimitChecker | None = None
         self.injected: collections.Counter = collections.Counter()
         self.open_faults: set[asyncio.Task] = set()
         # Number of faults that affect control VMs now, and the loop time when the last one ended.
@@ -268,11 +268,11 @@
     @FAULTS.add("name_limit")
     async def advertise_limit(self) -> None:
         """Let a worker advertise a rate limit, for longer than the window of the check."""
-        assert self.limits is not None
+        assert self.limit_checker is not None
         worker = self.rng.choice(list(self.fleet.workers))
         if worker.behaviour.limit is not None:
             return
         now = asyncio.get_running_loop().time
-        episode = self.limits.begin(worker, self.rng.choice(LIMITS), now())
+        episode = self.limit_checker.begin(worker, self.rng.choice(LIMITS), now())
         await asyncio.sleep(self.rng.uniform(*LIMIT_DURATION_S))
-        self.limits.end(episode, now())
+        self.limit_checker.end(episode, now())
--- a/bench/upgrade.py
+++ b/bench/upgrade.py
@@ -116,7 +116,7 @@
         if self.weights_fleet is not None:
             self.fleet = self.weights_fleet
             self.words = soak_words.Words(self.fleet)
-        self.limits = soak_limits.LimitChecker(self.words, self.runs_new_build)
+        self.limit_checker = soak_limits.LimitChecker(self.words, self.runs_new_build)
         # Times of starts and their builds, by the node's IP.
         self.starts: dict[str, list[tuple[float, str]]] = {}
         self.builds = {NEW: soak_nodes.ROOT / "src", OLD: old}
@@ -144,7 +144,7 @@
             load.append(asyncio.create_task(upgrade_deadly.send_crashing_requests(self)))
         if self.plan.is_limited:
             worker = next(iter(self.fleet.workers))
-            self.limits.begin(worker, LIMIT_PER_S, asyncio.get_running_loop().time())
+            self.limit_checker.begin(worker, LIMIT_PER_S, asyncio.get_running_loop().time())
         await asyncio.sleep(STEADY_S)
         for kind in self.plan.troubles:
             load.append(asyncio.create_task(upgrade_troubles.TROUBLES.get(kind)(self)))
