--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -20,7 +20,7 @@
     "soak_fleet",
     "soak_limits",
     "soak_nodes",
-    "soak_words",
+    "soak_signals",
     "swarm",
     "verdict",
 )
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -16,7 +16,7 @@
 import shutil
 import tempfile
 
-from bench import measure, soak_faults, soak_fleet, soak_limits, soak_nodes, soak_words
+from bench import measure, soak_faults, soak_fleet, soak_limits, soak_nodes, soak_signals
 from merlinthread import errors
 from merlinthread.transport import http_messages
 from stand_ins import fleet_worker
@@ -55,7 +55,7 @@
         self.acknowledged: list[tuple[float, int]] = []
         self.refused_unsafe: set[str] = set()
         self.request_count = 0
-        self.words = soak_words.Words(self.fleet)
+        self.words = soak_signals.Words(self.fleet)
         self.limit_checker = soak_limits.LimitChecker(self.words)
         self.fault_injector.limit_checker = self.limit_checker
 
--- a/bench/soak_limits.py
+++ b/bench/soak_limits.py
@@ -4,7 +4,7 @@
 import math
 from collections.abc import Callable
 
-from bench import soak_words
+from bench import soak_signals
 from stand_ins import fleet_worker
 
 # The platform's rule bounds the requests of entries that know a limit in any window of WINDOW_S:
@@ -39,7 +39,7 @@
 
     def __init__(
         self,
-        words: soak_words.Words,
+        words: soak_signals.Words,
         supports_limits: Callable[[str, float], bool] = lambda entry_ip, at: True,
     ) -> None:
         self.words = words
