--- a/bench/soak.py
+++ b/bench/soak.py
@@ -55,7 +55,7 @@
         self.acknowledged: list[tuple[float, int]] = []
         self.refused_unsafe: set[str] = set()
         self.request_count = 0
-        self.words = soak_signals.Words(self.fleet)
+        self.words = soak_signals.SignalChecker(self.fleet)
         self.limit_checker = soak_limits.LimitChecker(self.words)
         self.fault_injector.limit_checker = self.limit_checker
 
--- a/bench/soak_limits.py
+++ b/bench/soak_limits.py
@@ -39,7 +39,7 @@
 
     def __init__(
         self,
-        words: soak_signals.Words,
+        words: soak_signals.SignalChecker,
         supports_limits: Callable[[str, float], bool] = lambda entry_ip, at: True,
     ) -> None:
         self.words = words
--- a/bench/soak_signals.py
+++ b/bench/soak_signals.py
@@ -26,7 +26,7 @@
     at: float
 
 
-class Words:
+class SignalChecker:
     """Records the signals of a run and finds requests that violate them."""
 
     def __init__(self, fleet: soak_fleet.SoakFleet) -> None:
