--- a/bench/soak.py
+++ b/bench/soak.py
@@ -55,8 +55,8 @@
         self.acknowledged: list[tuple[float, int]] = []
         self.refused_unsafe: set[str] = set()
         self.request_count = 0
-        self.words = soak_signals.SignalChecker(self.fleet)
-        self.limit_checker = soak_limits.LimitChecker(self.words)
+        self.signal_checker = soak_signals.SignalChecker(self.fleet)
+        self.limit_checker = soak_limits.LimitChecker(self.signal_checker)
         self.fault_injector.limit_checker = self.limit_checker
 
     async def send_heartbeats(self) -> None:
@@ -165,13 +165,13 @@
         entry_ip = self.pick_entry()
         address = f"{entry_ip}:{soak_nodes.FRONT}"
         self.soak_result.sent += 1
-        self.words.note_sent(request_id, entry_ip)
+        self.signal_checker.note_sent(request_id, entry_ip)
         try:
             answer = await self.fleet.pool.request(address, request, 4.0)
         except errors.MerlinthreadError:
             self.soak_result.failed += 1
             return False
-        self.words.note_answer(entry_ip, answer)
+        self.signal_checker.note_answer(entry_ip, answer)
         return self.check_response(service, request_id, answer)
 
     def check_response(self, service: str, request_id: str, answer: http_messages.Response) -> bool:
@@ -256,7 +256,7 @@
                 self.record_violation(f"{request_id} ran {count} times")
             if request_id in self.refused_unsafe:
                 self.record_violation(f"{request_id} was refused as not run, but ran")
-        for text in [*self.words.broken(), *self.limit_checker.broken()]:
+        for text in [*self.signal_checker.broken(), *self.limit_checker.broken()]:
             self.record_violation(text)
 
 
--- a/bench/soak_limits.py
+++ b/bench/soak_limits.py
@@ -39,10 +39,10 @@
 
     def __init__(
         self,
-        words: soak_signals.SignalChecker,
+        signal_checker: soak_signals.SignalChecker,
         supports_limits: Callable[[str, float], bool] = lambda entry_ip, at: True,
     ) -> None:
-        self.words = words
+        self.signal_checker = signal_checker
         self.supports_limits = supports_limits
         self.episodes: list[Episode] = []
 
@@ -68,10 +68,10 @@
         begin = episode.since + CONTACT_S
         times = []
         for run in episode.runs():
-            entry_ip = self.words.sent[run.request_id].entry_ip
+            entry_ip = self.signal_checker.sent[run.request_id].entry_ip
             known_at = limit_known_times.get(entry_ip, math.inf) + ENTRY_DELAY_S
             is_bound = max(begin, known_at) <= run.at < episode.until
-            is_undisturbed = self.words.is_undisturbed(entry_ip, run.at - WINDOW_S, run.at)
+            is_undisturbed = self.signal_checker.is_undisturbed(entry_ip, run.at - WINDOW_S, run.at)
             if is_bound and is_undisturbed and self.supports_limits(entry_ip, run.at):
                 times.append(run.at)
         allowed = LIMIT_FACTOR * episode.per_s * WINDOW_S + EXTRA_REQUESTS
@@ -87,5 +87,5 @@
         times_by_entry: dict[str, float] = {}
         for run in episode.runs():
             if episode.since <= run.at < episode.until:
-                times_by_entry.setdefault(self.words.sent[run.request_id].entry_ip, run.at)
+                times_by_entry.setdefault(self.signal_checker.sent[run.request_id].entry_ip, run.at)
         return times_by_entry
--- a/bench/upgrade.py
+++ b/bench/upgrade.py
@@ -111,12 +111,12 @@
         self.crashing_fleet = upgrade_deadly.CrashingFleet(folder) if plan.is_deadly else None
         if self.crashing_fleet is not None:
             self.fleet = self.crashing_fleet
-            self.words = soak_signals.SignalChecker(self.fleet)
+            self.signal_checker = soak_signals.SignalChecker(self.fleet)
         self.weights_fleet = upgrade_weights.WeightsFleet(folder) if plan.has_weights else None
         if self.weights_fleet is not None:
             self.fleet = self.weights_fleet
-            self.words = soak_signals.SignalChecker(self.fleet)
-        self.limit_checker = soak_limits.LimitChecker(self.words, self.runs_new_build)
+            self.signal_checker = soak_signals.SignalChecker(self.fleet)
+        self.limit_checker = soak_limits.LimitChecker(self.signal_checker, self.runs_new_build)
         # Times of starts and their builds, by the node's IP.
         self.starts: dict[str, list[tuple[float, str]]] = {}
         self.builds = {NEW: soak_nodes.ROOT / "src", OLD: old}
