--- a/bench/soak.py
+++ b/bench/soak.py
@@ -165,7 +165,7 @@
         entry_ip = self.pick_entry()
         address = f"{entry_ip}:{soak_nodes.FRONT}"
         self.soak_result.sent += 1
-        self.signal_checker.note_sent(request_id, entry_ip)
+        self.signal_checker.record_request(request_id, entry_ip)
         try:
             answer = await self.fleet.pool.request(address, request, 4.0)
         except errors.MerlinthreadError:
--- a/bench/soak_signals.py
+++ b/bench/soak_signals.py
@@ -35,7 +35,7 @@
         # When an entry first forwarded a response with an instance's leaving signal.
         self.leaving_times: dict[tuple[str, str], float] = {}
 
-    def note_sent(self, request_id: str, entry_ip: str) -> None:
+    def record_request(self, request_id: str, entry_ip: str) -> None:
         """Record that a client sends a request to an entry."""
         self.sent[request_id] = SentRequest(entry_ip, time.monotonic())
 
--- a/bench/upgrade_deadly.py
+++ b/bench/upgrade_deadly.py
@@ -42,7 +42,7 @@
         upgrade.request_count += 1
         request_id = f"d{upgrade.request_count}"
         entry_ip = upgrade.pick_entry()
-        upgrade.signal_checker.note_sent(request_id, entry_ip)
+        upgrade.signal_checker.record_request(request_id, entry_ip)
         headers = [
             (b"Host", b"h.example"),
             (b"X-Merlinthread-Request-Id", request_id.encode()),
--- a/bench/upgrade_troubles.py
+++ b/bench/upgrade_troubles.py
@@ -99,7 +99,7 @@
     upgrade.request_count += 1
     entry_ip = upgrade.pick_entry()
     request_id = f"k{upgrade.request_count}"
-    upgrade.signal_checker.note_sent(request_id, entry_ip)
+    upgrade.signal_checker.record_request(request_id, entry_ip)
     headers = [
         (b"Host", b"h.example"),
         (b"X-Merlinthread-Request-Id", request_id.encode()),
