--- a/bench/soak.py
+++ b/bench/soak.py
@@ -171,7 +171,7 @@
         except errors.MerlinthreadError:
             self.soak_result.failed += 1
             return False
-        self.signal_checker.note_answer(entry_ip, answer)
+        self.signal_checker.record_response(entry_ip, answer)
         return self.check_response(service, request_id, answer)
 
     def check_response(self, service: str, request_id: str, answer: http_messages.Response) -> bool:
--- a/bench/soak_signals.py
+++ b/bench/soak_signals.py
@@ -39,7 +39,7 @@
         """Record that a client sends a request to an entry."""
         self.sent[request_id] = SentRequest(entry_ip, time.monotonic())
 
-    def note_answer(self, entry_ip: str, answer: http_messages.Response) -> None:
+    def record_response(self, entry_ip: str, answer: http_messages.Response) -> None:
         """Record the leaving signal of a response."""
         stamp = http_messages.get_header(answer.headers, STAMP_HEADER)
         if stamp is None or http_messages.get_header(answer.headers, LEAVING_HEADER) is None:
