--- a/bench/soak.py
+++ b/bench/soak.py
@@ -256,7 +256,7 @@
                 self.record_violation(f"{request_id} ran {count} times")
             if request_id in self.refused_unsafe:
                 self.record_violation(f"{request_id} was refused as not run, but ran")
-        for text in [*self.signal_checker.broken(), *self.limit_checker.broken()]:
+        for text in [*self.signal_checker.violations(), *self.limit_checker.violations()]:
             self.record_violation(text)
 
 
--- a/bench/soak_limits.py
+++ b/bench/soak_limits.py
@@ -58,7 +58,7 @@
         episode.worker.behaviour.limit = None
         episode.until = now
 
-    def broken(self) -> list[str]:
+    def violations(self) -> list[str]:
         """Return a description of each episode in which the rule was violated."""
         return [text for episode in self.episodes for text in self.find_violation(episode)]
 
--- a/bench/soak_signals.py
+++ b/bench/soak_signals.py
@@ -52,7 +52,7 @@
         nodes = [node for node in self.fleet.nodes if node.ip == entry_ip]
         return not any(since <= at <= until for node in nodes for at in node.disturbances)
 
-    def broken(self) -> list[str]:
+    def violations(self) -> list[str]:
         """Return a description of each violation."""
         return [*self.requests_after_leaving(), *self.requests_during_delays()]
 
