--- a/bench/soak.py
+++ b/bench/soak.py
@@ -229,7 +229,7 @@
     async def wait_until_served(self, when: str) -> None:
         """Wait until reads and requests succeed; record a violation after RECOVER_S."""
         loop = asyncio.get_running_loop()
-        deadline = loop.time() + soak_fleet.RECOVER_S
+        deadline = loop.time() + soak_fleet.RECOVERY_TIMEOUT_S
         wanted = {"safe", "unsafe", "model"}
         has_read = False
         while (wanted or not has_read) and loop.time() < deadline:
@@ -242,7 +242,7 @@
             await asyncio.sleep(0.05)
         if wanted or not has_read:
             self.record_violation(
-                f"{when}: not served within {soak_fleet.RECOVER_S} s: {sorted(wanted)}"
+                f"{when}: not served within {soak_fleet.RECOVERY_TIMEOUT_S} s: {sorted(wanted)}"
             )
 
     def check_invariants(self) -> None:
--- a/bench/soak_fleet.py
+++ b/bench/soak_fleet.py
@@ -10,7 +10,7 @@
 from merlinthread.transport import http_messages, stream_client
 from stand_ins import fleet_worker, proxy
 
-RECOVER_S = 12.0
+RECOVERY_TIMEOUT_S = 12.0
 EVENTS = 6
 SERVICES = ("safe", "safe", "unsafe", "unsafe", "model", "model")
 
@@ -59,7 +59,7 @@
         if node.role != "control":
             return
         loop = asyncio.get_running_loop()
-        deadline = loop.time() + RECOVER_S
+        deadline = loop.time() + RECOVERY_TIMEOUT_S
         request = http_messages.Request(b"GET", b"/config", [(b"host", b"c")])
         while loop.time() < deadline:
             with contextlib.suppress(errors.MerlinthreadError):
--- a/bench/upgrade_balancer.py
+++ b/bench/upgrade_balancer.py
@@ -38,7 +38,7 @@
 
     async def wait_until_ready(self) -> None:
         """Wait until all entries take new connections."""
-        async with asyncio.timeout(soak_fleet.RECOVER_S):
+        async with asyncio.timeout(soak_fleet.RECOVERY_TIMEOUT_S):
             while any(self.failures.values()):
                 await asyncio.sleep(0.05)
 
