--- a/bench/soak.py
+++ b/bench/soak.py
@@ -187,7 +187,7 @@
         self.soak_result.answered += 1
         if service == "model":
             ids = [int(x[4:]) for x in answer.body.split(b"\n") if x.startswith(b"id: ")]
-            if ids != list(range(1, soak_fleet.EVENTS + 1)):
+            if ids != list(range(1, soak_fleet.EVENT_COUNT + 1)):
                 self.record_violation(f"the stream of {request_id} has events {ids}")
         elif not answer.body.endswith(f"to {request_id}".encode()):
             self.record_violation(f"{request_id} got {answer.body!r}")
--- a/bench/soak_faults.py
+++ b/bench/soak_faults.py
@@ -199,13 +199,13 @@
             {"wrong_request_id": True},
             {"is_unsigned": True},
             {"status": 500},
-            {"cut_after_events": self.rng.randrange(soak_fleet.EVENTS)},
+            {"cut_after_events": self.rng.randrange(soak_fleet.EVENT_COUNT)},
         ]
         worker.behaviour = fleet_worker.Behaviour(
-            events=soak_fleet.EVENTS, **self.rng.choice(faults)
+            events=soak_fleet.EVENT_COUNT, **self.rng.choice(faults)
         )
         await asyncio.sleep(self.rng.uniform(0.3, 1.5))
-        worker.behaviour = fleet_worker.Behaviour(events=soak_fleet.EVENTS)
+        worker.behaviour = fleet_worker.Behaviour(events=soak_fleet.EVENT_COUNT)
 
     @FAULTS.add("harm_link")
     async def degrade_link(self) -> None:
@@ -247,7 +247,7 @@
     async def signal_leaving(self) -> None:
         """Let a worker signal in its responses that it is leaving, then replace it."""
         worker = self.rng.choice(list(self.fleet.workers))
-        worker.behaviour = fleet_worker.Behaviour(events=soak_fleet.EVENTS, is_leaving=True)
+        worker.behaviour = fleet_worker.Behaviour(events=soak_fleet.EVENT_COUNT, is_leaving=True)
         await asyncio.sleep(LEAVING_S)
         await self.replace_worker(worker)
 
--- a/bench/soak_fleet.py
+++ b/bench/soak_fleet.py
@@ -11,7 +11,7 @@
 from stand_ins import fleet_worker, proxy
 
 RECOVERY_TIMEOUT_S = 12.0
-EVENTS = 6
+EVENT_COUNT = 6
 SERVICES = ("safe", "safe", "unsafe", "unsafe", "model", "model")
 
 
@@ -69,7 +69,7 @@
 
     async def start_worker(self, worker: fleet_worker.Worker) -> None:
         """Start a worker behind a proxy link, whose address becomes the worker's address."""
-        worker.behaviour.events = EVENTS
+        worker.behaviour.events = EVENT_COUNT
         host, port = (await worker.start()).split(":")
         link = proxy.Link((host, 0), (host, int(port)))
         worker.address = f"{host}:{link.listener.getsockname()[1]}"
--- a/bench/upgrade_deadly.py
+++ b/bench/upgrade_deadly.py
@@ -27,7 +27,7 @@
 
     async def start_worker(self, worker: fleet_worker.Worker) -> None:
         """Start a worker without a proxy link."""
-        worker.behaviour.events = soak_fleet.EVENTS
+        worker.behaviour.events = soak_fleet.EVENT_COUNT
         await worker.start()
 
     def crash_times(self) -> list[float]:
--- a/bench/upgrade_weights.py
+++ b/bench/upgrade_weights.py
@@ -45,7 +45,7 @@
 
     async def start_worker(self, worker: fleet_worker.Worker) -> None:
         """Start a worker; an engine gets its agent's IP and is added to the agent's settings."""
-        worker.behaviour.events = soak_fleet.EVENTS
+        worker.behaviour.events = soak_fleet.EVENT_COUNT
         await worker.start(self.agent_ips.get(worker, "127.0.0.1"))
         for node in self.nodes:
             if node.ip == self.agent_ips.get(worker):
