--- a/bench/soak_faults.py
+++ b/bench/soak_faults.py
@@ -129,7 +129,7 @@
         self.fleet.control_ips[self.fleet.control_ips.index(lost.ip)] = new.ip
         self.fleet.nodes.append(new)
         new.start()
-        await self.fleet.until_up(new)
+        await self.fleet.wait_until_responding(new)
         if is_planned:
             await asyncio.sleep(self.rng.uniform(0.5, 1.5))
             await self.stop_node(lost, signal.SIGTERM)
@@ -154,7 +154,7 @@
                 node.process is None or node.process.poll() is not None
             ):
                 node.start()
-                await self.fleet.until_up(node)
+                await self.fleet.wait_until_responding(node)
 
     @FAULTS.add("freeze")
     async def freeze(self) -> None:
--- a/bench/soak_fleet.py
+++ b/bench/soak_fleet.py
@@ -54,7 +54,7 @@
         """Return a new node that is not started."""
         return soak_nodes.Node(self.folder, f"{role}-{ip}", role, ip, self.control_ips)
 
-    async def until_up(self, node: soak_nodes.Node) -> None:
+    async def wait_until_responding(self, node: soak_nodes.Node) -> None:
         """Wait until a control VM responds, up to RECOVER_S; return at once for other roles."""
         if node.role != "control":
             return
--- a/bench/upgrade.py
+++ b/bench/upgrade.py
@@ -205,7 +205,7 @@
             node.source = self.builds[build]
             self.starts[node.ip].append((asyncio.get_running_loop().time(), build))
             node.start()
-            await self.fleet.until_up(node)
+            await self.fleet.wait_until_responding(node)
 
     @contextlib.asynccontextmanager
     async def locked(self, node: soak_nodes.Node) -> AsyncIterator[None]:
--- a/bench/upgrade_troubles.py
+++ b/bench/upgrade_troubles.py
@@ -58,7 +58,7 @@
             node.signal(signal.SIGKILL)
             await asyncio.to_thread(node.process.wait)
             node.start()
-            await upgrade.fleet.until_up(node)
+            await upgrade.fleet.wait_until_responding(node)
 
 
 @TROUBLES.add("freeze")
