--- a/bench/soak.py
+++ b/bench/soak.py
@@ -220,7 +220,7 @@
         faults.cancel()
         await self.fault_injector.wait_until_healed()
         for node in self.fleet.nodes:
-            await self.fleet.revive(node)
+            await self.fleet.ensure_running(node)
         await self.wait_until_served("after the last fault")
         for task in load:
             task.cancel()
@@ -238,7 +238,7 @@
                 if await self.send_request(service):
                     wanted.discard(service)
             for node in self.fleet.nodes:
-                await self.fleet.revive(node)
+                await self.fleet.ensure_running(node)
             await asyncio.sleep(0.05)
         if wanted or not has_read:
             self.record_violation(
--- a/bench/soak_fleet.py
+++ b/bench/soak_fleet.py
@@ -75,7 +75,7 @@
         worker.address = f"{host}:{link.listener.getsockname()[1]}"
         self.links[worker] = link
 
-    async def revive(self, node: soak_nodes.Node) -> None:
+    async def ensure_running(self, node: soak_nodes.Node) -> None:
         """Resume a node that is suspended, and start it if it has exited."""
         node.signal(signal.SIGCONT)
         if node.process is not None and node.process.poll() is None:
