--- a/bench/soak.py
+++ b/bench/soak.py
@@ -88,7 +88,7 @@
         data = json.dumps(body).encode() if body is not None else b""
         headers = [(b"host", b"c"), (b"content-length", b"%d" % len(data))]
         request = http_messages.Request(method.encode(), path.encode(), headers, data)
-        address = f"{self.rng.choice(self.fleet.control_ips)}:{soak_nodes.CONTROL}"
+        address = f"{self.rng.choice(self.fleet.control_ips)}:{soak_nodes.CONTROL_PORT}"
         try:
             answer = await self.fleet.pool.request(address, request, 1.0)
         except errors.MerlinthreadError:
@@ -163,7 +163,7 @@
             headers.append((b"X-Merlinthread-Token-Usage", b"100,20"))
         request = http_messages.Request(b"POST", f"/{service}/".encode(), headers)
         entry_ip = self.pick_entry()
-        address = f"{entry_ip}:{soak_nodes.FRONT}"
+        address = f"{entry_ip}:{soak_nodes.FRONT_PORT}"
         self.soak_result.sent += 1
         self.signal_checker.record_request(request_id, entry_ip)
         try:
--- a/bench/soak_fleet.py
+++ b/bench/soak_fleet.py
@@ -63,7 +63,7 @@
         request = http_messages.Request(b"GET", b"/config", [(b"host", b"c")])
         while loop.time() < deadline:
             with contextlib.suppress(errors.MerlinthreadError):
-                await self.pool.request(f"{node.ip}:{soak_nodes.CONTROL}", request, 1.0)
+                await self.pool.request(f"{node.ip}:{soak_nodes.CONTROL_PORT}", request, 1.0)
                 return
             await asyncio.sleep(0.05)
 
--- a/bench/soak_nodes.py
+++ b/bench/soak_nodes.py
@@ -15,7 +15,7 @@
 ENTRY_IPS = tuple(f"{NETWORK}.{number}" for number in (11, 12))
 # Shortest time between the start of a replacement control VM and the next loss of one.
 CATCH_UP_S = 2.0
-CONTROL, FRONT, READY = 8000, 8005, 8002
+CONTROL_PORT, FRONT_PORT, READY_PORT = 8000, 8005, 8002
 PORT_RANGE = (7700, 7703)
 STARTER = "import sys; from merlinthread.platform import main; sys.exit(main.main(sys.argv[1:]))"
 ROOT = pathlib.Path(__file__).parent.parent
@@ -72,11 +72,11 @@
             "zone": "zone-a",
             "zones": {"zone-a": "region"},
             "port_range": PORT_RANGE,
-            "seeds": [f"{ip}:{CONTROL}" for ip in self.seeds],
+            "seeds": [f"{ip}:{CONTROL_PORT}" for ip in self.seeds],
             "listen": {
-                "control": f"{self.ip}:{CONTROL}",
-                "front": f"{self.ip}:{FRONT}",
-                "ready": f"{self.ip}:{READY}",
+                "control": f"{self.ip}:{CONTROL_PORT}",
+                "front": f"{self.ip}:{FRONT_PORT}",
+                "ready": f"{self.ip}:{READY_PORT}",
             },
             "bootstrap": self.is_first,
             "data_dir": str(self.folder / self.name),
--- a/bench/upgrade_deadly.py
+++ b/bench/upgrade_deadly.py
@@ -52,4 +52,4 @@
         ]
         request = http_messages.Request(b"POST", b"/safe/", headers, CRASH_BODY)
         with contextlib.suppress(errors.MerlinthreadError):
-            await upgrade.fleet.pool.request(f"{entry_ip}:{soak_nodes.FRONT}", request, 4.0)
+            await upgrade.fleet.pool.request(f"{entry_ip}:{soak_nodes.FRONT_PORT}", request, 4.0)
--- a/bench/upgrade_troubles.py
+++ b/bench/upgrade_troubles.py
@@ -109,7 +109,9 @@
     ]
     request = http_messages.Request(b"POST", b"/safe/", headers)
     try:
-        answer = await upgrade.fleet.pool.request(f"{entry_ip}:{soak_nodes.FRONT}", request, 4.0)
+        answer = await upgrade.fleet.pool.request(
+            f"{entry_ip}:{soak_nodes.FRONT_PORT}", request, 4.0
+        )
     except errors.MerlinthreadError:
         return None
     return answer.status
