--- a/bench/soak_nodes.py
+++ b/bench/soak_nodes.py
@@ -40,11 +40,11 @@
     # Additional settings of this node.
     extra_settings: dict = dataclasses.field(default_factory=dict)
     # Monotonic times of starts and signals.
-    disturbances: list[float] = dataclasses.field(default_factory=list)
+    interruptions: list[float] = dataclasses.field(default_factory=list)
 
     def start(self) -> None:
         """Start or restart the process."""
-        self.disturbances.append(time.monotonic())
+        self.interruptions.append(time.monotonic())
         path = self.write_settings()
         with open(self.folder / f"{self.name}.log", "ab") as log:
             self.process = subprocess.Popen(
@@ -89,7 +89,7 @@
         """Send a signal to the process if it is running."""
         if self.process is not None and self.process.poll() is None:
             if number != signal.SIGCONT:
-                self.disturbances.append(time.monotonic())
+                self.interruptions.append(time.monotonic())
             self.process.send_signal(number)
 
 
--- a/bench/soak_signals.py
+++ b/bench/soak_signals.py
@@ -50,7 +50,7 @@
     def is_undisturbed(self, entry_ip: str, since: float, until: float) -> bool:
         """Return whether an entry was neither started nor signalled between two times."""
         nodes = [node for node in self.fleet.nodes if node.ip == entry_ip]
-        return not any(since <= at <= until for node in nodes for at in node.disturbances)
+        return not any(since <= at <= until for node in nodes for at in node.interruptions)
 
     def violations(self) -> list[str]:
         """Return a description of each violation."""
