--- a/bench/soak_nodes.py
+++ b/bench/soak_nodes.py
@@ -25,7 +25,7 @@
 class Node:
     """A node process, with its settings, log and data in `folder`.
 
-    `seeds` are the IPs of the control VMs, a list shared by all nodes. `source` is the source
+    `control_ips` are the IPs of the control VMs, a list shared by all nodes. `source` is the source
     folder of the build to run, effective from the next start.
     """
 
@@ -33,7 +33,7 @@
     name: str
     role: str
     ip: str
-    seeds: list[str]
+    control_ips: list[str]
     is_first: bool = True
     source: pathlib.Path = ROOT / "src"
     process: subprocess.Popen | None = None
@@ -72,7 +72,7 @@
             "zone": "zone-a",
             "zones": {"zone-a": "region"},
             "port_range": PORT_RANGE,
-            "seeds": [f"{ip}:{CONTROL_PORT}" for ip in self.seeds],
+            "seeds": [f"{ip}:{CONTROL_PORT}" for ip in self.control_ips],
             "listen": {
                 "control": f"{self.ip}:{CONTROL_PORT}",
                 "front": f"{self.ip}:{FRONT_PORT}",
