--- a/bench/soak.py
+++ b/bench/soak.py
@@ -227,7 +227,7 @@
         self.check_invariants()
 
     async def wait_until_served(self, when: str) -> None:
-        """Wait until reads and requests succeed; record a violation after RECOVER_S."""
+        """Wait until reads and requests succeed; record a violation after RECOVERY_TIMEOUT_S."""
         loop = asyncio.get_running_loop()
         deadline = loop.time() + soak_fleet.RECOVERY_TIMEOUT_S
         wanted = {"safe", "unsafe", "model"}
--- a/bench/soak_fleet.py
+++ b/bench/soak_fleet.py
@@ -55,7 +55,7 @@
         return soak_nodes.Node(self.folder, f"{role}-{ip}", role, ip, self.control_ips)
 
     async def wait_until_responding(self, node: soak_nodes.Node) -> None:
-        """Wait until a control VM responds, up to RECOVER_S; return at once for other roles."""
+        """Wait until a control VM responds, up to a timeout; return at once for other roles."""
         if node.role != "control":
             return
         loop = asyncio.get_running_loop()
