--- a/bench/upgrade.py
+++ b/bench/upgrade.py
@@ -29,7 +29,7 @@
     soak_signals,
     upgrade_balancer,
     upgrade_builds,
-    upgrade_deadly,
+    upgrade_crashes,
     upgrade_troubles,
     upgrade_weights,
 )
@@ -108,7 +108,7 @@
             collections.Counter(),
         )
         self.locks: dict[str, asyncio.Lock] = collections.defaultdict(asyncio.Lock)
-        self.crashing_fleet = upgrade_deadly.CrashingFleet(folder) if plan.is_deadly else None
+        self.crashing_fleet = upgrade_crashes.CrashingFleet(folder) if plan.is_deadly else None
         if self.crashing_fleet is not None:
             self.fleet = self.crashing_fleet
             self.signal_checker = soak_signals.SignalChecker(self.fleet)
@@ -141,7 +141,7 @@
         load.append(asyncio.create_task(self.run_clients()))
         load.append(asyncio.create_task(self.watch_exits()))
         if self.crashing_fleet is not None:
-            load.append(asyncio.create_task(upgrade_deadly.send_crashing_requests(self)))
+            load.append(asyncio.create_task(upgrade_crashes.send_crashing_requests(self)))
         if self.plan.is_limited:
             worker = next(iter(self.fleet.workers))
             self.limit_checker.begin(worker, LIMIT_PER_S, asyncio.get_running_loop().time())
