--- a/bench/upgrade.py
+++ b/bench/upgrade.py
@@ -30,7 +30,7 @@
     upgrade_balancer,
     upgrade_builds,
     upgrade_crashes,
-    upgrade_troubles,
+    upgrade_faults,
     upgrade_weights,
 )
 from stand_ins import fleet_worker
@@ -147,7 +147,7 @@
             self.limit_checker.begin(worker, LIMIT_PER_S, asyncio.get_running_loop().time())
         await asyncio.sleep(STEADY_S)
         for kind in self.plan.troubles:
-            load.append(asyncio.create_task(upgrade_troubles.TROUBLES.get(kind)(self)))
+            load.append(asyncio.create_task(upgrade_faults.TROUBLES.get(kind)(self)))
         if self.weights_fleet is not None:
             load.append(asyncio.create_task(upgrade_weights.name_versions(self)))
         for build in self.route[1:]:
@@ -173,7 +173,7 @@
     def configuration(self, version: int) -> dict:
         """Return the configuration that the operator sends as `version`."""
         is_valid = "revoke" in self.plan.troubles and version < self.revoked_from
-        keys = ("key-1", upgrade_troubles.REVOKED_KEY) if is_valid else ("key-1",)
+        keys = ("key-1", upgrade_faults.REVOKED_KEY) if is_valid else ("key-1",)
         body = soak_nodes.make_configuration(version, keys)
         return self.weights_fleet.configuration(body) if self.weights_fleet is not None else body
 
@@ -279,7 +279,7 @@
     )
     parser.add_argument("--weights", action="store_true", help="distribute weights meanwhile")
     parser.add_argument(
-        "--trouble", nargs="+", choices=list(upgrade_troubles.TROUBLES), default=(), metavar="KIND"
+        "--trouble", nargs="+", choices=list(upgrade_faults.TROUBLES), default=(), metavar="KIND"
     )
     parser.add_argument("--keep", type=pathlib.Path, help="folder for logs of the nodes")
     options = parser.parse_args(arguments)
