--- a/bench/upgrade.py
+++ b/bench/upgrade.py
@@ -147,7 +147,7 @@
             self.limit_checker.begin(worker, LIMIT_PER_S, asyncio.get_running_loop().time())
         await asyncio.sleep(STEADY_S)
         for kind in self.plan.troubles:
-            load.append(asyncio.create_task(upgrade_faults.TROUBLES.get(kind)(self)))
+            load.append(asyncio.create_task(upgrade_faults.FAULTS.get(kind)(self)))
         if self.weights_fleet is not None:
             load.append(asyncio.create_task(upgrade_weights.name_versions(self)))
         for build in self.route[1:]:
@@ -279,7 +279,7 @@
     )
     parser.add_argument("--weights", action="store_true", help="distribute weights meanwhile")
     parser.add_argument(
-        "--trouble", nargs="+", choices=list(upgrade_faults.TROUBLES), default=(), metavar="KIND"
+        "--trouble", nargs="+", choices=list(upgrade_faults.FAULTS), default=(), metavar="KIND"
     )
     parser.add_argument("--keep", type=pathlib.Path, help="folder for logs of the nodes")
     options = parser.parse_args(arguments)
--- a/bench/upgrade_faults.py
+++ b/bench/upgrade_faults.py
@@ -24,7 +24,7 @@
 REVOKE_AFTER_S = 4.0
 
 Trouble = Callable[[Any], Awaitable[None]]
-TROUBLES: registry.Registry[Trouble] = registry.Registry("upgrade trouble")
+FAULTS: registry.Registry[Trouble] = registry.Registry("upgrade trouble")
 
 
 def find_leader(nodes: list[soak_nodes.Node]) -> soak_nodes.Node:
@@ -48,7 +48,7 @@
     return "", node.ip
 
 
-@TROUBLES.add("kill-leader")
+@FAULTS.add("kill-leader")
 async def kill_leader(upgrade: Any) -> None:
     """Kill the leader repeatedly; it is restarted with the same build."""
     while True:
@@ -61,7 +61,7 @@
             await upgrade.fleet.wait_until_responding(node)
 
 
-@TROUBLES.add("freeze")
+@FAULTS.add("freeze")
 async def freeze(upgrade: Any) -> None:
     """Suspend a control VM repeatedly; to the others it appears partitioned."""
     while True:
@@ -74,7 +74,7 @@
             node.signal(signal.SIGCONT)
 
 
-@TROUBLES.add("revoke")
+@FAULTS.add("revoke")
 async def revoke(upgrade: Any) -> None:
     """Revoke a key while a client uses it, and check that it is not accepted again."""
     loop = asyncio.get_running_loop()
