--- a/bench/upgrade_faults.py
+++ b/bench/upgrade_faults.py
@@ -23,8 +23,8 @@
 # How long after the start of the upgrade the key is revoked.
 REVOKE_AFTER_S = 4.0
 
-Trouble = Callable[[Any], Awaitable[None]]
-FAULTS: registry.Registry[Trouble] = registry.Registry("upgrade trouble")
+Fault = Callable[[Any], Awaitable[None]]
+FAULTS: registry.Registry[Fault] = registry.Registry("upgrade trouble")
 
 
 def find_leader(nodes: list[soak_nodes.Node]) -> soak_nodes.Node:
