--- a/bench/upgrade.py
+++ b/bench/upgrade.py
@@ -255,11 +255,13 @@
     return upgrade.result
 
 
-def problems(result: UpgradeResult, calm_share: float) -> list[str]:
+def find_violations(result: UpgradeResult, baseline_rate: float) -> list[str]:
     """Return the violations of a run, given the success rate of a run without an upgrade."""
     found = [*result.broken, *(f"exited by itself: {name}" for name in result.ended)]
-    if result.success_rate() < calm_share - SUCCESS_RATE_DROP_MAX:
-        found.append(f"success rate {result.success_rate():.3f}, without upgrade {calm_share:.3f}")
+    if result.success_rate() < baseline_rate - SUCCESS_RATE_DROP_MAX:
+        found.append(
+            f"success rate {result.success_rate():.3f}, without upgrade {baseline_rate:.3f}"
+        )
     return found
 
 
@@ -294,7 +296,7 @@
                     run_route(route, options, seed, old).success_rate() for route in routes
                 )
                 result = run_route(options.route, options, seed, old)
-                found = problems(result, baseline)
+                found = find_violations(result, baseline)
                 has_violations |= bool(found)
                 print(
                     f"seed {seed}: success rate {result.success_rate():.4f}, without upgrade"
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -44,7 +44,7 @@
     except upgrade_builds.MissingCommitError as error:
         print(f"not run: {error}")
         pytest.skip(str(error))
-    assert upgrade.problems(result, calm_share=1.0) == [], f"logs are in {tmp_path}"
+    assert upgrade.find_violations(result, baseline_rate=1.0) == [], f"logs are in {tmp_path}"
     assert result.asked > 500 and result.acknowledged > 20
     # A key revoked during the upgrade is accepted until then, and by neither build afterwards.
     accepted, revoked = result.key_answers
