--- a/bench/upgrade.py
+++ b/bench/upgrade.py
@@ -269,7 +269,10 @@
     """Run a route with a range of seeds; return 1 for violations, 2 if the commit is missing."""
     parser = argparse.ArgumentParser(prog="python -m bench upgrade")
     parser.add_argument(
-        "--from", dest="commit", default=upgrade_builds.LANDED[0], help="commit of the old build"
+        "--from",
+        dest="commit",
+        default=upgrade_builds.RELEASED_COMMITS[0],
+        help="commit of the old build",
     )
     parser.add_argument("--route", choices=[*ROUTES], default="forward")
     parser.add_argument("--order", choices=ORDERS, default="controls")
