--- a/bench/upgrade.py
+++ b/bench/upgrade.py
@@ -291,7 +291,7 @@
     figures: dict[str, object] = {"from": options.commit, "runs": []}
     has_violations = False
     try:
-        with upgrade_builds.build_of(options.commit) as old:
+        with upgrade_builds.checkout_build(options.commit) as old:
             for seed in range(options.seed, options.seed + options.seeds):
                 # The upgrade need not do better than either build does alone.
                 routes = ("calm", "calm-old") if OLD in ROUTES[options.route] else ("calm",)
--- a/bench/upgrade_builds.py
+++ b/bench/upgrade_builds.py
@@ -21,7 +21,7 @@
 
 
 @contextlib.contextmanager
-def build_of(commit: str) -> Iterator[pathlib.Path]:
+def checkout_build(commit: str) -> Iterator[pathlib.Path]:
     """Check out a commit in a temporary worktree; yield its source folder.
 
     Raises MissingCommitError if this clone lacks the commit.
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -20,7 +20,7 @@
 def test_what_this_build_writes_is_read_by_the_one_that_landed_last(tmp_path):
     release_bytes.write(tmp_path / "today.json")
     try:
-        with upgrade_builds.build_of(upgrade_builds.RELEASED_COMMITS[0]) as old:
+        with upgrade_builds.checkout_build(upgrade_builds.RELEASED_COMMITS[0]) as old:
             reader = subprocess.run(
                 [sys.executable, "-m", "bench.release_bytes", "read", tmp_path / "today.json"],
                 cwd=soak_nodes.ROOT,
@@ -39,7 +39,7 @@
 def test_vms_replaced_one_after_the_other_by_this_build_and_back_cost_no_request(tmp_path):
     plan = upgrade.Plan("forward-back", "controls", 1, troubles=("revoke",))
     try:
-        with upgrade_builds.build_of(upgrade_builds.RELEASED_COMMITS[0]) as old:
+        with upgrade_builds.checkout_build(upgrade_builds.RELEASED_COMMITS[0]) as old:
             result = upgrade.run(plan, old, tmp_path)
     except upgrade_builds.MissingCommitError as error:
         print(f"not run: {error}")
