--- a/bench/release_bytes.py
+++ b/bench/release_bytes.py
@@ -81,7 +81,7 @@
     path.write_text(json.dumps(samples, indent=1, sort_keys=True) + "\n")
 
 
-def unread(path: pathlib.Path) -> list[str]:
+def find_unreadable(path: pathlib.Path) -> list[str]:
     """Return the names of the samples in a file that this build can't read."""
     samples = json.loads(path.read_text())
     found = [name for name, text in samples["messages"].items() if not is_message(name, text)]
@@ -130,7 +130,7 @@
     if arguments[0] == "write":
         write(path)
         return 0
-    names = unread(path)
+    names = find_unreadable(path)
     for name in names:
         print(name)
     return 1 if names else 0
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -14,7 +14,7 @@
 
 @pytest.mark.parametrize("path", sorted(RECORDED.glob("*.json")), ids=lambda path: path.stem)
 def test_what_landed_builds_write_is_read_by_this_one(path):
-    assert release_bytes.unread(path) == []
+    assert release_bytes.find_unreadable(path) == []
 
 
 def test_what_this_build_writes_is_read_by_the_one_that_landed_last(tmp_path):
