--- a/bench/upgrade.py
+++ b/bench/upgrade.py
@@ -56,7 +56,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Plan:
-    """Options of a run; `troubles` are names in `upgrade_troubles.TROUBLES`."""
+    """Options of a run; `troubles` are names in `upgrade_faults.FAULTS`."""
 
     route: str
     order: str
