--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -22,7 +22,7 @@
     "soak_nodes",
     "soak_signals",
     "swarm",
-    "verdict",
+    "significance",
 )
 
 
--- a/bench/compare.py
+++ b/bench/compare.py
@@ -17,7 +17,7 @@
 import tomllib
 from collections.abc import Sequence
 
-from bench import verdict
+from bench import significance
 from merlinthread import registry
 from merlinthread.nodes import node_policy
 
@@ -210,9 +210,9 @@
     for way in ways[1:]:
         for site in sorted({simulation.site for simulation in simulations}):
             of_site = [simulation for simulation in simulations if simulation.site == site]
-            result = verdict.judge(pairs_of(of_site, scores, way, baseline))
+            result = significance.judge(pairs_of(of_site, scores, way, baseline))
             print(f"{site.stem}: {way} against {baseline}: {result}")
-        result = verdict.judge(pairs_of(simulations, scores, way, baseline))
+        result = significance.judge(pairs_of(simulations, scores, way, baseline))
         found[way] = dataclasses.asdict(result)
     print(
         json.dumps({"bench": "compare", "decision": comparison.field, "against": baseline} | found)
