--- a/bench/compare.py
+++ b/bench/compare.py
@@ -210,9 +210,9 @@
     for way in ways[1:]:
         for site in sorted({simulation.site for simulation in simulations}):
             of_site = [simulation for simulation in simulations if simulation.site == site]
-            result = significance.judge(pairs_of(of_site, scores, way, baseline))
+            result = significance.evaluate(pairs_of(of_site, scores, way, baseline))
             print(f"{site.stem}: {way} against {baseline}: {result}")
-        result = significance.judge(pairs_of(simulations, scores, way, baseline))
+        result = significance.evaluate(pairs_of(simulations, scores, way, baseline))
         found[way] = dataclasses.asdict(result)
     print(
         json.dumps({"bench": "compare", "decision": comparison.field, "against": baseline} | found)
--- a/bench/significance.py
+++ b/bench/significance.py
@@ -28,7 +28,7 @@
     more: int
 
 
-def judge(differences: Sequence[float]) -> Verdict:
+def evaluate(differences: Sequence[float]) -> Verdict:
     """Test the differences of a policy's scores and those of the baseline on the same days."""
     pairs = len(differences)
     if pairs < LEAST_PAIRS:
--- a/tests/test_compare.py
+++ b/tests/test_compare.py
@@ -9,25 +9,25 @@
 
 
 def test_a_difference_well_beyond_its_spread_is_told():
-    told = significance.judge([0.03, 0.04, 0.035, 0.03])
+    told = significance.evaluate([0.03, 0.04, 0.035, 0.03])
     assert (told.word, told.pairs, told.more) == ("better", 4, 0)
-    assert significance.judge([-0.03, -0.04, -0.035]).word == "worse"
+    assert significance.evaluate([-0.03, -0.04, -0.035]).word == "worse"
 
 
 def test_a_difference_within_its_spread_tells_how_many_more_days_it_takes():
-    told = significance.judge([0.05, -0.03, 0.02, -0.01])
+    told = significance.evaluate([0.05, -0.03, 0.02, -0.01])
     assert told.word == "not told apart"
     # Mean 0.0075, spread 0.0350: (2 x 0.0350 / 0.0075) squared is 87.1.
     assert told.more == 88 - 4
 
 
 def test_two_pairs_tell_nothing_however_alike_they_are():
-    assert significance.judge([0.1, 0.1]).word == "not told apart"
-    assert significance.judge([]).more == significance.LEAST_PAIRS
+    assert significance.evaluate([0.1, 0.1]).word == "not told apart"
+    assert significance.evaluate([]).more == significance.LEAST_PAIRS
 
 
 def test_a_difference_too_small_to_matter_is_not_called_better():
-    assert significance.judge([0.001, 0.001, 0.001]).word == "not told apart"
+    assert significance.evaluate([0.001, 0.001, 0.001]).word == "not told apart"
 
 
 def site(folder: pathlib.Path) -> pathlib.Path:
