--- a/bench/significance.py
+++ b/bench/significance.py
@@ -14,7 +14,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Verdict:
+class SignificanceResult:
     """Result of the test; the fields are keys of the JSON output.
 
     `spread` is the standard deviation of the differences. `more` is the number of further pairs
@@ -28,17 +28,17 @@
     more: int
 
 
-def evaluate(differences: Sequence[float]) -> Verdict:
+def evaluate(differences: Sequence[float]) -> SignificanceResult:
     """Test the differences of a policy's scores and those of the baseline on the same days."""
     pairs = len(differences)
     if pairs < LEAST_PAIRS:
         mean = statistics.fmean(differences) if differences else 0.0
-        return Verdict("not told apart", pairs, mean, 0.0, LEAST_PAIRS - pairs)
+        return SignificanceResult("not told apart", pairs, mean, 0.0, LEAST_PAIRS - pairs)
     mean = statistics.fmean(differences)
     spread = statistics.stdev(differences)
     standard_error = spread / math.sqrt(pairs)
     if abs(mean) > STANDARD_ERRORS * standard_error and abs(mean) >= DIFFERENCE_MIN:
-        return Verdict("better" if mean > 0 else "worse", pairs, mean, spread, 0)
+        return SignificanceResult("better" if mean > 0 else "worse", pairs, mean, spread, 0)
     relevant_difference = max(abs(mean), DIFFERENCE_MIN)
     pairs_needed = math.ceil((STANDARD_ERRORS * spread / relevant_difference) ** 2)
-    return Verdict("not told apart", pairs, mean, spread, max(0, pairs_needed - pairs))
+    return SignificanceResult("not told apart", pairs, mean, spread, max(0, pairs_needed - pairs))
