--- a/bench/significance.py
+++ b/bench/significance.py
@@ -8,7 +8,7 @@
 # Half the width of the confidence interval, in standard errors; about 95 % with ten pairs.
 STANDARD_ERRORS = 2.0
 # The standard deviation of fewer pairs is too uncertain.
-LEAST_PAIRS = 3
+PAIRS_MIN = 3
 # A smaller difference of scores is irrelevant even if it is significant.
 DIFFERENCE_MIN = 0.002
 
@@ -31,9 +31,9 @@
 def evaluate(differences: Sequence[float]) -> SignificanceResult:
     """Test the differences of a policy's scores and those of the baseline on the same days."""
     pairs = len(differences)
-    if pairs < LEAST_PAIRS:
+    if pairs < PAIRS_MIN:
         mean = statistics.fmean(differences) if differences else 0.0
-        return SignificanceResult("not told apart", pairs, mean, 0.0, LEAST_PAIRS - pairs)
+        return SignificanceResult("not told apart", pairs, mean, 0.0, PAIRS_MIN - pairs)
     mean = statistics.fmean(differences)
     spread = statistics.stdev(differences)
     standard_error = spread / math.sqrt(pairs)
--- a/tests/test_compare.py
+++ b/tests/test_compare.py
@@ -23,7 +23,7 @@
 
 def test_two_pairs_tell_nothing_however_alike_they_are():
     assert significance.evaluate([0.1, 0.1]).word == "not told apart"
-    assert significance.evaluate([]).more == significance.LEAST_PAIRS
+    assert significance.evaluate([]).more == significance.PAIRS_MIN
 
 
 def test_a_difference_too_small_to_matter_is_not_called_better():
