--- a/bench/compare.py
+++ b/bench/compare.py
@@ -29,7 +29,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Play:
+class Simulation:
     """A simulation of one day with one policy; `seed` 0 selects the day's default seed."""
 
     site: pathlib.Path
@@ -55,7 +55,7 @@
         """Return the folder of a policy's copy of the source tree."""
         return self.folder / f"{self.field}-{way}"
 
-    def command(self, simulation: Play, report: pathlib.Path) -> list[str]:
+    def command(self, simulation: Simulation, report: pathlib.Path) -> list[str]:
         """Return the command line of a simulation."""
         why = f"compare {self.field}: {simulation.way}"
         command = [str(self.program), "run", str(simulation.site), simulation.day]
@@ -121,7 +121,7 @@
     return {row["play"]: row["worth"] for row in rows}
 
 
-def run_simulation(comparison: Comparison, simulation: Play) -> dict[str, object]:
+def run_simulation(comparison: Comparison, simulation: Simulation) -> dict[str, object]:
     """Run a simulation; return its score and the rules that it broke."""
     report = comparison.tree(simulation.way) / f"{simulation.key().replace(' ', '-')}.json"
     completed = subprocess.run(
@@ -139,7 +139,7 @@
 
 
 def pairs_of(
-    simulations: Sequence[Play], scores: dict[str, float], way: str, baseline: str
+    simulations: Sequence[Simulation], scores: dict[str, float], way: str, baseline: str
 ) -> list:
     """Return the score differences of a policy and the baseline, per site, day and seed."""
     return [
@@ -181,7 +181,7 @@
         check_days(site, options.day)
     comparison = Comparison(options.program, options.folder, options.decision, options.small)
     simulations = [
-        Play(site, day, seed, way)
+        Simulation(site, day, seed, way)
         for site in options.site
         for day in options.day
         for seed in options.seed
@@ -191,7 +191,7 @@
 
 
 def compare(
-    comparison: Comparison, simulations: Sequence[Play], ways: Sequence[str], jobs: int
+    comparison: Comparison, simulations: Sequence[Simulation], ways: Sequence[str], jobs: int
 ) -> int:
     """Run the missing simulations and print the comparison of each policy with the baseline."""
     for way in ways:
