--- a/bench/compare.py
+++ b/bench/compare.py
@@ -35,11 +35,11 @@
     site: pathlib.Path
     day: str
     seed: int
-    way: str
+    policy: str
 
     def key(self) -> str:
         """Return the key of this simulation in the results file."""
-        return f"{self.site.stem} {self.day} {self.seed} {self.way}"
+        return f"{self.site.stem} {self.day} {self.seed} {self.policy}"
 
 
 @dataclasses.dataclass(slots=True)
@@ -57,7 +57,7 @@
 
     def command(self, simulation: Simulation, report: pathlib.Path) -> list[str]:
         """Return the command line of a simulation."""
-        why = f"compare {self.field}: {simulation.way}"
+        why = f"compare {self.field}: {simulation.policy}"
         command = [str(self.program), "run", str(simulation.site), simulation.day]
         if simulation.seed:
             command += ["--seed", str(simulation.seed)]
@@ -123,10 +123,10 @@
 
 def run_simulation(comparison: Comparison, simulation: Simulation) -> dict[str, object]:
     """Run a simulation; return its score and the rules that it broke."""
-    report = comparison.tree(simulation.way) / f"{simulation.key().replace(' ', '-')}.json"
+    report = comparison.tree(simulation.policy) / f"{simulation.key().replace(' ', '-')}.json"
     completed = subprocess.run(
         comparison.command(simulation, report),
-        cwd=comparison.tree(simulation.way),
+        cwd=comparison.tree(simulation.policy),
         capture_output=True,
         text=True,
     )
@@ -143,9 +143,9 @@
 ) -> list:
     """Return the score differences of a policy and the baseline, per site, day and seed."""
     return [
-        scores[simulation.key()] - scores[dataclasses.replace(simulation, way=baseline).key()]
+        scores[simulation.key()] - scores[dataclasses.replace(simulation, policy=baseline).key()]
         for simulation in simulations
-        if simulation.way == way
+        if simulation.policy == way
     ]
 
 
