--- a/bench/compare.py
+++ b/bench/compare.py
@@ -138,7 +138,7 @@
     return {"play": simulation.key(), "worth": result["G"], "rules": result["breaks"]}
 
 
-def pairs_of(
+def score_differences(
     simulations: Sequence[Simulation], scores: dict[str, float], way: str, baseline: str
 ) -> list:
     """Return the score differences of a policy and the baseline, per site, day and seed."""
@@ -210,9 +210,9 @@
     for way in ways[1:]:
         for site in sorted({simulation.site for simulation in simulations}):
             of_site = [simulation for simulation in simulations if simulation.site == site]
-            result = significance.evaluate(pairs_of(of_site, scores, way, baseline))
+            result = significance.evaluate(score_differences(of_site, scores, way, baseline))
             print(f"{site.stem}: {way} against {baseline}: {result}")
-        result = significance.evaluate(pairs_of(simulations, scores, way, baseline))
+        result = significance.evaluate(score_differences(simulations, scores, way, baseline))
         found[way] = dataclasses.asdict(result)
     print(
         json.dumps({"bench": "compare", "decision": comparison.field, "against": baseline} | found)
--- a/tests/test_compare.py
+++ b/tests/test_compare.py
@@ -77,4 +77,4 @@
         compare.Simulation(path, "quiet-1", seed, way) for seed in (1, 2) for way in ("a", "b")
     ]
     worths = {play.key(): play.seed + (0.5 if play.policy == "b" else 0.0) for play in plays}
-    assert compare.pairs_of(plays, worths, "b", "a") == [0.5, 0.5]
+    assert compare.score_differences(plays, worths, "b", "a") == [0.5, 0.5]
