--- a/bench/compare.py
+++ b/bench/compare.py
@@ -51,9 +51,9 @@
     field: str
     is_small: bool
 
-    def tree(self, way: str) -> pathlib.Path:
+    def tree(self, policy: str) -> pathlib.Path:
         """Return the folder of a policy's copy of the source tree."""
-        return self.folder / f"{self.field}-{way}"
+        return self.folder / f"{self.field}-{policy}"
 
     def command(self, simulation: Simulation, report: pathlib.Path) -> list[str]:
         """Return the command line of a simulation."""
@@ -92,23 +92,23 @@
             exit_with_error(f"{site}: unknown day {day!r}; known: {', '.join(known)}")
 
 
-def copy_tree(comparison: Comparison, way: str) -> None:
+def copy_tree(comparison: Comparison, policy: str) -> None:
     """Copy the working tree and select a policy in the copy, unless the copy exists."""
-    tree = comparison.tree(way)
+    tree = comparison.tree(policy)
     if tree.exists():
         return
     subprocess.run(["git", "clone", "--quiet", ".", str(tree)], check=True)
     for name in COPIED:
         shutil.rmtree(tree / name)
         shutil.copytree(name, tree / name, ignore=shutil.ignore_patterns("__pycache__"))
-    policy = json.loads(POLICY_FILE.read_text()) | {comparison.field: way}
-    (tree / POLICY_FILE).write_text(json.dumps(policy, indent=4) + "\n")
+    selected = json.loads(POLICY_FILE.read_text()) | {comparison.field: policy}
+    (tree / POLICY_FILE).write_text(json.dumps(selected, indent=4) + "\n")
 
 
-def copy_journal(comparison: Comparison, ways: Sequence[str]) -> None:
+def copy_journal(comparison: Comparison, policies: Sequence[str]) -> None:
     """Copy new journal entries of the simulations into this tree."""
-    for way in ways:
-        for entry in (comparison.tree(way) / JOURNAL).glob("*.json"):
+    for policy in policies:
+        for entry in (comparison.tree(policy) / JOURNAL).glob("*.json"):
             if not (JOURNAL / entry.name).exists():
                 shutil.copy(entry, JOURNAL / entry.name)
 
@@ -139,13 +139,13 @@
 
 
 def score_differences(
-    simulations: Sequence[Simulation], scores: dict[str, float], way: str, baseline: str
+    simulations: Sequence[Simulation], scores: dict[str, float], policy: str, baseline: str
 ) -> list:
     """Return the score differences of a policy and the baseline, per site, day and seed."""
     return [
         scores[simulation.key()] - scores[dataclasses.replace(simulation, policy=baseline).key()]
         for simulation in simulations
-        if simulation.policy == way
+        if simulation.policy == policy
     ]
 
 
@@ -165,15 +165,17 @@
     options = parser.parse_args(argv)
     if options.list:
         print(
-            json.dumps({name: sorted(ways) for name, ways in node_policy.POLICY_REGISTRIES.items()})
+            json.dumps(
+                {name: sorted(policies) for name, policies in node_policy.POLICY_REGISTRIES.items()}
+            )
         )
         return 0
-    policies = get_policies(options.decision)
-    ways = options.ways or sorted(policies)
-    for way in ways:
-        if way not in policies.entries:
+    registered = get_policies(options.decision)
+    policies = options.ways or sorted(registered)
+    for policy in policies:
+        if policy not in registered.entries:
             exit_with_error(
-                f"{options.decision}: unknown way {way!r}; known: {', '.join(policies)}"
+                f"{options.decision}: unknown way {policy!r}; known: {', '.join(registered)}"
             )
     if options.program is None or options.folder is None or not options.site or not options.day:
         exit_with_error("--program, --folder, --site and --day are required")
@@ -181,21 +183,21 @@
         check_days(site, options.day)
     comparison = Comparison(options.program, options.folder, options.decision, options.small)
     simulations = [
-        Simulation(site, day, seed, way)
+        Simulation(site, day, seed, policy)
         for site in options.site
         for day in options.day
         for seed in options.seed
-        for way in ways
+        for policy in policies
     ]
-    return compare(comparison, simulations, ways, options.jobs)
+    return compare(comparison, simulations, policies, options.jobs)
 
 
 def compare(
-    comparison: Comparison, simulations: Sequence[Simulation], ways: Sequence[str], jobs: int
+    comparison: Comparison, simulations: Sequence[Simulation], policies: Sequence[str], jobs: int
 ) -> int:
     """Run the missing simulations and print the comparison of each policy with the baseline."""
-    for way in ways:
-        copy_tree(comparison, way)
+    for policy in policies:
+        copy_tree(comparison, policy)
     results = comparison.folder / RESULTS_FILE
     scores = read_scores(results)
     not_run = [simulation for simulation in simulations if simulation.key() not in scores]
@@ -204,17 +206,19 @@
             with results.open("a") as file:
                 file.write(json.dumps(row) + "\n")
             print(row, flush=True)
-    copy_journal(comparison, ways)
+    copy_journal(comparison, policies)
     scores = read_scores(results)
-    baseline, found = ways[0], {}
-    for way in ways[1:]:
+    baseline, comparisons = policies[0], {}
+    for policy in policies[1:]:
         for site in sorted({simulation.site for simulation in simulations}):
             of_site = [simulation for simulation in simulations if simulation.site == site]
-            result = significance.evaluate(score_differences(of_site, scores, way, baseline))
-            print(f"{site.stem}: {way} against {baseline}: {result}")
-        result = significance.evaluate(score_differences(simulations, scores, way, baseline))
-        found[way] = dataclasses.asdict(result)
+            result = significance.evaluate(score_differences(of_site, scores, policy, baseline))
+            print(f"{site.stem}: {policy} against {baseline}: {result}")
+        result = significance.evaluate(score_differences(simulations, scores, policy, baseline))
+        comparisons[policy] = dataclasses.asdict(result)
     print(
-        json.dumps({"bench": "compare", "decision": comparison.field, "against": baseline} | found)
+        json.dumps(
+            {"bench": "compare", "decision": comparison.field, "against": baseline} | comparisons
+        )
     )
     return 0
