--- a/bench/transfer.py
+++ b/bench/transfer.py
@@ -121,7 +121,7 @@
         self.is_dead = False
 
 
-class Rollout:
+class Simulation:
     """A simulation: all agents, the origin, and the event queue."""
 
     def __init__(self, shape: Shape, fault: Fault, announces: bool = True) -> None:
@@ -162,7 +162,7 @@
         """Schedule an event."""
         heapq.heappush(self.events, (when, next(self.event_numbers), callback))
 
-    def run(self) -> "Rollout":
+    def run(self) -> "Simulation":
         """Run until all agents are complete, or LIMIT_S of simulated time have passed."""
         for agent in self.agents.values():
             if not agent.is_dead:
@@ -440,7 +440,7 @@
                     policy=options.policy,
                     due_s=options.due,
                 )
-                found = Rollout(shape, FAULTS[name]).run().figures()
+                found = Simulation(shape, FAULTS[name]).run().figures()
                 worst = max(worst, found["last"])
                 print(f"{count} agents, {name}, seed {seed}: {found}", flush=True)
     print(json.dumps({"bench": "transfer", "worst_of_bound": worst}))
--- a/tests/test_claimed_reads.py
+++ b/tests/test_claimed_reads.py
@@ -41,7 +41,7 @@
     shape = transfer.Shape(
         agents=agents, zones=3, origin_rate=547_500.0, seed=seed, policy=policy, due_s=6.0
     )
-    return transfer.Rollout(shape, fault).run().figures()
+    return transfer.Simulation(shape, fault).run().figures()
 
 
 @pytest.mark.parametrize("seed", [1, 2])
--- a/tests/test_transfer_model.py
+++ b/tests/test_transfer_model.py
@@ -12,7 +12,7 @@
 
 def simulate(agents: int, fault: str, seed: int = 1) -> dict[str, float]:
     shape = transfer.Shape(agents=agents, seed=seed)
-    return transfer.Rollout(shape, transfer.FAULTS[fault]).run().figures()
+    return transfer.Simulation(shape, transfer.FAULTS[fault]).run().figures()
 
 
 def test_a_fleet_is_whole_within_half_of_the_bound_more_and_reads_the_origin_twice_at_most():
@@ -24,8 +24,8 @@
 
 def test_without_announcements_it_takes_longer():
     shape = transfer.Shape(agents=20)
-    announced = transfer.Rollout(shape, transfer.Fault()).run().figures()
-    unannounced = transfer.Rollout(shape, transfer.Fault(), announces=False).run().figures()
+    announced = transfer.Simulation(shape, transfer.Fault()).run().figures()
+    unannounced = transfer.Simulation(shape, transfer.Fault(), announces=False).run().figures()
     assert announced["half"] < unannounced["half"] - 0.1
 
 
@@ -40,15 +40,15 @@
 def test_events_wait_little_at_the_link_of_an_engine_that_gives_more_than_it_carries(monkeypatch):
     # 24 engines hold all pieces, one of them has a slow link; 16 others fetch.
     shape = transfer.Shape(agents=40, holders=24)
-    found = transfer.Rollout(shape, transfer.FAULTS["a slow agent"]).run().figures()
+    found = transfer.Simulation(shape, transfer.FAULTS["a slow agent"]).run().figures()
     assert found["request_wait_ms_worst_link"] <= 300.0
     monkeypatch.setattr(pacing.FeedbackPacer, "record", lambda self, receiver, took_s: None)
-    found = transfer.Rollout(shape, transfer.FAULTS["a slow agent"]).run().figures()
+    found = transfer.Simulation(shape, transfer.FAULTS["a slow agent"]).run().figures()
     assert found["request_wait_ms_worst_link"] >= 450.0, "the receivers' feedback has no effect"
 
 
 def test_slow_readers_of_the_origin_do_not_hold_all_others_up():
-    rollout = transfer.Rollout(transfer.Shape(agents=40), transfer.Fault())
+    rollout = transfer.Simulation(transfer.Shape(agents=40), transfer.Fault())
     readers = [agent for agent in rollout.agents.values() if agent.plan.is_reader]
     slow = readers[: len(readers) // 4]
     for agent in slow:
