--- a/bench/transfer.py
+++ b/bench/transfer.py
@@ -117,7 +117,7 @@
         )
         self.rate = pacing.RecentRate(piece_fetcher.RATE_WINDOW_S)
         self.started_at: dict[int, float] = {}
-        self.whole_at: float | None = None
+        self.completed_at: float | None = None
         self.is_dead = False
 
 
@@ -141,7 +141,7 @@
             agent.is_dead = number == fault.dead_agent
             if number < shape.holders:
                 agent.plan.held = agent.plan.all_chunks
-                agent.whole_at = 0.0
+                agent.completed_at = 0.0
             self.agents[agent.name] = agent
         for agent in self.agents.values():
             agent.plan.set_peers(
@@ -177,7 +177,7 @@
 
     def is_finished(self) -> bool:
         """Return whether all live agents are complete."""
-        return all(a.whole_at is not None or a.is_dead for a in self.agents.values())
+        return all(a.completed_at is not None or a.is_dead for a in self.agents.values())
 
     def send_request_packets(self, agent: Agent) -> None:
         """Queue request packets at both links of an agent, and schedule the next ones."""
@@ -192,7 +192,7 @@
         agent.rate.record(agent.plan.held.bit_count(), self.now)
         agent.plan.is_late = self.is_late(agent)
         self.start_actions(agent)
-        if agent.whole_at is None:
+        if agent.completed_at is None:
             self.schedule(self.now + STEP_S, lambda: self.step(agent))
 
     def is_late(self, agent: Agent) -> bool:
@@ -233,8 +233,8 @@
                 agent.window.record(took_s, self.now)
             plan.on_chunk_received(index, isinstance(action, fetch.OriginRead), self.now)
             self.announce(agent, action, index)
-        if plan.is_complete() and agent.whole_at is None:
-            agent.whole_at = self.now
+        if plan.is_complete() and agent.completed_at is None:
+            agent.completed_at = self.now
         self.start_actions(agent)
 
     def announce(self, agent: Agent, action: fetch.Action, index: int) -> None:
@@ -384,7 +384,9 @@
 
     def figures(self) -> dict[str, float]:
         """Return completion times relative to the bound, copies sent, and queueing delays."""
-        completed = [a.whole_at for a in self.agents.values() if a.whole_at and not a.is_dead]
+        completed = [
+            a.completed_at for a in self.agents.values() if a.completed_at and not a.is_dead
+        ]
         times = sorted(completed) + [TIME_LIMIT_S] * (not self.is_finished())
         waits = sorted(
             wait for a in self.agents.values() for wait in a.link_in.waits + a.link_out.waits
--- a/tests/test_transfer_model.py
+++ b/tests/test_transfer_model.py
@@ -54,7 +54,7 @@
     for agent in slow:
         agent.link_in.rate = agent.link_out.rate = 119_000.0
     rollout.run()
-    others = [agent.whole_at for agent in rollout.agents.values() if agent not in slow]
+    others = [agent.completed_at for agent in rollout.agents.values() if agent not in slow]
     assert max(others) / rollout.bound_s() <= 2.0
 
 
