--- a/bench/control.py
+++ b/bench/control.py
@@ -128,7 +128,9 @@
     """Return the CPU share, memory and message traffic of each role in an idle fleet."""
     groups = {"control": fleet.controls(), "entry": fleet.entries(), "agent": fleet.agents()}
     before = {
-        vm.name: measure.cost_of(vm.process.handle.pid) for vms in groups.values() for vm in vms
+        vm.name: measure.process_cost(vm.process.handle.pid)
+        for vms in groups.values()
+        for vm in vms
     }
     traffic = {vm.name: bus_bytes(fleet, vm) for vms in groups.values() for vm in vms}
     time.sleep(IDLE_S)
@@ -136,7 +138,7 @@
     for role, vms in groups.items():
         shares, sizes, rates = [], [], []
         for vm in vms:
-            after = measure.cost_of(vm.process.handle.pid)
+            after = measure.process_cost(vm.process.handle.pid)
             shares.append((after.cpu_s - before[vm.name].cpu_s) / IDLE_S)
             sizes.append(after.rss_bytes / 1e6)
             rates.append((bus_bytes(fleet, vm) - traffic[vm.name]) / IDLE_S)
--- a/bench/measure.py
+++ b/bench/measure.py
@@ -18,7 +18,7 @@
     rss_bytes: int
 
 
-def cost_of(pid: int) -> Cost:
+def process_cost(pid: int) -> Cost:
     """Return the resource usage of a process."""
     process = psutil.Process(pid)
     times = process.cpu_times()
