--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -185,8 +185,8 @@
 
 def changes_cost(parts: list[dict]) -> dict[str, float]:
     """Return the cost of configuration changes for a node at the target size."""
-    size = measure.slope([(row["vms"], row["directive_bytes"]) for row in parts])
-    decode = measure.slope([(row["vms"], row["directive_decode_s"]) for row in parts])
+    size = measure.fit_line([(row["vms"], row["directive_bytes"]) for row in parts])
+    decode = measure.fit_line([(row["vms"], row["directive_decode_s"]) for row in parts])
     changes_per_day = CHANGES_PER_DAY + RESTARTS_PER_DAY
     directive_bytes = size[0] + size[1] * ROLL_VMS
     seconds = decode[0] + decode[1] * ROLL_VMS
@@ -313,7 +313,7 @@
         if row["policy"] == "spread" and not row["faults"] and row["time_to_n_over_bound"]
     ]
     if len(without_faults) > 2:
-        intercept, rise = measure.slope(without_faults)
+        intercept, rise = measure.fit_line(without_faults)
         value = intercept + rise * float(numpy.log2(ROLL_VMS))
         lines += [
             "",
--- a/bench/measure.py
+++ b/bench/measure.py
@@ -31,7 +31,7 @@
     return ordered[max(0, math.ceil(share * len(ordered)) - 1)]
 
 
-def slope(points: list[tuple[float, float]]) -> tuple[float, float]:
+def fit_line(points: list[tuple[float, float]]) -> tuple[float, float]:
     """Return the intercept and slope of the least-squares line through (x, y) points."""
     count = len(points)
     mean_x = sum(x for x, _ in points) / count
