--- a/bench/control.py
+++ b/bench/control.py
@@ -230,7 +230,7 @@
     parser.add_argument("--save", default="", help="also write the closing object to this file")
     options = parser.parse_args(arguments)
     root = pathlib.Path(tempfile.mkdtemp(prefix="merlinthread-control-"))
-    figures: dict = {"machine": measure.machine(), "sizes": []}
+    figures: dict = {"machine": measure.describe_machine(), "sizes": []}
     for number, size in enumerate(options.sizes.split(",")):
         entries, agents = (int(part) for part in size.split("x"))
         with start(root / f"size-{number}", entries, agents) as fleet:
--- a/bench/measure.py
+++ b/bench/measure.py
@@ -43,7 +43,7 @@
     return mean_y - rise * mean_x, rise
 
 
-def machine() -> dict:
+def describe_machine() -> dict:
     """Return a description of the machine and its load."""
     return {"cores": os.cpu_count(), "load_before": os.getloadavg()[0]}
 
--- a/bench/requests.py
+++ b/bench/requests.py
@@ -317,7 +317,7 @@
     parser.add_argument("--save", default="", help="also write the closing object to this file")
     options = parser.parse_args(arguments)
     folder = pathlib.Path(tempfile.mkdtemp(prefix="merlinthread-requests-"))
-    figures: dict = {"machine": measure.machine()}
+    figures: dict = {"machine": measure.describe_machine()}
     shape = fleets.Shape(
         services=3, engine_arguments=("--batch", "16"), agent={"queue_max": 64}, log_level="warning"
     )
--- a/bench/rollout.py
+++ b/bench/rollout.py
@@ -252,7 +252,7 @@
         del row["times"]
     largest = [row for row in rows if row["policy"] == first and not row["faults"]][-1]
     figures = {
-        "machine": measure.machine(),
+        "machine": measure.describe_machine(),
         "time_to_n_over_bound": largest["time_to_n_over_bound"],
         "origin_copies": largest["origin_copies"],
         "time_to_n_s": largest["time_to_n_s"],
