--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -339,4 +339,4 @@
         for role, rows in predicted.items()
         for figure, row in rows.items()
     }
-    return measure.finish("capacity", figures | {"machine": measure.describe_machine()})
+    return measure.print_results("capacity", figures | {"machine": measure.describe_machine()})
--- a/bench/control.py
+++ b/bench/control.py
@@ -260,4 +260,4 @@
         "claims_per_s_with_sync",
     ):
         figures[name] = largest[name]
-    return measure.finish("control", figures, options.save)
+    return measure.print_results("control", figures, options.save)
--- a/bench/measure.py
+++ b/bench/measure.py
@@ -48,7 +48,7 @@
     return {"cores": os.cpu_count(), "load_before": os.getloadavg()[0]}
 
 
-def finish(name: str, figures: dict, save: str = "") -> int:
+def print_results(name: str, figures: dict, save: str = "") -> int:
     """Print the results as one line of JSON, and write them to file `save` if given; return 0."""
     closing = {"bench": name, "at": int(time.time()), **figures}
     if save:
--- a/bench/pages.py
+++ b/bench/pages.py
@@ -109,4 +109,4 @@
     """Write the pages."""
     (DOCS / "CONFIG.md").write_text(config_page(), encoding="utf-8")
     (DOCS / "CLI.md").write_text(cli_page(), encoding="utf-8")
-    return measure.finish("pages", {"written": ["docs/CONFIG.md", "docs/CLI.md"]})
+    return measure.print_results("pages", {"written": ["docs/CONFIG.md", "docs/CLI.md"]})
--- a/bench/requests.py
+++ b/bench/requests.py
@@ -344,4 +344,4 @@
         figures["faults"] = run_with_faults(
             fleet, options.rate, options.fault_seconds, options.drafts
         )
-    return measure.finish("requests", figures, options.save)
+    return measure.print_results("requests", figures, options.save)
--- a/bench/rollout.py
+++ b/bench/rollout.py
@@ -260,4 +260,4 @@
         "size_bytes": options.chunks * options.chunk_bytes,
         "rows": rows,
     }
-    return measure.finish("rollout", figures, options.save)
+    return measure.print_results("rollout", figures, options.save)
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -298,4 +298,4 @@
         if result.violations:
             violations[seed] = result.violations
     figures = {"seeds": options.seeds, "first": options.seed, "broken": violations}
-    return measure.finish("soak", figures) or (1 if violations else 0)
+    return measure.print_results("soak", figures) or (1 if violations else 0)
--- a/bench/upgrade.py
+++ b/bench/upgrade.py
@@ -310,7 +310,7 @@
     except upgrade_builds.MissingCommitError as error:
         print(f"upgrade: {error}")
         return 2
-    return measure.finish("upgrade", figures) or (1 if has_violations else 0)
+    return measure.print_results("upgrade", figures) or (1 if has_violations else 0)
 
 
 def run_route(
