--- a/bench/control.py
+++ b/bench/control.py
@@ -30,7 +30,7 @@
         """Read all logs; the timestamps are comparable, since all run on one machine."""
         for vm in self.fleet.agents() + self.fleet.entries():
             for event in vm.process.events("directive_adopted"):
-                at = processes.seconds_of(event["at"])
+                at = processes.parse_timestamp(event["at"])
                 self.seen.setdefault(event["generation"], {}).setdefault(vm.name, at)
 
 
--- a/bench/processes.py
+++ b/bench/processes.py
@@ -151,6 +151,6 @@
         return found
 
 
-def seconds_of(text: str) -> float:
+def parse_timestamp(text: str) -> float:
     """Return an ISO 8601 timestamp in seconds since the epoch."""
     return datetime.datetime.fromisoformat(text).timestamp()
