--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -99,7 +99,7 @@
 
     def add_stand_in(self, module: str, name: str, *arguments: str) -> str:
         """Start a stand-in and return its URL."""
-        port = self.ports.take()
+        port = self.ports.allocate()
         self.start_process(name, ["-m", f"stand_ins.{module}", "--port", str(port), *arguments])
         return f"http://127.0.0.1:{port}"
 
@@ -114,13 +114,13 @@
         """Return the address of a new proxy link to `upstream`, or `upstream` without proxies."""
         if not self.shape.through_proxy:
             return upstream
-        port = self.ports.take()
+        port = self.ports.allocate()
         self.proxy.add(name, port, int(upstream.rpartition(":")[2]))
         return f"127.0.0.1:{port}"
 
     def free_address(self) -> str:
         """Return an unused loopback address."""
-        return f"127.0.0.1:{self.ports.take()}"
+        return f"127.0.0.1:{self.ports.allocate()}"
 
     def start(self) -> None:
         """Start all processes and wait until they are ready; stop them if that fails."""
@@ -192,7 +192,7 @@
             "availability_zone": zone,
             "region": self.region_of(zone),
             "roles": [role],
-            "http": {"address": "127.0.0.1", "port": self.ports.take()},
+            "http": {"address": "127.0.0.1", "port": self.ports.allocate()},
             "bus": self.free_address(),
             "mesh_keys": [self.mesh_key],
             "log": {"level": self.shape.log_level},
--- a/bench/processes.py
+++ b/bench/processes.py
@@ -29,7 +29,7 @@
         self.last = self.first + SPAN_PORTS - 2
         self.next = random.randrange(self.first, self.last)
 
-    def take(self) -> int:
+    def allocate(self) -> int:
         """Return a port that no socket is bound to."""
         while True:
             self.next = self.next + 1 if self.next < self.last else self.first
--- a/tests/test_bus.py
+++ b/tests/test_bus.py
@@ -16,7 +16,7 @@
     """Accepts one connection and sends nothing, then frees the port for another listener."""
 
     def __init__(self) -> None:
-        self.address = f"127.0.0.1:{processes.Ports().take()}"
+        self.address = f"127.0.0.1:{processes.Ports().allocate()}"
         host, port = self.address.split(":")
         self.listener = socket.create_server((host, int(port)))
         self.accepted: list[socket.socket] = []
@@ -65,7 +65,7 @@
 
 def test_a_responder_that_is_stopped_still_gives_the_answer_that_it_works_on():
     """pynng aborts the process if a socket is closed while a thread is sending."""
-    address = f"127.0.0.1:{processes.Ports().take()}"
+    address = f"127.0.0.1:{processes.Ports().allocate()}"
     started, release = threading.Event(), threading.Event()
 
     def handle(message):
--- a/tests/test_control_failures.py
+++ b/tests/test_control_failures.py
@@ -323,7 +323,7 @@
 def test_a_second_process_on_one_data_folder_is_refused(make_fleet):
     fleet = make_fleet(SMALL)
     vm = fleet.controls()[0]
-    settings = dict(vm.settings, http={"address": "127.0.0.1", "port": fleet.ports.take()})
+    settings = dict(vm.settings, http={"address": "127.0.0.1", "port": fleet.ports.allocate()})
     second = fleet.add_daemon(dict(settings, name=vm.name), process_name="twin")
     assert second.process.wait(15) == 13
     assert "folder_in_use" in second.process.log.read_text()
