--- a/bench/control.py
+++ b/bench/control.py
@@ -109,7 +109,7 @@
     if fault == "kill":
         leader.process.kill()
     else:
-        leader.process.freeze()
+        leader.process.suspend()
     generation = ana.roll(1, is_back=True).generation
     wait_until_adopted(fleet, generation)
     adoptions = AdoptionTimes(fleet)
--- a/bench/processes.py
+++ b/bench/processes.py
@@ -108,7 +108,7 @@
         if self.handle is not None and self.is_running():
             self.handle.send_signal(number)
 
-    def freeze(self) -> None:
+    def suspend(self) -> None:
         """Suspend the process."""
         self.signal(signal.SIGSTOP)
         self.is_frozen = True
--- a/bench/requests.py
+++ b/bench/requests.py
@@ -210,7 +210,7 @@
             process = self.fleet.processes[name]
             self.injected.append(f"{kind}: {name}")
             if kind.startswith("freeze"):
-                process.freeze()
+                process.suspend()
                 self.stopping.wait(1.0)
                 process.thaw()
             elif kind.startswith("stop"):
--- a/tests/test_control_failures.py
+++ b/tests/test_control_failures.py
@@ -133,7 +133,7 @@
     ana = operators.Operator(fleet)
     ana.bring_in(bundle(1))
     frozen = wait_for_leader(fleet)
-    frozen.process.freeze()
+    frozen.process.suspend()
     processes.wait_for("a new leader", lambda: fleet.leader(), 10)
     result = ana.bring_in(bundle(2))
     wait_for_generation(fleet, result.generation)
--- a/tests/test_request_failures.py
+++ b/tests/test_request_failures.py
@@ -253,7 +253,7 @@
 
 def test_a_frozen_engine_does_not_hold_its_callers_beyond_their_deadline(fleet):
     for name in ("engine-zone-a-0", "engine-zone-a-1"):
-        fleet.processes[f"{name}-target"].freeze()
+        fleet.processes[f"{name}-target"].suspend()
     entry = next(vm for vm in fleet.entries() if vm.settings["availability_zone"] == "zone-a")
     processes.wait_for(
         "answers from the other zone",
--- a/tests/test_weights_failures.py
+++ b/tests/test_weights_failures.py
@@ -171,7 +171,7 @@
     operators.Operator(fleet).bring_in(fleets.simple_bundle(1, {"hint": (digest, 100)}))
     processes.wait_for("a first part", lambda: origin_read_ratio(fleet, "hint-1") > 0.1)
     fleet.processes[names[0]].kill()
-    fleet.processes[names[3]].freeze()
+    fleet.processes[names[3]].suspend()
     joined = fleet.add_engine("zone-a", 3)
     inject_fault(fleet, fleet.origin_url, bytes_per_s=1e9)
     wait_until_serving(fleet, digest, 5, 60)
