--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -347,7 +347,7 @@
     def status(self) -> dict:
         """Return the leader's status, or an empty dict if no control VM has it."""
         for vm in self.controls():
-            if vm.process.is_running() and not vm.process.is_frozen:
+            if vm.process.is_running() and not vm.process.is_suspended:
                 found = self.get(vm.http, "/v1/status", 2.0)
                 if found:
                     return found
--- a/bench/processes.py
+++ b/bench/processes.py
@@ -86,7 +86,7 @@
         self.arguments = arguments
         self.log = log
         self.handle: subprocess.Popen | None = None
-        self.is_frozen = False
+        self.is_suspended = False
 
     def start(self) -> None:
         """Start the process; its output is appended to `log`."""
@@ -111,12 +111,12 @@
     def suspend(self) -> None:
         """Suspend the process."""
         self.signal(signal.SIGSTOP)
-        self.is_frozen = True
+        self.is_suspended = True
 
     def thaw(self) -> None:
         """Resume the process."""
         self.signal(signal.SIGCONT)
-        self.is_frozen = False
+        self.is_suspended = False
 
     def kill(self) -> None:
         """Kill the process and wait until it has exited."""
@@ -125,7 +125,7 @@
 
     def stop(self) -> None:
         """Request a graceful shutdown; does not wait."""
-        if self.is_frozen:
+        if self.is_suspended:
             self.thaw()
         self.signal(signal.SIGTERM)
 
