--- a/bench/control.py
+++ b/bench/control.py
@@ -118,7 +118,7 @@
     if fault == "kill":
         fleet.restart(leader.name)
     else:
-        leader.process.thaw()
+        leader.process.resume()
     processes.wait_for("three members", lambda: len(fleet.status().get("members", [])) == 3)
     time.sleep(2.0)
     return delay_s
--- a/bench/processes.py
+++ b/bench/processes.py
@@ -113,7 +113,7 @@
         self.signal(signal.SIGSTOP)
         self.is_suspended = True
 
-    def thaw(self) -> None:
+    def resume(self) -> None:
         """Resume the process."""
         self.signal(signal.SIGCONT)
         self.is_suspended = False
@@ -126,7 +126,7 @@
     def stop(self) -> None:
         """Request a graceful shutdown; does not wait."""
         if self.is_suspended:
-            self.thaw()
+            self.resume()
         self.signal(signal.SIGTERM)
 
     def wait(self, timeout_s: float) -> int | None:
--- a/bench/requests.py
+++ b/bench/requests.py
@@ -212,7 +212,7 @@
             if kind.startswith("freeze"):
                 process.suspend()
                 self.stopping.wait(1.0)
-                process.thaw()
+                process.resume()
             elif kind.startswith("stop"):
                 process.stop()
                 process.wait(60)
--- a/tests/test_control_failures.py
+++ b/tests/test_control_failures.py
@@ -137,7 +137,7 @@
     processes.wait_for("a new leader", lambda: fleet.leader(), 10)
     result = ana.bring_in(bundle(2))
     wait_for_generation(fleet, result.generation)
-    frozen.process.thaw()
+    frozen.process.resume()
     stale = fleet.get(frozen.http, "/v1/status")
     assert stale is None or stale["generation"] >= result.generation
     processes.wait_for(
--- a/tests/test_request_failures.py
+++ b/tests/test_request_failures.py
@@ -262,7 +262,7 @@
     )
     assert calls.ask(entry.http).is_whole()
     for name in ("engine-zone-a-0", "engine-zone-a-1"):
-        fleet.processes[f"{name}-target"].thaw()
+        fleet.processes[f"{name}-target"].resume()
 
 
 def test_an_attempt_for_an_earlier_incarnation_or_from_a_stranger_is_not_run(fleet):
--- a/tests/test_weights_failures.py
+++ b/tests/test_weights_failures.py
@@ -177,7 +177,7 @@
     wait_until_serving(fleet, digest, 5, 60)
     assert joined.name in {agent["name"] for agent in fleet.status()["agents"]}
     assert origin_read_ratio(fleet, "hint-1") <= 1.5
-    fleet.processes[names[3]].thaw()
+    fleet.processes[names[3]].resume()
     fleet.restart(names[0])
     wait_until_serving(fleet, digest, 7, 60)
 
