--- a/bench/demo.py
+++ b/bench/demo.py
@@ -112,7 +112,7 @@
         """Record the number of replicas of each version; raise RuntimeError if a model has none."""
         names = {digest: name for name, digest in digests.items()}
         for model in ("hint", "assistant", "crosswords"):
-            counts = self.fleet.serving(model)
+            counts = self.fleet.serving_counts(model)
             shown = ", ".join(f"{names[d]}: {n}" for d, n in sorted(counts.items()))
             self.rows.append((f"replicas, {when}, {model}", shown or "none"))
             if not counts:
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -358,7 +358,7 @@
         name = self.status().get("leader")
         return self.vms.get(name) if name else None
 
-    def serving(self, model: str) -> dict[str, int]:
+    def serving_counts(self, model: str) -> dict[str, int]:
         """Return the number of running engines that serve each manifest of a model."""
         counts: dict[str, int] = {}
         for name, url in self.target_urls.items():
--- a/tests/test_weights_failures.py
+++ b/tests/test_weights_failures.py
@@ -49,7 +49,7 @@
 ) -> None:
     processes.wait_for(
         f"{count} engines with {digest[:8]}",
-        lambda: fleet.serving("hint").get(digest, 0) >= count,
+        lambda: fleet.serving_counts("hint").get(digest, 0) >= count,
         timeout_s,
     )
 
@@ -139,7 +139,7 @@
     inject_fault(fleet, fleet.origin_url, bytes_per_s=1e9)
     paused = processes.wait_for("a pause", lambda: fleet.status().get("paused"), 20)
     assert "origin_changed" in paused
-    assert fleet.serving("hint") == {first_digest: 6}
+    assert fleet.serving_counts("hint") == {first_digest: 6}
     answer = calls.ask(fleet.entries()[0].http)
     assert answer.is_whole() and answer.digest == first_digest
     done = fleet.command("bundle", "rollback", "1", "-o", "ana", "--wait")
@@ -160,7 +160,7 @@
     assert done["generation"] == 2
     paused = processes.wait_for("a pause", lambda: fleet.status().get("paused"), 20)
     assert rejecting in paused and "no memory left" in paused
-    assert fleet.serving("hint").get(first_digest, 0) >= 1
+    assert fleet.serving_counts("hint").get(first_digest, 0) >= 1
 
 
 def test_killed_frozen_and_joining_vms_do_not_stop_a_roll(make_fleet):
@@ -212,5 +212,5 @@
         "a refusal of the old directive",
         lambda: fleet.processes[name].events("directive_too_old"),
     )
-    assert fleet.serving("hint") == {digest: 1}
+    assert fleet.serving_counts("hint") == {digest: 1}
     assert fleet.get(url, "/v1/status")["fence"]["generation"] == 9
