--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -383,7 +383,7 @@
         path.write_text(json.dumps(bundle, indent=2))
         return path
 
-    def command(
+    def run_command(
         self, *arguments: str, timeout_s: float = 120.0, is_shown: bool = False
     ) -> subprocess.CompletedProcess:
         """Run the operators' command line and return the completed process.
@@ -404,7 +404,7 @@
 
         Raises RuntimeError if the command fails.
         """
-        completed = self.command(*arguments, "--json", timeout_s=timeout_s)
+        completed = self.run_command(*arguments, "--json", timeout_s=timeout_s)
         if completed.returncode:
             raise RuntimeError(
                 f"merlinthread {' '.join(arguments)}: {completed.stdout}{completed.stderr}"
--- a/tests/test_weights_failures.py
+++ b/tests/test_weights_failures.py
@@ -142,7 +142,7 @@
     assert fleet.serving_counts("hint") == {first_digest: 6}
     answer = calls.ask(fleet.entries()[0].http)
     assert answer.is_whole() and answer.digest == first_digest
-    done = fleet.command("bundle", "rollback", "1", "-o", "ana", "--wait")
+    done = fleet.run_command("bundle", "rollback", "1", "-o", "ana", "--wait")
     assert done.returncode == 0, done.stderr
     assert not fleet.status()["paused"]
 
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -76,7 +76,9 @@
     first = fleet.operate("bundle", "propose", path, "-o", "ana", "--request-id", "r1")
     assert fleet.operate("bundle", "propose", path, "-o", "ana", "--request-id", "r1") == first
     other = fleets.simple_bundle(7, {"hint": ("b" * 64, 100)})
-    done = fleet.command("bundle", "propose", str(fleet.write_bundle(other)), "-o", "eva", "--json")
+    done = fleet.run_command(
+        "bundle", "propose", str(fleet.write_bundle(other)), "-o", "eva", "--json"
+    )
     assert done.returncode == 6
     refused = json.loads(done.stdout)
     assert refused["error"] == "version_conflict"
@@ -87,11 +89,11 @@
     bundle = fleets.simple_bundle(8, {"hint": ("a" * 64, 100)})
     path = str(rolled_fleet.write_bundle(bundle))
     rolled_fleet.operate("bundle", "propose", path, "-o", "ana")
-    done = rolled_fleet.command("bundle", "roll", "8", "-o", "ana", "--json")
+    done = rolled_fleet.run_command("bundle", "roll", "8", "-o", "ana", "--json")
     assert done.returncode == 7
     assert json.loads(done.stdout)["error"] == "not_signed"
     wrong = rolled_fleet.add_operator("mallory")
-    done = rolled_fleet.command("bundle", "sign", "8", "-o", "ana", "-k", str(wrong), "--json")
+    done = rolled_fleet.run_command("bundle", "sign", "8", "-o", "ana", "-k", str(wrong), "--json")
     assert done.returncode == 4
     assert json.loads(done.stdout)["error"] == "bad_signature"
 
