--- a/bench/demo.py
+++ b/bench/demo.py
@@ -76,7 +76,7 @@
     def generate_key(self) -> pathlib.Path:
         """Generate the operator's key pair with the command line."""
         path = self.fleet.folder / "keys" / "ana.key"
-        generated = self.fleet.operate("keys", "new", "--out", str(path))
+        generated = self.fleet.run_json_command("keys", "new", "--out", str(path))
         self.fleet.operators["ana"] = generated["public_key"]
         return path
 
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -399,7 +399,7 @@
             env=dict(os.environ, MERLINTHREAD_CONTROLS=controls),
         )
 
-    def operate(self, *arguments: str, timeout_s: float = 120.0) -> dict:
+    def run_json_command(self, *arguments: str, timeout_s: float = 120.0) -> dict:
         """Run the operators' command line with --json and return the object that it prints.
 
         Raises RuntimeError if the command fails.
@@ -415,10 +415,10 @@
         """Propose, sign and roll a bundle as operator ana, with the command line."""
         version = str(bundle["version"])
         key = str(self.folder / "keys" / "ana.key")
-        self.operate("bundle", "propose", str(self.write_bundle(bundle)), "-o", "ana")
-        self.operate("bundle", "sign", version, "-o", "ana", "-k", key)
+        self.run_json_command("bundle", "propose", str(self.write_bundle(bundle)), "-o", "ana")
+        self.run_json_command("bundle", "sign", version, "-o", "ana", "-k", key)
         more = ["--wait"] if wait else []
-        return self.operate("bundle", "roll", version, "-o", "ana", *more)
+        return self.run_json_command("bundle", "roll", version, "-o", "ana", *more)
 
     def kill(self) -> None:
         """Kill all processes."""
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -73,8 +73,11 @@
     fleet = rolled_fleet
     bundle = fleets.simple_bundle(7, {"hint": ("a" * 64, 100)})
     path = str(fleet.write_bundle(bundle))
-    first = fleet.operate("bundle", "propose", path, "-o", "ana", "--request-id", "r1")
-    assert fleet.operate("bundle", "propose", path, "-o", "ana", "--request-id", "r1") == first
+    first = fleet.run_json_command("bundle", "propose", path, "-o", "ana", "--request-id", "r1")
+    assert (
+        fleet.run_json_command("bundle", "propose", path, "-o", "ana", "--request-id", "r1")
+        == first
+    )
     other = fleets.simple_bundle(7, {"hint": ("b" * 64, 100)})
     done = fleet.run_command(
         "bundle", "propose", str(fleet.write_bundle(other)), "-o", "eva", "--json"
@@ -88,7 +91,7 @@
 def test_an_unsigned_version_is_not_rolled(rolled_fleet):
     bundle = fleets.simple_bundle(8, {"hint": ("a" * 64, 100)})
     path = str(rolled_fleet.write_bundle(bundle))
-    rolled_fleet.operate("bundle", "propose", path, "-o", "ana")
+    rolled_fleet.run_json_command("bundle", "propose", path, "-o", "ana")
     done = rolled_fleet.run_command("bundle", "roll", "8", "-o", "ana", "--json")
     assert done.returncode == 7
     assert json.loads(done.stdout)["error"] == "not_signed"
