--- a/bench/demo.py
+++ b/bench/demo.py
@@ -93,7 +93,7 @@
     def run_command(self, *arguments: str) -> None:
         """Run a command and show its output; raise RuntimeError if it fails."""
         print("$ merlinthread " + " ".join(arguments), flush=True)
-        completed = self.fleet.run_command(*arguments, is_shown=True)
+        completed = self.fleet.run_command(*arguments, shows_output=True)
         if completed.returncode:
             raise RuntimeError(
                 f"merlinthread {' '.join(arguments)} exited with {completed.returncode}"
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -384,16 +384,16 @@
         return path
 
     def run_command(
-        self, *arguments: str, timeout_s: float = 120.0, is_shown: bool = False
+        self, *arguments: str, timeout_s: float = 120.0, shows_output: bool = False
     ) -> subprocess.CompletedProcess:
         """Run the operators' command line and return the completed process.
 
-        With `is_shown`, its output goes to this process's output instead of being captured.
+        With `shows_output`, its output goes to this process's output instead of being captured.
         """
         controls = ",".join(vm.http for vm in self.controls())
         return subprocess.run(
             [sys.executable, "-m", "merlinthread.cli.main", *arguments],
-            capture_output=not is_shown,
+            capture_output=not shows_output,
             text=True,
             timeout=timeout_s,
             env=dict(os.environ, MERLINTHREAD_CONTROLS=controls),
