--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -249,7 +249,7 @@
         )
         return self.add_control(number, replaces=lost)
 
-    def remove_folder(self, name: str) -> None:
+    def remove_data_folder(self, name: str) -> None:
         """Delete a control VM's data folder, as if its disk had been lost."""
         shutil.rmtree(self.folder / "data" / name)
 
--- a/tests/test_control_failures.py
+++ b/tests/test_control_failures.py
@@ -201,7 +201,7 @@
     leader = wait_for_leader(fleet)
     lost = next(vm for vm in fleet.controls() if vm.name != leader.name)
     lost.process.kill()
-    fleet.remove_folder(lost.name)
+    fleet.remove_data_folder(lost.name)
     fleet.restart(lost.name)
     assert lost.process.wait(20) == 1, "a lost disk must not come back under its old name"
     assert lost.process.events("identity_lost")
