--- a/bench/control.py
+++ b/bench/control.py
@@ -50,7 +50,7 @@
     fleet = fleets.Fleet(folder, make_shape(entries, agents))
     fleet.start()
     try:
-        operators.Operator(fleet).bring_in(make_bundle(1))
+        operators.Operator(fleet).propose_and_roll(make_bundle(1))
     except BaseException:
         fleet.close()
         raise
@@ -195,7 +195,7 @@
     with fleets.Fleet(folder, shape) as fleet:
         fleet.start()
         ana = operators.Operator(fleet)
-        ana.bring_in(make_bundle(1))
+        ana.propose_and_roll(make_bundle(1))
         started = time.monotonic()
         for _ in range(changes - 1):
             ana.roll(1, is_back=True)
--- a/bench/operators.py
+++ b/bench/operators.py
@@ -50,7 +50,7 @@
             operator_calls.RollRequest(request_id or uuid.uuid4().hex, self.name, version, is_back),
         )
 
-    def bring_in(self, bundle: dict) -> operator_calls.CommandResult:
+    def propose_and_roll(self, bundle: dict) -> operator_calls.CommandResult:
         """Propose, sign and roll a bundle."""
         self.propose(bundle)
         self.sign(bundle)
--- a/bench/requests.py
+++ b/bench/requests.py
@@ -324,7 +324,7 @@
     with fleets.Fleet(folder, shape) as fleet:
         fleet.start()
         digest = fleet.publish("hint-1", 1 << 20, 1 << 16)
-        operators.Operator(fleet).bring_in(fleets.simple_bundle(1, {"hint": (digest, 100)}))
+        operators.Operator(fleet).propose_and_roll(fleets.simple_bundle(1, {"hint": (digest, 100)}))
         processes.wait_for("6 engines", lambda: fleet.serving_counts("hint").get(digest) == 6)
         time.sleep(2)
         figures |= measure_overhead(fleet, 300)
--- a/tests/test_control_failures.py
+++ b/tests/test_control_failures.py
@@ -131,11 +131,11 @@
 def test_a_frozen_leader_that_wakes_can_neither_commit_nor_answer(make_fleet):
     fleet = make_fleet(SMALL)
     ana = operators.Operator(fleet)
-    ana.bring_in(bundle(1))
+    ana.propose_and_roll(bundle(1))
     frozen = wait_for_leader(fleet)
     frozen.process.suspend()
     processes.wait_for("a new leader", lambda: fleet.leader(), 10)
-    result = ana.bring_in(bundle(2))
+    result = ana.propose_and_roll(bundle(2))
     wait_for_generation(fleet, result.generation)
     frozen.process.resume()
     stale = fleet.get(frozen.http, "/v1/status")
@@ -154,7 +154,7 @@
 def test_a_cut_off_zone_keeps_what_it_has_and_catches_up(make_fleet, faults):
     fleet = make_fleet(SMALL)
     ana = operators.Operator(fleet)
-    first = ana.bring_in(bundle(1))
+    first = ana.propose_and_roll(bundle(1))
     wait_for_generation(fleet, first.generation)
     leader = wait_for_leader(fleet)
     cut = next(vm for vm in fleet.entries() if vm.settings["availability_zone"] != "zone-a")
@@ -180,7 +180,7 @@
         )
     outside = [vm.http for vm in fleet.controls() if vm.name not in inside]
     ana.controls.addresses = outside
-    result = ana.bring_in(bundle(2))
+    result = ana.propose_and_roll(bundle(2))
     assert result.generation == 2
     generations = dict(
         zip([vm.name for vm in fleet.entries()], entry_generations(fleet), strict=True)
@@ -193,7 +193,7 @@
 def test_a_lost_disk_is_repaired_and_then_a_second_loss_is_survived(make_fleet):
     fleet = make_fleet(SMALL)
     ana = operators.Operator(fleet)
-    ana.bring_in(bundle(1))
+    ana.propose_and_roll(bundle(1))
     processes.wait_for(
         "identities",
         lambda: any(vm.process.events("members_change") for vm in fleet.controls()),
@@ -220,7 +220,7 @@
     ana = operators.Operator(fleet)
     processes.wait_for("a leader", lambda: fleet.leader(), 15)
     assert [line.version for line in ana.history().bundles] == [1]
-    result = ana.bring_in(bundle(2))
+    result = ana.propose_and_roll(bundle(2))
     wait_for_generation(fleet, result.generation, 10)
 
 
@@ -255,7 +255,7 @@
         )
     )
     ana = operators.Operator(fleet)
-    ana.bring_in(bundle(1))
+    ana.propose_and_roll(bundle(1))
     for _ in range(999):
         last = ana.roll(1, is_back=True)
     assert last.generation == 1000
@@ -276,12 +276,12 @@
 def test_a_flipped_byte_is_refused_and_the_others_go_on(make_fleet):
     fleet = make_fleet(SMALL)
     ana = operators.Operator(fleet)
-    ana.bring_in(bundle(1))
+    ana.propose_and_roll(bundle(1))
     damaged = next(vm for vm in fleet.controls() if vm.name != wait_for_leader(fleet).name)
     processes.wait_for(
         "it to follow", lambda: "applied_roll" in damaged.process.log.read_text(), 15
     )
-    ana.bring_in(bundle(2))
+    ana.propose_and_roll(bundle(2))
     path = next((fleet.folder / "data" / damaged.name).glob("log-*.bin"))
     processes.wait_for(
         "a second record", lambda: len(records.read_records(path.read_bytes(), path)[0]) > 1, 15
@@ -294,18 +294,18 @@
     fleet.restart(damaged.name)
     assert damaged.process.wait(15) == 13
     assert f"log_damaged: {path}" in damaged.process.log.read_text()
-    assert ana.bring_in(bundle(3)).generation == 3
+    assert ana.propose_and_roll(bundle(3)).generation == 3
 
 
 def test_a_full_disk_of_the_leader_is_a_clear_refusal_and_loses_nothing(make_fleet):
     fleet = make_fleet(SMALL)
     ana = operators.Operator(fleet)
-    ana.bring_in(bundle(1))
+    ana.propose_and_roll(bundle(1))
     full = wait_for_leader(fleet)
     size = next((fleet.folder / "data" / full.name).glob("log-*.bin")).stat().st_size
     limit = (size, resource.RLIM_INFINITY)
     resource.prlimit(full.process.handle.pid, resource.RLIMIT_FSIZE, limit)
-    result = ana.bring_in(bundle(2))
+    result = ana.propose_and_roll(bundle(2))
     assert result.generation == 2
     assert wait_for_leader(fleet).name != full.name
     assert full.process.is_running()
@@ -317,7 +317,7 @@
     )
     other.process.kill()
     processes.wait_for("a leader", lambda: fleet.leader(), 15)
-    assert ana.bring_in(bundle(3)).generation == 3
+    assert ana.propose_and_roll(bundle(3)).generation == 3
 
 
 def test_a_second_process_on_one_data_folder_is_refused(make_fleet):
@@ -332,7 +332,7 @@
 def test_without_a_majority_a_roll_is_refused_and_reading_too(make_fleet):
     fleet = make_fleet(SMALL)
     ana = operators.Operator(fleet, timeout_s=4.0)
-    ana.bring_in(bundle(1))
+    ana.propose_and_roll(bundle(1))
     wait_for_generation(fleet, 1)
     ana.propose(bundle(2))
     ana.sign(bundle(2))
--- a/tests/test_request_failures.py
+++ b/tests/test_request_failures.py
@@ -22,7 +22,7 @@
     )
     fleet = make_fleet(shape)
     digest = fleet.publish("hint-1", 256 * 1024, 64 * 1024)
-    operators.Operator(fleet).bring_in(fleets.simple_bundle(1, {"hint": (digest, 100)}))
+    operators.Operator(fleet).propose_and_roll(fleets.simple_bundle(1, {"hint": (digest, 100)}))
     processes.wait_for("4 engines", lambda: fleet.serving_counts("hint").get(digest) == 4)
     processes.wait_for("entries", lambda: all(entry_sees(fleet, vm, 2) for vm in fleet.entries()))
     return fleet
--- a/tests/test_weights_failures.py
+++ b/tests/test_weights_failures.py
@@ -90,13 +90,13 @@
     first_digest = fleet.publish("hint-1", OBJECT_BYTES, CHUNK_BYTES)
     second_digest = fleet.publish("hint-2", OBJECT_BYTES, CHUNK_BYTES)
     operator = operators.Operator(fleet)
-    operator.bring_in(fleets.simple_bundle(1, {"hint": (first_digest, 100)}))
+    operator.propose_and_roll(fleets.simple_bundle(1, {"hint": (first_digest, 100)}))
     wait_until_serving(fleet, first_digest, 6)
     processes.wait_for(
         "entries", lambda: all(fleet.get(v.http, "/readyz") for v in fleet.entries())
     )
     with RequestLoad(fleet) as load:
-        operator.bring_in(fleets.simple_bundle(2, {"hint": (second_digest, 100)}))
+        operator.propose_and_roll(fleets.simple_bundle(2, {"hint": (second_digest, 100)}))
         wait_until_serving(fleet, second_digest, 6)
         operator.roll(1, is_back=True)
         wait_until_serving(fleet, first_digest, 6)
@@ -117,7 +117,7 @@
     fleet = make_fleet(SHAPE)
     digest = fleet.publish("hint-1", OBJECT_BYTES, CHUNK_BYTES)
     inject_fault(fleet, fleet.origin_url, corrupt_next=5)
-    operators.Operator(fleet).bring_in(fleets.simple_bundle(1, {"hint": (digest, 100)}))
+    operators.Operator(fleet).propose_and_roll(fleets.simple_bundle(1, {"hint": (digest, 100)}))
     wait_until_serving(fleet, digest, 6)
     assert 1.0 < origin_read_ratio(fleet, "hint-1") <= 1.0 + 6 * CHUNK_BYTES / OBJECT_BYTES
     calls.ask(fleet.entries()[0].http)
@@ -129,10 +129,10 @@
     first_digest = fleet.publish("hint-1", OBJECT_BYTES, CHUNK_BYTES)
     second_digest = fleet.publish("hint-2", OBJECT_BYTES, CHUNK_BYTES)
     operator = operators.Operator(fleet)
-    operator.bring_in(fleets.simple_bundle(1, {"hint": (first_digest, 100)}))
+    operator.propose_and_roll(fleets.simple_bundle(1, {"hint": (first_digest, 100)}))
     wait_until_serving(fleet, first_digest, 6)
     inject_fault(fleet, fleet.origin_url, bytes_per_s=OBJECT_BYTES / 2)
-    operator.bring_in(fleets.simple_bundle(2, {"hint": (second_digest, 100)}))
+    operator.propose_and_roll(fleets.simple_bundle(2, {"hint": (second_digest, 100)}))
     processes.wait_for("a first part", lambda: origin_read_ratio(fleet, "hint-2") > 0.2)
     path = fleet.folder / "origin" / "objects" / "hint-2"
     path.write_bytes(bytes(OBJECT_BYTES))
@@ -152,7 +152,7 @@
     first_digest = fleet.publish("hint-1", OBJECT_BYTES, CHUNK_BYTES)
     second_digest = fleet.publish("hint-2", OBJECT_BYTES, CHUNK_BYTES)
     operator = operators.Operator(fleet)
-    operator.bring_in(fleets.simple_bundle(1, {"hint": (first_digest, 100)}))
+    operator.propose_and_roll(fleets.simple_bundle(1, {"hint": (first_digest, 100)}))
     wait_until_serving(fleet, first_digest, 6)
     rejecting = next(iter(fleet.target_urls))
     inject_fault(fleet, fleet.target_urls[rejecting], refuse_loads="no memory left")
@@ -168,7 +168,7 @@
     digest = fleet.publish("hint-1", OBJECT_BYTES, CHUNK_BYTES)
     inject_fault(fleet, fleet.origin_url, bytes_per_s=OBJECT_BYTES / 3)
     names = [name for name in fleet.target_urls if name.startswith("engine")]
-    operators.Operator(fleet).bring_in(fleets.simple_bundle(1, {"hint": (digest, 100)}))
+    operators.Operator(fleet).propose_and_roll(fleets.simple_bundle(1, {"hint": (digest, 100)}))
     processes.wait_for("a first part", lambda: origin_read_ratio(fleet, "hint-1") > 0.1)
     fleet.processes[names[0]].kill()
     fleet.processes[names[3]].suspend()
@@ -186,7 +186,7 @@
     shape = fleets.dataclasses.replace(SHAPE, with_store_folder=True, engines_per_zone=1)
     fleet = make_fleet(shape)
     digest = fleet.publish("hint-1", OBJECT_BYTES, CHUNK_BYTES)
-    operators.Operator(fleet).bring_in(fleets.simple_bundle(1, {"hint": (digest, 100)}))
+    operators.Operator(fleet).propose_and_roll(fleets.simple_bundle(1, {"hint": (digest, 100)}))
     wait_until_serving(fleet, digest, 2)
     for name in list(fleet.target_urls):
         fleet.processes[name].kill()
@@ -201,7 +201,7 @@
     shape = fleets.dataclasses.replace(SHAPE, engines_per_zone=1, zones=("zone-a",))
     fleet = make_fleet(shape)
     digest = fleet.publish("hint-1", OBJECT_BYTES, CHUNK_BYTES)
-    operators.Operator(fleet).bring_in(fleets.simple_bundle(1, {"hint": (digest, 100)}))
+    operators.Operator(fleet).propose_and_roll(fleets.simple_bundle(1, {"hint": (digest, 100)}))
     wait_until_serving(fleet, digest, 1)
     name, url = next(iter(fleet.target_urls.items()))
     order = {"action": "unload", "name": "other", "generation": 9, "epoch": 2**60}
