--- a/bench/demo.py
+++ b/bench/demo.py
@@ -168,7 +168,7 @@
     def draft_ticket(self, address: str, account: str) -> None:
         """Send a non-repeatable call twice with one idempotency key; it must run once."""
         body = msgspec.json.encode({"lamp": uuid.uuid4().hex})
-        headers = self.headers(account) | {"Idempotency-Key": str(new_key())}
+        headers = self.headers(account) | {"Idempotency-Key": str(new_idempotency_key())}
         url = f"http://{address}/v1/services/tickets/draft"
         tickets = []
         for _ in range(2):
@@ -215,7 +215,7 @@
             raise RuntimeError(f"{self.outcomes.lost} lost, {self.outcomes.refused} refused")
 
 
-def new_key() -> uuid.UUID:
+def new_idempotency_key() -> uuid.UUID:
     """Return a new UUIDv7 (RFC 9562) with a timestamp in milliseconds."""
     milliseconds = int(time.time() * 1000) & ((1 << 48) - 1)
     rest = uuid.uuid4().int & ((1 << 80) - 1)
--- a/bench/requests.py
+++ b/bench/requests.py
@@ -246,7 +246,10 @@
                 return
             body = msgspec.json.encode({"lamp": f"bench {number}"})
             bodies.append(body)
-            headers = BODY_HEADERS | {"X-Account": "a1", "Idempotency-Key": str(demo.new_key())}
+            headers = BODY_HEADERS | {
+                "X-Account": "a1",
+                "Idempotency-Key": str(demo.new_idempotency_key()),
+            }
             responses = [
                 draft_ticket(vm.http, body, headers, outcomes) for vm in fleet.entries()[:2]
             ]
--- a/tests/calls.py
+++ b/tests/calls.py
@@ -69,4 +69,4 @@
 
 def new_key() -> str:
     """Return a new idempotency key."""
-    return str(demo.new_key())
+    return str(demo.new_idempotency_key())
