--- a/bench/demo.py
+++ b/bench/demo.py
@@ -159,7 +159,7 @@
             self.outcomes.refused += 1
             self.outcomes.last_refusal = data.decode()
             return
-        text, digest = read_stream(data) if is_streamed else read_whole(data)
+        text, digest = parse_stream(data) if is_streamed else read_whole(data)
         if text != engine.completion_text(digest, prompt, 8):
             self.record_loss(f"{model}: incomplete or wrong response: {text!r}")
             return
@@ -224,7 +224,7 @@
     return uuid.UUID(int=value)
 
 
-def read_stream(data: bytes) -> tuple[str, str]:
+def parse_stream(data: bytes) -> tuple[str, str]:
     """Return text and digest of a streamed response; the digest is empty if it has no end."""
     texts, digest = [], ""
     for event in events.decode(data.split(b"\n")):
