--- a/bench/demo.py
+++ b/bench/demo.py
@@ -159,7 +159,7 @@
             self.outcomes.refused += 1
             self.outcomes.last_refusal = data.decode()
             return
-        text, digest = parse_stream(data) if is_streamed else read_whole(data)
+        text, digest = parse_stream(data) if is_streamed else parse_completion(data)
         if text != engine.completion_text(digest, prompt, 8):
             self.record_loss(f"{model}: incomplete or wrong response: {text!r}")
             return
@@ -235,7 +235,7 @@
     return "".join(texts), digest
 
 
-def read_whole(data: bytes) -> tuple[str, str]:
+def parse_completion(data: bytes) -> tuple[str, str]:
     """Return the text and digest of a response that is not streamed."""
     answer = msgspec.json.decode(data)
     return answer["text"], answer["digest"]
--- a/tests/calls.py
+++ b/tests/calls.py
@@ -49,7 +49,7 @@
     data = stream.read(1 << 24)
     answer = Answer(stream.status, stream.headers, data)
     if stream.status == 200:
-        read = demo.parse_stream if is_streamed else demo.read_whole
+        read = demo.parse_stream if is_streamed else demo.parse_completion
         answer.text, answer.digest = read(data)
         answer.expected = engine.completion_text(answer.digest, prompt, tokens)
     return answer
