--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -148,8 +148,8 @@
     """Fit a figure of a role by least squares; return the intercept and non-negative slopes."""
     matrix = numpy.array([[1.0, *(float(row[name]) for name in inputs)] for row in rows])
     values = numpy.array([row["costs"][role][figure] for row in rows])
-    found, *_ = numpy.linalg.lstsq(matrix, values, rcond=None)
-    return [float(found[0]), *(max(0.0, float(value)) for value in found[1:])]
+    coefficients, *_ = numpy.linalg.lstsq(matrix, values, rcond=None)
+    return [float(coefficients[0]), *(max(0.0, float(value)) for value in coefficients[1:])]
 
 
 MODELS = {
@@ -166,24 +166,24 @@
 
 def predict(nodes: list[dict]) -> dict[str, dict[str, dict[str, Any]]]:
     """Return the fitted terms, the value at the target and the budget, by role and figure."""
-    found: dict[str, dict[str, dict[str, Any]]] = {}
+    predicted: dict[str, dict[str, dict[str, Any]]] = {}
     for role, (inputs, sizes) in MODELS.items():
-        found[role] = {}
+        predicted[role] = {}
         for figure in FIGURES:
             column = f"{figure}_max" if figure == "rss_mb" else f"{figure}_{COLUMNS[role]}"
             terms = fit(nodes, role, column, inputs)
             value = terms[0] + sum(s * size for s, size in zip(terms[1:], sizes, strict=True))
-            found[role][figure] = {
+            predicted[role][figure] = {
                 "intercept": round(terms[0], 5),
                 "slopes": {n: round(s, 5) for n, s in zip(inputs, terms[1:], strict=True)},
                 "at_target": round(value, 4),
                 "budget": BUDGET[figure],
                 "is_kept": value <= BUDGET[figure],
             }
-    return found
+    return predicted
 
 
-def changes_cost(parts: list[dict]) -> dict[str, float]:
+def configuration_change_cost(parts: list[dict]) -> dict[str, float]:
     """Return the cost of configuration changes for a node at the target size."""
     size = measure.fit_line([(row["vms"], row["directive_bytes"]) for row in parts])
     decode = measure.fit_line([(row["vms"], row["directive_decode_s"]) for row in parts])
@@ -222,7 +222,7 @@
             f"| {row['vms']} | {row['directive_bytes']} | {row['directive_decode_s'] * 1e3:.2f} "
             f"| {row['placement_s'] * 1e3:.2f} | {row['fetch_peers_s'] * 1e3:.2f} |"
         )
-    cost = changes_cost(parts)
+    cost = configuration_change_cost(parts)
     lines += [
         "",
         f"At {ROLL_VMS} VMs a directive has {cost['directive_bytes']} bytes.",
--- a/bench/control.py
+++ b/bench/control.py
@@ -170,7 +170,7 @@
     counts = [0] * threads
     stop_at = time.monotonic() + seconds
 
-    def work(number: int) -> None:
+    def send_claims(number: int) -> None:
         caller = bus.RpcClient(leader.bus, mesh_codec)
         while time.monotonic() < stop_at:
             key = f"bench {number} {counts[number]}"
@@ -181,7 +181,7 @@
             counts[number] += 1
         caller.close()
 
-    workers = [threading.Thread(target=work, args=(n,)) for n in range(threads)]
+    workers = [threading.Thread(target=send_claims, args=(n,)) for n in range(threads)]
     for worker in workers:
         worker.start()
     for worker in workers:
@@ -227,7 +227,7 @@
     parser.add_argument("--changes", type=int, default=100)
     parser.add_argument("--sizes", default="2x4,3x8,4x16", help="entries x agents in each zone")
     parser.add_argument("--histories", default="1000,3000")
-    parser.add_argument("--save", default="", help="also write the closing object to this file")
+    parser.add_argument("--save", default="", help="also write the results to this file")
     options = parser.parse_args(arguments)
     root = pathlib.Path(tempfile.mkdtemp(prefix="merlinthread-control-"))
     figures: dict = {"machine": measure.describe_machine(), "sizes": []}
--- a/bench/processes.py
+++ b/bench/processes.py
@@ -48,13 +48,13 @@
     Raises OSError if all spans are reserved.
     """
     for first in range(FIRST_PORT, LAST_PORT, SPAN_PORTS):
-        found = socket.socket()
+        reserved = socket.socket()
         try:
-            found.bind(("127.0.0.1", first))
+            reserved.bind(("127.0.0.1", first))
         except OSError:
-            found.close()
+            reserved.close()
             continue
-        return found
+        return reserved
     raise OSError(
         f"all spans of {SPAN_PORTS} ports from {FIRST_PORT} to {LAST_PORT} on 127.0.0.1 are in "
         "use; stop other runs"
--- a/bench/release_bytes.py
+++ b/bench/release_bytes.py
@@ -24,13 +24,13 @@
 from merlinthread.state import journal
 
 CODEC = codecs.Codec([raft_messages.MESSAGES, node_messages.MESSAGES], [])
-PLAIN = {str: "s", int: 1, float: 1.5, bool: True, bytes: b"b"}
+PRIMITIVES = {str: "s", int: 1, float: 1.5, bool: True, bytes: b"b"}
 
 
 def sample(kind: typing.Any) -> typing.Any:
     """Return a value of a type, with one element in each list and dict."""
-    if kind in PLAIN:
-        return PLAIN[kind]
+    if kind in PRIMITIVES:
+        return PRIMITIVES[kind]
     if isinstance(kind, type) and issubclass(kind, enum.Enum):
         return next(iter(kind))
     if dataclasses.is_dataclass(kind):
--- a/bench/requests.py
+++ b/bench/requests.py
@@ -91,8 +91,8 @@
                 previous = now
             elif event.kind == events.DONE:
                 digest = msgspec.json.decode(event.data, type=events.Done).digest
-                is_right = "".join(texts) == engine.completion_text(digest, prompt, tokens)
-                outcomes.add("answered" if is_right else "crossed_or_wrong")
+                is_correct = "".join(texts) == engine.completion_text(digest, prompt, tokens)
+                outcomes.add("answered" if is_correct else "crossed_or_wrong")
                 outcomes.record(outcomes.whole_response, now - due)
                 stream.release()
                 return
@@ -317,7 +317,7 @@
     parser.add_argument("--seconds", type=float, default=20.0)
     parser.add_argument("--fault-seconds", type=float, default=60.0)
     parser.add_argument("--drafts", type=int, default=500)
-    parser.add_argument("--save", default="", help="also write the closing object to this file")
+    parser.add_argument("--save", default="", help="also write the results to this file")
     options = parser.parse_args(arguments)
     folder = pathlib.Path(tempfile.mkdtemp(prefix="merlinthread-requests-"))
     figures: dict = {"machine": measure.describe_machine()}
--- a/bench/rollout.py
+++ b/bench/rollout.py
@@ -117,9 +117,11 @@
                 }
             time.sleep(POLL_S)
 
-    def start_fetch(self, manifest: str, peers: list[tuple], cut: str = "") -> None:
+    def start_fetch(self, manifest: str, peers: list[tuple], partitioned_zone: str = "") -> None:
         """Let all agents fetch a manifest from the reachable peers."""
-        self.send_to_all({"do": "want", "manifest": manifest, "peers": peers, "cut": cut})
+        self.send_to_all(
+            {"do": "want", "manifest": manifest, "peers": peers, "cut": partitioned_zone}
+        )
 
     def lower_bound(self) -> float:
         """Return the lower bound of the time to N replicas, in seconds."""
@@ -164,8 +166,8 @@
         if is_partition_due != self.is_partitioned:
             self.is_partitioned = is_partition_due
             peers = [peer for peer in swarm.peers if peer[0] not in self.killed]
-            cut = ZONES[2] if is_partition_due else ""
-            swarm.start_fetch(manifest, peers, cut)
+            partitioned_zone = ZONES[2] if is_partition_due else ""
+            swarm.start_fetch(manifest, peers, partitioned_zone)
 
 
 def run(
@@ -217,7 +219,7 @@
         axes.step([0, *row["times"]], [0, *counts], where="post", label=label)
     axes.axvline(rows[0]["bound_s"], linestyle=":", color="grey", label="bound")
     axes.set_xlabel("seconds since the roll")
-    axes.set_ylabel("VMs with the whole version")
+    axes.set_ylabel("VMs with the complete version")
     axes.legend(fontsize=7)
     figure.savefig(path, dpi=120)
 
@@ -231,9 +233,11 @@
     parser.add_argument("--faults-at", type=int, default=50, help="N for the run with faults")
     parser.add_argument("--chunks", type=int, default=128)
     parser.add_argument("--chunk-bytes", type=int, default=65536)
-    parser.add_argument("--link-s", type=float, default=10.0, help="seconds a link takes for S")
+    parser.add_argument(
+        "--link-s", type=float, default=10.0, help="seconds to transfer S over a link"
+    )
     parser.add_argument("--plot", default="")
-    parser.add_argument("--save", default="", help="also write the closing object to this file")
+    parser.add_argument("--save", default="", help="also write the results to this file")
     options = parser.parse_args(arguments)
     root = pathlib.Path(tempfile.mkdtemp(prefix="merlinthread-rollout-"))
     first, *others = options.policies.split(",")
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -22,7 +22,7 @@
 from stand_ins import fleet_worker
 
 NOT_RUN_STATUSES = (408, 421, 429, 503)
-APPLY_S = 2.0
+APPLY_MAX_S = 2.0
 
 
 @dataclasses.dataclass(slots=True)
@@ -90,17 +90,17 @@
         request = http_messages.Request(method.encode(), path.encode(), headers, data)
         address = f"{self.rng.choice(self.fleet.control_ips)}:{soak_nodes.CONTROL_PORT}"
         try:
-            answer = await self.fleet.pool.request(address, request, 1.0)
+            response = await self.fleet.pool.request(address, request, 1.0)
         except errors.MerlinthreadError:
             return 0, b""
-        return answer.status, answer.body
+        return response.status, response.body
 
     async def run_operator(self) -> None:
         """Apply one configuration after another and read it back, until cancelled."""
         loop = asyncio.get_running_loop()
         while True:
             self.version += self.rng.randrange(1, 4)
-            body = self.configuration(self.version)
+            body = self.make_configuration(self.version)
             for _ in range(self.rng.randrange(1, 12)):
                 status, _ = await self.call_control("PUT", "/config", body)
                 if 400 <= status < 500:
@@ -115,16 +115,16 @@
             await self.read_configuration()
             await asyncio.sleep(self.rng.uniform(0.0, 0.3))
 
-    def configuration(self, version: int) -> dict:
+    def make_configuration(self, version: int) -> dict:
         """Return the configuration that the operator sends as `version`."""
         return soak_nodes.make_configuration(version)
 
     async def read_configuration(self) -> bool:
         """Read and check the configuration; return whether the read succeeded.
 
-        It must be at least as new as any version that was acknowledged APPLY_S ago.
+        It must be at least as new as any version that was acknowledged APPLY_MAX_S ago.
         """
-        due_at = asyncio.get_running_loop().time() - APPLY_S
+        due_at = asyncio.get_running_loop().time() - APPLY_MAX_S
         due = max((version for at, version in self.acknowledged if at <= due_at), default=0)
         status, body = await self.call_control("GET", "/config")
         if status != 200:
@@ -133,7 +133,7 @@
         found = json.loads(body)
         if found["version"] < due:
             self.record_violation(f"read version {found['version']} after {due} was acknowledged")
-        if found != self.configuration(found["version"]):
+        if found != self.make_configuration(found["version"]):
             self.record_violation(f"version {found['version']} differs from what was sent")
         return True
 
@@ -167,30 +167,32 @@
         self.soak_result.sent += 1
         self.signal_checker.record_request(request_id, entry_ip)
         try:
-            answer = await self.fleet.pool.request(address, request, 4.0)
+            response = await self.fleet.pool.request(address, request, 4.0)
         except errors.MerlinthreadError:
             self.soak_result.failed += 1
             return False
-        self.signal_checker.record_response(entry_ip, answer)
-        return self.check_response(service, request_id, answer)
+        self.signal_checker.record_response(entry_ip, response)
+        return self.check_response(service, request_id, response)
 
-    def check_response(self, service: str, request_id: str, answer: http_messages.Response) -> bool:
+    def check_response(
+        self, service: str, request_id: str, response: http_messages.Response
+    ) -> bool:
         """Record and check a response; return whether it is a success."""
-        if answer.status in NOT_RUN_STATUSES:
+        if response.status in NOT_RUN_STATUSES:
             self.soak_result.refused += 1
             if service == "unsafe":
                 self.refused_unsafe.add(request_id)
             return False
-        if answer.status != 200:
+        if response.status != 200:
             self.soak_result.failed += 1
             return False
         self.soak_result.answered += 1
         if service == "model":
-            ids = [int(x[4:]) for x in answer.body.split(b"\n") if x.startswith(b"id: ")]
+            ids = [int(x[4:]) for x in response.body.split(b"\n") if x.startswith(b"id: ")]
             if ids != list(range(1, soak_fleet.EVENT_COUNT + 1)):
                 self.record_violation(f"the stream of {request_id} has events {ids}")
-        elif not answer.body.endswith(f"to {request_id}".encode()):
-            self.record_violation(f"{request_id} got {answer.body!r}")
+        elif not response.body.endswith(f"to {request_id}".encode()):
+            self.record_violation(f"{request_id} got {response.body!r}")
         return True
 
     def record_violation(self, text: str) -> None:
@@ -201,13 +203,13 @@
         """Start the fleet, run the soak, and return its results."""
         await self.fleet.start()
         try:
-            await self.run_faults()
+            await self.run_scenario()
         finally:
             self.fleet.close()
         self.soak_result.faults = dict(self.fault_injector.injected)
         return self.soak_result
 
-    async def run_faults(self) -> None:
+    async def run_scenario(self) -> None:
         """Run load and faults for `seconds`, wait for recovery, and check the invariants."""
         load = [
             asyncio.create_task(self.send_heartbeats()),
@@ -263,7 +265,7 @@
 def run_seed(
     seed: int, seconds: float, keep: pathlib.Path | None = None, kinds: tuple[str, ...] = ()
 ) -> SoakResult:
-    """Run one seed with faults of `kinds`, by default those in `soak_faults.USUAL`.
+    """Run one seed with faults of `kinds`, by default those in `soak_faults.DEFAULT_KINDS`.
 
     If the run violates an invariant, its logs are copied to `keep`.
     """
--- a/bench/soak_faults.py
+++ b/bench/soak_faults.py
@@ -104,8 +104,8 @@
 
     def may_replace_control(self) -> bool:
         """Return whether no control VM was faulty for as long as a replacement takes."""
-        calm_s = asyncio.get_running_loop().time() - self.control_fault_ended_at
-        return not self.control_fault_count and calm_s >= soak_nodes.CATCH_UP_S
+        fault_free_s = asyncio.get_running_loop().time() - self.control_fault_ended_at
+        return not self.control_fault_count and fault_free_s >= soak_nodes.CATCH_UP_S
 
     @FAULTS.add("replace_control")
     async def replace_control(self) -> None:
@@ -117,20 +117,20 @@
 
     async def replace(self, lost: soak_nodes.Node) -> None:
         """Stop a control VM before or after its replacement has started."""
-        is_planned = self.rng.random() < 0.3
-        if not is_planned:
+        is_graceful = self.rng.random() < 0.3
+        if not is_graceful:
             await self.stop_node(lost, signal.SIGKILL)
         await asyncio.sleep(self.rng.uniform(0.0, 1.0))
         self.fleet.replaced.append(lost)
         new = self.fleet.make_node(
             "control", f"{soak_nodes.NETWORK}.{100 + len(self.fleet.replaced)}"
         )
-        new.is_first = False
+        new.is_first_start = False
         self.fleet.control_ips[self.fleet.control_ips.index(lost.ip)] = new.ip
         self.fleet.nodes.append(new)
         new.start()
         await self.fleet.wait_until_responding(new)
-        if is_planned:
+        if is_graceful:
             await asyncio.sleep(self.rng.uniform(0.5, 1.5))
             await self.stop_node(lost, signal.SIGTERM)
         for node in self.fleet.nodes:
@@ -157,7 +157,7 @@
                 await self.fleet.wait_until_responding(node)
 
     @FAULTS.add("freeze")
-    async def freeze(self) -> None:
+    async def suspend(self) -> None:
         """Suspend a node for a while."""
         node = self.pick_node()
         with self.control_fault(node):
--- a/bench/soak_limits.py
+++ b/bench/soak_limits.py
@@ -8,8 +8,8 @@
 from stand_ins import fleet_worker
 
 # The platform's rule bounds the requests of entries that know a limit in any window of WINDOW_S:
-# SHARE_MAX times the limit, plus MORE_MAX. It applies from CONTACT_S after the limit was first
-# advertised, and to an entry from TOLD_S after a response with the limit.
+# LIMIT_FACTOR times the limit, plus EXTRA_REQUESTS. It applies from CONTACT_S after the limit was
+# first advertised, and to an entry from ENTRY_DELAY_S after a response with the limit.
 CONTACT_S = 3.0
 WINDOW_S = 4.0
 ENTRY_DELAY_S = 0.5
--- a/bench/soak_nodes.py
+++ b/bench/soak_nodes.py
@@ -34,7 +34,7 @@
     role: str
     ip: str
     control_ips: list[str]
-    is_first: bool = True
+    is_first_start: bool = True
     source: pathlib.Path = ROOT / "src"
     process: subprocess.Popen | None = None
     # Additional settings of this node.
@@ -54,7 +54,7 @@
                 stderr=log,
                 cwd=ROOT,
             )
-        self.is_first = False
+        self.is_first_start = False
 
     def write_settings(self) -> pathlib.Path:
         """Write the current settings, which a running process reloads by itself."""
@@ -78,7 +78,7 @@
                 "front": f"{self.ip}:{FRONT_PORT}",
                 "ready": f"{self.ip}:{READY_PORT}",
             },
-            "bootstrap": self.is_first,
+            "bootstrap": self.is_first_start,
             "data_dir": str(self.folder / self.name),
             "heartbeat_ms": 400,
             "bounds": {"grace_s": 4, "catch_up_s": CATCH_UP_S},
--- a/bench/soak_signals.py
+++ b/bench/soak_signals.py
@@ -39,10 +39,10 @@
         """Record that a client sends a request to an entry."""
         self.sent[request_id] = SentRequest(entry_ip, time.monotonic())
 
-    def record_response(self, entry_ip: str, answer: http_messages.Response) -> None:
+    def record_response(self, entry_ip: str, response: http_messages.Response) -> None:
         """Record the leaving signal of a response."""
-        stamp = http_messages.get_header(answer.headers, STAMP_HEADER)
-        if stamp is None or http_messages.get_header(answer.headers, LEAVING_HEADER) is None:
+        stamp = http_messages.get_header(response.headers, STAMP_HEADER)
+        if stamp is None or http_messages.get_header(response.headers, LEAVING_HEADER) is None:
             return
         instance = stamp.decode("ascii").partition(".")[0]
         self.leaving_times.setdefault((instance, entry_ip), time.monotonic())
--- a/bench/swarm.py
+++ b/bench/swarm.py
@@ -60,7 +60,7 @@
         )
         self.rpc_server.start()
         self.weights.start()
-        self.done_at: dict[str, float] = {}
+        self.completed_at: dict[str, float] = {}
         self.is_killed = False
 
     def kill(self) -> None:
@@ -86,20 +86,20 @@
     def on_want(self, command: dict) -> dict:
         """Start to fetch a manifest, or change the peers.
 
-        Peers across the border of the zone `cut` get an unreachable address.
+        Peers across the border of the zone `partitioned_zone` get an unreachable address.
         """
-        cut = command.get("cut", "")
+        partitioned_zone = command.get("cut", "")
         for agent in self.agents.values():
             if agent.is_killed:
                 continue
             zone = agent.weights.context.settings.availability_zone
             peers = []
-            for name, other, _, address in command["peers"]:
+            for name, peer_zone, _, address in command["peers"]:
                 if name == agent.weights.name:
                     continue
-                is_reached = (other == cut) == (zone == cut)
-                distance = fetch.SAME_ZONE if other == zone else fetch.SAME_REGION
-                peers.append(fetch.Peer(name, address if is_reached else UNREACHABLE, distance))
+                is_reachable = (peer_zone == partitioned_zone) == (zone == partitioned_zone)
+                distance = fetch.SAME_ZONE if peer_zone == zone else fetch.SAME_REGION
+                peers.append(fetch.Peer(name, address if is_reachable else UNREACHABLE, distance))
             agent.weights.set_wanted({command["manifest"]: peers})
         return {}
 
@@ -114,9 +114,9 @@
         """Return the monotonic times at which agents completed manifests, and resource usage."""
         for agent in self.agents.values():
             for digest in agent.weights.complete_manifests():
-                agent.done_at.setdefault(digest, time.monotonic())
+                agent.completed_at.setdefault(digest, time.monotonic())
         return {
-            "done": {name: agent.done_at for name, agent in self.agents.items()},
+            "done": {name: agent.completed_at for name, agent in self.agents.items()},
             "cpu_s": time.process_time(),
             "tally": self.fetch_stats(),
             "rss_mb": rss_mb(),
--- a/bench/transfer.py
+++ b/bench/transfer.py
@@ -31,7 +31,7 @@
 EMPTY_REPLY_BYTES = 250
 # Mean interval and size of the packets of requests and events at each link: 4 requests per second
 # with 14 events each.
-PACKET_EVERY_S = 0.016
+PACKET_INTERVAL_S = 0.016
 PACKET_BYTES = 210
 
 
@@ -58,12 +58,12 @@
     """A fault; times are in seconds from the start, and -1 means no agent or zone."""
 
     origin_down_from: float = float("inf")
-    origin_down_to: float = float("inf")
+    origin_down_until: float = float("inf")
     slow_agent: int = -1
     slow_rate: float = 0.0
     dead_agent: int = -1
-    cut_zone: int = -1
-    cut_to: float = 0.0
+    partitioned_zone: int = -1
+    partitioned_until: float = 0.0
 
 
 class Link:
@@ -163,7 +163,7 @@
         heapq.heappush(self.events, (when, next(self.event_numbers), callback))
 
     def run(self) -> "Simulation":
-        """Run until all agents are complete, or LIMIT_S of simulated time have passed."""
+        """Run until all agents are complete, or TIME_LIMIT_S of simulated time have passed."""
         for agent in self.agents.values():
             if not agent.is_dead:
                 self.schedule(self.rng.uniform(0.0, STEP_S), lambda agent=agent: self.step(agent))
@@ -184,7 +184,7 @@
         agent.link_in.transmit_packet(self.now)
         agent.link_out.transmit_packet(self.now)
         if not self.is_finished():
-            wait_s = self.rng.expovariate(1 / PACKET_EVERY_S)
+            wait_s = self.rng.expovariate(1 / PACKET_INTERVAL_S)
             self.schedule(self.now + wait_s, lambda: self.send_request_packets(agent))
 
     def step(self, agent: Agent) -> None:
@@ -256,7 +256,7 @@
 
     def is_partitioned(self, zone: int) -> bool:
         """Return whether a zone is partitioned now."""
-        return zone == self.fault.cut_zone and self.now < self.fault.cut_to
+        return zone == self.fault.partitioned_zone and self.now < self.fault.partitioned_until
 
     def are_separated(self, one: int, other: int) -> bool:
         """Return whether a partition separates two zones now."""
@@ -265,7 +265,7 @@
     def read_origin(self, agent: Agent, action: fetch.OriginRead) -> None:
         """Read a piece from the origin, which is in zone 0."""
         delay = DELAY_S[0 if agent.zone == 0 else 2]
-        is_down = self.fault.origin_down_from <= self.now < self.fault.origin_down_to
+        is_down = self.fault.origin_down_from <= self.now < self.fault.origin_down_until
         if is_down or self.are_separated(agent.zone, 0):
             self.schedule(self.now + 2 * delay + 0.02, lambda: self.on_origin_failed(agent, action))
             return
@@ -414,8 +414,8 @@
     "origin down 2.5 to 8.5 s": Fault(2.5, 8.5),
     "a slow agent": Fault(slow_agent=1, slow_rate=119_000.0),
     "a lost agent": Fault(dead_agent=1),
-    "a zone cut off for 3 s": Fault(cut_zone=1, cut_to=3.0),
-    "the origin's zone cut off for 3 s": Fault(cut_zone=0, cut_to=3.0),
+    "a zone cut off for 3 s": Fault(partitioned_zone=1, partitioned_until=3.0),
+    "the origin's zone cut off for 3 s": Fault(partitioned_zone=0, partitioned_until=3.0),
 }
 
 
--- a/bench/upgrade.py
+++ b/bench/upgrade.py
@@ -5,7 +5,7 @@
 entries are processes; clients, workers and the operator run in this process. Each VM is stopped
 gracefully and started in place with the other build. Besides the invariants of the soak test, a run
 checks that no process exits by itself, that the last acknowledged configuration is read back, and
-that the success rate is at most SERVED_LESS_MAX below that of a run without an upgrade.
+that the success rate is at most SUCCESS_RATE_DROP_MAX below that of a run without an upgrade.
 """
 
 import argparse
@@ -128,7 +128,7 @@
             node.source = self.builds[self.route[0]]
             self.starts[node.ip] = [(float("-inf"), self.route[0])]
 
-    async def run_faults(self) -> None:
+    async def run_scenario(self) -> None:
         """Upgrade all VMs to each build of the route in turn, under load."""
         load = [
             asyncio.create_task(self.send_heartbeats()),
@@ -160,22 +160,24 @@
             ends = self.crashing_fleet.crash_times()
             self.result.workers_ended = len(ends)
             self.result.ended_late = sum(at > replaced_at for at in ends)
-        asked, answered = self.soak_result.sent, self.soak_result.answered
+        sent, answered = self.soak_result.sent, self.soak_result.answered
         if self.weights_fleet is not None:
             await upgrade_weights.check_loaded_weights(self)
         for task in load:
             task.cancel()
         await self.wait_until_read_back()
-        self.result.asked, self.result.answered = asked, answered
+        self.result.asked, self.result.answered = sent, answered
         self.result.key_answers = [dict(found) for found in self.key_answers]
         self.check_invariants()
 
-    def configuration(self, version: int) -> dict:
+    def make_configuration(self, version: int) -> dict:
         """Return the configuration that the operator sends as `version`."""
         is_valid = "revoke" in self.plan.troubles and version < self.revoked_from
         keys = ("key-1", upgrade_faults.REVOKED_KEY) if is_valid else ("key-1",)
         body = soak_nodes.make_configuration(version, keys)
-        return self.weights_fleet.configuration(body) if self.weights_fleet is not None else body
+        return (
+            self.weights_fleet.add_weight_settings(body) if self.weights_fleet is not None else body
+        )
 
     async def send_heartbeat(self, worker: fleet_worker.Worker) -> None:
         """Send a worker's heartbeat unless the worker is down."""
@@ -236,7 +238,7 @@
     async def wait_until_read_back(self) -> None:
         """Wait until the last acknowledged configuration, or a later one, is read back."""
         last = max((version for _, version in self.acknowledged), default=0)
-        deadline = asyncio.get_running_loop().time() + soak.APPLY_S + 4.0
+        deadline = asyncio.get_running_loop().time() + soak.APPLY_MAX_S + 4.0
         while asyncio.get_running_loop().time() < deadline:
             status, body = await self.call_control("GET", "/config")
             if status == 200 and json.loads(body)["version"] >= last:
--- a/bench/upgrade_balancer.py
+++ b/bench/upgrade_balancer.py
@@ -32,8 +32,8 @@
         request = http_messages.Request(b"GET", b"/readyz", [(b"host", b"c")])
         is_ready = False
         with contextlib.suppress(errors.MerlinthreadError):
-            answer = await self.pool.request(f"{ip}:{soak_nodes.READY_PORT}", request, 0.5)
-            is_ready = answer.status == 200
+            response = await self.pool.request(f"{ip}:{soak_nodes.READY_PORT}", request, 0.5)
+            is_ready = response.status == 200
         self.failures[ip] = 0 if is_ready else self.failures[ip] + 1
 
     async def wait_until_ready(self) -> None:
--- a/bench/upgrade_faults.py
+++ b/bench/upgrade_faults.py
@@ -62,7 +62,7 @@
 
 
 @FAULTS.add("freeze")
-async def freeze(upgrade: Any) -> None:
+async def suspend(upgrade: Any) -> None:
     """Suspend a control VM repeatedly; to the others it appears partitioned."""
     while True:
         await asyncio.sleep(upgrade.rng.uniform(*FAULT_INTERVAL_S))
@@ -78,12 +78,12 @@
 async def revoke(upgrade: Any) -> None:
     """Revoke a key while a client uses it, and check that it is not accepted again."""
     loop = asyncio.get_running_loop()
-    began = loop.time()
+    started_at = loop.time()
     while True:
         await asyncio.sleep(KEY_INTERVAL_S)
-        if loop.time() >= began + REVOKE_AFTER_S:
+        if loop.time() >= started_at + REVOKE_AFTER_S:
             upgrade.revoked_from = min(upgrade.revoked_from, upgrade.version + 1)
-        due_at = loop.time() - soak.APPLY_S
+        due_at = loop.time() - soak.APPLY_MAX_S
         is_revoked = any(
             at <= due_at and version >= upgrade.revoked_from for at, version in upgrade.acknowledged
         )
@@ -109,9 +109,9 @@
     ]
     request = http_messages.Request(b"POST", b"/safe/", headers)
     try:
-        answer = await upgrade.fleet.pool.request(
+        response = await upgrade.fleet.pool.request(
             f"{entry_ip}:{soak_nodes.FRONT_PORT}", request, 4.0
         )
     except errors.MerlinthreadError:
         return None
-    return answer.status
+    return response.status
--- a/bench/upgrade_weights.py
+++ b/bench/upgrade_weights.py
@@ -56,12 +56,12 @@
                     "bounds": {"grace_s": 4, "catch_up_s": soak_nodes.CATCH_UP_S},
                 }
 
-    def configuration(self, body: dict) -> dict:
+    def add_weight_settings(self, body: dict) -> dict:
         """Return a configuration with the origin and the engines' weight settings added."""
-        figures = {"chunks": PIECES, "chunk_bytes": PIECE_BYTES, "step_ms": 1, "stride": 1}
+        engine_settings = {"chunks": PIECES, "chunk_bytes": PIECE_BYTES, "step_ms": 1, "stride": 1}
         for service in body["services"]:
             if "engine" in service:
-                service["engine"] |= figures
+                service["engine"] |= engine_settings
         origin = {"name": "origin", "origin": self.origin.address, "zone": "zone-a"}
         return body | {"services": [*body["services"], origin]}
 
