--- a/bench/demo.py
+++ b/bench/demo.py
@@ -249,7 +249,7 @@
         try:
             demo.run()
         except KeyboardInterrupt:
-            print(f"interrupted in step {demo.step!r}")
+            print(f"interrupted in step: {demo.step}")
             return 130
         except (RuntimeError, TimeoutError, subprocess.TimeoutExpired) as error:
             print(f"demo failed in step {demo.step!r}: {error}")
--- a/bench/soak_limits.py
+++ b/bench/soak_limits.py
@@ -79,7 +79,7 @@
             count = sum(first <= at < first + WINDOW_S for at in times)
             if count > allowed:
                 name = episode.worker.instance
-                return [f"{name}: {count} requests in {WINDOW_S} s, limit {episode.per_s:g} per s"]
+                return [f"{name} limited {episode.per_s:g} per s and got {count} in {WINDOW_S} s"]
         return []
 
     def limit_known_times(self, episode: Episode) -> dict[str, float]:
--- a/bench/upgrade_weights.py
+++ b/bench/upgrade_weights.py
@@ -92,4 +92,6 @@
     pieces = make_pieces(upgrade.named)
     for engine in fleet.engines:
         if [engine.loaded_pieces.get(index) for index in range(PIECES)] != pieces:
-            upgrade.record_violation(f"{engine.instance} loaded wrong pieces of {engine.version}")
+            upgrade.record_violation(
+                f"{engine.instance} loaded version {engine.version} with wrong pieces"
+            )
