--- a/src/merlinthread/nodes/agent_node.py
+++ b/src/merlinthread/nodes/agent_node.py
@@ -14,13 +14,13 @@
 from merlinthread.transport import node_bus
 
 REPORT_INTERVAL_S = 0.2
-# An unchanged report is sent at this interval too, to show that the agent is alive.
+# An unchanged report is repeated at this interval, to show that the agent is alive.
 UNCHANGED_REPORT_INTERVAL_S = 0.4
 SUBSCRIPTION_TTL_S = 3.5
 
 
 class AgentNode:
-    """Agent of the engine at `settings.engine`."""
+    """The agent of the engine at `settings.engine`."""
 
     def __init__(
         self,
@@ -89,7 +89,7 @@
             self.weights.on_notice(message)
         elif isinstance(message, node_messages.LoadQuery) and self.last_report is not None:
             outstanding = self.ledger.outstanding(message.address, self.clock())
-            answer = node_messages.LoadReply(
+            reply = node_messages.LoadReply(
                 message.number,
                 outstanding.attempts,
                 outstanding.unread,
@@ -97,10 +97,10 @@
                 self.last_report.is_busy,
                 self.last_report.pace,
             )
-            self.datagrams.send(message.address, answer)
+            self.datagrams.send(message.address, reply)
 
     def on_attempt_notice(self, notice: node_messages.AttemptNotice) -> None:
-        """Record a state change of an attempt in the load ledger."""
+        """Record the stage that an attempt has reached."""
         if notice.stage is node_messages.AttemptStage.SENT:
             self.ledger.record_start(notice.entry, notice.number, notice.tokens, self.clock())
         elif notice.stage is node_messages.AttemptStage.READ:
@@ -109,7 +109,7 @@
             self.ledger.record_end(notice.entry, notice.number)
 
     def build_load_update(self, report: fleet.EngineReport, entry: str) -> node_messages.LoadUpdate:
-        """Return a load update for `entry`, which leaves out the entry's own attempts."""
+        """Return a load update for `entry`, without the outstanding work of `entry` itself."""
         self.sequence += 1
         outstanding = self.ledger.outstanding(entry, self.clock())
         return node_messages.LoadUpdate(self.settings.engine, self.sequence, report, outstanding)
@@ -120,10 +120,10 @@
             return await self.weights.serve_piece(message)
         if isinstance(message, node_messages.ManifestRequest):
             return self.weights.serve_manifest(message)
-        raise errors.ProtocolError(f"agent does not handle message type {type(message).__name__}")
+        raise errors.ProtocolError(f"an agent does not handle {type(message).__name__}")
 
     async def poll_engine(self) -> None:
-        """Poll the engine's report and send it to the subscribed entries, forever."""
+        """Poll the engine's report and send it to the subscribed entries, until cancelled."""
         while True:
             try:
                 report = await self.engine.report()
@@ -140,7 +140,7 @@
             await asyncio.sleep(REPORT_INTERVAL_S)
 
     def detect_restart(self, report: fleet.EngineReport) -> None:
-        """Reset the state of the engine if its start time has changed."""
+        """Discard the recorded load if the engine's start time shows that it has restarted."""
         previous_ms, self.born_ms = self.born_ms, report.born_ms
         if previous_ms in (0, report.born_ms):
             return
--- a/src/merlinthread/nodes/control_api.py
+++ b/src/merlinthread/nodes/control_api.py
@@ -50,7 +50,7 @@
             response = await self.handle(call)
         except TimeoutError:
             response = error_response(
-                errors.ControlError("no majority answered in time; send it again")
+                errors.ControlError("no majority replied in time; send the request again")
             )
         except errors.MerlinthreadError as error:
             response = error_response(error)
@@ -80,7 +80,7 @@
         return await self.get_configuration()
 
     async def on_heartbeat(self, heartbeat: fleet.Heartbeat) -> http_messages.Response:
-        """Record a heartbeat; one that reports draining is acknowledged once that is committed."""
+        """Record a heartbeat; the draining state is committed before it is acknowledged."""
         self.record_heartbeat(heartbeat)
         if heartbeat.state == fleet.DRAINING:
             await self.commit_departure(heartbeat.instance, fleet.DRAINING)
@@ -108,15 +108,14 @@
         """
         reply = await self.read_configuration()
         if not reply.version:
-            raise errors.ControlError("no configuration was put yet", retry_after_s=0.5)
+            raise errors.ControlError("no configuration has been stored yet", retry_after_s=0.5)
         body = zlib.decompress(reply.body)
         return http_messages.Response(200, [(b"content-type", b"application/json")], body)
 
     async def read_configuration(self) -> node_messages.ConfigurationReply:
         """Read the newest configuration from the leader.
 
-        Raises NotLeaderError if the leader is unknown, and an error of the RPC if it does not
-        reply.
+        Raises NotLeaderError if the leader is unknown, and the errors of `RpcClient.call`.
         """
         if self.member.raft.is_leader():
             return self.read_local_configuration()
--- a/src/merlinthread/nodes/log_member.py
+++ b/src/merlinthread/nodes/log_member.py
@@ -27,9 +27,10 @@
 # The commit index is saved once nothing was saved for this long, so that a burst of changes shares
 # one sync.
 COMMIT_SAVE_DELAY_S = 0.2
-# A follower that is no staler than this is caught up: what it applies was committed just now.
+# A follower with at most this staleness has caught up; the entries that it applies were committed
+# just now.
 CAUGHT_UP_S = 2 * TIMING.heartbeat_s
-# Reported if an age is not known; finite, so that it can be encoded and compared.
+# Reported in place of an unknown age; finite, so that it can be encoded and compared.
 UNKNOWN_AGE_S = 1e6
 # How often a member without a known leader logs a warning.
 NO_LEADER_LOG_INTERVAL_S = 2.0
@@ -161,8 +162,10 @@
             self.members.request_join(now)
             self.wakeup.clear()
             if not self.inbox:
-                due = min(self.raft.next_tick_at(), self.maintenance_at, self.members.next_join_at)
-                await self.wait_for_message(max(0.001, due - self.clock()))
+                wakeup_at = min(
+                    self.raft.next_tick_at(), self.maintenance_at, self.members.next_join_at
+                )
+                await self.wait_for_message(max(0.001, wakeup_at - self.clock()))
 
     async def wait_for_message(self, timeout_s: float) -> None:
         """Wait for a message or another wakeup, for at most `timeout_s`."""
@@ -179,7 +182,7 @@
         self.raft.flush(now)
         self.process_ready(now)
         if self.blocked_at and not self.raft.is_resigned:
-            # Its state is outdated, so it must not lead; it goes on as a voter.
+            # Its state is outdated, so it must not lead; it remains a voter.
             self.raft.resign(now)
         self.update_leadership()
         self.update_current_at()
@@ -321,9 +324,9 @@
     def block(self, index: int, reason: str) -> None:
         """Stop applying entries at `index`, which a newer build wrote and this one can't read.
 
-        Skipping it would make the state diverge from the others', and exiting would only repeat at
-        each start. The member goes on saving and voting, and reports its staleness, until it runs a
-        newer build.
+        Skipping the entry would make the state diverge from that of the other members, and after an
+        exit the next start would fail again. Until it runs a newer build, the member continues to
+        save entries and to vote, and reports its staleness.
         """
         self.blocked_at = index
         metrics.log_blocked.set(1)
@@ -332,7 +335,7 @@
             index=index,
             reason=reason,
             level=int(levels.NEWEST),
-            remedy="run a build here that reads it; this one votes and does not lead meanwhile",
+            remedy="run a newer build on this VM; until then, this member votes but does not lead",
         )
 
     def decode_command(self, data: bytes) -> fleet_state.Command:
@@ -360,7 +363,7 @@
         if reason:
             raise errors.ControlError(reason)
         if now < self.disk_retry_at:
-            raise errors.DiskFullError(f"{self.folder}: no room on the disk; free some space")
+            raise errors.DiskFullError(f"{self.folder}: the disk is full; free some space")
         index = self.raft.propose(command, now)
         future = asyncio.get_running_loop().create_future()
         self.pending[index] = (self.raft.hard_state.term, future)
@@ -412,8 +415,8 @@
             return levels.level_of(type(self.decode_command(command)))
         except (KeyError, msgspec.DecodeError) as error:
             raise errors.ControlError(
-                f"this build, of level {levels.NEWEST}, can't read the command: {error!r}; "
-                "send it to a newer one"
+                f"this build reads up to level {levels.NEWEST} and can't read the command: "
+                f"{error!r}; send it to a VM with a newer build"
             )
 
     def check_leader_reads(self, command: bytes, leader: str) -> None:
--- a/src/merlinthread/nodes/log_sender.py
+++ b/src/merlinthread/nodes/log_sender.py
@@ -9,7 +9,7 @@
 from merlinthread.transport import node_bus
 
 SEND_TIMEOUT_S = 0.6
-QUEUE_MAX = 64
+QUEUED_MESSAGES_MAX = 64
 
 
 class SendQueue:
@@ -36,12 +36,12 @@
         self.queues: dict[str, SendQueue] = {}
 
     def send(self, receiver: str, message: raft_messages.Message) -> None:
-        """Queue a message for a member; the oldest ones above QUEUE_MAX are dropped."""
+        """Queue a message for a member; drop the oldest ones above QUEUED_MESSAGES_MAX."""
         queue = self.queues.setdefault(receiver, SendQueue())
         if queue.task is None or queue.task.done():
             queue.task = asyncio.get_running_loop().create_task(self.run(receiver, queue))
         queue.messages.append(message)
-        del queue.messages[:-QUEUE_MAX]
+        del queue.messages[:-QUEUED_MESSAGES_MAX]
         queue.not_empty.set()
 
     async def run(self, receiver: str, queue: SendQueue) -> None:
--- a/src/merlinthread/nodes/member_changes.py
+++ b/src/merlinthread/nodes/member_changes.py
@@ -21,12 +21,13 @@
 REQUEST_TIMEOUT_S = 0.6
 # How long a request to join or leave stays in effect after it was last received.
 REQUEST_EXPIRY_S = 2.0
-# Fractions of `Bounds.catch_up_s`, the time after which another failure may follow. A surplus voter
-# must be removed within it, including the time of an election; other members may stay longer.
-SURPLUS_SILENCE_FRACTION = 0.35
-SILENCE_FRACTION = 2.0
-# The fraction of `Bounds.grace_s` for the group to remove a member that shuts down: enough for an
-# election and two membership changes.
+# Silence after which a member is removed, as a multiple of `Bounds.catch_up_s`, the minimum time
+# between two failures. The removal of a surplus voter, which may include an election, must be
+# complete before the next failure; other members may stay longer.
+SURPLUS_SILENCE_FACTOR = 0.35
+SILENCE_FACTOR = 2.0
+# The fraction of `Bounds.grace_s` in which the group must remove a member that shuts down; enough
+# for an election and two membership changes.
 RESIGN_FRACTION = 0.375
 RESIGN_POLL_INTERVAL_S = 0.1
 
@@ -66,8 +67,8 @@
         catch_up_s = self.settings.bounds.catch_up_s
         return membership_repair.RepairPolicy(
             self.settings.members_lost_max,
-            SURPLUS_SILENCE_FRACTION * catch_up_s,
-            SILENCE_FRACTION * catch_up_s,
+            SURPLUS_SILENCE_FACTOR * catch_up_s,
+            SILENCE_FACTOR * catch_up_s,
         )
 
     def clear_requests(self) -> None:
@@ -78,7 +79,7 @@
     # Joining
 
     def request_join(self, now: float) -> None:
-        """Request to join, if this member is no voter or has not heard from a leader for long."""
+        """Request to join, if this member is not a voter or has heard from no leader for long."""
         if now < self.next_join_at:
             return
         self.next_join_at = now + JOIN_INTERVAL_S
@@ -162,7 +163,7 @@
         return True
 
     async def has_no_pending_change(self) -> bool:
-        """Return whether no membership change of this leader is uncommitted; True on a follower."""
+        """Return whether this leader's membership changes are all committed; True on a follower."""
         member = self.get_raft()
         return not (member.is_leader() and member.log.has_membership_change_after(member.commit))
 
--- a/src/merlinthread/nodes/node_policy.py
+++ b/src/merlinthread/nodes/node_policy.py
@@ -44,7 +44,7 @@
     try:
         body = msgspec.json.decode(path.read_bytes(), type=PolicyBody)
     except OSError as error:
-        raise errors.SettingsError(f"{path}: {error.strerror}; name a file that can be read")
+        raise errors.SettingsError(f"{path}: {error.strerror}; pass the path of a readable file")
     except msgspec.DecodeError as error:
         known = ", ".join(POLICY_REGISTRIES)
         raise errors.SettingsError(f"{path}: {error}; the fields are {known}")
@@ -52,7 +52,7 @@
         name = getattr(body, field)
         if name not in policies.entries:
             raise errors.SettingsError(
-                f"{path}: {field}: unknown policy {name!r}; known are {', '.join(policies)}",
+                f"{path}: {field}: unknown policy {name!r}; the policies are {', '.join(policies)}",
                 field=field,
             )
     return NodePolicy(**{field: getattr(body, field) for field in POLICY_REGISTRIES})
--- a/src/merlinthread/nodes/node_settings.py
+++ b/src/merlinthread/nodes/node_settings.py
@@ -30,9 +30,9 @@
 class NodeSettings:
     """The settings of one node; addresses have the form "IP:port".
 
-    `regions` maps each zone to its region. `control_port`, `agent_port` and `entry_port` are for
-    RPCs between nodes and the same on all VMs. `control_ips` are the control VMs to contact first.
-    `engine` is the address of the engine next to an agent.
+    `regions` maps each zone to its region. `control_port`, `agent_port` and `entry_port` are the
+    ports for messages between nodes, the same on all VMs. `control_ips` are the control VMs to
+    contact first. `engine` is the address of the engine on an agent's VM.
     """
 
     name: str
--- a/tests/test_repair_policy.py
+++ b/tests/test_repair_policy.py
@@ -14,7 +14,7 @@
 
 def policy(losses_max: int = 1) -> membership_repair.RepairPolicy:
     return membership_repair.RepairPolicy(
-        losses_max, member_changes.SURPLUS_SILENCE_FRACTION * CATCH_UP_S, 2 * CATCH_UP_S
+        losses_max, member_changes.SURPLUS_SILENCE_FACTOR * CATCH_UP_S, 2 * CATCH_UP_S
     )
 
 
