--- a/bench/transfer.py
+++ b/bench/transfer.py
@@ -333,7 +333,7 @@
         wanted = fetch.bit_positions(action.wanted & peer.plan.held)
         told = peer.plan.held
         free_in_s = peer.outgoing.wait_s(self.now) if wanted else 0.0
-        if not wanted or free_in_s > piece_server.UPLOAD_WAIT_S_MAX:
+        if not wanted or free_in_s > piece_server.UPLOAD_WAIT_MAX_S:
             left = peer.link_out.carry(ANSWER_BYTES, self.now)
             self.at(left + delay, lambda: self.nothing(agent, action, told, free_in_s))
             return
--- a/src/merlinthread/nodes/attempt_descriptions.py
+++ b/src/merlinthread/nodes/attempt_descriptions.py
@@ -1,6 +1,7 @@
 """Descriptions of attempts for the request log.
 
-They show the state on which a back end was chosen and what its response said about itself.
+They show the known state of the back end when it was chosen, and the availability signals in its
+response.
 """
 
 from merlinthread.coordination import backend_record, dispatch, fleet
@@ -30,7 +31,7 @@
     availability = backend.availability
     if availability.limit_per_s is None:
         return ""
-    source = permit.source if permit is not None else "nobody"
+    source = permit.source if permit is not None else "none"
     age_ms = round(1000 * (now - availability.limit_heard_at))
     return (
         f", limit {availability.limit_per_s:g} per second received {age_ms} ms ago, "
@@ -39,7 +40,7 @@
 
 
 def describe_signals(head: fleet.ResponseHead) -> str:
-    """Describe what a response says about the back end that sent it."""
+    """Describe the availability signals in a response."""
     parts = []
     if head.is_leaving:
         parts.append("says that it is leaving")
--- a/src/merlinthread/nodes/attempts.py
+++ b/src/merlinthread/nodes/attempts.py
@@ -37,7 +37,7 @@
 
 
 class VersionExpiredError(errors.UnreachableError):
-    """An attempt had no first event before its weights version expired."""
+    """The weights version of an attempt expired before the first event of the response."""
 
 
 class UnavailableError(errors.UnreachableError):
@@ -145,7 +145,7 @@
         if self.permit is None or not self.permit.is_valid(self.backend.instance, now):
             raise UnavailableError("the back end has a rate limit and there is no valid permit")
 
-    def record_break(self, is_silent: bool) -> None:
+    def record_break(self, is_timeout: bool) -> None:
         """Record that the request was sent and got no complete response."""
         broken = crash_detector.BrokenAttempt(
             self.context.fingerprint(),
@@ -156,10 +156,10 @@
             self.reservation.started,
             self.clock(),
         )
-        self.pool.crashes.record_break(broken, is_silent)
+        self.pool.crashes.record_break(broken, is_timeout)
 
     def handle_timeout(self, connection: stream_client.ClientConnection | None) -> None:
-        """Handle a timeout of the connection, if there is one."""
+        """Report a response timeout to the connection pool, if a connection was opened."""
         if connection is not None:
             self.pool.connections.handle_timeout(self.backend.instance, connection)
 
@@ -244,7 +244,7 @@
 
         Leaving and limits have lasting effects, so they are accepted only from a response that
         repeats the request id or is signed, and that was not sent by another instance. A rest is
-        short and is accepted from whatever answers at the address.
+        short, so it is accepted from any process at the address.
         """
         request_id = self.context.call.request_id
         if response_head.unread:
@@ -277,7 +277,7 @@
         return event
 
     async def first_event(self, connection: stream_client.ClientConnection) -> h11.Event:
-        """Return the next event before the first data of a stream; other responses have no timeout.
+        """Return the next event before the first data of a response; only streams have a timeout.
 
         Raises ResponseTimeoutError, or VersionExpiredError if the loaded version expires earlier.
         """
@@ -293,13 +293,13 @@
             raise VersionExpiredError("no response before the loaded weights version expired")
 
     def first_event_timeout_s(self) -> float:
-        """Return the timeout for the first event, in seconds; infinite if it can't be retried."""
+        """Return the timeout for the first event; infinite if the request can't be retried."""
         if not self.context.is_idempotent():
             return math.inf
         return max(FIRST_EVENT_MIN_S, FIRST_EVENT_OBJECTIVE_FACTOR * self.context.route.objective_s)
 
     def event_gap_timeout_s(self) -> float:
-        """Return the timeout between two events, in seconds."""
+        """Return the timeout between two events."""
         if not self.context.is_idempotent() or not self.context.route.gap_s:
             return self.first_event_timeout_s()
         return max(GAP_MIN_S, GAP_FACTOR * self.context.route.gap_s)
@@ -321,10 +321,10 @@
 
     async def read_body(self, connection: stream_client.ClientConnection) -> bytes:
         """Return the complete body."""
-        parts = []
+        chunks = []
         while isinstance(event := await connection.next_event(), h11.Data):
-            parts.append(bytes(event.data))
-        return b"".join(parts)
+            chunks.append(bytes(event.data))
+        return b"".join(chunks)
 
     async def relay_stream(
         self,
--- a/src/merlinthread/nodes/backend_connections.py
+++ b/src/merlinthread/nodes/backend_connections.py
@@ -10,8 +10,8 @@
 # Delay before a second connection attempt: well above the network latency between regions.
 HEDGE_DELAY_S = 0.06
 USER_TIMEOUT_S = 2.0
-NON_IDEMPOTENT_IDLE_S_MAX = 1.0
-IDEMPOTENT_IDLE_S_MAX = 20.0
+NON_IDEMPOTENT_IDLE_MAX_S = 1.0
+IDEMPOTENT_IDLE_MAX_S = 20.0
 
 
 class BackendConnections:
@@ -29,7 +29,7 @@
         A request that is not idempotent uses only a recently active connection, since the server
         may be closing one that has been idle for longer.
         """
-        max_idle_s = IDEMPOTENT_IDLE_S_MAX if is_idempotent else NON_IDEMPOTENT_IDLE_S_MAX
+        max_idle_s = IDEMPOTENT_IDLE_MAX_S if is_idempotent else NON_IDEMPOTENT_IDLE_MAX_S
         idle = self.pool.acquire(backend.instance, self.clock(), max_idle_s)
         if idle is not None:
             return idle
@@ -48,7 +48,7 @@
         self.pool.release(backend.instance, connection, self.clock(), keep_alive_s)
 
     def handle_timeout(self, instance: str, connection: stream_client.ClientConnection) -> None:
-        """Handle a response that did not arrive in time."""
+        """Report a response timeout to the pool."""
         self.pool.handle_timeout(instance, connection)
 
     def close_idle(self, instance: str) -> None:
--- a/src/merlinthread/nodes/backend_pool.py
+++ b/src/merlinthread/nodes/backend_pool.py
@@ -40,9 +40,9 @@
 FREE_RETRIES = 3
 # Margin before an old version expires at which attempts that have not begun are cancelled.
 START_MARGIN_S = 0.2
-# A node that has just started knows all back ends after their next heartbeat, plus a margin.
+# A node that has just started has heard from all back ends after this many heartbeat intervals.
 STARTUP_HEARTBEATS = 1.5
-# Time before an old version expires from which only responsive back ends still get requests for it.
+# From this long before an old version expires, only responsive back ends get requests for it.
 VERSION_SOON_MARGIN_S = 2.5
 
 
@@ -162,9 +162,9 @@
             backend.weights = heartbeat.weights
 
     def record_leaving(self, backend: backend_record.Backend, request_id: str) -> None:
-        """Record that a back end's response says that it is leaving."""
+        """Record that a back end announced in a response that it is leaving."""
         backend.is_draining = True
-        # The record is another one if the back end was removed and added again meanwhile.
+        # The record differs if the back end was removed and added again meanwhile.
         known = self.backends.get(backend.instance)
         if known is not None:
             known.is_draining = True
@@ -194,7 +194,7 @@
             queue.wake(WAKE_COUNT)
 
     def startup_wait_s(self) -> float:
-        """Return the time after its start in which a node learns of all back ends, in seconds."""
+        """Return how long a node needs after its start to learn of all back ends."""
         return STARTUP_HEARTBEATS * self.settings.heartbeat_s
 
     def required_version(self, model: str, now: float) -> int:
@@ -258,7 +258,7 @@
         return choice or dispatch.choose_best(probed, demand, engine, self.clock())
 
     def evaluate(self, backend: backend_record.Backend, demand: dispatch.Demand) -> dispatch.Choice:
-        """Return the choice of one given back end, with its expected wait."""
+        """Return the choice of a given back end, with its expected wait."""
         engine = self.engine_of(demand.service)
         return dispatch.evaluate(backend, demand, engine, self.clock())
 
@@ -275,15 +275,15 @@
         """Probe engines for their load through their agents."""
         agents = list({self.agent_of(backend): None for backend in probed})
         replies = await self.prober.ask(agents, PROBE_TIMEOUT_S)
-        # Engines on one VM share an agent. Its timeout must count against all of them, or the only
-        # one without the penalty would get all requests.
+        # Engines on one VM share an agent. Its timeout must count against all of them; an engine
+        # without the penalty would get all requests.
         for backend in probed:
             backend.apply_probe_reply(replies[self.agent_of(backend)], self.clock())
 
     def ready_in_s(self, service: str) -> float | None:
-        """Return when half of a service's engines are expected to serve, or None if not known.
+        """Return the seconds until half of a service's engines are expected to serve, or None.
 
-        Only subscribed engines count, since the others report no forecast.
+        Only subscribed engines count, since this entry has no forecast of the others.
         """
         return dispatch.half_ready_in_s(self.subscribed.get(service, []), self.clock())
 
--- a/src/merlinthread/nodes/crash_detector.py
+++ b/src/merlinthread/nodes/crash_detector.py
@@ -27,7 +27,7 @@
 UNCONFIRMED_MAX = 1024
 REPLACED_REASON = "another instance is at its address"
 REPORT_TIMEOUT_S = 0.9
-REPORT_RETRY_S = 0.1
+REPORT_RETRY_DELAY_S = 0.1
 
 
 @dataclasses.dataclass(slots=True)
@@ -73,11 +73,11 @@
 
     # Detection
 
-    def record_break(self, attempt: BrokenAttempt, is_silent: bool) -> None:
+    def record_break(self, attempt: BrokenAttempt, is_timeout: bool) -> None:
         """Record an attempt without a complete response, and check whether its back end crashed.
 
         Back ends that were leaving are ignored, since they were expected to stop. After a timeout
-        (`is_silent`) there is no check, to avoid a connection for each late response.
+        (`is_timeout`) there is no check, to avoid a connection for each late response.
         """
         backend = attempt.backend
         if backend.is_draining:
@@ -87,7 +87,7 @@
             return
         if backend.instance in self.watcher.gone:
             return
-        if is_silent:
+        if is_timeout:
             self.keep_unconfirmed([attempt])
             return
         recent = self.broken.setdefault(backend.instance, [])
@@ -205,11 +205,11 @@
             await self.has_pending_reports.wait()
             self.has_pending_reports.clear()
             if not await self.send_reports():
-                await asyncio.sleep(REPORT_RETRY_S)
+                await asyncio.sleep(REPORT_RETRY_DELAY_S)
                 self.has_pending_reports.set()
 
     async def send_reports(self) -> bool:
-        """Send the queued reports to one control VM; return whether none is left to retry."""
+        """Send the queued reports to one control VM; return False if they must be sent again."""
         control = self.watcher.current
         if not control:
             return not self.pending_reports
@@ -231,7 +231,7 @@
 
 
 def log_broken_attempts(attempts: list[BrokenAttempt], has_crashed: bool, reason: str) -> None:
-    """Log broken attempts by instance, with whether its process has crashed and why."""
+    """Log the broken attempts of each instance, and whether its process has crashed."""
     metrics.breaks_total.labels("ended" if has_crashed else "unproven").inc(len(attempts))
     for instance in dict.fromkeys(attempt.backend.instance for attempt in attempts):
         at_instance = [attempt for attempt in attempts if attempt.backend.instance == instance]
--- a/src/merlinthread/nodes/crash_registry.py
+++ b/src/merlinthread/nodes/crash_registry.py
@@ -2,7 +2,7 @@
 
 Crash reports of entries are not persisted: any control VM accepts one and forwards it to the
 others. Holds are committed to the replicated log, so that they survive a power loss of all VMs;
-without that, a request could crash several more processes after each one.
+otherwise a request could crash several more processes after each such loss.
 """
 
 import asyncio
@@ -100,7 +100,7 @@
     def send_undelivered(self) -> None:
         """Send undelivered reports again.
 
-        Otherwise three control VMs might know of one crash each, and none of them of all three.
+        Otherwise each of three control VMs might know of one crash, and none of all three.
         """
         undelivered, self.undelivered = self.undelivered, {}
         now = self.clock()
@@ -115,7 +115,7 @@
     # Replicated log
 
     def on_applied(self) -> None:
-        """Update the ledger and the metric from the holds in the replicated state."""
+        """Update the crash records and the metric from the holds in the replicated state."""
         now = self.clock()
         held = self.member.state.held
         for fingerprint, request in held.items():
--- a/src/merlinthread/nodes/dialect.py
+++ b/src/merlinthread/nodes/dialect.py
@@ -1,7 +1,7 @@
 """The interface between the nodes and the wire formats of a platform.
 
-Nodes use only these calls and the types of `coordination.fleet`. A dialect is stateless and makes
-no decisions. `merlinthread.platform` has an implementation.
+Nodes use only these methods and the types of `coordination.fleet`. A dialect is stateless and
+makes no decisions. `merlinthread.platform.dialect` is an implementation.
 """
 
 import dataclasses
@@ -26,7 +26,7 @@
 
 @dataclasses.dataclass(slots=True)
 class NameVersion:
-    """Announce a new version of a model's weights."""
+    """Publish a new version of a model's weights."""
 
     model: str
     version: int
--- a/src/merlinthread/nodes/engine_client.py
+++ b/src/merlinthread/nodes/engine_client.py
@@ -15,7 +15,7 @@
 MANIFEST_TIMEOUT_S = 2.0
 PIECE_TIMEOUT_S = 3.0
 # Upper bound for Retry-After of the origin, the only source of new weights.
-ORIGIN_RETRY_DELAY_S_MAX = 30.0
+ORIGIN_RETRY_DELAY_MAX_S = 30.0
 
 STATUS_ACCEPTED = 202
 STATUS_GONE = 410
@@ -41,7 +41,7 @@
         return self.dialect.report(require_success(response).body)
 
     async def manifest(self, origin: str, model: str, version: int) -> fleet.Manifest:
-        """Return the manifest of a version, 0 for the newest announced.
+        """Return the manifest of a version; version 0 is the newest published one.
 
         Raises WeightsError if the origin no longer has the version.
         """
@@ -55,9 +55,9 @@
         return self.dialect.manifest(require_success(response).body)
 
     def close_idle_origin_connections(self, origin: str) -> None:
-        """Close idle connections to the origin, which accepts only a few.
+        """Close idle connections to the origin, which limits the number of its connections.
 
-        It counts connections of VMs that have failed, too.
+        Connections of VMs that have failed count as well.
         """
         self.pool.close_idle(origin)
 
@@ -113,4 +113,4 @@
 
 def origin_retry_delay_s(error: errors.MerlinthreadError) -> float:
     """Return the retry delay that the origin asked for, from the error of a call to it."""
-    return min(ORIGIN_RETRY_DELAY_S_MAX, error.retry_after_s or 0.0)
+    return min(ORIGIN_RETRY_DELAY_MAX_S, error.retry_after_s or 0.0)
--- a/src/merlinthread/nodes/fleet_watcher.py
+++ b/src/merlinthread/nodes/fleet_watcher.py
@@ -1,9 +1,8 @@
 """A local copy of the fleet state for entries and agents: configuration, back ends and versions.
 
-A watcher keeps a long poll open at one control VM, and moves to another one if it does not answer
-or has lost contact with the majority. Updates are monotonic: versions only increase, and an
-instance that has left never returns. While no control VM answers, the last known state remains in
-use.
+A watcher polls one control VM (long polling), and switches to another one if it does not reply or
+has lost contact with a majority. Updates are monotonic: versions only increase, and an instance
+that is gone never returns. While no control VM replies, the last known state remains in use.
 """
 
 import asyncio
@@ -28,7 +27,7 @@
 
 WATCH_WAIT_S = 0.6
 WATCH_TIMEOUT_S = 1.1
-# Shorter wait while the control VM is cut off from the majority, to notice its recovery.
+# Shorter wait while the control VM has no contact with a majority, to notice its recovery sooner.
 STALE_WAIT_S = 0.2
 SEARCH_TIMEOUT_S = 0.4
 RETRY_DELAY_S = 0.1
@@ -92,7 +91,7 @@
         self.is_fresh = False
 
     async def run(self) -> None:
-        """Watch until cancelled."""
+        """Watch the fleet state until cancelled."""
         while True:
             if not self.current or (not self.is_fresh and self.clock() >= self.next_search_at):
                 await self.select_control_vm()
@@ -102,7 +101,7 @@
             await self.poll()
 
     async def select_control_vm(self) -> None:
-        """Select a control VM in contact with a majority, or any that answers if there is none."""
+        """Select a control VM in contact with a majority, or any that replies if there is none."""
         found = await self.find_control_vm()
         self.next_search_at = self.clock() + SEARCH_INTERVAL_S
         if self.is_fresh:
@@ -112,9 +111,9 @@
         self.current = self.current or found
 
     async def find_control_vm(self) -> str:
-        """Return the first control VM that answers and is in contact with a majority.
+        """Return the first control VM that replies and is in contact with a majority.
 
-        If there is none, return any that answers, or an empty string. All are queried at once, so
+        If there is none, return any that replies, or an empty string. All are queried at once, so
         that the nearest one is preferred.
         """
         addresses_by_task = {
@@ -147,7 +146,7 @@
     async def ask(
         self, address: str, wait_s: float, timeout_s: float
     ) -> node_messages.WatchReply | None:
-        """Query a control VM for changes; return None if it does not answer."""
+        """Query a control VM for changes; return None if it does not reply."""
         position = self.positions.get(address, FeedPosition())
         suspicions = position.suspicions if self.suspect_ledger is not None else -1
         limits = position.limits if self.signals is not None else -1
@@ -171,11 +170,11 @@
         wait_s = WATCH_WAIT_S if self.is_fresh else STALE_WAIT_S
         reply = await self.ask(self.current, wait_s, WATCH_TIMEOUT_S)
         if reply is None:
-            self.disconnect("no answer")
+            self.disconnect("no reply")
             return
         self.apply(reply, self.current)
         if reply.leader_age_s > STALE_AFTER_S:
-            self.mark_stale("cut off from the majority")
+            self.mark_stale("no contact with a majority")
             await asyncio.sleep(RETRY_DELAY_S)
 
     def is_current(self) -> bool:
@@ -188,8 +187,8 @@
     def mark_stale(self, reason: str) -> None:
         """Record that the current control VM may lack changes that a majority has.
 
-        It stays in use until a better one is found. Right after a restart of all control VMs none
-        is better, and repeated requests for the full state would delay the election of a leader.
+        It stays in use until one in contact with a majority is found. After a restart of all
+        control VMs there is none, and requests for the full state would delay the election.
         """
         if self.is_fresh:
             logs.event("control_lost", control=self.current, reason=reason)
@@ -240,8 +239,8 @@
         metrics.configuration_version.set(self.version)
         metrics.control_age_seconds.set(self.clock() - self.confirmed_at)
         for state in (fleet.READY, fleet.DRAINING):
-            number = sum(1 for known in self.instances.values() if known.state == state)
-            metrics.backends.labels(state).set(number)
+            count = sum(1 for known in self.instances.values() if known.state == state)
+            metrics.backends.labels(state).set(count)
 
     def apply_configuration(self, reply: node_messages.WatchReply) -> None:
         """Apply the configuration if it is newer; keep the old one if it is invalid."""
@@ -259,7 +258,7 @@
         )
 
     def apply_versions(self, reply: node_messages.WatchReply, now: float) -> None:
-        """Apply announced weights versions, with the earliest time of their acknowledgement.
+        """Apply published weights versions, with the earliest possible time of their publication.
 
         A control VM that was disconnected may report too high an age, which is corrected by a lower
         one from another control VM.
@@ -275,9 +274,9 @@
             logs.event("weights_named", model=named.model, version=named.version, age_s=named.age_s)
 
     def version_due(self, model: str, now: float, bound_s: float) -> int:
-        """Return the newest version of a model announced at least `bound_s` seconds ago, or 0.
+        """Return the newest version of a model published at least `bound_s` seconds ago, or 0.
 
-        A newer announcement does not postpone the time at which an earlier version is required.
+        A later publication does not postpone the time at which an earlier version is required.
         """
         named_at = self.named_at.get(model, {})
         return max((version for version, at in named_at.items() if now - at >= bound_s), default=0)
@@ -285,7 +284,7 @@
     def usable_until(self, model: str, version: int, bound_s: float) -> float:
         """Return until when a request may begin on a version of a model's weights.
 
-        This is `bound_s` seconds after the first newer version was announced.
+        This is `bound_s` seconds after the first newer version was published.
         """
         named_at = self.named_at.get(model, {})
         newer = [at for named, at in named_at.items() if named > version]
@@ -304,8 +303,8 @@
             for instance in absent:
                 self.missing.setdefault(instance, now)
             if absent:
-                # A control VM that has just started may not know them yet. Others would not send
-                # them again without a reset of their positions.
+                # A control VM that has just started may not know them yet. The others send them
+                # again only if their positions are reset.
                 self.positions = {address: self.positions[address]}
         self.remove_missing(now)
 
--- a/src/merlinthread/nodes/limit_registry.py
+++ b/src/merlinthread/nodes/limit_registry.py
@@ -19,7 +19,6 @@
         self.clock = clock
         self.notify = notify
         self.table = limit_table.LimitTable()
-        # The back ends whose limits must be forwarded to the other control VMs.
         self.outgoing: set[str] = set()
 
     def merge_from_entry(self, reports: list[limit_table.LimitReport]) -> None:
--- a/src/merlinthread/nodes/limit_reporter.py
+++ b/src/merlinthread/nodes/limit_reporter.py
@@ -8,7 +8,7 @@
 from merlinthread.protocol import node_messages
 from merlinthread.transport import node_bus
 
-TIMEOUT_S = 0.9
+REPORT_TIMEOUT_S = 0.9
 
 
 class LimitReporter:
@@ -37,6 +37,6 @@
         """
         report = node_messages.CrashReport(self.name, [], limits=[limit])
         try:
-            await self.caller.call(self.watcher.current, report, TIMEOUT_S)
+            await self.caller.call(self.watcher.current, report, REPORT_TIMEOUT_S)
         except errors.MerlinthreadError as error:
             logs.debug("limit_not_told", instance=limit.instance, reason=error.message)
--- a/src/merlinthread/nodes/load_prober.py
+++ b/src/merlinthread/nodes/load_prober.py
@@ -1,7 +1,7 @@
 """Load queries and attempt notices from an entry to agents.
 
-Both are single datagrams that may be lost. An agent that does not answer in time is judged by its
-last load report, and its ledger expires attempts whose end it did not receive.
+Both are single datagrams, which may be lost. If an agent does not reply in time, its last load
+report is used. An agent expires attempts whose end it was not notified of.
 """
 
 import asyncio
@@ -27,7 +27,7 @@
     async def ask(
         self, agents: Sequence[str], wait_s: float
     ) -> dict[str, load_tracker.EngineLoad | None]:
-        """Query agents for their engines' loads; the load is None without a reply in `wait_s`."""
+        """Return the loads of the agents' engines; None for those without a reply in `wait_s`."""
         loop = asyncio.get_running_loop()
         numbers = {agent: next(self.query_numbers) for agent in agents}
         futures = {agent: loop.create_future() for agent in agents}
--- a/src/merlinthread/nodes/manifest_finder.py
+++ b/src/merlinthread/nodes/manifest_finder.py
@@ -4,8 +4,8 @@
 agents of an availability zone are put in rendezvous order: the first reads from the origin, the
 others poll their predecessors and turn to the origin one by one if those don't have the manifest.
 
-While the origin is unavailable, agents query random peers, and on average one agent per zone and
-round retries the origin. The manifest then spreads by gossip (Demers et al. 1987).
+While the origin is unavailable, agents query random peers. In each round, one agent per zone on
+average retries the origin; the manifest then spreads by gossip (Demers et al. 1987).
 """
 
 import asyncio
@@ -61,7 +61,7 @@
         peers: Sequence[fetch.Peer],
         is_wanted: Callable[[], bool] = lambda: True,
     ) -> fleet.Manifest:
-        """Return a version's manifest; version 0 is the newest one.
+        """Return a version's manifest; version 0 is the newest published one.
 
         Raises the last error of the origin if no manifest is found within FIND_TIMEOUT_S or once
         `is_wanted` returns false.
--- a/src/merlinthread/nodes/permits.py
+++ b/src/merlinthread/nodes/permits.py
@@ -1,6 +1,6 @@
 """Permits for requests to back ends with a rate limit that all VMs share.
 
-The leader of the control VMs grants them. While it does not answer, entries use time slots instead
+The leader of the control VMs grants them. While it does not reply, entries use time slots instead
 (`coordination.permit_slots`).
 """
 
@@ -20,13 +20,13 @@
 ANSWER_TIMEOUT_S = 0.06
 RETRANSMIT_AFTER_S = 0.02
 # Time between searches for the leader; requests use time slots meanwhile.
-SEARCH_BACKOFF_S = 0.25
+SEARCH_INTERVAL_S = 0.25
 # Bounds the size of a query, which must fit into one datagram.
 LIMITS_PER_QUERY_MAX = 8
 # Leaves time to connect to the back end.
 PERMIT_VALIDITY_S = 0.5
 
-FIRST_NUMBER_MAX = 2**30
+FIRST_QUERY_NUMBER_MAX = 2**30
 
 Send = Callable[[str, Any], None]
 
@@ -72,12 +72,12 @@
         self.clock = clock
         self.rng = rng
         # Random, so that replies to an earlier process of this entry are not accepted.
-        self.numbers = itertools.count(rng.randrange(FIRST_NUMBER_MAX))
+        self.query_numbers = itertools.count(rng.randrange(FIRST_QUERY_NUMBER_MAX))
         self.waiting: dict[int, asyncio.Future[node_messages.PermitReply]] = {}
-        # The control VM that grants permits, empty if none answers.
+        # The control VM that grants permits, empty if none replies.
         self.leader = ""
         # When a query of the leader last failed, and when the next search may start.
-        self.unanswered_at = float("-inf")
+        self.query_failed_at = float("-inf")
         self.search_not_before = float("-inf")
         # Set when the current search ends; None if there is none.
         self.search_done: asyncio.Event | None = None
@@ -118,8 +118,8 @@
     ) -> rate_limits.Decision:
         """Decide by this entry's time slots.
 
-        Permits are recorded as unavailable only until the next search: a leader may then grant one
-        before the next slot.
+        A permit is recorded as unavailable only until the next search: a leader may then grant one
+        before this entry's next slot.
         """
         decision = self.slots.decide(request, now)
         search_in_s = max(0.0, self.search_not_before - now)
@@ -127,7 +127,7 @@
         return decision
 
     async def query_leader(self, request: rate_limits.PermitRequest) -> rate_limits.Decision | None:
-        """Return the leader's decision, or None if no leader answers."""
+        """Return the leader's decision, or None if no leader replies."""
         while not self.leader:
             if self.clock() < self.search_not_before:
                 return None
@@ -144,12 +144,12 @@
     async def find_leader(self, request: rate_limits.PermitRequest) -> rate_limits.Decision | None:
         """Search for the leader; return its decision, or None if none is found.
 
-        If the leader was lost recently, other requests use time slots during the search. If not,
-        there may be a new leader that already grants permits. Slots in addition to those would
-        exceed the limit, so other requests wait for the search.
+        If the leader was lost recently, other requests use time slots during the search. Otherwise
+        a new leader may already grant permits, and slots in addition to these would exceed the
+        limit, so other requests wait for the search.
         """
         self.search_not_before = min(
-            self.clock() + SEARCH_BACKOFF_S, self.unanswered_at + rate_limits.LEADER_DISCOVERY_S
+            self.clock() + SEARCH_INTERVAL_S, self.query_failed_at + rate_limits.LEADER_DISCOVERY_S
         )
         self.search_done = asyncio.Event()
         try:
@@ -185,7 +185,7 @@
         return [address for address in known if address]
 
     def set_leader(self, address: str, reply: node_messages.PermitReply) -> None:
-        """Record the leader, and the time slots to use if it stops answering."""
+        """Record the leader, and the time slots to use if it stops replying."""
         if self.leader != address:
             logs.event("permits_from", control=address, before=self.leader, entries=reply.entries)
         self.leader = address
@@ -193,13 +193,13 @@
         self.slots.update(max(1, reply.entries), reply.rank, ahead_s)
 
     def mark_leader_lost(self) -> None:
-        """Record that no leader answers, and delay the next search."""
+        """Record that no leader replies, and delay the next search."""
         if self.leader:
             logs.event("permits_by_turns", lost=self.leader, entries=self.slots.entries)
             self.slots.begin(self.clock())
         self.leader = ""
-        self.unanswered_at = self.clock()
-        self.search_not_before = self.unanswered_at + SEARCH_BACKOFF_S
+        self.query_failed_at = self.clock()
+        self.search_not_before = self.query_failed_at + SEARCH_INTERVAL_S
 
     async def query_any(
         self, addresses: list[str], request: rate_limits.PermitRequest
@@ -230,7 +230,7 @@
         self, address: str, request: rate_limits.PermitRequest
     ) -> node_messages.PermitReply | None:
         """Query a control VM, with one retransmission; return its reply, or None on a timeout."""
-        number = next(self.numbers)
+        number = next(self.query_numbers)
         future = asyncio.get_running_loop().create_future()
         self.waiting[number] = future
         query = node_messages.LoadQuery(self.address, number, request)
--- a/src/merlinthread/nodes/piece_fetcher.py
+++ b/src/merlinthread/nodes/piece_fetcher.py
@@ -32,7 +32,7 @@
 PEER_TIMEOUT_S = 1.0
 POLL_INTERVAL_S = 0.02
 PROGRESS_LOG_INTERVAL_S = 1.0
-# The recent rate is used to estimate whether a download will be late, after a warm-up.
+# Warm-up and window of the rate from which the end of a download is estimated.
 RATE_WARMUP_S = 2.0
 RATE_WINDOW_S = 1.0
 
@@ -113,7 +113,7 @@
     def start_transfers(
         self, plan: fetch_policies.Zoned, manifest: fleet.Manifest, running: set[asyncio.Task]
     ) -> None:
-        """Start transfers that the plan schedules, as far as window and pacer allow."""
+        """Start the transfers that the plan schedules and that the window and pacer allow."""
         loop = asyncio.get_running_loop()
         while self.window.has_room(len(running)) and not self.download_pacer.wait_s(self.clock()):
             if self.store.is_full():
--- a/src/merlinthread/nodes/piece_server.py
+++ b/src/merlinthread/nodes/piece_server.py
@@ -13,7 +13,7 @@
 # The same while the engine serves no requests.
 IDLE_UPLOAD_SHARE = 0.95
 # A request that would wait longer is refused as busy, so that the peer can try another agent.
-UPLOAD_WAIT_S_MAX = 0.15
+UPLOAD_WAIT_MAX_S = 0.15
 # A slower transfer indicates that one of the two links is slower than configured (compare
 # `piece_fetcher.TRANSFER_TARGET_S`).
 UPLOAD_TARGET_S = 0.4
@@ -67,7 +67,7 @@
             return node_messages.PieceReply(-1, b"", held)
         now = self.clock()
         free_in_s = self.upload_pacer.wait_s(now)
-        if free_in_s > UPLOAD_WAIT_S_MAX:
+        if free_in_s > UPLOAD_WAIT_MAX_S:
             return node_messages.PieceReply(-1, b"", held, True, round(free_in_s, 3))
         index = self.rng.choice(wanted)
         data = await self.store.get(manifest, index)
--- a/src/merlinthread/nodes/request_task.py
+++ b/src/merlinthread/nodes/request_task.py
@@ -26,8 +26,8 @@
 # Share of the objective within which the first byte must be expected. The time to read the
 # request's own prompt is not counted, so that long prompts are not refused more often.
 ADMISSION_SHARE = 0.7
-# The same for a client that has probably been refused before: less than RETRY_TIME_SHARE of its
-# time is left.
+# The same for a client that has probably been refused before, because less than RETRY_TIME_SHARE of
+# the route's timeout remains until its deadline.
 RETRY_ADMISSION_SHARE = 0.85
 RETRY_TIME_SHARE = 0.8
 CONNECT_FAILURES_MAX = 4
@@ -81,10 +81,10 @@
         route, account = route_finder.find_route(self.table, self.call, is_current, retry_delay_s)
         self.service = route_table.choose_service(route, self.pool.rng)
         self.relay.last_event_id = self.call.last_event_id
-        limit = route.timeout_s
+        timeout_s = route.timeout_s
         if self.call.deadline_s is not None:
-            limit = min(limit, self.call.deadline_s - DEADLINE_MARGIN_S)
-        deadline = self.arrived + max(0.0, limit)
+            timeout_s = min(timeout_s, self.call.deadline_s - DEADLINE_MARGIN_S)
+        deadline = self.arrived + max(0.0, timeout_s)
         body = self.exchange.request.body
         self.context = request_context.RequestContext(self.call, route, account, deadline, body)
         self.check_hold()
@@ -107,7 +107,7 @@
     # Attempts
 
     async def serve(self) -> None:
-        """Make attempts until there is a final response."""
+        """Make attempts until one of them, or an error, gives the final response."""
         failures = 0
         while True:
             choice = await self.acquire_backend()
@@ -240,8 +240,8 @@
     async def choose(self, remaining_s: float) -> dispatch.Choice | None:
         """Return the best back end, or None if there is none.
 
-        Clear the tried back ends if only those are left and the request may run more than once.
-        Raises RequestError after the deadline.
+        If all of them have been tried and the request may run more than once, they may be tried
+        again. Raises RequestError after the deadline.
         """
         assert self.context is not None
         choice = await self.pool.choose(self.demand(), remaining_s)
@@ -305,7 +305,7 @@
     def is_admissible(self, choice: dispatch.Choice, remaining_s: float) -> bool:
         """Return whether the first byte is expected in time, or the engine has room.
 
-        If it has room, the time was lost elsewhere, and a refusal would only delay the request.
+        If it has room, the engine is not the cause of the delay, and a refusal would add to it.
         """
         return choice.wait_s <= remaining_s or choice.backend.has_room(self.clock())
 
@@ -348,7 +348,8 @@
     def retry_after_s(self, is_unavailable: bool) -> float:
         """Return the retry delay for a refusal, in seconds.
 
-        `is_unavailable` is set if no back end could take the request at all."""
+        `is_unavailable` is set if no back end could take the request at all.
+        """
         assert self.context is not None
         remaining_s = self.context.deadline - self.clock()
         ready_in_s = self.pool.ready_in_s(self.service) if is_unavailable else None
@@ -373,21 +374,21 @@
 
     async def send_error(self, error: errors.MerlinthreadError) -> None:
         """Send an error response, or abort the response if it has already started."""
-        entry = error_responses.RESPONSES[error.kind]
+        template = error_responses.RESPONSES[error.kind]
         if self.exchange.is_started:
             self.log_outcome("broken_off", 0)
             self.exchange.abort()
             return
         headers = self.dialect.error_headers(self.call)
         retry_delay_s = (
-            error.retry_after_s if error.retry_after_s is not None else entry.retry_after_s
+            error.retry_after_s if error.retry_after_s is not None else template.retry_after_s
         )
         if retry_delay_s is not None:
             headers.append((b"retry-after", b"%g" % retry_delay_s))
         self.reasons.append(error.message)
         metrics.refusals_total.labels(str(error.kind)).inc()
-        self.log_outcome(str(error.kind), entry.status)
-        await self.exchange.respond(http_messages.Response(entry.status, headers))
+        self.log_outcome(str(error.kind), template.status)
+        await self.exchange.respond(http_messages.Response(template.status, headers))
 
     def on_response(self, status: int) -> None:
         """Log that a complete response of a back end is sent to the client."""
--- a/src/merlinthread/nodes/route_finder.py
+++ b/src/merlinthread/nodes/route_finder.py
@@ -22,7 +22,7 @@
     """
     if table is None:
         raise errors.RequestError(
-            "no configuration is known here yet",
+            "no configuration has been received yet",
             kind=errors.ErrorKind.NO_TARGET,
             retry_after_s=startup_wait_s,
         )
--- a/src/merlinthread/nodes/signal_recorder.py
+++ b/src/merlinthread/nodes/signal_recorder.py
@@ -36,8 +36,8 @@
     def record_leaving(self, instance: str, request_id: str) -> None:
         """Record that a back end is leaving; this entry sends it no further requests.
 
-        The signal is not forwarded. Each entry gets it with its own first response, and a wrong
-        one would otherwise stop all traffic to the back end until its process restarts.
+        The signal is not forwarded to other entries, which get it with their own first response.
+        If it is wrong, it does not stop all traffic to the back end until its process restarts.
         """
         availability = self.signals.availability_of(instance)
         if availability.record_leaving(backend_availability.LeavingSource.ANSWER, self.clock()):
--- a/src/merlinthread/nodes/weights_task.py
+++ b/src/merlinthread/nodes/weights_task.py
@@ -97,7 +97,7 @@
     # Update loop
 
     async def run(self) -> None:
-        """Keep the engine on the newest published version, forever."""
+        """Keep the engine on the newest published version, until cancelled."""
         while True:
             try:
                 await self.run_once()
@@ -166,7 +166,7 @@
         return plan
 
     def on_engine_report(self, report: fleet.EngineReport | None) -> None:
-        """Record the engine's report, or None if the engine did not respond."""
+        """Record the engine's report; it is None if the engine did not respond."""
         self.report = report
         if report is not None and not self.store.is_engine_seen:
             self.store.is_engine_seen = True
