--- a/src/merlinthread/nodes/request_task.py
+++ b/src/merlinthread/nodes/request_task.py
@@ -374,21 +374,21 @@
 
     async def send_error(self, error: errors.MerlinthreadError) -> None:
         """Send an error response, or abort the response if it has already started."""
-        template = error_responses.RESPONSES[error.kind]
+        error_response = error_responses.RESPONSES[error.kind]
         if self.exchange.is_started:
             self.log_outcome("broken_off", 0)
             self.exchange.abort()
             return
         headers = self.dialect.error_headers(self.call)
         retry_delay_s = (
-            error.retry_after_s if error.retry_after_s is not None else template.retry_after_s
+            error.retry_after_s if error.retry_after_s is not None else error_response.retry_after_s
         )
         if retry_delay_s is not None:
             headers.append((b"retry-after", b"%g" % retry_delay_s))
         self.reasons.append(error.message)
         metrics.refusals_total.labels(str(error.kind)).inc()
-        self.log_outcome(str(error.kind), template.status)
-        await self.exchange.respond(http_messages.Response(template.status, headers))
+        self.log_outcome(str(error.kind), error_response.status)
+        await self.exchange.respond(http_messages.Response(error_response.status, headers))
 
     def on_response(self, status: int) -> None:
         """Log that a complete response of a back end is sent to the client."""
