--- a/src/merlinthread/nodes/crash_detector.py
+++ b/src/merlinthread/nodes/crash_detector.py
@@ -55,13 +55,13 @@
         name: str,
         watcher: fleet_watcher.FleetWatcher,
         ledger: crash_tracker.CrashTracker,
-        caller: node_bus.RpcClient,
+        rpc_client: node_bus.RpcClient,
         clock: Callable[[], float],
     ) -> None:
         self.name = name
         self.watcher = watcher
         self.ledger = ledger
-        self.caller = caller
+        self.rpc_client = rpc_client
         self.clock = clock
         self.broken: dict[str, list[BrokenAttempt]] = {}
         self.unconfirmed: list[BrokenAttempt] = []
@@ -222,7 +222,7 @@
             return True
         report = node_messages.CrashReport(self.name, reports)
         try:
-            await self.caller.call(control, report, REPORT_TIMEOUT_S)
+            await self.rpc_client.call(control, report, REPORT_TIMEOUT_S)
         except errors.MerlinthreadError as error:
             logs.debug("crash_report_lost", control=control, reason=error.message)
             self.pending_reports = sent | self.pending_reports
--- a/src/merlinthread/nodes/entry_node.py
+++ b/src/merlinthread/nodes/entry_node.py
@@ -43,14 +43,14 @@
         self.settings = settings
         self.dialect = dialect
         self.clock = clock
-        self.caller = node_bus.RpcClient(codec)
+        self.rpc_client = node_bus.RpcClient(codec)
         suspect_ledger = crash_tracker.CrashTracker()
         signals = backend_availability.AvailabilityTable()
         self.watcher = fleet_watcher.FleetWatcher(
-            settings, dialect, self.caller, clock, self.on_update, suspect_ledger, signals
+            settings, dialect, self.rpc_client, clock, self.on_update, suspect_ledger, signals
         )
         self.crashes = crash_detector.CrashDetector(
-            settings.name, self.watcher, suspect_ledger, self.caller, clock
+            settings.name, self.watcher, suspect_ledger, self.rpc_client, clock
         )
         self.address = f"{settings.ip}:{settings.entry_port}"
         self.datagrams = node_bus.DatagramEndpoint(codec, self.on_datagram)
@@ -58,7 +58,7 @@
         self.permits = permits.PermitClient(
             self.address, self.watcher, self.datagrams.send, clock, rng
         )
-        self.reporter = limit_reporter.LimitReporter(settings.name, self.watcher, self.caller)
+        self.reporter = limit_reporter.LimitReporter(settings.name, self.watcher, self.rpc_client)
         self.pool = backend_pool.BackendPool(
             settings,
             self.watcher,
--- a/src/merlinthread/nodes/fleet_watcher.py
+++ b/src/merlinthread/nodes/fleet_watcher.py
@@ -60,7 +60,7 @@
         self,
         settings: node_settings.NodeSettings,
         dialect: dialects.Dialect,
-        caller: node_bus.RpcClient,
+        rpc_client: node_bus.RpcClient,
         clock: Callable[[], float],
         on_update: Callable[[], None],
         suspect_ledger: crash_tracker.CrashTracker | None = None,
@@ -68,7 +68,7 @@
     ) -> None:
         self.settings = settings
         self.dialect = dialect
-        self.caller = caller
+        self.rpc_client = rpc_client
         self.clock = clock
         self.on_update = on_update
         self.suspect_ledger = suspect_ledger
@@ -160,7 +160,7 @@
             limits,
         )
         try:
-            return await self.caller.call(address, watch, timeout_s)
+            return await self.rpc_client.call(address, watch, timeout_s)
         except errors.MerlinthreadError as error:
             logs.debug("control_silent", control=address, reason=error.message)
             return None
--- a/src/merlinthread/nodes/limit_reporter.py
+++ b/src/merlinthread/nodes/limit_reporter.py
@@ -15,11 +15,11 @@
     """Reports changed limits on behalf of the entry called `name`."""
 
     def __init__(
-        self, name: str, watcher: fleet_watcher.FleetWatcher, caller: node_bus.RpcClient
+        self, name: str, watcher: fleet_watcher.FleetWatcher, rpc_client: node_bus.RpcClient
     ) -> None:
         self.name = name
         self.watcher = watcher
-        self.caller = caller
+        self.rpc_client = rpc_client
         self.tasks: set[asyncio.Task[None]] = set()
 
     def report(self, limit: limit_table.LimitReport) -> None:
@@ -37,6 +37,6 @@
         """
         report = node_messages.CrashReport(self.name, [], limits=[limit])
         try:
-            await self.caller.call(self.watcher.current, report, REPORT_TIMEOUT_S)
+            await self.rpc_client.call(self.watcher.current, report, REPORT_TIMEOUT_S)
         except errors.MerlinthreadError as error:
             logs.debug("limit_not_told", instance=limit.instance, reason=error.message)
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -259,7 +259,7 @@
     async def scenario():
         entry = fleet_nodes.Entry()
         crashes, watcher = entry.node.crashes, entry.node.watcher
-        crashes.caller, watcher.current = Caller(), "control"
+        crashes.rpc_client, watcher.current = Caller(), "control"
         task = asyncio.get_running_loop().create_task(crashes.run())
 
         def see(instance):
@@ -268,11 +268,11 @@
             crashes.queue_report("f")
 
         see("i-1")
-        await fleet_nodes.until(lambda: crashes.caller.reports)
+        await fleet_nodes.until(lambda: crashes.rpc_client.reports)
         see("i-2")
-        crashes.caller.may_answer.set()
-        await fleet_nodes.until(lambda: len(crashes.caller.reports) == 2, 2.0)
-        (told,) = crashes.caller.reports[1].suspicions
+        crashes.rpc_client.may_answer.set()
+        await fleet_nodes.until(lambda: len(crashes.rpc_client.reports) == 2, 2.0)
+        (told,) = crashes.rpc_client.reports[1].suspicions
         assert [end.instance for end in told.ends] == ["i-1", "i-2"]
         task.cancel()
 
--- a/tests/test_return_of_all.py
+++ b/tests/test_return_of_all.py
@@ -36,10 +36,10 @@
         )
 
 
-def make_watcher(number: int, caller: FakeCaller) -> fleet_watcher.FleetWatcher:
+def make_watcher(number: int, rpc_client: FakeCaller) -> fleet_watcher.FleetWatcher:
     settings = fleet_nodes.make_settings(f"entry-{number}", control_port=1, control_ips=CONTROLS)
     watcher = fleet_nodes.make_watcher(settings)
-    watcher.caller = caller
+    watcher.rpc_client = rpc_client
     return watcher
 
 
@@ -50,8 +50,8 @@
 def test_the_first_that_answers_is_turned_to_so_that_it_is_a_near_one():
     async def scenario():
         near = addresses()[3]
-        caller = FakeCaller(addresses(), 0.0, near)
-        watcher = make_watcher(1, caller)
+        rpc_client = FakeCaller(addresses(), 0.0, near)
+        watcher = make_watcher(1, rpc_client)
         assert await watcher.find_control_vm() == near
 
     asyncio.run(scenario())
@@ -59,12 +59,12 @@
 
 def test_while_there_is_no_leader_each_control_vm_tells_all_only_once():
     async def scenario():
-        caller = FakeCaller(addresses(), 1e6)
-        watcher = make_watcher(1, caller)
+        rpc_client = FakeCaller(addresses(), 1e6)
+        watcher = make_watcher(1, rpc_client)
         task = asyncio.get_running_loop().create_task(watcher.run())
-        await fleet_nodes.until(lambda: len(caller.asked) >= 14)
+        await fleet_nodes.until(lambda: len(rpc_client.asked) >= 14)
         task.cancel()
-        told_all = collections.Counter(a for a, watch in caller.asked if not watch.feed)
+        told_all = collections.Counter(a for a, watch in rpc_client.asked if not watch.feed)
         assert max(told_all.values()) == 1
         assert not watcher.is_fresh
 
@@ -73,11 +73,11 @@
 
 def test_a_control_vm_that_hears_a_leader_again_is_found_within_two_searches():
     async def scenario():
-        caller = FakeCaller(addresses(), 1e6)
-        watcher = make_watcher(1, caller)
+        rpc_client = FakeCaller(addresses(), 1e6)
+        watcher = make_watcher(1, rpc_client)
         task = asyncio.get_running_loop().create_task(watcher.run())
         await fleet_nodes.until(lambda: watcher.current)
-        caller.leader_age_s = 0.0
+        rpc_client.leader_age_s = 0.0
         async with asyncio.timeout(2 * fleet_watcher.SEARCH_INTERVAL_S):
             await fleet_nodes.until(lambda: watcher.is_fresh)
         task.cancel()
@@ -87,12 +87,12 @@
 
 def test_who_is_left_for_its_silence_tells_all_when_it_is_turned_to_again():
     async def scenario():
-        caller = FakeCaller(addresses(), 0.0)
-        watcher = make_watcher(1, caller)
+        rpc_client = FakeCaller(addresses(), 0.0)
+        watcher = make_watcher(1, rpc_client)
         watcher.current = await watcher.find_control_vm()
         watcher.disconnect("no answer")
-        caller.asked.clear()
+        rpc_client.asked.clear()
         await watcher.find_control_vm()
-        assert {watch.feed for _, watch in caller.asked} == {""}
+        assert {watch.feed for _, watch in rpc_client.asked} == {""}
 
     asyncio.run(scenario())
