--- a/src/merlinthread/nodes/control_node.py
+++ b/src/merlinthread/nodes/control_node.py
@@ -106,7 +106,7 @@
             if not self.server.count_active_requests():
                 break
             await asyncio.sleep(0.05)
-        await self.member.members.resign()
+        await self.member.member_changes.resign()
         self.member.close()
 
     # Replicated log
@@ -214,9 +214,9 @@
         if isinstance(message, node_messages.ConfigurationRequest):
             return self.api.read_local_configuration()
         if isinstance(message, node_messages.JoinRequest):
-            return await self.member.members.on_join(message)
+            return await self.member.member_changes.on_join(message)
         if isinstance(message, node_messages.LeaveRequest):
-            return await self.member.members.on_leave(message)
+            return await self.member.member_changes.on_leave(message)
         raise errors.ProtocolError(f"a control VM does not handle {type(message).__name__}")
 
     async def on_watch(self, watch: node_messages.WatchRequest) -> node_messages.WatchReply:
--- a/src/merlinthread/nodes/log_member.py
+++ b/src/merlinthread/nodes/log_member.py
@@ -77,7 +77,7 @@
         self.wakeup = asyncio.Event()
         self.levels = levels.MemberLevels()
         self.sender = log_sender.LogSender(codec, rpc_client, self.levels)
-        self.members = member_changes.MemberChanges(
+        self.member_changes = member_changes.MemberChanges(
             settings,
             rpc_client,
             clock,
@@ -159,11 +159,11 @@
         while True:
             now = self.clock()
             self.process(now)
-            self.members.request_join(now)
+            self.member_changes.request_join(now)
             self.wakeup.clear()
             if not self.inbox:
                 wakeup_at = min(
-                    self.raft.next_tick_at(), self.maintenance_at, self.members.next_join_at
+                    self.raft.next_tick_at(), self.maintenance_at, self.member_changes.next_join_at
                 )
                 await self.wait_for_message(max(0.001, wakeup_at - self.clock()))
 
@@ -191,7 +191,7 @@
             self.save_commit_index(now)
             self.write_gate.update(self.other_addresses(), now)
             self.log_missing_leader(now)
-            self.members.repair(now)
+            self.member_changes.repair(now)
 
     def receive(self, frames: list[bytes]) -> None:
         """Queue encoded messages of another member."""
@@ -439,7 +439,7 @@
         if is_leader == self.was_leader:
             return
         self.was_leader = is_leader
-        self.members.clear_requests()
+        self.member_changes.clear_requests()
         if not is_leader:
             self.fail_pending("the leader changed")
 
--- a/tests/test_log_repair.py
+++ b/tests/test_log_repair.py
@@ -209,7 +209,7 @@
         member = log_member.LogMember(
             settings, fleet_nodes.make_codec(), Recorder(), lambda: 50.0, None, None
         )
-        member.members.request_join(50.0)
+        member.member_changes.request_join(50.0)
         await fleet_nodes.until(lambda: asked)
         assert asked == [("127.0.0.11:7000", member.name)]
         member.close()
