--- a/src/merlinthread/nodes/control_node.py
+++ b/src/merlinthread/nodes/control_node.py
@@ -214,7 +214,7 @@
         if isinstance(message, node_messages.ConfigurationRequest):
             return self.api.read_local_configuration()
         if isinstance(message, node_messages.JoinRequest):
-            return await self.member.member_changes.on_join(message)
+            return await self.member.member_changes.reply_to_join(message)
         if isinstance(message, node_messages.LeaveRequest):
             return await self.member.member_changes.on_leave(message)
         raise errors.ProtocolError(f"a control VM does not handle {type(message).__name__}")
--- a/src/merlinthread/nodes/member_changes.py
+++ b/src/merlinthread/nodes/member_changes.py
@@ -108,7 +108,7 @@
         if reply.is_removed and join.name == self.get_raft().name:
             self.on_removed()
 
-    async def on_join(self, join: node_messages.JoinRequest) -> node_messages.JoinReply:
+    async def reply_to_join(self, join: node_messages.JoinRequest) -> node_messages.JoinReply:
         """Record a request to join if this member leads; otherwise forward it to the leader."""
         member = self.get_raft()
         now = self.clock()
--- a/tests/test_control_nodes.py
+++ b/tests/test_control_nodes.py
@@ -487,10 +487,10 @@
         node.member.state.level = levels.NEWEST + 1
         join = node_messages.JoinRequest("10.0.0.9:1#new", levels.NEWEST)
         with pytest.raises(errors.ControlError, match=r"reads up to level 2.* start a build"):
-            await node.member.member_changes.on_join(join)
+            await node.member.member_changes.reply_to_join(join)
         # A build that reports no level is admitted.
         old = node_messages.JoinRequest("10.0.0.9:1#old")
-        assert not (await node.member.member_changes.on_join(old)).is_removed
+        assert not (await node.member.member_changes.reply_to_join(old)).is_removed
 
     run(tmp_path, scenario)
 
