--- a/src/merlinthread/nodes/control_node.py
+++ b/src/merlinthread/nodes/control_node.py
@@ -216,7 +216,7 @@
         if isinstance(message, node_messages.JoinRequest):
             return await self.member.member_changes.reply_to_join(message)
         if isinstance(message, node_messages.LeaveRequest):
-            return await self.member.member_changes.on_leave(message)
+            return await self.member.member_changes.reply_to_leave(message)
         raise errors.ProtocolError(f"a control VM does not handle {type(message).__name__}")
 
     async def on_watch(self, watch: node_messages.WatchRequest) -> node_messages.WatchReply:
--- a/src/merlinthread/nodes/member_changes.py
+++ b/src/merlinthread/nodes/member_changes.py
@@ -191,7 +191,7 @@
             voter_count, 1, self.policy()
         )
 
-    async def on_leave(self, leave: node_messages.LeaveRequest) -> node_messages.LeaveReply:
+    async def reply_to_leave(self, leave: node_messages.LeaveRequest) -> node_messages.LeaveReply:
         """Record that a member is shutting down; raise NotLeaderError unless this member leads."""
         member = self.get_raft()
         now = self.clock()
