--- a/src/merlinthread/nodes/control_node.py
+++ b/src/merlinthread/nodes/control_node.py
@@ -197,7 +197,7 @@
             self.member.receive(message.frames)
             return node_messages.Acknowledgement(levels.NEWEST)
         if isinstance(message, node_messages.WatchRequest):
-            return await self.on_watch(message)
+            return await self.reply_to_watch(message)
         if isinstance(message, node_messages.HeartbeatBatch):
             for heartbeat in message.heartbeats:
                 self.record_heartbeat(heartbeat)
@@ -219,7 +219,7 @@
             return await self.member.member_changes.reply_to_leave(message)
         raise errors.ProtocolError(f"a control VM does not handle {type(message).__name__}")
 
-    async def on_watch(self, watch: node_messages.WatchRequest) -> node_messages.WatchReply:
+    async def reply_to_watch(self, watch: node_messages.WatchRequest) -> node_messages.WatchReply:
         """Reply with the changes that the node lacks; wait for some until the request times out."""
         deadline = self.clock() + min(watch.wait_s, WATCH_WAIT_MAX_S)
         while not self.has_changes_for(watch):
