--- a/bench/permits.py
+++ b/bench/permits.py
@@ -71,7 +71,7 @@
         frame = codec.encode(node_messages.LoadQuery(address, number, request))
         asked = time.process_time()
         query = codec.decode(frame)
-        answer = node_messages.LoadReply(number, 0, 0, 0.0, permit=office.answer(query))
+        answer = node_messages.LoadReply(number, 0, 0, 0.0, permit=office.reply_to(query))
         reply = codec.encode(answer)
         answered = time.process_time()
         codec.decode(reply)
--- a/src/merlinthread/nodes/control_node.py
+++ b/src/merlinthread/nodes/control_node.py
@@ -187,7 +187,7 @@
     def on_datagram(self, message: Any) -> None:
         """Reply to an entry's request for a permit."""
         if isinstance(message, node_messages.LoadQuery) and message.permit is not None:
-            permit = self.permits.answer(message)
+            permit = self.permits.reply_to(message)
             reply = node_messages.LoadReply(message.number, 0, 0, 0.0, permit=permit)
             self.datagrams.send(message.address, reply)
 
--- a/src/merlinthread/nodes/permit_server.py
+++ b/src/merlinthread/nodes/permit_server.py
@@ -36,7 +36,7 @@
         self.replies: dict[tuple[str, int], tuple[float, node_messages.PermitReply]] = {}
         self.pruned_at = float("-inf")
 
-    def answer(self, query: node_messages.LoadQuery) -> node_messages.PermitReply:
+    def reply_to(self, query: node_messages.LoadQuery) -> node_messages.PermitReply:
         """Return the reply to a query; one repeated within REPEAT_WINDOW_S gets the same reply."""
         now = self.clock()
         replied_at, previous = self.replies.get((query.address, query.number), (-math.inf, None))
--- a/tests/permit_net.py
+++ b/tests/permit_net.py
@@ -103,7 +103,7 @@
     def receive_query(self, entry: str, control: str, query: node_messages.LoadQuery) -> None:
         """Let a control VM answer a query, if it is alive."""
         if control in self.alive:
-            answer = self.offices[control].answer(query)
+            answer = self.offices[control].reply_to(query)
             self.send_datagram(self.entries[entry].permits.receive, query.number, answer)
 
     def lose_leader(self) -> None:
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -59,40 +59,40 @@
 
 def test_a_question_that_comes_twice_takes_one_permit():
     office, _, times = make_office()
-    office.answer(query(1))
+    office.reply_to(query(1))
     times[0] += 1.0
-    first, again = office.answer(query(2)), office.answer(query(2))
+    first, again = office.reply_to(query(2)), office.reply_to(query(2))
     assert first.decision.instance == "i" and again is first
     times[0] += 0.3
-    assert office.answer(query(3)).decision.instance == "i"
+    assert office.reply_to(query(3)).decision.instance == "i"
 
 
 def test_a_member_that_does_not_surely_lead_gives_nothing_out_and_names_the_leader():
     office, member, _ = make_office()
     member.leads, member.leader = False, "there:1"
-    assert office.answer(query(1)) == node_messages.PermitReply(None, "there:1")
+    assert office.reply_to(query(1)) == node_messages.PermitReply(None, "there:1")
     member.leader = member.address
-    assert office.answer(query(2)) == node_messages.PermitReply(None, "")
+    assert office.reply_to(query(2)) == node_messages.PermitReply(None, "")
 
 
 def test_who_leads_again_begins_with_nothing():
     office, member, times = make_office()
-    office.answer(query(1))
+    office.reply_to(query(1))
     times[0] += 5.0
     member.leads = False
-    office.answer(query(2))
+    office.reply_to(query(2))
     member.leads = True
-    assert not office.answer(query(3)).decision.instance
+    assert not office.reply_to(query(3)).decision.instance
 
 
 def test_entries_are_told_their_turns_and_those_that_asked_long_ago_have_none():
     office, _, times = make_office()
     for number, name in enumerate(("c", "a", "b")):
-        office.answer(query(number, name))
-    answer = office.answer(query(9, "b"))
+        office.reply_to(query(number, name))
+    answer = office.reply_to(query(9, "b"))
     assert (answer.entries, answer.rank, answer.at) == (3, 1, times[0])
     times[0] += 2 * permit_server.ENTRY_EXPIRY_S
-    answer = office.answer(query(10, "b"))
+    answer = office.reply_to(query(10, "b"))
     assert (answer.entries, answer.rank) == (1, 0)
 
 
