--- a/src/merlinthread/nodes/agent_node.py
+++ b/src/merlinthread/nodes/agent_node.py
@@ -49,7 +49,7 @@
             self.datagrams.send,
         )
         self.listener = node_bus.RpcServer(
-            codec, self.on_message, lambda: self.weights.server.upload_pacer.bytes_per_s
+            codec, self.dispatch_request, lambda: self.weights.server.upload_pacer.bytes_per_s
         )
         self.ledger = load_tracker.LoadTracker()
         self.subscribers: dict[str, float] = {}
@@ -114,7 +114,7 @@
         outstanding = self.ledger.outstanding(entry, self.clock())
         return node_messages.LoadUpdate(self.settings.engine, self.sequence, report, outstanding)
 
-    async def on_message(self, message: Any) -> Any:
+    async def dispatch_request(self, message: Any) -> Any:
         """Handle a request from another agent; raise ProtocolError for other messages."""
         if isinstance(message, node_messages.PieceRequest):
             return await self.weights.serve_piece(message)
--- a/src/merlinthread/nodes/control_node.py
+++ b/src/merlinthread/nodes/control_node.py
@@ -64,7 +64,7 @@
         self.crashes = crash_registry.CrashRegistry(
             settings, clock, self.rpc_client, self.member, self.submit, self.notify_watchers
         )
-        self.listener = node_bus.RpcServer(codec, self.on_message)
+        self.listener = node_bus.RpcServer(codec, self.dispatch_request)
         self.datagrams = node_bus.DatagramEndpoint(codec, self.on_datagram)
         self.permits = permit_server.PermitServer(self.member, clock)
         limits = http_messages.Limits(body_bytes=BODY_BYTES_MAX, idle_timeout_s=60.0)
@@ -191,7 +191,7 @@
             reply = node_messages.LoadReply(message.number, 0, 0, 0.0, permit=permit)
             self.datagrams.send(message.address, reply)
 
-    async def on_message(self, message: Any) -> Any:
+    async def dispatch_request(self, message: Any) -> Any:
         """Handle one RPC of another node; raise ProtocolError for an unsupported message."""
         if isinstance(message, node_messages.RaftFrames):
             self.member.receive(message.frames)
