--- a/src/merlinthread/nodes/agent_node.py
+++ b/src/merlinthread/nodes/agent_node.py
@@ -37,7 +37,7 @@
             settings, dialect, self.rpc_client, clock, lambda: None
         )
         self.engine = engine_client.EngineClient(dialect, settings.engine)
-        self.datagrams = node_bus.DatagramEndpoint(codec, self.on_datagram)
+        self.datagrams = node_bus.DatagramEndpoint(codec, self.dispatch_datagram)
         self.weights = weights_task.WeightsTask(
             settings,
             self.watcher,
@@ -79,7 +79,7 @@
         """Stop accepting connections from peers."""
         self.listener.server.stop_accepting()
 
-    def on_datagram(self, message: Any) -> None:
+    def dispatch_datagram(self, message: Any) -> None:
         """Handle a datagram from an entry or another agent."""
         if isinstance(message, node_messages.LoadSubscription):
             self.subscribers[message.address] = self.clock() + SUBSCRIPTION_TTL_S
--- a/src/merlinthread/nodes/control_node.py
+++ b/src/merlinthread/nodes/control_node.py
@@ -65,7 +65,7 @@
             settings, clock, self.rpc_client, self.member, self.submit, self.notify_watchers
         )
         self.listener = node_bus.RpcServer(codec, self.dispatch_request)
-        self.datagrams = node_bus.DatagramEndpoint(codec, self.on_datagram)
+        self.datagrams = node_bus.DatagramEndpoint(codec, self.dispatch_datagram)
         self.permits = permit_server.PermitServer(self.member, clock)
         limits = http_messages.Limits(body_bytes=BODY_BYTES_MAX, idle_timeout_s=60.0)
         self.api = control_api.ControlApi(
@@ -184,7 +184,7 @@
 
     # Requests of nodes
 
-    def on_datagram(self, message: Any) -> None:
+    def dispatch_datagram(self, message: Any) -> None:
         """Reply to an entry's request for a permit."""
         if isinstance(message, node_messages.LoadQuery) and message.permit is not None:
             permit = self.permits.reply_to(message)
--- a/src/merlinthread/nodes/entry_node.py
+++ b/src/merlinthread/nodes/entry_node.py
@@ -53,7 +53,7 @@
             settings.name, self.watcher, suspect_ledger, self.rpc_client, clock
         )
         self.address = f"{settings.ip}:{settings.entry_port}"
-        self.datagrams = node_bus.DatagramEndpoint(codec, self.on_datagram)
+        self.datagrams = node_bus.DatagramEndpoint(codec, self.dispatch_datagram)
         self.prober = load_prober.LoadProber(self.address, self.datagrams.send)
         self.permits = permits.PermitClient(
             self.address, self.watcher, self.datagrams.send, clock, rng
@@ -96,7 +96,7 @@
         """Subscribe to the load reports of one agent."""
         self.datagrams.send(agent, node_messages.LoadSubscription(self.address))
 
-    def on_datagram(self, message: Any) -> None:
+    def dispatch_datagram(self, message: Any) -> None:
         """Dispatch a load report, or a reply to a query of this entry."""
         if isinstance(message, node_messages.LoadUpdate):
             self.pool.apply_load_update(message)
--- a/tests/test_weights_task.py
+++ b/tests/test_weights_task.py
@@ -273,11 +273,11 @@
         sent = []
         agent.datagrams.send = lambda address, message: sent.append((address, message))
         stage = node_messages.AttemptStage
-        agent.on_datagram(node_messages.AttemptNotice("entry-1", 1, stage.SENT, 700.0))
-        agent.on_datagram(node_messages.AttemptNotice("entry-1", 2, stage.SENT, 500.0))
-        agent.on_datagram(node_messages.AttemptNotice("entry-1", 2, stage.READ))
+        agent.dispatch_datagram(node_messages.AttemptNotice("entry-1", 1, stage.SENT, 700.0))
+        agent.dispatch_datagram(node_messages.AttemptNotice("entry-1", 2, stage.SENT, 500.0))
+        agent.dispatch_datagram(node_messages.AttemptNotice("entry-1", 2, stage.READ))
         for asker in ("entry-1", "entry-2"):
-            agent.on_datagram(node_messages.LoadQuery(asker, 7))
+            agent.dispatch_datagram(node_messages.LoadQuery(asker, 7))
         answers = {
             address: message
             for address, message in sent
@@ -285,11 +285,11 @@
         }
         assert answers["entry-1"] == node_messages.LoadReply(7, 0, 0, 0.0)
         assert answers["entry-2"] == node_messages.LoadReply(7, 2, 1, 700.0)
-        agent.on_datagram(node_messages.AttemptNotice("entry-1", 1, stage.ENDED))
+        agent.dispatch_datagram(node_messages.AttemptNotice("entry-1", 1, stage.ENDED))
         assert len(agent.ledger.open) == 1
         sent.clear()
         agent.last_report = None
-        agent.on_datagram(node_messages.LoadQuery("entry-2", 8))
+        agent.dispatch_datagram(node_messages.LoadQuery("entry-2", 8))
         assert not sent, "an agent without its engine must not reply"
 
     run(1, scenario)
