--- a/src/merlinthread/nodes/agent_node.py
+++ b/src/merlinthread/nodes/agent_node.py
@@ -84,7 +84,7 @@
         if isinstance(message, node_messages.LoadSubscription):
             self.subscribers[message.address] = self.clock() + SUBSCRIPTION_TTL_S
         elif isinstance(message, node_messages.AttemptNotice):
-            self.on_attempt_notice(message)
+            self.record_attempt_stage(message)
         elif isinstance(message, node_messages.PieceNotice | node_messages.PieceClaim):
             self.weights.on_notice(message)
         elif isinstance(message, node_messages.LoadQuery) and self.last_report is not None:
@@ -99,7 +99,7 @@
             )
             self.datagrams.send(message.address, reply)
 
-    def on_attempt_notice(self, notice: node_messages.AttemptNotice) -> None:
+    def record_attempt_stage(self, notice: node_messages.AttemptNotice) -> None:
         """Record the stage that an attempt has reached."""
         if notice.stage is node_messages.AttemptStage.SENT:
             self.ledger.record_start(notice.entry, notice.number, notice.tokens, self.clock())
