--- a/src/merlinthread/nodes/agent_node.py
+++ b/src/merlinthread/nodes/agent_node.py
@@ -129,13 +129,13 @@
                 report = await self.engine.report()
                 self.detect_restart(report)
                 self.set_engine_reachable(True, "")
-                self.weights.on_engine_report(report)
+                self.weights.record_engine_report(report)
                 report.ready_in_s = self.weights.ready_in_s()
                 self.ledger.apply_report(report.running + report.queued, self.clock())
                 self.send_load(report)
             except errors.MerlinthreadError as error:
                 self.set_engine_reachable(False, error.message)
-                self.weights.on_engine_report(None)
+                self.weights.record_engine_report(None)
                 self.last_report = None
             await asyncio.sleep(REPORT_INTERVAL_S)
 
@@ -147,7 +147,7 @@
         logs.event("engine_reborn", born_ms=report.born_ms, before_ms=previous_ms)
         self.ledger = load_tracker.LoadTracker()
         self.last_report = None
-        self.weights.on_engine_report(None)
+        self.weights.record_engine_report(None)
 
     def set_engine_reachable(self, is_reachable: bool, reason: str) -> None:
         """Record whether the engine responds, and log a change."""
--- a/src/merlinthread/nodes/weights_task.py
+++ b/src/merlinthread/nodes/weights_task.py
@@ -165,7 +165,7 @@
         )
         return plan
 
-    def on_engine_report(self, report: fleet.EngineReport | None) -> None:
+    def record_engine_report(self, report: fleet.EngineReport | None) -> None:
         """Record the engine's report; it is None if the engine did not respond."""
         self.report = report
         if report is not None and not self.store.is_engine_seen:
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -180,7 +180,7 @@
         def __init__(self):
             self.reports = []
 
-        def on_engine_report(self, report):
+        def record_engine_report(self, report):
             self.reports.append(report)
 
     agent = agent_node.AgentNode.__new__(agent_node.AgentNode)
