--- a/src/merlinthread/nodes/agent_node.py
+++ b/src/merlinthread/nodes/agent_node.py
@@ -86,7 +86,7 @@
         elif isinstance(message, node_messages.AttemptNotice):
             self.record_attempt_stage(message)
         elif isinstance(message, node_messages.PieceNotice | node_messages.PieceClaim):
-            self.weights.on_notice(message)
+            self.weights.record_notice(message)
         elif isinstance(message, node_messages.LoadQuery) and self.last_report is not None:
             outstanding = self.ledger.outstanding(message.address, self.clock())
             reply = node_messages.LoadReply(
--- a/src/merlinthread/nodes/weights_task.py
+++ b/src/merlinthread/nodes/weights_task.py
@@ -264,7 +264,7 @@
         """Return the reply to a peer's request for a manifest."""
         return piece_server.serve_manifest(self.manifest, request)
 
-    def on_notice(self, notice: node_messages.PieceNotice | node_messages.PieceClaim) -> None:
+    def record_notice(self, notice: node_messages.PieceNotice | node_messages.PieceClaim) -> None:
         """Record a peer's notice that it has received a piece or is reading it from the origin."""
         manifest = self.manifest
         if manifest is None or self.plan is None:
