--- a/src/merlinthread/nodes/piece_server.py
+++ b/src/merlinthread/nodes/piece_server.py
@@ -39,7 +39,7 @@
             UPLOAD_SHARE * link_bytes_per_s, 0.0, UPLOAD_TARGET_S
         )
 
-    def note_serving(self, is_serving: bool) -> None:
+    def set_serving(self, is_serving: bool) -> None:
         """Set the upload rate according to whether the engine serves requests."""
         share = UPLOAD_SHARE if is_serving else IDLE_UPLOAD_SHARE
         self.upload_pacer.set_full_rate(share * self.link_bytes_per_s)
--- a/src/merlinthread/nodes/weights_task.py
+++ b/src/merlinthread/nodes/weights_task.py
@@ -257,7 +257,7 @@
         """Return the reply to a peer's request for a piece."""
         if self.plan is None or self.manifest is None:
             return piece_server.EMPTY_REPLY
-        self.server.note_serving(self.is_serving())
+        self.server.set_serving(self.is_serving())
         return await self.server.serve(self.plan, self.manifest, request)
 
     def serve_manifest(self, request: node_messages.ManifestRequest) -> node_messages.ManifestReply:
