--- a/src/merlinthread/nodes/crash_detector.py
+++ b/src/merlinthread/nodes/crash_detector.py
@@ -135,7 +135,7 @@
         ]
         self.unconfirmed = [*remaining, *attempts][-UNCONFIRMED_MAX:]
 
-    def on_update(self) -> None:
+    def apply_fleet_update(self) -> None:
         """Confirm crashes of replaced back ends; report all records again after a change of feed.
 
         A control VM that has restarted has a new feed and may have lost the records.
--- a/src/merlinthread/nodes/entry_node.py
+++ b/src/merlinthread/nodes/entry_node.py
@@ -47,7 +47,13 @@
         suspect_ledger = crash_tracker.CrashTracker()
         signals = backend_availability.AvailabilityTable()
         self.watcher = fleet_watcher.FleetWatcher(
-            settings, dialect, self.rpc_client, clock, self.on_update, suspect_ledger, signals
+            settings,
+            dialect,
+            self.rpc_client,
+            clock,
+            self.apply_fleet_update,
+            suspect_ledger,
+            signals,
         )
         self.crashes = crash_detector.CrashDetector(
             settings.name, self.watcher, suspect_ledger, self.rpc_client, clock
@@ -105,10 +111,10 @@
         elif isinstance(message, node_messages.LoadReply):
             self.prober.receive(message)
 
-    def on_update(self) -> None:
+    def apply_fleet_update(self) -> None:
         """Apply an update of the fleet state."""
         self.pool.update()
-        self.crashes.on_update()
+        self.crashes.apply_fleet_update()
         table = self.watcher.table
         if table is not None:
             limits = table.limits
--- a/tests/test_leaving_answers.py
+++ b/tests/test_leaving_answers.py
@@ -76,7 +76,7 @@
         asked = asyncio.create_task(fleet_.ask())
         await fleet_nodes.until(lambda: leaver.runs)
         del fleet_.entry.node.watcher.instances[leaver.instance]
-        fleet_.entry.node.on_update()
+        fleet_.entry.node.apply_fleet_update()
         fleet_.feed(fleet_.workers)
         assert (await asked).status == 200
         assert (await fleet_.ask()).status == 503
