--- a/src/merlinthread/nodes/control_node.py
+++ b/src/merlinthread/nodes/control_node.py
@@ -121,7 +121,7 @@
             self.named_at[command.model] = self.clock() - age_s
             self.registry.advance()
         elif isinstance(command, fleet_state.PlaceHold | fleet_state.ReleaseHold):
-            self.crashes.on_applied()
+            self.crashes.apply_holds()
         name = self.member.command_names[type(command)]
         logs.event("applied", command=name, **log_fields(command))
         self.notify_watchers()
@@ -132,7 +132,7 @@
             self.mark_departed(instance, state)
         for model in self.member.state.named:
             self.named_at.setdefault(model, self.clock() - log_member.UNKNOWN_AGE_S)
-        self.crashes.on_applied()
+        self.crashes.apply_holds()
         self.notify_watchers()
 
     def mark_departed(self, instance: str, state: str) -> None:
--- a/src/merlinthread/nodes/crash_registry.py
+++ b/src/merlinthread/nodes/crash_registry.py
@@ -114,7 +114,7 @@
 
     # Replicated log
 
-    def on_applied(self) -> None:
+    def apply_holds(self) -> None:
         """Update the crash records and the metric from the holds in the replicated state."""
         now = self.clock()
         held = self.member.state.held
