--- a/src/merlinthread/nodes/control_node.py
+++ b/src/merlinthread/nodes/control_node.py
@@ -204,7 +204,7 @@
             self.limits.merge(message.limits)
             return node_messages.Acknowledgement(levels.NEWEST)
         if isinstance(message, node_messages.CrashReport):
-            self.crashes.on_report(message)
+            self.crashes.merge_report(message)
             self.limits.merge_from_entry(message.limits)
             return node_messages.Acknowledgement(levels.NEWEST)
         if isinstance(message, node_messages.CommandRequest):
--- a/src/merlinthread/nodes/crash_registry.py
+++ b/src/merlinthread/nodes/crash_registry.py
@@ -55,7 +55,7 @@
 
     # Reports
 
-    def on_report(self, report: node_messages.CrashReport) -> None:
+    def merge_report(self, report: node_messages.CrashReport) -> None:
         """Merge a crash report, and forward it to the other control VMs unless it was forwarded."""
         now = self.clock()
         revision_before = self.ledger.revision
