--- a/src/merlinthread/nodes/control_node.py
+++ b/src/merlinthread/nodes/control_node.py
@@ -159,10 +159,10 @@
             loop = asyncio.get_running_loop()
             commit = loop.create_task(self.commit(encoded))
             self.pending_commits[encoded] = commit
-            commit.add_done_callback(lambda done: self.on_commit_done(encoded, done))
+            commit.add_done_callback(lambda done: self.remove_commit(encoded, done))
         return await asyncio.shield(commit)
 
-    def on_commit_done(self, encoded: bytes, done: asyncio.Future) -> None:
+    def remove_commit(self, encoded: bytes, done: asyncio.Future) -> None:
         """Remove a finished commit, and retrieve its exception so that asyncio logs none."""
         self.pending_commits.pop(encoded, None)
         if not done.cancelled():
