--- a/src/merlinthread/nodes/control_api.py
+++ b/src/merlinthread/nodes/control_api.py
@@ -67,7 +67,7 @@
     async def handle(self, call: dialects.ControlCall) -> http_messages.Response:
         """Dispatch a call to its handler; return the response."""
         if isinstance(call, dialects.ReceiveHeartbeat):
-            return await self.on_heartbeat(call.heartbeat)
+            return await self.receive_heartbeat(call.heartbeat)
         if isinstance(call, dialects.Leave):
             await self.commit_departure(self.registry.latest(call.instance), fleet.GONE)
             return ok_response()
@@ -79,7 +79,7 @@
             return ok_response()
         return await self.get_configuration()
 
-    async def on_heartbeat(self, heartbeat: fleet.Heartbeat) -> http_messages.Response:
+    async def receive_heartbeat(self, heartbeat: fleet.Heartbeat) -> http_messages.Response:
         """Record a heartbeat; the draining state is committed before it is acknowledged."""
         self.record_heartbeat(heartbeat)
         if heartbeat.state == fleet.DRAINING:
