--- a/src/merlinthread/nodes/control_api.py
+++ b/src/merlinthread/nodes/control_api.py
@@ -47,7 +47,7 @@
         request = exchange.request
         try:
             call = self.dialect.control_call(request)
-            response = await self.handle(call)
+            response = await self.dispatch(call)
         except TimeoutError:
             response = error_response(
                 errors.ControlError("no majority replied in time; send the request again")
@@ -64,7 +64,7 @@
             )
         await exchange.respond(response)
 
-    async def handle(self, call: dialects.ControlCall) -> http_messages.Response:
+    async def dispatch(self, call: dialects.ControlCall) -> http_messages.Response:
         """Dispatch a call to its handler; return the response."""
         if isinstance(call, dialects.ReceiveHeartbeat):
             return await self.receive_heartbeat(call.heartbeat)
