--- a/src/merlinthread/nodes/log_member.py
+++ b/src/merlinthread/nodes/log_member.py
@@ -207,7 +207,7 @@
             try:
                 self.save(ready)
             except errors.DiskFullError as error:
-                self.on_full_disk(error, now)
+                self.handle_full_disk(error, now)
                 return
             for receiver, message in ready.messages:
                 self.sender.send(receiver, message)
@@ -247,7 +247,7 @@
             self.disk_retry_at = now + DISK_RETRY_DELAY_S
             logs.warning("disk_full", message=error.message)
 
-    def on_full_disk(self, error: errors.DiskFullError, now: float) -> None:
+    def handle_full_disk(self, error: errors.DiskFullError, now: float) -> None:
         """Step down, fail the commands that could not be saved, and retry the disk later."""
         if now >= self.disk_retry_at:
             logs.warning("disk_full", message=error.message)
