--- a/src/merlinthread/nodes/request_task.py
+++ b/src/merlinthread/nodes/request_task.py
@@ -54,7 +54,7 @@
         self.call: fleet.RequestHead | None = None
         self.context: request_context.RequestContext | None = None
         self.service = ""
-        self.relay = response_relay.ResponseRelay(exchange, pool.clock, arrived, self.on_response)
+        self.relay = response_relay.ResponseRelay(exchange, pool.clock, arrived, self.log_response)
         self.tried: set[str] = set()
         self.attempts: list[attempts.Attempt] = []
         # The permit for the next attempt, if its back end has a rate limit.
@@ -390,7 +390,7 @@
         self.log_outcome(str(error.kind), error_response.status)
         await self.exchange.respond(http_messages.Response(error_response.status, headers))
 
-    def on_response(self, status: int) -> None:
+    def log_response(self, status: int) -> None:
         """Log that a complete response of a back end is sent to the client."""
         self.append_signals()
         self.log_outcome("answered", status)
