--- a/src/merlinthread/nodes/backend_pool.py
+++ b/src/merlinthread/nodes/backend_pool.py
@@ -274,7 +274,7 @@
     async def probe(self, probed: list[backend_record.Backend]) -> None:
         """Probe engines for their load through their agents."""
         agents = list({self.agent_of(backend): None for backend in probed})
-        replies = await self.prober.ask(agents, PROBE_TIMEOUT_S)
+        replies = await self.prober.query(agents, PROBE_TIMEOUT_S)
         # Engines on one VM share an agent. Its timeout must count against all of them; an engine
         # without the penalty would get all requests.
         for backend in probed:
--- a/src/merlinthread/nodes/load_prober.py
+++ b/src/merlinthread/nodes/load_prober.py
@@ -24,7 +24,7 @@
         self.query_numbers = itertools.count(1)
         self.waiting: dict[int, asyncio.Future[load_tracker.EngineLoad]] = {}
 
-    async def ask(
+    async def query(
         self, agents: Sequence[str], wait_s: float
     ) -> dict[str, load_tracker.EngineLoad | None]:
         """Return the loads of the agents' engines; None for those without a reply in `wait_s`."""
--- a/tests/test_entry_node.py
+++ b/tests/test_entry_node.py
@@ -292,7 +292,7 @@
             nothing = load_tracker.EngineLoad(load_tracker.Outstanding())
             return {agent: nothing for agent in agents}
 
-        entry.node.prober.ask = answer_at_once
+        entry.node.prober.query = answer_at_once
         old.behaviour.never_responds = True
         new.version = 2
         watcher, pool = entry.node.watcher, entry.node.pool
@@ -432,7 +432,7 @@
             known = load_tracker.EngineLoad(others)
             return {agent: known if agent == heard.instance else None for agent in agents}
 
-        entry.node.prober.ask = answers_of_the_heard_one
+        entry.node.prober.query = answers_of_the_heard_one
         choice = await pool.choose(dispatch.Demand("model", "m", 1), 0.2)
         assert choice.backend is heard, "nothing is known of the other one"
         pool.subscribed = {"model": []}
--- a/tests/test_load_prober.py
+++ b/tests/test_load_prober.py
@@ -23,7 +23,7 @@
 
 def test_all_answers_end_the_wait_and_each_goes_to_its_agent():
     async def scenario(prober, sent):
-        task = asyncio.ensure_future(prober.ask(["a", "b"], 60.0))
+        task = asyncio.ensure_future(prober.query(["a", "b"], 60.0))
         while len(sent) < 2:
             await asyncio.sleep(0)
         for agent, query in reversed(sent):
@@ -39,10 +39,10 @@
 
 def test_an_agent_that_does_not_answer_is_told_as_unknown_and_its_late_answer_dropped():
     async def scenario(prober, sent):
-        found = await prober.ask(["a"], 0.01)
+        found = await prober.query(["a"], 0.01)
         assert found == {"a": None}
         prober.receive(make_reply(sent[0][1], 10.0))
         assert not prober.waiting
-        assert await prober.ask([], 60.0) == {}
+        assert await prober.query([], 60.0) == {}
 
     run(scenario)
