--- a/src/merlinthread/nodes/fleet_watcher.py
+++ b/src/merlinthread/nodes/fleet_watcher.py
@@ -118,7 +118,7 @@
         """
         addresses_by_task = {
             asyncio.get_running_loop().create_task(
-                self.ask(address, 0.0, SEARCH_TIMEOUT_S)
+                self.request_changes(address, 0.0, SEARCH_TIMEOUT_S)
             ): address
             for address in self.other_control_vms()
         }
@@ -143,7 +143,7 @@
         known = dict.fromkeys([*self.controls, *self.settings.control_rpc_addresses()])
         return [address for address in known if address != self.current]
 
-    async def ask(
+    async def request_changes(
         self, address: str, wait_s: float, timeout_s: float
     ) -> node_messages.WatchReply | None:
         """Query a control VM for changes; return None if it does not reply."""
@@ -168,7 +168,7 @@
     async def poll(self) -> None:
         """Poll the current control VM once and apply its reply."""
         wait_s = WATCH_WAIT_S if self.is_fresh else STALE_WAIT_S
-        reply = await self.ask(self.current, wait_s, WATCH_TIMEOUT_S)
+        reply = await self.request_changes(self.current, wait_s, WATCH_TIMEOUT_S)
         if reply is None:
             self.disconnect("no reply")
             return
--- a/tests/test_leaving_answers.py
+++ b/tests/test_leaving_answers.py
@@ -193,13 +193,13 @@
         await fleet_nodes.until(lambda: watcher.current)
         # The departure is acknowledged between the loss of the entry's control VM and the search.
         former = watcher.current.partition(":")[0]
-        asked, may_ask = watcher.ask, asyncio.Event()
+        asked, may_ask = watcher.request_changes, asyncio.Event()
 
         async def ask(*of):
             await may_ask.wait()
             return await asked(*of)
 
-        watcher.ask = ask
+        watcher.request_changes = ask
         leaver.is_down = True
         fleet_.controls.kill(former)
         await fleet_.controls.until_acknowledged("DELETE", f"/instances/{leaver.instance}")
