--- a/src/merlinthread/nodes/backend_pool.py
+++ b/src/merlinthread/nodes/backend_pool.py
@@ -204,11 +204,11 @@
         queued at the back end.
         """
         bound_s = self.settings.bounds.version_s - reload_schedule.EXPIRY_MARGIN_S
-        return self.watcher.version_due(model, now, bound_s)
+        return self.watcher.newest_version_with_age(model, now, bound_s)
 
     def version_soon(self, model: str, now: float) -> int:
         """Return the newest version of a model's weights that is required soon, or 0."""
-        return self.watcher.version_due(
+        return self.watcher.newest_version_with_age(
             model, now, self.settings.bounds.version_s - VERSION_SOON_MARGIN_S
         )
 
--- a/src/merlinthread/nodes/fleet_watcher.py
+++ b/src/merlinthread/nodes/fleet_watcher.py
@@ -273,7 +273,7 @@
             named_at[named.version] = now - named.age_s
             logs.event("weights_named", model=named.model, version=named.version, age_s=named.age_s)
 
-    def version_due(self, model: str, now: float, bound_s: float) -> int:
+    def newest_version_with_age(self, model: str, now: float, bound_s: float) -> int:
         """Return the newest version of a model published at least `bound_s` seconds ago, or 0.
 
         A later publication does not postpone the time at which an earlier version is required.
--- a/tests/test_entry_node.py
+++ b/tests/test_entry_node.py
@@ -274,7 +274,11 @@
     entry = fleet_nodes.Entry()
     watcher = entry.node.watcher
     watcher.named_at = {"m": {2: 100.0, 3: 102.0}}
-    assert [watcher.version_due("m", now, 7.0) for now in (106.0, 107.5, 109.5)] == [0, 2, 3]
+    assert [watcher.newest_version_with_age("m", now, 7.0) for now in (106.0, 107.5, 109.5)] == [
+        0,
+        2,
+        3,
+    ]
 
 
 def test_an_attempt_that_has_not_begun_at_the_bound_of_its_old_version_goes_elsewhere(monkeypatch):
