--- a/src/merlinthread/nodes/crash_registry.py
+++ b/src/merlinthread/nodes/crash_registry.py
@@ -150,7 +150,7 @@
             # Followers propose only what the leader did not, in case it lacks the reports.
             patience_s = 0.0 if self.member.raft.is_leader() else DECISION_INTERVAL_S
             now = self.clock()
-            for command in due_commands(self.ledger, self.held_since, now, patience_s):
+            for command in commands_to_propose(self.ledger, self.held_since, now, patience_s):
                 await self.commit(command)
 
     async def commit(self, command: fleet_state.Command) -> None:
@@ -170,7 +170,7 @@
             self.schedule_send(address, [])
 
 
-def due_commands(
+def commands_to_propose(
     ledger: crash_tracker.CrashTracker, held_since: dict[str, float], now: float, patience_s: float
 ) -> list[fleet_state.PlaceHold | fleet_state.ReleaseHold]:
     """Return the commands for holds and releases that are not in the log yet.
--- a/tests/test_crash_ledger.py
+++ b/tests/test_crash_ledger.py
@@ -96,7 +96,7 @@
     since: dict[str, float] = {}
 
     def agree(now: float) -> list:
-        commands = crash_registry.due_commands(ledger, since, now, 0.0)
+        commands = crash_registry.commands_to_propose(ledger, since, now, 0.0)
         for command in commands:
             assert state.apply(command)
             held = state.held["f"]
@@ -118,7 +118,7 @@
     ledger.set_hold("f", "", crash_tracker.Hold(1, HELD), 3.1)
     ledger.clear("f", 4.0)
     assert ledger.is_held("f")
-    commands = crash_registry.due_commands(ledger, {"f": 3.1}, 4.0, 0.0)
+    commands = crash_registry.commands_to_propose(ledger, {"f": 3.1}, 4.0, 0.0)
     assert commands == [fleet_state.ReleaseHold("f", 1, CLEARED)]
 
 
@@ -126,7 +126,7 @@
     ledger = crash_tracker.CrashTracker()
     ledger.set_hold("f", "", crash_tracker.Hold(1, HELD), 100.0)
     ledger.merge(crash_tracker.SuspectReport("f", "", [], 50.0), 100.1)
-    assert crash_registry.due_commands(ledger, {"f": 100.0}, 100.2, 0.0) == []
+    assert crash_registry.commands_to_propose(ledger, {"f": 100.0}, 100.2, 0.0) == []
 
 
 def test_the_log_keeps_the_later_decision_whatever_comes_again():
