--- a/src/merlinthread/nodes/permits.py
+++ b/src/merlinthread/nodes/permits.py
@@ -17,7 +17,7 @@
 from merlinthread.protocol import node_messages
 
 # Timeout of a query, several network round trips; the query is sent again in case it was lost.
-ANSWER_TIMEOUT_S = 0.06
+REPLY_TIMEOUT_S = 0.06
 RETRANSMIT_AFTER_S = 0.02
 # Time between searches for the leader; requests use time slots meanwhile.
 SEARCH_INTERVAL_S = 0.25
@@ -235,7 +235,7 @@
         self.waiting[number] = future
         query = node_messages.LoadQuery(self.address, number, request)
         try:
-            for wait_s in (RETRANSMIT_AFTER_S, ANSWER_TIMEOUT_S - RETRANSMIT_AFTER_S):
+            for wait_s in (RETRANSMIT_AFTER_S, REPLY_TIMEOUT_S - RETRANSMIT_AFTER_S):
                 self.send(address, query)
                 done, _ = await asyncio.wait([future], timeout=wait_s)
                 if done:
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -118,7 +118,7 @@
         backend = limited_backend(50.0)
         began = client.clock()
         found = await asyncio.gather(*[client.acquire("s", "a", 0.0, [backend]) for _ in range(20)])
-        assert client.clock() - began < 10 * permits.ANSWER_TIMEOUT_S
+        assert client.clock() - began < 10 * permits.REPLY_TIMEOUT_S
         assert len({message.number for _, message in sent}) == 1
         assert sum(isinstance(each, permits.Permit) for each in found) <= 1
         assert backend.availability.lacks_permit(client.clock())
