--- a/src/merlinthread/nodes/permits.py
+++ b/src/merlinthread/nodes/permits.py
@@ -73,7 +73,7 @@
         self.rng = rng
         # Random, so that replies to an earlier process of this entry are not accepted.
         self.query_numbers = itertools.count(rng.randrange(FIRST_QUERY_NUMBER_MAX))
-        self.waiting: dict[int, asyncio.Future[node_messages.PermitReply]] = {}
+        self.pending_queries: dict[int, asyncio.Future[node_messages.PermitReply]] = {}
         # The control VM that grants permits, empty if none replies.
         self.leader = ""
         # When a query of the leader last failed, and when the next search may start.
@@ -232,7 +232,7 @@
         """Query a control VM, with one retransmission; return its reply, or None on a timeout."""
         number = next(self.query_numbers)
         future = asyncio.get_running_loop().create_future()
-        self.waiting[number] = future
+        self.pending_queries[number] = future
         query = node_messages.LoadQuery(self.address, number, request)
         try:
             for wait_s in (RETRANSMIT_AFTER_S, REPLY_TIMEOUT_S - RETRANSMIT_AFTER_S):
@@ -245,11 +245,11 @@
             logs.debug("permit_query_not_sent", control=address, reason=str(error))
             return None
         finally:
-            del self.waiting[number]
+            del self.pending_queries[number]
 
     def receive(self, number: int, reply: node_messages.PermitReply) -> None:
         """Accept a reply, or drop it with its permit if the query has timed out."""
-        future = self.waiting.get(number)
+        future = self.pending_queries.get(number)
         if future is not None and not future.done():
             future.set_result(reply)
 
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -138,7 +138,7 @@
         while len({message.number for _, message in sent}) < 2:
             await asyncio.sleep(0.001)
         # Another task takes over the search, and the rest wait for it.
-        assert client.waiting and not any(task.done() for task in others)
+        assert client.pending_queries and not any(task.done() for task in others)
         await asyncio.gather(*others)
         assert len({message.number for _, message in sent}) == 2
 
@@ -151,6 +151,6 @@
         await client.acquire("s", "a", 0.0, [limited_backend(0.01)])
         decision = rate_limits.Decision("i", 0.0, [1.0])
         client.receive(sent[0][1].number, node_messages.PermitReply(decision, "", 3, 1, 0.0))
-        assert not client.leader and not client.waiting
+        assert not client.leader and not client.pending_queries
 
     asyncio.run(scenario())
