--- a/src/merlinthread/nodes/load_prober.py
+++ b/src/merlinthread/nodes/load_prober.py
@@ -22,7 +22,7 @@
         self.address = address
         self.send = send
         self.query_numbers = itertools.count(1)
-        self.waiting: dict[int, asyncio.Future[load_tracker.EngineLoad]] = {}
+        self.pending_queries: dict[int, asyncio.Future[load_tracker.EngineLoad]] = {}
 
     async def query(
         self, agents: Sequence[str], wait_s: float
@@ -32,19 +32,19 @@
         numbers = {agent: next(self.query_numbers) for agent in agents}
         futures = {agent: loop.create_future() for agent in agents}
         for agent, number in numbers.items():
-            self.waiting[number] = futures[agent]
+            self.pending_queries[number] = futures[agent]
             self.send(agent, node_messages.LoadQuery(self.address, number))
         if futures:
             await asyncio.wait(futures.values(), timeout=wait_s)
         for number in numbers.values():
-            self.waiting.pop(number, None)
+            self.pending_queries.pop(number, None)
         return {
             agent: future.result() if future.done() else None for agent, future in futures.items()
         }
 
     def receive(self, reply: node_messages.LoadReply) -> None:
         """Accept an agent's reply, or drop it if the query has timed out."""
-        future = self.waiting.pop(reply.number, None)
+        future = self.pending_queries.pop(reply.number, None)
         if future is not None and not future.done():
             others = load_tracker.Outstanding(reply.attempts, reply.unread, reply.tokens)
             future.set_result(load_tracker.EngineLoad(others, reply.is_busy, reply.pace))
--- a/tests/test_load_prober.py
+++ b/tests/test_load_prober.py
@@ -32,7 +32,7 @@
             "a": make_load(10.0),
             "b": make_load(20.0),
         }
-        assert not prober.waiting
+        assert not prober.pending_queries
 
     run(scenario)
 
@@ -42,7 +42,7 @@
         found = await prober.query(["a"], 0.01)
         assert found == {"a": None}
         prober.receive(make_reply(sent[0][1], 10.0))
-        assert not prober.waiting
+        assert not prober.pending_queries
         assert await prober.query([], 60.0) == {}
 
     run(scenario)
