--- a/src/merlinthread/nodes/fleet_watcher.py
+++ b/src/merlinthread/nodes/fleet_watcher.py
@@ -273,22 +273,24 @@
             named_at[named.version] = now - named.age_s
             logs.event("weights_named", model=named.model, version=named.version, age_s=named.age_s)
 
-    def newest_version_with_age(self, model: str, now: float, bound_s: float) -> int:
-        """Return the newest version of a model published at least `bound_s` seconds ago, or 0.
+    def newest_version_with_age(self, model: str, now: float, min_age_s: float) -> int:
+        """Return the newest version of a model published at least `min_age_s` seconds ago, or 0.
 
         A later publication does not postpone the time at which an earlier version is required.
         """
         named_at = self.named_at.get(model, {})
-        return max((version for version, at in named_at.items() if now - at >= bound_s), default=0)
+        return max(
+            (version for version, at in named_at.items() if now - at >= min_age_s), default=0
+        )
 
-    def usable_until(self, model: str, version: int, bound_s: float) -> float:
+    def usable_until(self, model: str, version: int, validity_s: float) -> float:
         """Return until when a request may begin on a version of a model's weights.
 
-        This is `bound_s` seconds after the first newer version was published.
+        This is `validity_s` seconds after the first newer version was published.
         """
         named_at = self.named_at.get(model, {})
         newer = [at for named, at in named_at.items() if named > version]
-        return min(newer, default=float("inf")) + bound_s
+        return min(newer, default=float("inf")) + validity_s
 
     def apply_instances(self, reply: node_messages.WatchReply, address: str, now: float) -> None:
         """Apply changes of back ends; a full reply also shows which ones are missing."""
