--- a/src/merlinthread/nodes/agent_node.py
+++ b/src/merlinthread/nodes/agent_node.py
@@ -126,7 +126,7 @@
         """Poll the engine's report and send it to the subscribed entries, until cancelled."""
         while True:
             try:
-                report = await self.engine.report()
+                report = await self.engine.fetch_report()
                 self.detect_restart(report)
                 self.set_engine_reachable(True, "")
                 self.weights.record_engine_report(report)
--- a/src/merlinthread/nodes/engine_client.py
+++ b/src/merlinthread/nodes/engine_client.py
@@ -34,13 +34,13 @@
         self.engine = engine
         self.pool = stream_client.ConnectionPool(KEEP_ALIVE_S, CONNECT_TIMEOUT_S, USER_TIMEOUT_S)
 
-    async def report(self) -> fleet.EngineReport:
+    async def fetch_report(self) -> fleet.EngineReport:
         """Return the engine's status report."""
         request = self.dialect.report_request(self.engine)
         response = await self.pool.request(self.engine, request, LOCAL_TIMEOUT_S)
         return self.dialect.report(require_success(response).body)
 
-    async def manifest(self, origin: str, model: str, version: int) -> fleet.Manifest:
+    async def fetch_manifest(self, origin: str, model: str, version: int) -> fleet.Manifest:
         """Return the manifest of a version; version 0 is the newest published one.
 
         Raises WeightsError if the origin no longer has the version.
@@ -61,7 +61,7 @@
         """
         self.pool.close_idle(origin)
 
-    async def piece(self, origin: str, manifest: fleet.Manifest, index: int) -> bytes:
+    async def fetch_piece(self, origin: str, manifest: fleet.Manifest, index: int) -> bytes:
         """Return a piece from the origin.
 
         Raises WeightsError if its digest is wrong or the origin no longer has the version.
@@ -78,12 +78,12 @@
             raise errors.WeightsError(f"piece {index} from the origin has a wrong digest")
         return body
 
-    async def stage(self, model: str, index: int, data: bytes) -> None:
+    async def stage_piece(self, model: str, index: int, data: bytes) -> None:
         """Upload a piece to the engine's staging area."""
         request = self.dialect.stage_request(self.engine, model, index, data)
         require_success(await self.pool.request(self.engine, request, LOCAL_TIMEOUT_S))
 
-    async def staged(self, manifest: fleet.Manifest, index: int) -> bytes | None:
+    async def read_staged_piece(self, manifest: fleet.Manifest, index: int) -> bytes | None:
         """Return a piece from the engine's staging area, or None if it is missing or corrupt."""
         request = self.dialect.staged_request(self.engine, manifest.model, index)
         response = await self.pool.request(self.engine, request, LOCAL_TIMEOUT_S)
@@ -91,7 +91,7 @@
             return None
         return response.body
 
-    async def load(self, model: str, version: int, cuts_streams: bool) -> int:
+    async def load_staged_weights(self, model: str, version: int, cuts_streams: bool) -> int:
         """Make the engine load the staged weights; return the HTTP status of its response."""
         request = self.dialect.load_request(self.engine, model, version, cuts_streams)
         response = await self.pool.request(self.engine, request, LOCAL_TIMEOUT_S)
--- a/src/merlinthread/nodes/manifest_finder.py
+++ b/src/merlinthread/nodes/manifest_finder.py
@@ -100,7 +100,7 @@
         """
         try:
             async with asyncio.timeout(ORIGIN_TIMEOUT_S):
-                return await self.engine.manifest(origin, model, version)
+                return await self.engine.fetch_manifest(origin, model, version)
         except TimeoutError:
             raise errors.UnreachableError(
                 f"{origin}: no manifest received within {ORIGIN_TIMEOUT_S} s"
--- a/src/merlinthread/nodes/piece_fetcher.py
+++ b/src/merlinthread/nodes/piece_fetcher.py
@@ -187,7 +187,7 @@
     ) -> int:
         """Fetch a piece from the origin and stage it; return its index, or -1 on failure."""
         try:
-            data = await self.engine.piece(self.view.origin(), manifest, action.index)
+            data = await self.engine.fetch_piece(self.view.origin(), manifest, action.index)
             await self.store.put(manifest.model, action.index, data)
         except errors.MerlinthreadError as error:
             wait_s = max(ORIGIN_RETRY_DELAY_S, engine_client.origin_retry_delay_s(error))
--- a/src/merlinthread/nodes/piece_store.py
+++ b/src/merlinthread/nodes/piece_store.py
@@ -35,14 +35,14 @@
         Raises UnreachableError or ProtocolError if staging fails.
         """
         if self.is_engine_seen:
-            await self.engine.stage(model, index, data)
+            await self.engine.stage_piece(model, index, data)
         else:
             self.buffered[index] = data
 
     async def get(self, manifest: fleet.Manifest, index: int) -> bytes | None:
         """Return a piece from the buffer or the engine, or None if it is missing or corrupt."""
         data = self.buffered.get(index)
-        return data if data is not None else await self.engine.staged(manifest, index)
+        return data if data is not None else await self.engine.read_staged_piece(manifest, index)
 
     async def flush(self, model: str) -> None:
         """Stage all buffered pieces; raise the same errors as `put`."""
@@ -50,5 +50,5 @@
             data = self.buffered.get(index)
             if data is None:
                 continue
-            await self.engine.stage(model, index, data)
+            await self.engine.stage_piece(model, index, data)
             self.buffered.pop(index, None)
--- a/src/merlinthread/nodes/weights_task.py
+++ b/src/merlinthread/nodes/weights_task.py
@@ -190,7 +190,7 @@
         """Return the bit set of the staged pieces that match the manifest."""
         held = 0
         for index in range(len(manifest.digests)):
-            if await self.engine.staged(manifest, index) is not None:
+            if await self.engine.read_staged_piece(manifest, index) is not None:
                 held |= 1 << index
         return held
 
@@ -211,7 +211,7 @@
         await self.await_load_retry(manifest)
         if self.view.is_superseded(manifest) or self.report is None:
             return
-        status = await self.engine.load(manifest.model, manifest.version, False)
+        status = await self.engine.load_staged_weights(manifest.model, manifest.version, False)
         logs.event("engine_ordered", version=manifest.version, status=status)
         if self.report is not None and status == engine_client.STATUS_ACCEPTED:
             self.report.is_busy = True
--- a/tests/test_manifest_spreads.py
+++ b/tests/test_manifest_spreads.py
@@ -28,7 +28,7 @@
         self.have: set[str] = set()
         self.names = [f"10.{n % ZONES}.0.{n}:1" for n in range(AGENTS)]
 
-    async def manifest(self, origin, model, version):
+    async def fetch_manifest(self, origin, model, version):
         self.tried += 1
         await asyncio.sleep(0)
         if not self.is_origin_up:
--- a/tests/test_weights_task.py
+++ b/tests/test_weights_task.py
@@ -315,7 +315,7 @@
     monkeypatch,
 ):
     read_indexes = []
-    staged = engine_client.EngineClient.staged
+    staged = engine_client.EngineClient.read_staged_piece
 
     async def count_reads(self, manifest, index):
         read_indexes.append(index)
@@ -328,7 +328,7 @@
             lambda: fleet_nodes.is_free(f"{fleet_nodes.NETWORK}.21", fleet.port)
         )
         fleet.engines[0].version = 0
-        monkeypatch.setattr(engine_client.EngineClient, "staged", count_reads)
+        monkeypatch.setattr(engine_client.EngineClient, "read_staged_piece", count_reads)
         await fleet.start_agent(0)
         fleet.publish(1)
         await fleet.wait_until_loaded(1)
@@ -455,7 +455,7 @@
         address = await origin.start()
         client = engine_client.EngineClient(dialect.PlatformDialect(), "127.0.0.1:1")
         try:
-            await client.manifest(address, "m", 1)
+            await client.fetch_manifest(address, "m", 1)
         except engine_client.errors.WeightsError as error:
             assert error.kind is engine_client.errors.ErrorKind.ORIGIN_CHANGED
             return
