--- a/src/merlinthread/nodes/attempts.py
+++ b/src/merlinthread/nodes/attempts.py
@@ -212,7 +212,7 @@
         """
         head = await self.read_head(connection)
         headers = list(head.headers.raw_items())
-        response_head = self.dialect.response_head(head.status_code, headers)
+        response_head = self.dialect.parse_response_head(head.status_code, headers)
         if (
             response_head.request_id is not None
             and response_head.request_id != self.context.call.request_id
--- a/src/merlinthread/nodes/control_api.py
+++ b/src/merlinthread/nodes/control_api.py
@@ -46,7 +46,7 @@
         """Handle one HTTP exchange; errors become error responses."""
         request = exchange.request
         try:
-            call = self.dialect.control_call(request)
+            call = self.dialect.parse_control_call(request)
             response = await self.dispatch(call)
         except TimeoutError:
             response = error_response(
--- a/src/merlinthread/nodes/dialect.py
+++ b/src/merlinthread/nodes/dialect.py
@@ -52,13 +52,13 @@
 class Dialect(Protocol):
     """Conversions between wire formats and the types of the nodes."""
 
-    def configuration(self, body: bytes) -> fleet.Configuration:
+    def parse_configuration(self, body: bytes) -> fleet.Configuration:
         """Parse a configuration; raise ConfigurationError if it is invalid."""
 
-    def control_call(self, request: http_messages.Request) -> ControlCall:
+    def parse_control_call(self, request: http_messages.Request) -> ControlCall:
         """Parse a call of an operator or back end; raise MerlinthreadError if it is invalid."""
 
-    def client_call(self, request: http_messages.Request) -> fleet.RequestHead:
+    def parse_request_head(self, request: http_messages.Request) -> fleet.RequestHead:
         """Parse the head of a client's request; raise RequestError if it is invalid."""
 
     def is_readiness_check(self, request: http_messages.Request) -> bool:
@@ -69,7 +69,9 @@
     ) -> http_messages.Request:
         """Return the request to send to a back end."""
 
-    def response_head(self, status: int, headers: http_messages.Headers) -> fleet.ResponseHead:
+    def parse_response_head(
+        self, status: int, headers: http_messages.Headers
+    ) -> fleet.ResponseHead:
         """Parse the head of a back end's response."""
 
     def error_headers(self, call: fleet.RequestHead | None) -> http_messages.Headers:
@@ -78,13 +80,13 @@
     def report_request(self, address: str) -> http_messages.Request:
         """Return the request for an engine's status report."""
 
-    def report(self, body: bytes) -> fleet.EngineReport:
+    def parse_report(self, body: bytes) -> fleet.EngineReport:
         """Parse an engine's status report; raise ProtocolError if it is invalid."""
 
     def manifest_request(self, address: str, model: str, version: int) -> http_messages.Request:
         """Return the request to the origin for the manifest of a version."""
 
-    def manifest(self, body: bytes) -> fleet.Manifest:
+    def parse_manifest(self, body: bytes) -> fleet.Manifest:
         """Parse a manifest; raise ProtocolError if it is invalid."""
 
     def piece_request(
--- a/src/merlinthread/nodes/engine_client.py
+++ b/src/merlinthread/nodes/engine_client.py
@@ -38,7 +38,7 @@
         """Return the engine's status report."""
         request = self.dialect.report_request(self.engine)
         response = await self.pool.request(self.engine, request, LOCAL_TIMEOUT_S)
-        return self.dialect.report(require_success(response).body)
+        return self.dialect.parse_report(require_success(response).body)
 
     async def fetch_manifest(self, origin: str, model: str, version: int) -> fleet.Manifest:
         """Return the manifest of a version; version 0 is the newest published one.
@@ -52,7 +52,7 @@
                 f"{model} version {version} is no longer at the origin",
                 kind=errors.ErrorKind.ORIGIN_CHANGED,
             )
-        return self.dialect.manifest(require_success(response).body)
+        return self.dialect.parse_manifest(require_success(response).body)
 
     def close_idle_origin_connections(self, origin: str) -> None:
         """Close idle connections to the origin, which limits the number of its connections.
--- a/src/merlinthread/nodes/fleet_watcher.py
+++ b/src/merlinthread/nodes/fleet_watcher.py
@@ -248,7 +248,7 @@
             return
         try:
             body = zlib.decompress(reply.configuration)
-            self.table = route_table.RouteTable(self.dialect.configuration(body))
+            self.table = route_table.RouteTable(self.dialect.parse_configuration(body))
         except (errors.MerlinthreadError, zlib.error) as error:
             logs.warning("configuration_unreadable", reason=str(error))
             return
--- a/src/merlinthread/nodes/request_task.py
+++ b/src/merlinthread/nodes/request_task.py
@@ -75,7 +75,7 @@
 
     def prepare(self) -> None:
         """Parse the request and find its route and service; raise RequestError if it is refused."""
-        self.call = self.dialect.client_call(self.exchange.request)
+        self.call = self.dialect.parse_request_head(self.exchange.request)
         retry_delay_s = self.pool.startup_wait_s()
         is_current = self.pool.watcher.is_current()
         route, account = route_finder.find_route(self.table, self.call, is_current, retry_delay_s)
--- a/src/merlinthread/platform/dialect.py
+++ b/src/merlinthread/platform/dialect.py
@@ -23,13 +23,13 @@
 class PlatformDialect:
     """Converts between the platform's HTTP messages and internal types."""
 
-    def configuration(self, body: bytes) -> fleet.Configuration:
+    def parse_configuration(self, body: bytes) -> fleet.Configuration:
         """Parse a configuration; raise ConfigurationError if it is invalid."""
         return bodies.parse_configuration(body)
 
     # Operators and back ends
 
-    def control_call(self, request: http_messages.Request) -> dialects.ControlCall:
+    def parse_control_call(self, request: http_messages.Request) -> dialects.ControlCall:
         """Parse a call of an operator or back end; raise MerlinthreadError if it is invalid."""
         path = request.target.split(b"?")[0]
         if path == names.CONFIGURATION_PATH and request.method == b"GET":
@@ -58,7 +58,7 @@
 
     # Clients
 
-    def client_call(self, request: http_messages.Request) -> fleet.RequestHead:
+    def parse_request_head(self, request: http_messages.Request) -> fleet.RequestHead:
         """Parse the head of a client's request."""
         headers = {key.lower(): value for key, value in request.headers}
         host = headers.get(b"host", b"").decode("latin-1").lower().split(":")[0]
@@ -113,7 +113,9 @@
             headers.append((names.REQUEST_PRIORITY, b"%d" % target.urgency))
         return http_messages.Request(request.method, request.target, headers, request.body)
 
-    def response_head(self, status: int, headers: http_messages.Headers) -> fleet.ResponseHead:
+    def parse_response_head(
+        self, status: int, headers: http_messages.Headers
+    ) -> fleet.ResponseHead:
         """Parse the head of a back end's response."""
         request_id = http_messages.get_header(headers, names.REQUEST_ID)
         not_run = http_messages.get_header(headers, names.NOT_RUN) is not None
@@ -142,7 +144,7 @@
         """Return the request for the report of an engine."""
         return http_messages.Request(b"GET", names.REPORT_PATH, host_header(address))
 
-    def report(self, body: bytes) -> fleet.EngineReport:
+    def parse_report(self, body: bytes) -> fleet.EngineReport:
         """Parse an engine's report; raise ProtocolError if it is invalid."""
         return bodies.parse_report(body)
 
@@ -153,7 +155,7 @@
             b"GET", request_target(names.MANIFEST_PATH, model, query), host_header(address)
         )
 
-    def manifest(self, body: bytes) -> fleet.Manifest:
+    def parse_manifest(self, body: bytes) -> fleet.Manifest:
         """Parse a manifest; raise ProtocolError if it is invalid."""
         return bodies.parse_manifest(body)
 
--- a/tests/test_other_writers.py
+++ b/tests/test_other_writers.py
@@ -51,7 +51,7 @@
 @hypothesis.settings(max_examples=400)
 def test_a_call_of_an_operator_or_a_worker(method, path, body):
     request = http_messages.Request(method, path, [], body)
-    refused_or_read(dialect.PlatformDialect().control_call, request)
+    refused_or_read(dialect.PlatformDialect().parse_control_call, request)
 
 
 @hypothesis.given(
@@ -75,7 +75,7 @@
 @hypothesis.settings(max_examples=300)
 def test_the_head_of_a_clients_request(headers):
     request = http_messages.Request(b"POST", b"/a", headers, b"")
-    refused_or_read(dialect.PlatformDialect().client_call, request)
+    refused_or_read(dialect.PlatformDialect().parse_request_head, request)
 
 
 @hypothesis.given(st.sampled_from(MESSAGES), JSON, st.binary(max_size=40), st.booleans())
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -125,9 +125,9 @@
 def test_calls_of_operators_and_workers_are_told_apart(method, path, kind):
     body = b'{"model":"m","version":2}'
     request = http_messages.Request(method.encode(), path.encode(), [], body)
-    assert isinstance(dialect.PlatformDialect().control_call(request), kind)
+    assert isinstance(dialect.PlatformDialect().parse_control_call(request), kind)
 
 
 def test_an_unknown_call_is_refused():
     with pytest.raises(errors.RequestError):
-        dialect.PlatformDialect().control_call(http_messages.Request(b"GET", b"/x", [], b""))
+        dialect.PlatformDialect().parse_control_call(http_messages.Request(b"GET", b"/x", [], b""))
