--- a/src/merlinthread/nodes/engine_client.py
+++ b/src/merlinthread/nodes/engine_client.py
@@ -91,9 +91,9 @@
             return None
         return response.body
 
-    async def load_staged_weights(self, model: str, version: int, cuts_streams: bool) -> int:
+    async def load_staged_weights(self, model: str, version: int, truncates_streams: bool) -> int:
         """Make the engine load the staged weights; return the HTTP status of its response."""
-        request = self.dialect.load_request(self.engine, model, version, cuts_streams)
+        request = self.dialect.load_request(self.engine, model, version, truncates_streams)
         response = await self.pool.request(self.engine, request, LOCAL_TIMEOUT_S)
         return response.status
 
--- a/src/merlinthread/platform/dialect.py
+++ b/src/merlinthread/platform/dialect.py
@@ -181,17 +181,17 @@
         return http_messages.Request(b"GET", path, host_header(address))
 
     def load_request(
-        self, address: str, model: str, version: int, cuts_streams: bool
+        self, address: str, model: str, version: int, truncates_streams: bool
     ) -> http_messages.Request:
         """Return the request that makes an engine load the staged weights.
 
-        With `cuts_streams` the engine truncates running responses; otherwise the load is queued.
+        With `truncates_streams` it truncates running responses; otherwise it queues the load.
         """
         load_order = {
             "operation": "start",
             "model": model,
             "version": version,
-            "manner": "truncate" if cuts_streams else "queue",
+            "manner": "truncate" if truncates_streams else "queue",
         }
         body = msgspec.json.encode(load_order)
         headers = [*body_headers(address, body), JSON_TYPE]
