--- a/src/merlinthread/nodes/control_api.py
+++ b/src/merlinthread/nodes/control_api.py
@@ -68,7 +68,7 @@
         """Dispatch a call to its handler; return the response."""
         if isinstance(call, dialects.ReceiveHeartbeat):
             return await self.receive_heartbeat(call.heartbeat)
-        if isinstance(call, dialects.Leave):
+        if isinstance(call, dialects.RemoveInstance):
             await self.commit_departure(self.registry.latest(call.instance), fleet.GONE)
             return ok_response()
         if isinstance(call, dialects.PutConfiguration):
--- a/src/merlinthread/nodes/dialect.py
+++ b/src/merlinthread/nodes/dialect.py
@@ -40,13 +40,13 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Leave:
+class RemoveInstance:
     """Remove a back end that has stopped."""
 
     instance: str
 
 
-ControlCall = PutConfiguration | GetConfiguration | NameVersion | ReceiveHeartbeat | Leave
+ControlCall = PutConfiguration | GetConfiguration | NameVersion | ReceiveHeartbeat | RemoveInstance
 
 
 class Dialect(Protocol):
--- a/src/merlinthread/platform/dialect.py
+++ b/src/merlinthread/platform/dialect.py
@@ -46,7 +46,7 @@
             if request.method == b"PUT":
                 return dialects.ReceiveHeartbeat(bodies.parse_heartbeat(instance, request.body))
             if request.method == b"DELETE":
-                return dialects.Leave(instance)
+                return dialects.RemoveInstance(instance)
         raise errors.RequestError(
             f"unknown call: {request.method.decode()} {path.decode('ascii', 'replace')}",
             kind=errors.ErrorKind.UNKNOWN_ROUTE,
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -119,7 +119,7 @@
     [
         ("GET", "/config", dialects.GetConfiguration),
         ("POST", "/version-put", dialects.NameVersion),
-        ("DELETE", "/instances/i-1", dialects.Leave),
+        ("DELETE", "/instances/i-1", dialects.RemoveInstance),
     ],
 )
 def test_calls_of_operators_and_workers_are_told_apart(method, path, kind):
