--- a/src/merlinthread/nodes/agent_node.py
+++ b/src/merlinthread/nodes/agent_node.py
@@ -48,7 +48,7 @@
             self.send_load,
             self.datagrams.send,
         )
-        self.listener = node_bus.RpcServer(
+        self.rpc_server = node_bus.RpcServer(
             codec, self.dispatch_request, lambda: self.weights.server.upload_pacer.bytes_per_s
         )
         self.ledger = load_tracker.LoadTracker()
@@ -63,7 +63,7 @@
     async def start(self) -> None:
         """Start listening for other nodes, and start the background tasks."""
         await self.datagrams.listen(self.settings.ip, self.settings.agent_port)
-        await self.listener.listen(self.settings.ip, self.settings.agent_port)
+        await self.rpc_server.listen(self.settings.ip, self.settings.agent_port)
         loop = asyncio.get_running_loop()
         self.tasks = [
             loop.create_task(self.watcher.run()),
@@ -77,7 +77,7 @@
 
     async def stop(self) -> None:
         """Stop accepting connections from peers."""
-        self.listener.server.stop_accepting()
+        self.rpc_server.server.stop_accepting()
 
     def dispatch_datagram(self, message: Any) -> None:
         """Handle a datagram from an entry or another agent."""
--- a/src/merlinthread/nodes/control_node.py
+++ b/src/merlinthread/nodes/control_node.py
@@ -64,7 +64,7 @@
         self.crashes = crash_registry.CrashRegistry(
             settings, clock, self.rpc_client, self.member, self.submit, self.notify_watchers
         )
-        self.listener = node_bus.RpcServer(codec, self.dispatch_request)
+        self.rpc_server = node_bus.RpcServer(codec, self.dispatch_request)
         self.datagrams = node_bus.DatagramEndpoint(codec, self.dispatch_datagram)
         self.permits = permit_server.PermitServer(self.member, clock)
         limits = http_messages.Limits(body_bytes=BODY_BYTES_MAX, idle_timeout_s=60.0)
@@ -83,7 +83,7 @@
     async def start(self) -> None:
         """Start the servers and the background tasks."""
         self.on_restored()
-        await self.listener.listen(self.settings.ip, self.settings.control_port)
+        await self.rpc_server.listen(self.settings.ip, self.settings.control_port)
         await self.datagrams.listen(self.settings.ip, self.settings.control_port)
         host, port = node_settings.split_address(self.settings.control_address)
         await self.server.listen(host, port)
--- a/tests/fleet_nodes.py
+++ b/tests/fleet_nodes.py
@@ -160,7 +160,7 @@
     """Cancel the tasks and abort the connections of a control VM, as if its process ended."""
     for task in node.tasks + node.member.sender.tasks():
         task.cancel()
-    for server in (node.server, node.listener.server):
+    for server in (node.server, node.rpc_server.server):
         if server.listener is not None:
             server.listener.close()
         for connection in list(server.connections):
--- a/tests/test_weights_task.py
+++ b/tests/test_weights_task.py
@@ -96,8 +96,8 @@
         agent = self.agents.pop(number)
         for task in agent.tasks:
             task.cancel()
-        agent.listener.server.listener.close()
-        for connection in list(agent.listener.server.connections):
+        agent.rpc_server.server.listener.close()
+        for connection in list(agent.rpc_server.server.connections):
             connection.abort()
         agent.datagrams.transport.close()
 
