--- a/src/merlinthread/transport/bus.py
+++ b/src/merlinthread/transport/bus.py
@@ -135,11 +135,11 @@
         try:
             with self.socket.new_context() as context:
                 while not self.stopping.is_set():
-                    self.serve_one(context)
+                    self.serve_call(context)
         except pynng.exceptions.Closed:
             return
 
-    def serve_one(self, context: pynng.Context) -> None:
+    def serve_call(self, context: pynng.Context) -> None:
         """Handle one call, or return after `STOP_POLL_MS`; raise Closed if the socket is closed."""
         try:
             frame = context.recv()
