--- a/src/merlinthread/transport/bus.py
+++ b/src/merlinthread/transport/bus.py
@@ -116,7 +116,7 @@
         workers: int,
     ) -> None:
         self.codec = codec
-        self.handler = handler
+        self.run_handlerr = handler
         self.stopping = threading.Event()
         self.socket = pynng.Rep0(recv_max_size=MESSAGE_BYTES_MAX, recv_timeout=STOP_POLL_MS)
         self.socket.listen(address_url(address))
@@ -144,7 +144,7 @@
         try:
             frame = context.recv()
             BYTES_RECEIVED.inc(len(frame))
-            frame = self.handle(frame)
+            frame = self.run_handler(frame)
             context.send(frame)
             BYTES_SENT.inc(len(frame))
         except pynng.exceptions.Closed:
@@ -154,13 +154,13 @@
         except pynng.exceptions.NNGException as error:
             logs.debug("bus_answer_failed", error=str(error))
 
-    def handle(self, frame: bytes) -> bytes:
+    def run_handler(self, frame: bytes) -> bytes:
         """Decode a call, run the handler and return the encoded reply.
 
         An exception of the handler is returned as `ErrorReply`.
         """
         try:
-            reply = self.handler(self.codec.decode(frame))
+            reply = self.run_handlerr(self.codec.decode(frame))
         except errors.MerlinthreadError as error:
             reply = messages.ErrorReply(str(error.kind), error.message)
         except Exception as error:
--- a/src/merlinthread/transport/node_bus.py
+++ b/src/merlinthread/transport/node_bus.py
@@ -82,7 +82,7 @@
         pacing_bytes_per_s: Callable[[], float] = lambda: math.inf,
     ) -> None:
         self.codec = codec
-        self.handler = handler
+        self.run_handlerr = handler
         self.pacing_bytes_per_s = pacing_bytes_per_s
         limits = http_messages.Limits(body_bytes=MESSAGE_BYTES_MAX, idle_timeout_s=2 * KEEP_ALIVE_S)
         self.server = stream_server.Server(self.serve, limits)
@@ -93,7 +93,7 @@
 
     async def serve(self, exchange: stream_server.Exchange) -> None:
         """Handle one call."""
-        reply = await self.handle(exchange.request.body)
+        reply = await self.run_handler(exchange.request.body)
         headers = [(b"content-type", MEDIA_TYPE)]
         frame = self.codec.encode(reply)
         rate = self.pacing_bytes_per_s()
@@ -118,13 +118,13 @@
             await exchange.send(frame[offset : offset + SEND_CHUNK_BYTES])
         await exchange.finish()
 
-    async def handle(self, body: bytes) -> Any:
+    async def run_handler(self, body: bytes) -> Any:
         """Decode a call, run the handler and return the reply.
 
         An exception of the handler is returned as `ErrorReply`.
         """
         try:
-            return await self.handler(self.codec.decode(body))
+            return await self.run_handlerr(self.codec.decode(body))
         except errors.MerlinthreadError as error:
             return node_messages.ErrorReply(str(error.kind), error.message)
         except asyncio.CancelledError:
