--- a/src/merlinthread/transport/bus.py
+++ b/src/merlinthread/transport/bus.py
@@ -181,11 +181,11 @@
 
 
 class Receiver:
-    """Receives one-way messages on `address` and passes them to `deliver` in a separate thread."""
+    """Receives one-way messages on `address` and passes them to `handler` in a separate thread."""
 
-    def __init__(self, address: str, codec: codecs.Codec, deliver: Callable[[Any], None]) -> None:
+    def __init__(self, address: str, codec: codecs.Codec, handler: Callable[[Any], None]) -> None:
         self.codec = codec
-        self.deliver = deliver
+        self.handler = handler
         self.socket = pynng.Pull0(recv_max_size=MESSAGE_BYTES_MAX)
         self.socket.listen(address_url(address))
         self.thread = threading.Thread(target=self.receive, name="mailbox", daemon=True)
@@ -200,7 +200,7 @@
             try:
                 frame = self.socket.recv()
                 BYTES_RECEIVED.inc(len(frame))
-                self.deliver(self.codec.decode(frame))
+                self.handler(self.codec.decode(frame))
             except pynng.exceptions.Closed:
                 return
             except pynng.exceptions.NNGException as error:
--- a/src/merlinthread/transport/node_bus.py
+++ b/src/merlinthread/transport/node_bus.py
@@ -137,9 +137,9 @@
 class DatagramEndpoint(asyncio.DatagramProtocol):
     """Sends and receives one-way messages over UDP; they may be lost."""
 
-    def __init__(self, codec: codecs.Codec, deliver: Callable[[Any], None]) -> None:
+    def __init__(self, codec: codecs.Codec, handler: Callable[[Any], None]) -> None:
         self.codec = codec
-        self.deliver = deliver
+        self.handler = handler
         self.transport: asyncio.DatagramTransport | None = None
 
     async def listen(self, host: str, port: int) -> None:
@@ -152,13 +152,13 @@
         self.transport = transport  # type: ignore[assignment]
 
     def datagram_received(self, data: bytes, address: object) -> None:
-        """Pass a message to `deliver`; drop it if it can't be decoded."""
+        """Pass a message to `handler`; drop it if it can't be decoded."""
         try:
             message = self.codec.decode(data)
         except errors.ProtocolError as error:
             logs.debug("datagram_refused", reason=error.message)
             return
-        self.deliver(message)
+        self.handler(message)
 
     def send(self, address: str, message: Any) -> None:
         """Send one message to `address` ("IP:port"); do nothing before `listen`."""
