--- a/src/merlinthread/platform/bodies.py
+++ b/src/merlinthread/platform/bodies.py
@@ -107,7 +107,7 @@
 
 
 class LayersBody(msgspec.Struct):
-    """Range of loaded layers, from `first` up to but excluding `target_version`."""
+    """The loaded layers: `first` up to, but not including, `target_version`."""
 
     first: int = msgspec.field(name="from", default=0)
     target_version: int = 0
@@ -161,7 +161,7 @@
 
 
 class VersionBody(msgspec.Struct):
-    """Publication of a version of weights."""
+    """The publication of a version of weights."""
 
     model: str
     version: int
@@ -189,14 +189,14 @@
     )
     return fleet.Configuration(
         decoded.version,
-        [translate_route(item) for item in decoded.routes],
-        [translate_service(item) for item in decoded.services],
+        [convert_route(item) for item in decoded.routes],
+        [convert_service(item) for item in decoded.services],
         [fleet.Account(item.name, item.api_keys, item.priority) for item in decoded.tenants],
         limits,
     )
 
 
-def translate_route(body: RouteBody) -> fleet.Route:
+def convert_route(body: RouteBody) -> fleet.Route:
     """Convert a route to its internal type."""
     if body.traffic_split is not None:
         shares = [fleet.Share(item.service, item.weight) for item in body.traffic_split]
@@ -218,7 +218,7 @@
     )
 
 
-def translate_service(body: ServiceBody) -> fleet.Service:
+def convert_service(body: ServiceBody) -> fleet.Service:
     """Convert a service to its internal type."""
     engine = None
     if body.engine is not None:
@@ -273,13 +273,13 @@
 
 
 def record_unreadable(field: str, value: object, reason: str) -> None:
-    """Log and count a field value of a back end that is ignored because it is invalid."""
+    """Log and count an invalid value in a field of a back end, which is ignored."""
     metrics.unreadable_words_total.labels(field).inc()
     logs.event("word_unreadable", field=field, value=repr(value), reason=reason)
 
 
-def parse_heartbeat(id_: str, body: bytes) -> fleet.Heartbeat:
-    """Parse the heartbeat of the back end `id_`; raise ProtocolError if it is invalid."""
+def parse_heartbeat(instance_id: str, body: bytes) -> fleet.Heartbeat:
+    """Parse the heartbeat of the back end `instance_id`; raise ProtocolError if it is invalid."""
     decoded = decode(HEARTBEAT_DECODER, body)
     state = HEARTBEAT_STATES.get(decoded.state)
     if state is None:
@@ -288,7 +288,7 @@
             f"state: {decoded.state!r} is neither 'ready' nor 'draining'", field="state"
         )
     return fleet.Heartbeat(
-        incarnations.Incarnation(id_, parse_born_ms(decoded.born)).name(),
+        incarnations.Incarnation(instance_id, parse_born_ms(decoded.born)).name(),
         decoded.service,
         decoded.address,
         decoded.zone,
--- a/src/merlinthread/platform/dialect.py
+++ b/src/merlinthread/platform/dialect.py
@@ -141,11 +141,11 @@
     # Engine and origin
 
     def report_request(self, address: str) -> http_messages.Request:
-        """Return the request for the report of an engine."""
+        """Return the request for an engine's status report."""
         return http_messages.Request(b"GET", names.REPORT_PATH, host_header(address))
 
     def parse_report(self, body: bytes) -> fleet.EngineReport:
-        """Parse an engine's report; raise ProtocolError if it is invalid."""
+        """Parse an engine's status report; raise ProtocolError if it is invalid."""
         return bodies.parse_report(body)
 
     def manifest_request(self, address: str, model: str, version: int) -> http_messages.Request:
@@ -207,7 +207,7 @@
 
 
 def unknown_header_names(headers: http_messages.Headers) -> frozenset[str]:
-    """Return the names of response headers that are not known."""
+    """Return the names of the unknown ones among response headers."""
     unknown = {name.lower() for name, _ in headers} - KNOWN_RESPONSE_HEADERS
     return frozenset(name.decode("latin-1") for name in unknown)
 
--- a/src/merlinthread/platform/main.py
+++ b/src/merlinthread/platform/main.py
@@ -28,8 +28,8 @@
         logs.configure_stdout(settings.name, "info")
         gc.freeze()
         gc.enable()
-        wire = dialect.PlatformDialect()
-        return node_daemon.run(role, path, load, wire, int(port))
+        platform_dialect = dialect.PlatformDialect()
+        return node_daemon.run(role, path, load, platform_dialect, int(port))
     except errors.MerlinthreadError as error:
         print(f"merlinthread: {error.kind}: {error.message}", file=sys.stderr)
         return error_responses.RESPONSES[error.kind].exit_code
--- a/src/merlinthread/transport/bus.py
+++ b/src/merlinthread/transport/bus.py
@@ -52,12 +52,13 @@
     def call(self, message: Any, timeout_s: float) -> Any:
         """Send a message and return the reply.
 
-        `timeout_s` limits the send and the receive separately. Raises UnreachableError if either
-        fails, and MerlinthreadError, with the peer's error kind, if the peer reports an error.
+        `timeout_s` applies to the send and to the receive separately. Raises UnreachableError if
+        either fails, and MerlinthreadError, with the peer's error kind, if the peer reports an
+        error.
         """
-        milliseconds = max(1, int(timeout_s * 1000))
-        self.socket.send_timeout = milliseconds
-        self.socket.recv_timeout = milliseconds
+        timeout_ms = max(1, int(timeout_s * 1000))
+        self.socket.send_timeout = timeout_ms
+        self.socket.recv_timeout = timeout_ms
         try:
             frame = self.codec.encode(message)
             self.socket.send(frame)
@@ -66,7 +67,7 @@
             BYTES_RECEIVED.inc(len(frame))
             reply = self.codec.decode(frame)
         except pynng.exceptions.NNGException as error:
-            # pynng may not recover from a connection that stalls while it is established.
+            # pynng may not recover if establishing a connection stalls.
             self.socket.close()
             self.socket = self.open_socket()
             raise errors.UnreachableError(f"{self.address}: {error}")
@@ -195,7 +196,7 @@
         self.thread.start()
 
     def receive(self) -> None:
-        """Pass on messages until the socket is closed; drop those that can't be decoded."""
+        """Handle messages until the socket is closed; drop those that can't be decoded."""
         while True:
             try:
                 frame = self.socket.recv()
@@ -218,8 +219,8 @@
 class Sender:
     """Sends one-way messages to one peer; drops a message if the send queue is full.
 
-    pynng waits 10 s for a connection that stalls while it is established. The socket is reopened
-    earlier, if there has been no connection for `RECONNECT_AFTER_S`.
+    If establishing a connection stalls, pynng waits 10 s before it tries again. The socket is
+    therefore reopened if there has been no connection for `RECONNECT_AFTER_S`.
     """
 
     def __init__(self, address: str, codec: codecs.Codec) -> None:
--- a/src/merlinthread/transport/http_client.py
+++ b/src/merlinthread/transport/http_client.py
@@ -1,4 +1,4 @@
-"""An HTTP client on urllib3 that tells whether a failed request may have been processed."""
+"""An HTTP client on urllib3 that reports whether a failed request may have been processed."""
 
 import dataclasses
 from collections.abc import Iterator
@@ -149,7 +149,7 @@
     ) -> Response:
         """Send a request and return the complete response, whatever its status.
 
-        Raises as `open` and `StreamingResponse.read` do.
+        Raises the same errors as `open` and `StreamingResponse.read`.
         """
         stream = self.open(method, url, body, headers, timeout_s)
         data = stream.read(limit_bytes)
--- a/src/merlinthread/transport/node_bus.py
+++ b/src/merlinthread/transport/node_bus.py
@@ -1,7 +1,7 @@
 """Messaging between nodes: calls over HTTP POST and one-way messages over UDP.
 
-A call may be repeated after its reply is lost, so every message must be idempotent. Calls to a node
-behind a network partition end with their timeout.
+A call may be repeated after its reply is lost, so every message must be idempotent. A call across
+a network partition fails after its timeout.
 """
 
 import asyncio
@@ -62,7 +62,7 @@
 
 
 def parse_error_kind(name: str) -> errors.ErrorKind:
-    """Return the error kind `name`, or INTERNAL for one that only newer versions know."""
+    """Return the error kind `name`, or INTERNAL if this version does not know it."""
     try:
         return errors.ErrorKind(name)
     except ValueError:
@@ -72,7 +72,7 @@
 class RpcServer:
     """A server that replies to calls of other nodes with the results of `handler`.
 
-    `pacing_bytes_per_s` returns the rate at which long replies are sent; infinity disables pacing.
+    `pacing_bytes_per_s` returns the rate at which long replies are sent, infinity for no pacing.
     """
 
     def __init__(
@@ -96,25 +96,25 @@
         reply = await self.run_handler(exchange.request.body)
         headers = [(b"content-type", MEDIA_TYPE)]
         frame = self.codec.encode(reply)
-        rate = self.pacing_bytes_per_s()
-        if len(frame) <= SEND_CHUNK_BYTES or rate == math.inf:
+        bytes_per_s = self.pacing_bytes_per_s()
+        if len(frame) <= SEND_CHUNK_BYTES or bytes_per_s == math.inf:
             await exchange.respond(http_messages.Response(200, headers, frame))
         else:
-            await self.send_paced(exchange, headers, frame, rate)
+            await self.send_paced(exchange, headers, frame, bytes_per_s)
 
     async def send_paced(
         self,
         exchange: stream_server.Exchange,
         headers: http_messages.Headers,
         frame: bytes,
-        rate: float,
+        bytes_per_s: float,
     ) -> None:
-        """Send a response in chunks at `rate`, in bytes per second."""
+        """Send a response in chunks at the given rate."""
         loop = asyncio.get_running_loop()
         exchange.start_response(200, [*headers, (b"content-length", b"%d" % len(frame))])
         started_at = loop.time()
         for offset in range(0, len(frame), SEND_CHUNK_BYTES):
-            await asyncio.sleep(started_at + offset / rate - loop.time())
+            await asyncio.sleep(started_at + offset / bytes_per_s - loop.time())
             await exchange.send(frame[offset : offset + SEND_CHUNK_BYTES])
         await exchange.finish()
 
--- a/src/merlinthread/transport/sockets.py
+++ b/src/merlinthread/transport/sockets.py
@@ -19,8 +19,8 @@
         return
     with contextlib.suppress(OSError):
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        milliseconds = int(user_timeout_s * 1000)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, milliseconds)
+        timeout_ms = int(user_timeout_s * 1000)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, timeout_ms)
 
 
 def reset_on_close(transport: asyncio.BaseTransport) -> None:
--- a/src/merlinthread/transport/stream_client.py
+++ b/src/merlinthread/transport/stream_client.py
@@ -102,7 +102,7 @@
         await self.waiter
 
     async def receive(self) -> http_messages.Response:
-        """Return the complete response; raises as `next_event` does."""
+        """Return the complete response; raise the same errors as `next_event`."""
         head = await self.next_event()
         while isinstance(head, h11.InformationalResponse):
             head = await self.next_event()
@@ -253,7 +253,7 @@
         """Handle a response timeout on a connection.
 
         If the connection came from the pool, close the idle connections to the same server: a
-        network fault may have broken all of them without a reset, while new connections work.
+        network fault may have broken them all without a reset, although new connections work.
         """
         if connection.is_reused:
             self.close_idle(key)
--- a/src/merlinthread/transport/stream_server.py
+++ b/src/merlinthread/transport/stream_server.py
@@ -13,11 +13,11 @@
 from merlinthread.transport import http_messages, sockets
 
 READ_AHEAD_BYTES_MAX = 256 * 1024
-BACKLOG = 1024
+LISTEN_BACKLOG = 1024
 
 
 class FlowControl:
-    """Write flow control: lets a task wait until the transport's buffer has room."""
+    """Flow control for writing: lets a task wait until the transport's buffer has room."""
 
     def __init__(self) -> None:
         self.waiter: asyncio.Future | None = None
@@ -41,7 +41,10 @@
 
 
 class Exchange:
-    """A request received on a connection, with methods to send the response."""
+    """A request received on a connection, with methods to send the response.
+
+    `is_started` and `is_finished` tell how much of the response has been sent.
+    """
 
     def __init__(self, connection: "ServerConnection", request: http_messages.Request) -> None:
         self.connection = connection
@@ -50,7 +53,7 @@
         self.is_finished = False
 
     async def respond(self, response: http_messages.Response) -> None:
-        """Send a complete response; adds its Content-Length header."""
+        """Send a complete response with a Content-Length header."""
         headers = [*response.headers, (b"content-length", b"%d" % len(response.body))]
         self.start_response(response.status, headers)
         if response.body and self.request.method != b"HEAD":
@@ -68,7 +71,7 @@
         self.connection.write(h11.Response(status_code=status, headers=headers))
 
     async def send(self, data: bytes) -> None:
-        """Send a part of the body, then wait until the write buffer has room."""
+        """Send a part of the body, and wait until the write buffer has room."""
         self.connection.write(h11.Data(data=data))
         await self.connection.flow.wait_writable()
 
@@ -103,7 +106,7 @@
         """Start listening on `host`:`port`."""
         loop = asyncio.get_running_loop()
         self.listener = await loop.create_server(
-            lambda: ServerConnection(self), host, port, backlog=BACKLOG, reuse_address=True
+            lambda: ServerConnection(self), host, port, backlog=LISTEN_BACKLOG, reuse_address=True
         )
 
     def begin_draining(self) -> None:
@@ -179,10 +182,10 @@
         self.flow.resume()
 
     def eof_received(self) -> bool:
-        """Treat a client that closes its sending side as disconnected.
+        """Handle the close of the client's sending side like a disconnect.
 
-        An unfinished response is aborted, so that a client that no longer reads can't block its
-        handler; a complete response is still written.
+        An incomplete response is aborted, so that a client that no longer reads can't block its
+        handler. A complete response is still sent.
         """
         is_responding = self.parser.our_state in (h11.SEND_RESPONSE, h11.SEND_BODY)
         if self.task is not None and is_responding:
@@ -192,8 +195,8 @@
     def data_received(self, data: bytes) -> None:
         """Pass received data to the parser.
 
-        While a request is being handled, data is buffered, and reading is paused above
-        `READ_AHEAD_BYTES_MAX`.
+        While a request is being handled, data is only buffered. Reading is paused if there is more
+        than `READ_AHEAD_BYTES_MAX`.
         """
         self.parser.receive_data(data)
         if self.task is not None:
@@ -239,7 +242,7 @@
         self.set_timer(self.server.limits.idle_timeout_s, self.close)
 
     def handle_head(self, event: h11.Request) -> bool:
-        """Handle the head of a request: check its size and start to receive the body."""
+        """Handle the head of a request: check the length and prepare to receive the body."""
         self.is_head_pending = False
         self.request = http_messages.Request(
             event.method, event.target, list(event.headers.raw_items())
@@ -335,7 +338,7 @@
             self.transport.write(data)
 
     def set_timer(self, delay_s: float | None, action: Callable[[], None] | None) -> None:
-        """Replace the timer of this connection; None cancels it."""
+        """Set the timer of this connection, in place of a previous one; None cancels it."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
