--- a/src/merlinthread/nodes/agent_node.py
+++ b/src/merlinthread/nodes/agent_node.py
@@ -182,7 +182,7 @@
 
 
 @node_roles.NODES.add("agent")
-def make_agent(settings: node_settings.NodeSettings, dialect: dialects.Dialect) -> AgentNode:
+def make_agent_node(settings: node_settings.NodeSettings, dialect: dialects.Dialect) -> AgentNode:
     """Create an agent that uses the system clock."""
     codec = codecs.Codec([node_messages.MESSAGES], [])
     return AgentNode(settings, dialect, codec, clocks.now, random.Random())
--- a/src/merlinthread/nodes/attempt_descriptions.py
+++ b/src/merlinthread/nodes/attempt_descriptions.py
@@ -9,12 +9,12 @@
 
 
 def describe_choice(
-    choice: dispatch.Choice, permit: permits.Permit | None, arrived: float, now: float
+    choice: dispatch.Choice, permit: permits.Permit | None, arrived_at: float, now: float
 ) -> str:
-    """Describe the known state of a back end chosen for a request that arrived at `arrived`."""
+    """Describe the known state of the back end that was chosen for a request."""
     backend = choice.backend
     age_ms = round(1000 * (now - backend.load_updated_at())) if backend.has_fresh_load(now) else -1
-    waited_ms = round(1000 * (now - arrived))
+    waited_ms = round(1000 * (now - arrived_at))
     expected_ms = round(1000 * choice.first_byte_s)
     unread = round(backend.unread_tokens + (backend.others_unread_tokens or 0.0))
     return (
--- a/src/merlinthread/nodes/attempts.py
+++ b/src/merlinthread/nodes/attempts.py
@@ -98,10 +98,10 @@
                 self.backend, self.context.is_idempotent()
             )
             self.check_available()
-            connection.send(self.request())
+            connection.send(self.build_request())
             self.is_sent = True
             self.sent_at = self.clock()
-            async with asyncio.timeout_at(self.loop_time(self.context.deadline)):
+            async with asyncio.timeout_at(self.to_loop_time(self.context.deadline)):
                 outcome, headers = await self.receive_response(connection)
             if outcome.state in (State.DONE, State.FAILED, State.NOT_RUN):
                 self.pool.connections.release(self.backend, connection, headers)
@@ -153,7 +153,7 @@
             self.context.account.name if self.context.account is not None else "",
             self.context.call.request_id,
             self.backend,
-            self.reservation.started,
+            self.reservation.started_at,
             self.clock(),
         )
         self.pool.crashes.record_break(broken, is_timeout)
@@ -163,7 +163,7 @@
         if connection is not None:
             self.pool.connections.handle_timeout(self.backend.instance, connection)
 
-    def loop_time(self, at: float) -> float:
+    def to_loop_time(self, at: float) -> float:
         """Convert a time of this node's clock to the event loop's clock."""
         return asyncio.get_running_loop().time() + (at - self.clock())
 
@@ -171,13 +171,13 @@
         """Update the back end's state after a complete response."""
         now = self.clock()
         if outcome.state is State.DONE:
-            dispatch.record_success(self.backend, now - self.reservation.started)
+            dispatch.record_success(self.backend, now - self.reservation.started_at)
             if self.pool.crashes.ledger.records:
                 self.pool.crashes.record_success(self.context.fingerprint())
         elif outcome.state is State.NOT_RUN:
             dispatch.record_full(self.backend, now)
 
-    def request(self) -> http_messages.Request:
+    def build_request(self) -> http_messages.Request:
         """Return the request to send to the back end."""
         remaining_s = None
         if self.context.call.deadline_s is not None:
--- a/src/merlinthread/nodes/backend_pool.py
+++ b/src/merlinthread/nodes/backend_pool.py
@@ -56,7 +56,7 @@
 
     backend: backend_record.Backend
     tokens: float
-    started: float
+    started_at: float
     number: int = 0
     agent: str = ""
     is_read: bool = False
@@ -323,7 +323,7 @@
         reservation.is_read = True
         self.notify_agent(reservation, node_messages.AttemptStage.READ)
         now = self.clock()
-        reservation.backend.record_first_byte_delay(now - reservation.started, now)
+        reservation.backend.record_first_byte_delay(now - reservation.started_at, now)
         reservation.backend.unread -= 1
         reservation.backend.unread_tokens -= reservation.tokens
 
--- a/src/merlinthread/nodes/control_node.py
+++ b/src/merlinthread/nodes/control_node.py
@@ -339,7 +339,9 @@
 
 
 @node_roles.NODES.add("control")
-def make(settings: node_settings.NodeSettings, dialect: dialects.Dialect) -> ControlNode:
+def make_control_node(
+    settings: node_settings.NodeSettings, dialect: dialects.Dialect
+) -> ControlNode:
     """Create a control VM that uses the system clock."""
     codec = codecs.Codec([raft_messages.MESSAGES, node_messages.MESSAGES], [])
     return ControlNode(settings, dialect, codec, clocks.now)
--- a/src/merlinthread/nodes/crash_detector.py
+++ b/src/merlinthread/nodes/crash_detector.py
@@ -32,7 +32,7 @@
 
 @dataclasses.dataclass(slots=True)
 class BrokenAttempt:
-    """An attempt that began at `began_at` and broke at `at`; `label` describes its request."""
+    """An attempt without a complete response; `label` describes its request."""
 
     fingerprint: str
     label: str
@@ -40,11 +40,11 @@
     request_id: str
     backend: backend_record.Backend
     began_at: float
-    at: float
+    broke_at: float
 
     def crash(self) -> crash_tracker.Crash:
         """Return the crash to record once it is confirmed."""
-        return crash_tracker.Crash(self.at, self.backend.instance, self.began_at)
+        return crash_tracker.Crash(self.broke_at, self.backend.instance, self.began_at)
 
 
 class CrashDetector:
@@ -63,7 +63,7 @@
         self.ledger = ledger
         self.rpc_client = rpc_client
         self.clock = clock
-        self.broken: dict[str, list[BrokenAttempt]] = {}
+        self.broken_attempts: dict[str, list[BrokenAttempt]] = {}
         self.unconfirmed: list[BrokenAttempt] = []
         self.checks: dict[str, asyncio.Task[None]] = {}
         self.pending_reports: dict[str, None] = {}
@@ -90,8 +90,10 @@
         if is_timeout:
             self.keep_unconfirmed([attempt])
             return
-        recent = self.broken.setdefault(backend.instance, [])
-        recent[:] = [other for other in recent if attempt.at - other.at <= BREAK_WINDOW_S]
+        recent = self.broken_attempts.setdefault(backend.instance, [])
+        recent[:] = [
+            other for other in recent if attempt.broke_at - other.broke_at <= BREAK_WINDOW_S
+        ]
         recent.append(attempt)
         if backend.instance not in self.checks:
             task = asyncio.get_running_loop().create_task(self.check_process(backend))
@@ -120,7 +122,7 @@
 
     def apply_check(self, backend: backend_record.Backend, has_crashed: bool, reason: str) -> None:
         """Record the result of a check for the broken attempts of a back end."""
-        attempts = self.broken.pop(backend.instance, [])
+        attempts = self.broken_attempts.pop(backend.instance, [])
         if has_crashed:
             self.record_crashes(attempts, reason)
         else:
@@ -131,7 +133,9 @@
         """Keep attempts until another instance replaces their back end, or until they expire."""
         now = self.clock()
         remaining = [
-            attempt for attempt in self.unconfirmed if now - attempt.at <= UNCONFIRMED_EXPIRY_S
+            attempt
+            for attempt in self.unconfirmed
+            if now - attempt.broke_at <= UNCONFIRMED_EXPIRY_S
         ]
         self.unconfirmed = [*remaining, *attempts][-UNCONFIRMED_MAX:]
 
--- a/src/merlinthread/nodes/entry_node.py
+++ b/src/merlinthread/nodes/entry_node.py
@@ -162,7 +162,7 @@
 
 
 @node_roles.NODES.add("entry")
-def make(settings: node_settings.NodeSettings, dialect: dialects.Dialect) -> EntryNode:
+def make_entry_node(settings: node_settings.NodeSettings, dialect: dialects.Dialect) -> EntryNode:
     """Create an entry node that uses the clock of this process."""
     codec = codecs.Codec([node_messages.MESSAGES], [])
     return EntryNode(settings, dialect, codec, clocks.now, random.Random())
--- a/src/merlinthread/nodes/manifest_finder.py
+++ b/src/merlinthread/nodes/manifest_finder.py
@@ -69,7 +69,7 @@
         is_new = self.last_failed != (model, version)
         if is_new:
             predecessors = zone_predecessors(self.own_address, f"{model}@{version}", peers)
-            manifest = await self.from_predecessors(predecessors, model, version)
+            manifest = await self.poll_predecessors(predecessors, model, version)
             if manifest is not None:
                 return manifest
         deadline = self.clock() + FIND_TIMEOUT_S
@@ -78,12 +78,12 @@
         while is_wanted() and self.clock() < deadline:
             try:
                 if may_read_origin:
-                    return await self.from_origin(origin, model, version)
+                    return await self.read_from_origin(origin, model, version)
             except errors.MerlinthreadError as error:
                 self.last_failed = (model, version)
                 self.origin_not_before = self.clock() + engine_client.origin_retry_delay_s(error)
                 reason = error
-            manifest = await self.from_random_peers(peers, model, version)
+            manifest = await self.query_random_peers(peers, model, version)
             if manifest is not None:
                 return manifest
             await asyncio.sleep(PEER_RETRY_INTERVAL_S)
@@ -92,7 +92,7 @@
             )
         raise reason
 
-    async def from_origin(self, origin: str, model: str, version: int) -> fleet.Manifest:
+    async def read_from_origin(self, origin: str, model: str, version: int) -> fleet.Manifest:
         """Read the manifest from the origin.
 
         Raises UnreachableError after ORIGIN_TIMEOUT_S: an origin that has just recovered is busy
@@ -111,29 +111,29 @@
         agent_count = sum(peer.distance == fetch.SAME_ZONE for peer in peers) + 1
         return self.rng.random() * agent_count < 1
 
-    async def from_random_peers(
+    async def query_random_peers(
         self, peers: Sequence[fetch.Peer], model: str, version: int
     ) -> fleet.Manifest | None:
         """Query PEERS_QUERIED random peers; return the manifest, or None if none of them has it."""
         queried = self.rng.sample(peers, min(PEERS_QUERIED, len(peers)))
-        replies = await asyncio.gather(*(self.from_peer(p.bus, model, version) for p in queried))
+        replies = await asyncio.gather(*(self.query_peer(p.bus, model, version) for p in queried))
         return next((manifest for manifest in replies if manifest is not None), None)
 
-    async def from_predecessors(
+    async def poll_predecessors(
         self, predecessors: Sequence[str], model: str, version: int
     ) -> fleet.Manifest | None:
         """Poll the first predecessors for the manifest; return None after the timeout."""
         deadline = self.clock() + min(PREDECESSOR_WAIT_MAX_S, ORIGIN_STAGGER_S * len(predecessors))
         while self.clock() < deadline:
             queried = predecessors[:PREDECESSORS_POLLED]
-            replies = await asyncio.gather(*(self.from_peer(a, model, version) for a in queried))
+            replies = await asyncio.gather(*(self.query_peer(a, model, version) for a in queried))
             manifest = next((m for m in replies if m is not None), None)
             if manifest is not None:
                 return manifest
             await asyncio.sleep(PREDECESSOR_POLL_INTERVAL_S)
         return None
 
-    async def from_peer(self, peer: str, model: str, version: int) -> fleet.Manifest | None:
+    async def query_peer(self, peer: str, model: str, version: int) -> fleet.Manifest | None:
         """Return the manifest from a peer, or None if it has none or the call fails."""
         request = node_messages.ManifestRequest(model, version)
         with contextlib.suppress(errors.MerlinthreadError):
--- a/src/merlinthread/nodes/node_daemon.py
+++ b/src/merlinthread/nodes/node_daemon.py
@@ -39,10 +39,10 @@
         self.settings = load(path)
         self.node = node_roles.factory_for(role)(self.settings, dialect)
         self.stop_requested = asyncio.Event()
-        self.loaded_signature = self.file_signature()
+        self.loaded_file_state = self.file_state()
         self.metrics_server = stream_server.Server(serve_metrics)
 
-    def file_signature(self) -> tuple[int, int]:
+    def file_state(self) -> tuple[int, int]:
         """Return the modification time and size of the settings file, (0, 0) if it is missing."""
         with contextlib.suppress(OSError):
             status = os.stat(self.path)
@@ -78,7 +78,7 @@
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(SETTINGS_POLL_INTERVAL_S):
                     await self.stop_requested.wait()
-            if self.file_signature() != self.loaded_signature:
+            if self.file_state() != self.loaded_file_state:
                 self.reload()
             for task in self.node.tasks:
                 if task.done() and not task.cancelled() and task.exception() is not None:
@@ -87,7 +87,7 @@
 
     def reload(self) -> None:
         """Reload the settings that may change at run time; log and ignore an invalid file."""
-        self.loaded_signature = self.file_signature()
+        self.loaded_file_state = self.file_state()
         try:
             settings = self.load(self.path)
         except errors.SettingsError as error:
--- a/src/merlinthread/nodes/permits.py
+++ b/src/merlinthread/nodes/permits.py
@@ -33,18 +33,18 @@
 
 @dataclasses.dataclass(slots=True)
 class Permit:
-    """Permission to send one request to a back end until `until`.
+    """Permission to send one request to a back end until `expires_at`.
 
     `source` is the address of the leader that granted it, or describes the time slot, for the log.
     """
 
     instance: str
-    until: float
+    expires_at: float
     source: str
 
     def is_valid(self, instance: str, now: float) -> bool:
         """Return whether a request may be sent to `instance` now."""
-        return self.instance == instance and now <= self.until
+        return self.instance == instance and now <= self.expires_at
 
 
 @dataclasses.dataclass(slots=True)
--- a/src/merlinthread/nodes/piece_fetcher.py
+++ b/src/merlinthread/nodes/piece_fetcher.py
@@ -165,9 +165,9 @@
         index = -1
         try:
             if isinstance(action, fetch.OriginRead):
-                index = await self.from_origin(plan, manifest, action)
+                index = await self.fetch_from_origin(plan, manifest, action)
             else:
-                index = await self.from_peer(plan, manifest, action)
+                index = await self.fetch_from_peer(plan, manifest, action)
         finally:
             plan.on_action_finished(action)
             if index < 0:
@@ -182,7 +182,7 @@
         metrics.pieces_total.labels("origin" if is_from_origin else "peer").inc()
         self.announce_piece(plan, manifest, action, index)
 
-    async def from_origin(
+    async def fetch_from_origin(
         self, plan: fetch.FetchPlan, manifest: fleet.Manifest, action: fetch.OriginRead
     ) -> int:
         """Fetch a piece from the origin and stage it; return its index, or -1 on failure."""
@@ -202,7 +202,7 @@
             return -1
         return action.index
 
-    async def from_peer(
+    async def fetch_from_peer(
         self, plan: fetch.FetchPlan, manifest: fleet.Manifest, action: fetch.PeerRequest
     ) -> int:
         """Fetch any wanted piece from a peer and stage it; return its index, or -1 on failure."""
--- a/src/merlinthread/nodes/request_task.py
+++ b/src/merlinthread/nodes/request_task.py
@@ -43,18 +43,20 @@
         dialect: dialects.Dialect,
         pool: backend_pool.BackendPool,
         table: route_table.RouteTable | None,
-        arrived: float,
+        arrived_at: float,
     ) -> None:
         self.exchange = exchange
         self.dialect = dialect
         self.pool = pool
         self.table = table
         self.clock = pool.clock
-        self.arrived = arrived
+        self.arrived_at = arrived_at
         self.call: fleet.RequestHead | None = None
         self.context: request_context.RequestContext | None = None
         self.service = ""
-        self.relay = response_relay.ResponseRelay(exchange, pool.clock, arrived, self.log_response)
+        self.relay = response_relay.ResponseRelay(
+            exchange, pool.clock, arrived_at, self.log_response
+        )
         self.tried: set[str] = set()
         self.attempts: list[attempts.Attempt] = []
         # The permit for the next attempt, if its back end has a rate limit.
@@ -84,11 +86,11 @@
         timeout_s = route.timeout_s
         if self.call.deadline_s is not None:
             timeout_s = min(timeout_s, self.call.deadline_s - DEADLINE_MARGIN_S)
-        deadline = self.arrived + max(0.0, timeout_s)
+        deadline = self.arrived_at + max(0.0, timeout_s)
         body = self.exchange.request.body
         self.context = request_context.RequestContext(self.call, route, account, deadline, body)
         self.check_hold()
-        self.pool.budget(self.service).record_first_attempt(self.arrived)
+        self.pool.budget(self.service).record_first_attempt(self.arrived_at)
 
     def check_hold(self) -> None:
         """Raise RequestError if this request is held because back ends crashed while running it.
@@ -115,7 +117,7 @@
             self.check_hold()
             backend = choice.backend
             self.reasons.append(self.describe_choice(choice))
-            outcome = await self.attempt(backend)
+            outcome = await self.make_attempt(backend)
             self.reasons[-1] += f": {outcome.reason}"
             self.append_signals()
             if outcome.state is attempts.State.DONE:
@@ -146,7 +148,9 @@
 
     def describe_choice(self, choice: dispatch.Choice) -> str:
         """Describe the known state of a chosen back end for the log."""
-        return attempt_descriptions.describe_choice(choice, self.permit, self.arrived, self.clock())
+        return attempt_descriptions.describe_choice(
+            choice, self.permit, self.arrived_at, self.clock()
+        )
 
     def may_retry(self, outcome: attempts.Outcome) -> bool:
         """Return whether another attempt is allowed, charging it to the retry budget."""
@@ -213,7 +217,7 @@
         Raises RequestError if none is available before the queue time is over.
         """
         assert self.context is not None
-        queue_deadline = self.arrived + QUEUE_TIME_SHARE * self.context.route.objective_s
+        queue_deadline = self.arrived_at + QUEUE_TIME_SHARE * self.context.route.objective_s
         queue = self.pool.queue(self.service)
         while True:
             now = self.clock()
@@ -235,7 +239,7 @@
                 if is_expired:
                     raise self.unavailable("no back end is free", self.retry_after_s(True))
             timeout_s = min(queue_deadline - now, 0.05)
-            await queue.wait(self.context.urgency(), self.arrived, timeout_s)
+            await queue.wait(self.context.urgency(), self.arrived_at, timeout_s)
 
     async def choose(self, remaining_s: float) -> dispatch.Choice | None:
         """Return the best back end, or None if there is none.
@@ -315,7 +319,7 @@
         if self.exchange.is_started:
             return self.context.deadline
         share = RETRY_ADMISSION_SHARE if self.is_client_retry() else ADMISSION_SHARE
-        return self.arrived + share * self.context.route.objective_s
+        return self.arrived_at + share * self.context.route.objective_s
 
     def is_client_retry(self) -> bool:
         """Return whether the client has so little time left that it was probably refused before.
@@ -356,7 +360,7 @@
         refusal = retry_delays.Refusal(remaining_s, is_unavailable, ready_in_s)
         return self.pool.retry_delay_policy(refusal, self.pool.rng)
 
-    async def attempt(self, backend: backend_record.Backend) -> attempts.Outcome:
+    async def make_attempt(self, backend: backend_record.Backend) -> attempts.Outcome:
         """Make one attempt on a back end and return its outcome."""
         assert self.context is not None
         self.tried.add(backend.instance)
@@ -415,9 +419,9 @@
             configuration=self.table.version if self.table else 0,
             service=self.service,
             sent=self.sent_count(),
-            ms=round(1000 * (self.clock() - self.arrived)),
+            ms=round(1000 * (self.clock() - self.arrived_at)),
             first_ms=(
-                round(1000 * (self.relay.first_event_at - self.arrived))
+                round(1000 * (self.relay.first_event_at - self.arrived_at))
                 if self.relay.first_event_at
                 else None
             ),
--- a/src/merlinthread/nodes/response_relay.py
+++ b/src/merlinthread/nodes/response_relay.py
@@ -17,12 +17,12 @@
         self,
         exchange: stream_server.Exchange,
         clock: Callable[[], float],
-        arrived: float,
+        arrived_at: float,
         on_response: Callable[[int], None],
     ) -> None:
         self.exchange = exchange
         self.clock = clock
-        self.arrived = arrived
+        self.arrived_at = arrived_at
         self.on_response = on_response
         self.last_event_id = ""
         self.first_event_at: float | None = None
@@ -47,7 +47,7 @@
             return
         headers = without_length(http_messages.end_to_end_headers(head.headers))
         self.first_event_at = self.clock()
-        metrics.first_token_seconds.observe(self.first_event_at - self.arrived)
+        metrics.first_token_seconds.observe(self.first_event_at - self.arrived_at)
         self.exchange.start_response(head.status, headers)
 
     async def finish(self, head: http_messages.Response) -> None:
