--- a/src/merlinthread/nodes/crash_detector.py
+++ b/src/merlinthread/nodes/crash_detector.py
@@ -214,7 +214,7 @@
 
     async def send_reports(self) -> bool:
         """Send the queued reports to one control VM; return False if they must be sent again."""
-        control = self.watcher.current
+        control = self.watcher.current_control_vm
         if not control:
             return not self.pending_reports
         # Reports queued during the call belong to the next one.
--- a/src/merlinthread/nodes/fleet_watcher.py
+++ b/src/merlinthread/nodes/fleet_watcher.py
@@ -84,7 +84,7 @@
         self.named: dict[str, int] = {}
         self.named_at: dict[str, dict[int, float]] = {}
         self.controls: list[str] = settings.control_rpc_addresses()
-        self.current = ""
+        self.current_control_vm = ""
         self.positions: dict[str, FeedPosition] = {}
         self.next_search_at = float("-inf")
         self.confirmed_at = float("-inf")
@@ -93,9 +93,11 @@
     async def run(self) -> None:
         """Watch the fleet state until cancelled."""
         while True:
-            if not self.current or (not self.is_fresh and self.clock() >= self.next_search_at):
+            if not self.current_control_vm or (
+                not self.is_fresh and self.clock() >= self.next_search_at
+            ):
                 await self.select_control_vm()
-            if not self.current:
+            if not self.current_control_vm:
                 await asyncio.sleep(RETRY_DELAY_S)
                 continue
             await self.poll()
@@ -105,10 +107,10 @@
         found = await self.find_control_vm()
         self.next_search_at = self.clock() + SEARCH_INTERVAL_S
         if self.is_fresh:
-            self.current = found
+            self.current_control_vm = found
             # Any other control VM must send its full state if it is selected later.
             self.positions = {found: self.positions.get(found, FeedPosition())}
-        self.current = self.current or found
+        self.current_control_vm = self.current_control_vm or found
 
     async def find_control_vm(self) -> str:
         """Return the first control VM that replies and is in contact with a majority.
@@ -141,7 +143,7 @@
     def other_control_vms(self) -> list[str]:
         """Return the addresses of the control VMs other than the current one."""
         known = dict.fromkeys([*self.controls, *self.settings.control_rpc_addresses()])
-        return [address for address in known if address != self.current]
+        return [address for address in known if address != self.current_control_vm]
 
     async def request_changes(
         self, address: str, wait_s: float, timeout_s: float
@@ -168,11 +170,11 @@
     async def poll(self) -> None:
         """Poll the current control VM once and apply its reply."""
         wait_s = WATCH_WAIT_S if self.is_fresh else STALE_WAIT_S
-        reply = await self.request_changes(self.current, wait_s, WATCH_TIMEOUT_S)
+        reply = await self.request_changes(self.current_control_vm, wait_s, WATCH_TIMEOUT_S)
         if reply is None:
             self.disconnect("no reply")
             return
-        self.apply(reply, self.current)
+        self.apply(reply, self.current_control_vm)
         if reply.leader_age_s > STALE_AFTER_S:
             self.mark_stale("no contact with a majority")
             await asyncio.sleep(RETRY_DELAY_S)
@@ -191,19 +193,19 @@
         control VMs there is none, and requests for the full state would delay the election.
         """
         if self.is_fresh:
-            logs.event("control_lost", control=self.current, reason=reason)
+            logs.event("control_lost", control=self.current_control_vm, reason=reason)
             self.next_search_at = self.clock()
         self.is_fresh = False
 
     def disconnect(self, reason: str) -> None:
         """Stop using the current control VM; the next one must send its full state."""
         self.mark_stale(reason)
-        self.current = ""
+        self.current_control_vm = ""
         self.positions = {}
 
     def feed(self) -> str:
         """Return the feed of the current control VM, or an empty string."""
-        return self.positions.get(self.current, FeedPosition()).feed
+        return self.positions.get(self.current_control_vm, FeedPosition()).feed
 
     # Updates
 
--- a/src/merlinthread/nodes/limit_reporter.py
+++ b/src/merlinthread/nodes/limit_reporter.py
@@ -24,7 +24,7 @@
 
     def report(self, limit: limit_table.LimitReport) -> None:
         """Start a task that reports a limit, unless no control VM is known."""
-        if not self.watcher.current:
+        if not self.watcher.current_control_vm:
             return
         task = asyncio.get_running_loop().create_task(self.send(limit))
         self.tasks.add(task)
@@ -37,6 +37,6 @@
         """
         report = node_messages.CrashReport(self.name, [], limits=[limit])
         try:
-            await self.rpc_client.call(self.watcher.current, report, REPORT_TIMEOUT_S)
+            await self.rpc_client.call(self.watcher.current_control_vm, report, REPORT_TIMEOUT_S)
         except errors.MerlinthreadError as error:
             logs.debug("limit_not_told", instance=limit.instance, reason=error.message)
--- a/src/merlinthread/nodes/permits.py
+++ b/src/merlinthread/nodes/permits.py
@@ -181,7 +181,7 @@
         A search queries all of them at once. Queried in turn, failed ones would delay it while a
         new leader already grants permits to other entries.
         """
-        known = dict.fromkeys([*self.watcher.controls, self.watcher.current])
+        known = dict.fromkeys([*self.watcher.controls, self.watcher.current_control_vm])
         return [address for address in known if address]
 
     def set_leader(self, address: str, reply: node_messages.PermitReply) -> None:
--- a/tests/permit_net.py
+++ b/tests/permit_net.py
@@ -41,7 +41,7 @@
     """The control VMs known to an entry."""
 
     controls: list[str]
-    current: str
+    current_control_vm: str
 
 
 @dataclasses.dataclass
--- a/tests/test_control_nodes.py
+++ b/tests/test_control_nodes.py
@@ -200,7 +200,7 @@
         task = loop.create_task(watcher.run())
         await put_configuration(controls, 1)
         await fleet_nodes.until(lambda: watcher.version == 1)
-        controls.kill(watcher.current.split(":")[0])
+        controls.kill(watcher.current_control_vm.split(":")[0])
         await put_configuration(controls, 2)
         await fleet_nodes.until(lambda: watcher.version == 2)
         await controls.until_acknowledged("PUT", "/instances/i-1", heartbeat())
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -130,7 +130,7 @@
         for ip in fleet.controls.ips:
             fleet.controls.kill(ip)
         watcher = fleet.entries[0].node.watcher
-        await fleet_nodes.until(lambda: not watcher.current)
+        await fleet_nodes.until(lambda: not watcher.current_control_vm)
         for _ in range(4):
             await fleet.ask_or_none(0, crashing_fleet.DEADLY)
         assert len(fleet.crash_times()) == 3
@@ -259,7 +259,7 @@
     async def scenario():
         entry = fleet_nodes.Entry()
         crashes, watcher = entry.node.crashes, entry.node.watcher
-        crashes.rpc_client, watcher.current = Caller(), "control"
+        crashes.rpc_client, watcher.current_control_vm = Caller(), "control"
         task = asyncio.get_running_loop().create_task(crashes.run())
 
         def see(instance):
--- a/tests/test_leaving_answers.py
+++ b/tests/test_leaving_answers.py
@@ -190,9 +190,9 @@
     async def check_missed_departure(fleet_):
         watcher = fleet_.entries[0].node.watcher
         leaver = fleet_.workers[0]
-        await fleet_nodes.until(lambda: watcher.current)
+        await fleet_nodes.until(lambda: watcher.current_control_vm)
         # The departure is acknowledged between the loss of the entry's control VM and the search.
-        former = watcher.current.partition(":")[0]
+        former = watcher.current_control_vm.partition(":")[0]
         asked, may_ask = watcher.request_changes, asyncio.Event()
 
         async def ask(*of):
@@ -204,7 +204,9 @@
         fleet_.controls.kill(former)
         await fleet_.controls.until_acknowledged("DELETE", f"/instances/{leaver.instance}")
         may_ask.set()
-        await fleet_nodes.until(lambda: watcher.current and not watcher.current.startswith(former))
+        await fleet_nodes.until(
+            lambda: watcher.current_control_vm and not watcher.current_control_vm.startswith(former)
+        )
         before = len(leaver.runs)
         for _ in range(REQUESTS):
             assert (await fleet_.ask(0, b"")).status == 200
--- a/tests/test_news_in_full.py
+++ b/tests/test_news_in_full.py
@@ -70,6 +70,9 @@
 
         monkeypatch.setattr(watcher, "find_control_vm", find_control_vm)
         await watcher.select_control_vm()
-        assert watcher.current == NEWLY_STARTED and watcher.positions[NEWLY_STARTED].position == 0
+        assert (
+            watcher.current_control_vm == NEWLY_STARTED
+            and watcher.positions[NEWLY_STARTED].position == 0
+        )
 
     asyncio.run(scenario())
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -31,7 +31,7 @@
 
 class Watcher:
     controls = ["here:1"]
-    current = "here:1"
+    current_control_vm = "here:1"
 
 
 def make_office():
--- a/tests/test_return_of_all.py
+++ b/tests/test_return_of_all.py
@@ -76,7 +76,7 @@
         rpc_client = FakeCaller(addresses(), 1e6)
         watcher = make_watcher(1, rpc_client)
         task = asyncio.get_running_loop().create_task(watcher.run())
-        await fleet_nodes.until(lambda: watcher.current)
+        await fleet_nodes.until(lambda: watcher.current_control_vm)
         rpc_client.leader_age_s = 0.0
         async with asyncio.timeout(2 * fleet_watcher.SEARCH_INTERVAL_S):
             await fleet_nodes.until(lambda: watcher.is_fresh)
@@ -89,7 +89,7 @@
     async def scenario():
         rpc_client = FakeCaller(addresses(), 0.0)
         watcher = make_watcher(1, rpc_client)
-        watcher.current = await watcher.find_control_vm()
+        watcher.current_control_vm = await watcher.find_control_vm()
         watcher.disconnect("no answer")
         rpc_client.asked.clear()
         await watcher.find_control_vm()
