--- a/src/merlinthread/nodes/control_node.py
+++ b/src/merlinthread/nodes/control_node.py
@@ -54,6 +54,7 @@
         self.rpc_client = node_bus.RpcClient(codec)
         self.registry = instances.InstanceRegistry(settings.heartbeat_s)
         self.named_at: dict[str, float] = {}
+        # Identifies this process; nodes discard the positions that an earlier one has sent.
         self.feed = secrets.token_hex(8)
         self.changed = asyncio.Event()
         self.outgoing_heartbeats: list[fleet.Heartbeat] = []
--- a/src/merlinthread/nodes/member_changes.py
+++ b/src/merlinthread/nodes/member_changes.py
@@ -58,11 +58,11 @@
         self.on_removed = on_removed
         self.written_level = written_level
         self.address = f"{settings.ip}:{settings.control_port}"
-        self.joiners: dict[str, float] = {}
-        self.leaving: dict[str, float] = {}
+        self.join_requested_at: dict[str, float] = {}
+        self.leave_requested_at: dict[str, float] = {}
         self.next_join_at = clock()
 
-    def policy(self) -> membership_repair.RepairPolicy:
+    def repair_policy(self) -> membership_repair.RepairPolicy:
         """Return the repair policy for the bounds of the deployment."""
         catch_up_s = self.settings.bounds.catch_up_s
         return membership_repair.RepairPolicy(
@@ -73,8 +73,8 @@
 
     def clear_requests(self) -> None:
         """Discard the received requests to join or leave, after a change of leadership."""
-        self.joiners.clear()
-        self.leaving.clear()
+        self.join_requested_at.clear()
+        self.leave_requested_at.clear()
 
     # Joining
 
@@ -116,7 +116,7 @@
             if join.name in member.log.voters.retired:
                 return node_messages.JoinReply(True)
             self.check_level(join)
-            self.joiners[join.name] = now
+            self.join_requested_at[join.name] = now
             return node_messages.JoinReply(False)
         leader = raft_members.address_of(member.leader)
         if leader and leader != self.address:
@@ -188,7 +188,7 @@
         """Return whether removing `member` lets the group tolerate more failures than losing it."""
         voter_count = len(member.log.voters.voters)
         return member.is_voter() and membership_repair.removal_improves_tolerance(
-            voter_count, 1, self.policy()
+            voter_count, 1, self.repair_policy()
         )
 
     async def reply_to_leave(self, leave: node_messages.LeaveRequest) -> node_messages.LeaveReply:
@@ -202,7 +202,7 @@
         if leave.name not in member.log.voters.voters:
             is_committed = not member.log.has_membership_change_after(member.commit)
             return node_messages.LeaveReply(is_committed)
-        self.leaving[leave.name] = now
+        self.leave_requested_at[leave.name] = now
         return node_messages.LeaveReply(False)
 
     # Repairs by the leader
@@ -212,7 +212,9 @@
         member = self.get_raft()
         if not member.holds_lease(now):
             return
-        change = membership_repair.next_change(self.group_status(member, now), self.policy(), now)
+        change = membership_repair.next_change(
+            self.group_status(member, now), self.repair_policy(), now
+        )
         if change is None:
             return
         try:
@@ -225,7 +227,7 @@
 
     def group_status(self, member: raft.Raft, now: float) -> membership_repair.GroupStatus:
         """Return this leader's view of the group; drop expired requests first."""
-        for requests in (self.joiners, self.leaving):
+        for requests in (self.join_requested_at, self.leave_requested_at):
             for name, requested_at in list(requests.items()):
                 if now - requested_at > REQUEST_EXPIRY_S:
                     del requests[name]
@@ -235,8 +237,8 @@
             member.commit,
             {name: progress.match for name, progress in member.progress.items()},
             {name: progress.heard_at for name, progress in member.progress.items()},
-            list(self.joiners),
-            list(self.leaving),
+            list(self.join_requested_at),
+            list(self.leave_requested_at),
         )
 
     def log_change(
