--- a/src/merlinthread/nodes/attempts.py
+++ b/src/merlinthread/nodes/attempts.py
@@ -1,7 +1,7 @@
 """One attempt to run a client's request on a back end.
 
-An attempt records in its back end's state how it ended. Its `State` says what is known about the
-request: whether it was sent, and whether it may have run. `request_task` decides on retries.
+An attempt records its outcome in the record of the back end. Its `State` says whether the request
+was sent, and whether it may have run. `request_task` decides on retries.
 """
 
 import asyncio
--- a/src/merlinthread/nodes/backend_pool.py
+++ b/src/merlinthread/nodes/backend_pool.py
@@ -253,7 +253,7 @@
         probed = dispatch.shortlist(others, demand, engine, self.clock(), self.rng, PROBE_AGENTS)
         await self.probe(probed)
         known = [*subscribed, *(backend for backend in probed if not backend.probe_unanswered)]
-        # Unsubscribed engines that did not answer the probe are the last resort.
+        # Unsubscribed engines that did not reply to the probe are the last resort.
         choice = dispatch.choose_best(known, demand, engine, self.clock())
         return choice or dispatch.choose_best(probed, demand, engine, self.clock())
 
--- a/src/merlinthread/nodes/crash_registry.py
+++ b/src/merlinthread/nodes/crash_registry.py
@@ -175,8 +175,8 @@
 ) -> list[fleet_state.PlaceHold | fleet_state.ReleaseHold]:
     """Return the commands for holds and releases that are not in the log yet.
 
-    Those due for less than `patience_s` are left out. `held_since` has the time at which the hold
-    of each request last changed in the log, by fingerprint.
+    Those that became due less than `patience_s` ago are omitted. `held_since` has the time at which
+    the hold of each request last changed in the log, by fingerprint.
     """
     commands: list[fleet_state.PlaceHold | fleet_state.ReleaseHold] = []
     for record in ledger.held():
--- a/src/merlinthread/nodes/engine_client.py
+++ b/src/merlinthread/nodes/engine_client.py
@@ -101,7 +101,7 @@
 def require_success(response: http_messages.Response) -> http_messages.Response:
     """Return `response` if it is a success; raise ProtocolError otherwise.
 
-    The error has the retry delay that the server asks for, if any.
+    The error has the retry delay from the response, if any.
     """
     if 200 <= response.status < 300:
         return response
--- a/src/merlinthread/nodes/request_task.py
+++ b/src/merlinthread/nodes/request_task.py
@@ -109,7 +109,7 @@
     # Attempts
 
     async def serve(self) -> None:
-        """Make attempts until one of them, or an error, gives the final response."""
+        """Make attempts until the request has a final response."""
         failures = 0
         while True:
             choice = await self.acquire_backend()
--- a/src/merlinthread/nodes/route_finder.py
+++ b/src/merlinthread/nodes/route_finder.py
@@ -17,7 +17,7 @@
     """Return a request's route and account; raise RequestError if it is refused.
 
     `startup_wait_s` is the retry delay sent while no configuration is known. Unless `is_current`, a
-    newer configuration may allow the request, so the refusal is a temporary one that says that the
+    newer configuration may allow the request, so the error is a temporary one, which says that the
     request has not run.
     """
     if table is None:
--- a/src/merlinthread/transport/stream_server.py
+++ b/src/merlinthread/transport/stream_server.py
@@ -43,7 +43,7 @@
 class Exchange:
     """A request received on a connection, with methods to send the response.
 
-    `is_started` and `is_finished` tell how much of the response has been sent.
+    `is_started` and `is_finished` say whether the response has been started or finished.
     """
 
     def __init__(self, connection: "ServerConnection", request: http_messages.Request) -> None:
