--- a/src/merlinthread/nodes/dialect.py
+++ b/src/merlinthread/nodes/dialect.py
@@ -1,7 +1,7 @@
 """The interface between the nodes and the wire formats of a platform.
 
 Nodes use only these methods and the types of `coordination.fleet`. A dialect is stateless and
-makes no decisions. `merlinthread.platform.dialect` is an implementation.
+makes no decisions. `merlinthread.platform` has an implementation.
 """
 
 import dataclasses
