--- a/src/merlinthread/nodes/backend_pool.py
+++ b/src/merlinthread/nodes/backend_pool.py
@@ -31,7 +31,7 @@
 )
 from merlinthread.protocol import node_messages
 
-WAKE_COUNT = 4
+REQUESTS_WOKEN = 4
 # Agents probed for one choice, and the timeout for their replies.
 PROBE_AGENTS = 2
 PROBE_TIMEOUT_S = 0.015
@@ -115,7 +115,7 @@
             self.backends_by_address[backend.address] = backend
         self.update_subscriptions()
         for queue in self.queues.values():
-            queue.wake(WAKE_COUNT)
+            queue.wake(REQUESTS_WOKEN)
 
     def update_subscriptions(self) -> None:
         """Choose the engines of each service whose load reports this entry subscribes to."""
@@ -191,7 +191,7 @@
         backend.apply_report(load.report, self.clock(), load.others)
         queue = self.queues.get(backend.service)
         if queue is not None and len(queue):
-            queue.wake(WAKE_COUNT)
+            queue.wake(REQUESTS_WOKEN)
 
     def startup_wait_s(self) -> float:
         """Return how long a node needs after its start to learn of all back ends."""
--- a/src/merlinthread/nodes/crash_detector.py
+++ b/src/merlinthread/nodes/crash_detector.py
@@ -24,7 +24,7 @@
 # If a whole VM fails, only a new instance at its address confirms the crash, seconds later.
 UNCONFIRMED_EXPIRY_S = 15.0
 # Bounds the memory for attempts without a confirmed crash.
-UNCONFIRMED_MAX = 1024
+UNCONFIRMED_ATTEMPTS_MAX = 1024
 REPLACED_REASON = "another instance is at its address"
 REPORT_TIMEOUT_S = 0.9
 REPORT_RETRY_DELAY_S = 0.1
@@ -137,7 +137,7 @@
             for attempt in self.unconfirmed
             if now - attempt.broke_at <= UNCONFIRMED_EXPIRY_S
         ]
-        self.unconfirmed = [*remaining, *attempts][-UNCONFIRMED_MAX:]
+        self.unconfirmed = [*remaining, *attempts][-UNCONFIRMED_ATTEMPTS_MAX:]
 
     def apply_fleet_update(self) -> None:
         """Confirm crashes of replaced back ends; report all records again after a change of feed.
--- a/src/merlinthread/nodes/fleet_watcher.py
+++ b/src/merlinthread/nodes/fleet_watcher.py
@@ -34,7 +34,7 @@
 # Time between searches while no control VM in contact with a majority is known.
 SEARCH_INTERVAL_S = 0.4
 STALE_AFTER_S = 1.6
-MISSING_HEARTBEATS = 4
+MISSING_GRACE_HEARTBEATS = 4
 # Smaller differences between reported ages may be due to latency, up to WATCH_TIMEOUT_S.
 AGE_TOLERANCE_S = 2.0
 
@@ -361,7 +361,7 @@
 
     def remove_missing(self, now: float) -> None:
         """Remove back ends that have been missing for several heartbeats; they may return."""
-        grace_s = MISSING_HEARTBEATS * self.settings.heartbeat_s
+        grace_s = MISSING_GRACE_HEARTBEATS * self.settings.heartbeat_s
         for instance, since in list(self.missing.items()):
             if now - since > grace_s:
                 del self.missing[instance]
--- a/src/merlinthread/nodes/log_member.py
+++ b/src/merlinthread/nodes/log_member.py
@@ -416,7 +416,7 @@
         except (KeyError, msgspec.DecodeError) as error:
             raise errors.ControlError(
                 f"this build reads up to level {levels.NEWEST} and can't read the command: "
-                f"{error!r}; send it to a VM with a newer build"
+                f"{error!r}; send it to a newer one"
             )
 
     def check_leader_reads(self, command: bytes, leader: str) -> None:
--- a/src/merlinthread/nodes/request_context.py
+++ b/src/merlinthread/nodes/request_context.py
@@ -5,7 +5,7 @@
 from merlinthread.coordination import fingerprints, fleet
 
 URGENCY_MAX = 9
-LABEL_LENGTH_MAX = 120
+LABEL_CHARACTERS_MAX = 120
 
 
 @dataclasses.dataclass(slots=True)
@@ -31,7 +31,7 @@
         account = self.account.name if self.account is not None else "no account"
         path = self.call.path.decode("latin-1").split("?")[0]
         text = f"{self.call.method.decode('latin-1')} {self.call.host}{path} of {account}"
-        return text[:LABEL_LENGTH_MAX]
+        return text[:LABEL_CHARACTERS_MAX]
 
     def is_idempotent(self) -> bool:
         """Return whether the request may run more than once."""
