--- a/src/merlinthread/nodes/backend_pool.py
+++ b/src/merlinthread/nodes/backend_pool.py
@@ -275,8 +275,8 @@
         """Probe engines for their load through their agents."""
         agents = list({self.agent_of(backend): None for backend in probed})
         replies = await self.prober.query(agents, PROBE_TIMEOUT_S)
-        # Engines on one VM share an agent. Its timeout must count against all of them; an engine
-        # without the penalty would get all requests.
+        # Engines on one VM share an agent. Its timeout must count against all of them; otherwise
+        # an engine without the penalty would get all requests.
         for backend in probed:
             backend.apply_probe_reply(replies[self.agent_of(backend)], self.clock())
 
--- a/src/merlinthread/nodes/log_member.py
+++ b/src/merlinthread/nodes/log_member.py
@@ -383,8 +383,8 @@
 
         A leader is up to date while a majority replies to it, once it has committed an entry of its
         term. A follower is up to date when it has applied all entries that its leader reported as
-        committed, so it is not before it has heard from a leader, while it catches up, or while its
-        disk is full.
+        committed. It is outdated until it has heard from a leader, while it catches up, and while
+        its disk is full.
         """
         if self.raft.is_leader():
             if self.raft.commit >= self.raft.term_start:
--- a/src/merlinthread/nodes/signal_recorder.py
+++ b/src/merlinthread/nodes/signal_recorder.py
@@ -37,7 +37,7 @@
         """Record that a back end is leaving; this entry sends it no further requests.
 
         The signal is not forwarded to other entries, which get it with their own first response.
-        If it is wrong, it does not stop all traffic to the back end until its process restarts.
+        Otherwise a wrong signal would stop all traffic to the back end until its process restarts.
         """
         availability = self.signals.availability_of(instance)
         if availability.record_leaving(backend_availability.LeavingSource.ANSWER, self.clock()):
--- a/src/merlinthread/platform/dialect.py
+++ b/src/merlinthread/platform/dialect.py
@@ -185,7 +185,8 @@
     ) -> http_messages.Request:
         """Return the request that makes an engine load the staged weights.
 
-        With `truncates_streams` it truncates running responses; otherwise it queues the load.
+        With `truncates_streams`, the engine truncates running responses; otherwise it queues the
+        load.
         """
         load_order = {
             "operation": "start",
@@ -207,7 +208,7 @@
 
 
 def unknown_header_names(headers: http_messages.Headers) -> frozenset[str]:
-    """Return the names of the unknown ones among response headers."""
+    """Return the names of the response headers that are not known."""
     unknown = {name.lower() for name, _ in headers} - KNOWN_RESPONSE_HEADERS
     return frozenset(name.decode("latin-1") for name in unknown)
 
--- a/src/merlinthread/transport/http_server.py
+++ b/src/merlinthread/transport/http_server.py
@@ -123,21 +123,23 @@
 
     index = default
 
-    def respond(self, raw: Any, query: dict[str, str]) -> Response:
+    def respond(self, cherrypy_request: Any, query: dict[str, str]) -> Response:
         """Read the request and dispatch it; reject a body over `body_bytes_max`."""
-        length = int(raw.headers.get("Content-Length") or 0)
+        length = int(cherrypy_request.headers.get("Content-Length") or 0)
         if length > self.body_bytes_max:
-            raw.close_connection = True
+            cherrypy_request.close_connection = True
             return error_response(
                 errors.RequestError(
                     f"request body has {length} bytes, over {self.body_bytes_max}; send less",
                     kind=errors.ErrorKind.TOO_LARGE,
                 )
             )
-        body = raw.rfile.read(length) if length else b""
-        headers = {name.lower(): value for name, value in raw.headers.items()}
+        body = cherrypy_request.rfile.read(length) if length else b""
+        headers = {name.lower(): value for name, value in cherrypy_request.headers.items()}
         return self.routes.dispatch(
-            Request(raw.method, raw.path_info, "", dict(query), headers, body)
+            Request(
+                cherrypy_request.method, cherrypy_request.path_info, "", dict(query), headers, body
+            )
         )
 
 
