--- a/src/merlinthread/nodes/agent_node.py
+++ b/src/merlinthread/nodes/agent_node.py
@@ -51,7 +51,7 @@
         self.listener = node_bus.RpcServer(
             codec, self.on_message, lambda: self.weights.server.upload_pacer.bytes_per_s
         )
-        self.ledger = load_tracker.LoadTracker()
+        self.load_tracker = load_tracker.LoadTracker()
         self.subscribers: dict[str, float] = {}
         self.last_report: fleet.EngineReport | None = None
         self.last_sent_at = float("-inf")
@@ -88,7 +88,7 @@
         elif isinstance(message, node_messages.PieceNotice | node_messages.PieceClaim):
             self.weights.on_notice(message)
         elif isinstance(message, node_messages.LoadQuery) and self.last_report is not None:
-            outstanding = self.ledger.outstanding(message.address, self.clock())
+            outstanding = self.load_tracker.outstanding(message.address, self.clock())
             answer = node_messages.LoadReply(
                 message.number,
                 outstanding.attempts,
@@ -100,18 +100,18 @@
             self.datagrams.send(message.address, answer)
 
     def on_attempt_notice(self, notice: node_messages.AttemptNotice) -> None:
-        """Record a state change of an attempt in the load ledger."""
+        """Record a state change of an attempt in the load tracker."""
         if notice.stage is node_messages.AttemptStage.SENT:
-            self.ledger.record_start(notice.entry, notice.number, notice.tokens, self.clock())
+            self.load_tracker.record_start(notice.entry, notice.number, notice.tokens, self.clock())
         elif notice.stage is node_messages.AttemptStage.READ:
-            self.ledger.record_first_byte(notice.entry, notice.number)
+            self.load_tracker.record_first_byte(notice.entry, notice.number)
         else:
-            self.ledger.record_end(notice.entry, notice.number)
+            self.load_tracker.record_end(notice.entry, notice.number)
 
     def build_load_update(self, report: fleet.EngineReport, entry: str) -> node_messages.LoadUpdate:
         """Return a load update for `entry`, which leaves out the entry's own attempts."""
         self.sequence += 1
-        outstanding = self.ledger.outstanding(entry, self.clock())
+        outstanding = self.load_tracker.outstanding(entry, self.clock())
         return node_messages.LoadUpdate(self.settings.engine, self.sequence, report, outstanding)
 
     async def on_message(self, message: Any) -> Any:
@@ -131,7 +131,7 @@
                 self.set_engine_reachable(True, "")
                 self.weights.on_engine_report(report)
                 report.ready_in_s = self.weights.ready_in_s()
-                self.ledger.apply_report(report.running + report.queued, self.clock())
+                self.load_tracker.apply_report(report.running + report.queued, self.clock())
                 self.send_load(report)
             except errors.MerlinthreadError as error:
                 self.set_engine_reachable(False, error.message)
@@ -145,7 +145,7 @@
         if previous_ms in (0, report.born_ms):
             return
         logs.event("engine_reborn", born_ms=report.born_ms, before_ms=previous_ms)
-        self.ledger = load_tracker.LoadTracker()
+        self.load_tracker = load_tracker.LoadTracker()
         self.last_report = None
         self.weights.on_engine_report(None)
 
--- a/src/merlinthread/nodes/attempts.py
+++ b/src/merlinthread/nodes/attempts.py
@@ -172,7 +172,7 @@
         now = self.clock()
         if outcome.state is State.DONE:
             dispatch.record_success(self.backend, now - self.reservation.started)
-            if self.pool.crashes.ledger.records:
+            if self.pool.crashes.tracker.records:
                 self.pool.crashes.record_success(self.context.fingerprint())
         elif outcome.state is State.NOT_RUN:
             dispatch.record_full(self.backend, now)
--- a/src/merlinthread/nodes/control_node.py
+++ b/src/merlinthread/nodes/control_node.py
@@ -235,7 +235,7 @@
         """Return whether anything changed since the positions in a watch request."""
         if watch.feed != self.feed or watch.position < self.registry.position:
             return True
-        if 0 <= watch.suspicions < self.crashes.ledger.reported_revision:
+        if 0 <= watch.suspicions < self.crashes.tracker.reported_revision:
             return True
         if 0 <= watch.limits < self.limits.table.revision:
             return True
@@ -250,7 +250,7 @@
         is_newer = state.version > watch.configuration
         suspicions_from = watch.suspicions if watch.feed == self.feed else min(0, watch.suspicions)
         suspicions = (
-            self.crashes.ledger.changes_since(suspicions_from, now) if suspicions_from >= 0 else []
+            self.crashes.tracker.changes_since(suspicions_from, now) if suspicions_from >= 0 else []
         )
         limits_from = watch.limits if watch.feed == self.feed else min(0, watch.limits)
         return node_messages.WatchReply(
@@ -268,7 +268,7 @@
             self.member.member_addresses(),
             self.member.staleness_s(now),
             suspicions,
-            self.crashes.ledger.reported_revision,
+            self.crashes.tracker.reported_revision,
             self.limits.changes_since(limits_from),
             self.limits.table.revision,
         )
--- a/src/merlinthread/nodes/crash_detector.py
+++ b/src/merlinthread/nodes/crash_detector.py
@@ -54,13 +54,13 @@
         self,
         name: str,
         watcher: fleet_watcher.FleetWatcher,
-        ledger: crash_tracker.CrashTracker,
+        tracker: crash_tracker.CrashTracker,
         caller: node_bus.RpcClient,
         clock: Callable[[], float],
     ) -> None:
         self.name = name
         self.watcher = watcher
-        self.ledger = ledger
+        self.tracker = tracker
         self.caller = caller
         self.clock = clock
         self.broken: dict[str, list[BrokenAttempt]] = {}
@@ -145,13 +145,13 @@
         feed = self.watcher.feed()
         if feed and feed != self.last_feed:
             self.last_feed = feed
-            for record in self.ledger.records.values():
+            for record in self.tracker.records.values():
                 self.pending_reports[record.fingerprint] = None
             self.has_pending_reports.set()
         # Counting is slow with many records, and updates are frequent.
-        if self.ledger.revision != self.metrics_revision:
-            self.metrics_revision = self.ledger.revision
-            metrics.held_requests.set(len(self.ledger.held()))
+        if self.tracker.revision != self.metrics_revision:
+            self.metrics_revision = self.tracker.revision
+            metrics.held_requests.set(len(self.tracker.held()))
 
     def is_replaced(self, backend: backend_record.Backend) -> bool:
         """Return whether another instance is present at a back end's address."""
@@ -181,14 +181,14 @@
         """Record confirmed crashes during some attempts, and queue reports of new ones."""
         log_broken_attempts(attempts, True, reason)
         for attempt in attempts:
-            if self.ledger.record_crash(
+            if self.tracker.record_crash(
                 attempt.fingerprint, attempt.label, attempt.crash(), attempt.account
             ):
                 self.queue_report(attempt.fingerprint)
 
     def record_success(self, fingerprint: str) -> None:
         """Record a complete response, which clears a suspect request."""
-        if self.ledger.is_suspect(fingerprint) and self.ledger.clear(fingerprint, self.clock()):
+        if self.tracker.is_suspect(fingerprint) and self.tracker.clear(fingerprint, self.clock()):
             logs.event("request_cleared", fingerprint=fingerprint)
             self.queue_report(fingerprint)
 
@@ -216,8 +216,8 @@
         # Reports queued during the call belong to the next one.
         sent, self.pending_reports = self.pending_reports, {}
         now = self.clock()
-        records = [self.ledger.records.get(fingerprint) for fingerprint in sent]
-        reports = [self.ledger.report_of(record, now) for record in records if record]
+        records = [self.tracker.records.get(fingerprint) for fingerprint in sent]
+        reports = [self.tracker.report_of(record, now) for record in records if record]
         if not reports:
             return True
         report = node_messages.CrashReport(self.name, reports)
--- a/src/merlinthread/nodes/crash_registry.py
+++ b/src/merlinthread/nodes/crash_registry.py
@@ -46,7 +46,7 @@
         self.member = member
         self.submit = submit
         self.notify = notify
-        self.ledger = crash_tracker.CrashTracker()
+        self.tracker = crash_tracker.CrashTracker()
         self.held_since: dict[str, float] = {}
         self.changed_event = asyncio.Event()
         self.send_tasks: set[asyncio.Task[None]] = set()
@@ -58,10 +58,10 @@
     def on_report(self, report: node_messages.CrashReport) -> None:
         """Merge a crash report, and forward it to the other control VMs unless it was forwarded."""
         now = self.clock()
-        revision_before = self.ledger.revision
+        revision_before = self.tracker.revision
         for suspicion in report.suspicions:
-            self.ledger.merge(suspicion, now)
-        if self.ledger.revision == revision_before:
+            self.tracker.merge(suspicion, now)
+        if self.tracker.revision == revision_before:
             return
         self.changed_event.set()
         self.notify()
@@ -105,9 +105,9 @@
         undelivered, self.undelivered = self.undelivered, {}
         now = self.clock()
         for address in self.other_addresses():
-            records = [self.ledger.records.get(name) for name in undelivered.get(address, {})]
+            records = [self.tracker.records.get(name) for name in undelivered.get(address, {})]
             reports = [
-                self.ledger.report_of(record, now) for record in records if record is not None
+                self.tracker.report_of(record, now) for record in records if record is not None
             ]
             if reports:
                 self.schedule_send(address, reports)
@@ -115,11 +115,11 @@
     # Replicated log
 
     def on_applied(self) -> None:
-        """Update the ledger and the metric from the holds in the replicated state."""
+        """Update the tracker and the metric from the holds in the replicated state."""
         now = self.clock()
         held = self.member.state.held
         for fingerprint, request in held.items():
-            if not self.ledger.set_hold(
+            if not self.tracker.set_hold(
                 fingerprint, request.label, request.hold, now, request.account
             ):
                 continue
@@ -146,11 +146,11 @@
             self.changed_event.clear()
             self.send_undelivered()
             self.probe_levels()
-            self.ledger.expire(self.clock())
+            self.tracker.expire(self.clock())
             # Followers propose only what the leader did not, in case it lacks the reports.
             patience_s = 0.0 if self.member.raft.is_leader() else DECISION_INTERVAL_S
             now = self.clock()
-            for command in due_commands(self.ledger, self.held_since, now, patience_s):
+            for command in due_commands(self.tracker, self.held_since, now, patience_s):
                 await self.commit(command)
 
     async def commit(self, command: fleet_state.Command) -> None:
@@ -171,7 +171,7 @@
 
 
 def due_commands(
-    ledger: crash_tracker.CrashTracker, held_since: dict[str, float], now: float, patience_s: float
+    tracker: crash_tracker.CrashTracker, held_since: dict[str, float], now: float, patience_s: float
 ) -> list[fleet_state.PlaceHold | fleet_state.ReleaseHold]:
     """Return the commands for holds and releases that are not in the log yet.
 
@@ -179,7 +179,7 @@
     of each request last changed in the log, by fingerprint.
     """
     commands: list[fleet_state.PlaceHold | fleet_state.ReleaseHold] = []
-    for record in ledger.held():
+    for record in tracker.held():
         if now - record.changed_at < patience_s:
             continue
         hold = record.hold
--- a/src/merlinthread/nodes/entry_node.py
+++ b/src/merlinthread/nodes/entry_node.py
@@ -44,13 +44,13 @@
         self.dialect = dialect
         self.clock = clock
         self.caller = node_bus.RpcClient(codec)
-        suspect_ledger = crash_tracker.CrashTracker()
+        suspect_tracker = crash_tracker.CrashTracker()
         signals = backend_availability.AvailabilityTable()
         self.watcher = fleet_watcher.FleetWatcher(
-            settings, dialect, self.caller, clock, self.on_update, suspect_ledger, signals
+            settings, dialect, self.caller, clock, self.on_update, suspect_tracker, signals
         )
         self.crashes = crash_detector.CrashDetector(
-            settings.name, self.watcher, suspect_ledger, self.caller, clock
+            settings.name, self.watcher, suspect_tracker, self.caller, clock
         )
         self.address = f"{settings.ip}:{settings.entry_port}"
         self.datagrams = node_bus.DatagramEndpoint(codec, self.on_datagram)
--- a/src/merlinthread/nodes/fleet_watcher.py
+++ b/src/merlinthread/nodes/fleet_watcher.py
@@ -54,7 +54,7 @@
     """Watches the fleet state through the control VMs.
 
     `on_update` is called after each update. Reports of suspect requests are merged into
-    `suspect_ledger` and those of rate limits into `signals`, if given.
+    `suspect_tracker` and those of rate limits into `signals`, if given.
     """
 
     def __init__(
@@ -64,7 +64,7 @@
         caller: node_bus.RpcClient,
         clock: Callable[[], float],
         on_update: Callable[[], None],
-        suspect_ledger: crash_tracker.CrashTracker | None = None,
+        suspect_tracker: crash_tracker.CrashTracker | None = None,
         signals: backend_availability.AvailabilityTable | None = None,
     ) -> None:
         self.settings = settings
@@ -72,7 +72,7 @@
         self.caller = caller
         self.clock = clock
         self.on_update = on_update
-        self.suspect_ledger = suspect_ledger
+        self.suspect_tracker = suspect_tracker
         self.signals = signals
         self.table: route_table.RouteTable | None = None
         self.version = 0
@@ -149,7 +149,7 @@
     ) -> node_messages.WatchReply | None:
         """Query a control VM for changes; return None if it does not answer."""
         position = self.positions.get(address, FeedPosition())
-        suspicions = position.suspicions if self.suspect_ledger is not None else -1
+        suspicions = position.suspicions if self.suspect_tracker is not None else -1
         limits = position.limits if self.signals is not None else -1
         watch = node_messages.WatchRequest(
             self.settings.name,
@@ -226,9 +226,9 @@
         self.apply_configuration(reply)
         self.apply_versions(reply, now)
         self.apply_instances(reply, address, now)
-        if self.suspect_ledger is not None:
+        if self.suspect_tracker is not None:
             for suspicion in reply.suspicions:
-                self.suspect_ledger.merge(suspicion, now)
+                self.suspect_tracker.merge(suspicion, now)
         if self.signals is not None:
             for limit in reply.limits:
                 self.signals.merge_reported_limit(limit, now)
--- a/src/merlinthread/nodes/load_prober.py
+++ b/src/merlinthread/nodes/load_prober.py
@@ -1,7 +1,7 @@
 """Load queries and attempt notices from an entry to agents.
 
 Both are single datagrams that may be lost. An agent that does not answer in time is judged by its
-last load report, and its ledger expires attempts whose end it did not receive.
+last load report, and its load tracker expires attempts whose end it did not receive.
 """
 
 import asyncio
--- a/src/merlinthread/nodes/request_task.py
+++ b/src/merlinthread/nodes/request_task.py
@@ -97,7 +97,7 @@
         """
         assert self.context is not None
         crashes = self.pool.crashes
-        if not crashes.ledger.records or not crashes.ledger.is_held(self.context.fingerprint()):
+        if not crashes.tracker.records or not crashes.tracker.is_held(self.context.fingerprint()):
             return
         reason = f"request is held: back ends crashed while running {self.context.fingerprint()}"
         if self.may_have_run:
@@ -141,7 +141,7 @@
         """
         assert self.context is not None
         crashes = self.pool.crashes
-        if crashes.ledger.records and crashes.ledger.is_suspect(self.context.fingerprint()):
+        if crashes.tracker.records and crashes.tracker.is_suspect(self.context.fingerprint()):
             await crashes.wait_for_check(backend)
 
     def describe_choice(self, choice: dispatch.Choice) -> str:
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -54,7 +54,7 @@
         await fleet.until_held()
         ends = len(fleet.crash_times())
         for entry in range(2):
-            held = fleet.entries[entry].node.crashes.ledger.held
+            held = fleet.entries[entry].node.crashes.tracker.held
             await fleet_nodes.until(held)
             answer = await fleet.ask(entry, crashing_fleet.DEADLY)
             assert answer.status == 503
@@ -72,7 +72,7 @@
     async def scenario(fleet):
         answer = await fleet.ask(0, crashing_fleet.DEADLY)
         assert (answer.status, len(fleet.crash_times())) == (502, 2)
-        await fleet_nodes.until(lambda: fleet.entries[1].node.crashes.ledger.records)
+        await fleet_nodes.until(lambda: fleet.entries[1].node.crashes.tracker.records)
         # The third crash is known before a second attempt, which is therefore not made.
         answer = await fleet.ask(1, crashing_fleet.DEADLY)
         assert (answer.status, len(fleet.crash_times())) == (502, 3)
@@ -100,8 +100,8 @@
             fleet.controls.kill(ip)
             await fleet.controls.start(ip)
         nodes = fleet.controls.nodes.values()
-        await fleet_nodes.until(lambda: any(node.crashes.ledger.records for node in nodes))
-        other = fleet.entries[1].node.crashes.ledger
+        await fleet_nodes.until(lambda: any(node.crashes.tracker.records for node in nodes))
+        other = fleet.entries[1].node.crashes.tracker
         await fleet_nodes.until(lambda: other.records)
         await fleet.ask(1, crashing_fleet.DEADLY)
         assert len(fleet.crash_times()) == 3
@@ -119,7 +119,7 @@
         for node in nodes:
             node.member.propose = None  # no decision reaches the VM through the log
         await fleet.controls.start(away)
-        ledger = fleet.controls.nodes[away].crashes.ledger
+        ledger = fleet.controls.nodes[away].crashes.tracker
         await fleet_nodes.until(lambda: ledger.records)
 
     run(tmp_path, scenario)
@@ -149,7 +149,7 @@
             worker.behaviour.closes_without_answer = False
         crashes = fleet.entries[0].node.crashes
         await fleet_nodes.until(lambda: not crashes.checks)
-        assert not crashes.ledger.records
+        assert not crashes.tracker.records
         assert (await fleet.ask(0, b"same")).status == 200
 
     run(tmp_path, scenario)
@@ -167,11 +167,11 @@
         # The VM fails: nothing answers, and the attempt times out.
         worker.is_down = True
         await task
-        assert crashes.unconfirmed and not crashes.ledger.records
+        assert crashes.unconfirmed and not crashes.tracker.records
         worker.behaviour.never_responds = False
         worker.crash_now()
         await worker.restart()
-        await fleet_nodes.until(lambda: crashes.ledger.records)
+        await fleet_nodes.until(lambda: crashes.tracker.records)
         assert not crashes.unconfirmed
 
     run(tmp_path, scenario, entries=1, workers=2)
@@ -188,10 +188,10 @@
         worker.instance = "i-next"
         worker.sequence = 0
         await fleet_nodes.until(lambda: set(fleet.entries[0].node.pool.backends) == {"i-next"})
-        assert not crashes.ledger.records
+        assert not crashes.tracker.records
         await task
         assert [
-            end.instance for record in crashes.ledger.records.values() for end in record.crashes
+            end.instance for record in crashes.tracker.records.values() for end in record.crashes
         ]
 
     run(tmp_path, scenario, entries=1, workers=1)
@@ -237,7 +237,7 @@
             if number == crash_tracker.ACCOUNT_HELD_THRESHOLD - 1:
                 before = len(fleet.crash_times())
                 for entry in fleet.entries:
-                    ledger = entry.node.crashes.ledger
+                    ledger = entry.node.crashes.tracker
                     await fleet_nodes.until(lambda ledger=ledger: ledger.is_strict("account-1"))
         assert len(fleet.crash_times()) - before == 4
 
@@ -264,7 +264,7 @@
 
         def see(instance):
             end = crash_tracker.Crash(crashes.clock(), instance, crashes.clock())
-            crashes.ledger.record_crash("f", "", end)
+            crashes.tracker.record_crash("f", "", end)
             crashes.queue_report("f")
 
         see("i-1")
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -189,7 +189,7 @@
     agent.detect_restart(fleet.EngineReport(born_ms=STARTED_MS))
     assert agent.weights.reports == []
     agent.detect_restart(fleet.EngineReport(born_ms=STARTED_MS + 1))
-    assert (agent.weights.reports, agent.last_report, agent.ledger.open) == ([None], None, {})
+    assert (agent.weights.reports, agent.last_report, agent.load_tracker.open) == ([None], None, {})
 
 
 BODY = {
--- a/tests/test_weights_task.py
+++ b/tests/test_weights_task.py
@@ -286,7 +286,7 @@
         assert answers["entry-1"] == node_messages.LoadReply(7, 0, 0, 0.0)
         assert answers["entry-2"] == node_messages.LoadReply(7, 2, 1, 700.0)
         agent.on_datagram(node_messages.AttemptNotice("entry-1", 1, stage.ENDED))
-        assert len(agent.ledger.open) == 1
+        assert len(agent.load_tracker.open) == 1
         sent.clear()
         agent.last_report = None
         agent.on_datagram(node_messages.LoadQuery("entry-2", 8))
