--- a/src/merlinthread/coordination/membership_repair.py
+++ b/src/merlinthread/coordination/membership_repair.py
@@ -31,7 +31,7 @@
     last reply. `joiners` have asked to join; `leaving` are about to shut down.
     """
 
-    voters: raft_messages.Voters
+    membership: raft_messages.Voters
     leader: str
     commit: int
     matches: dict[str, int]
@@ -58,7 +58,7 @@
     The old member can't return. It is removed before its successor becomes a voter, since with both
     as voters one more failure could leave two of four.
     """
-    members = group.voters.members()
+    members = group.membership.members()
     for joiner in group.joiners:
         for name in members:
             is_same_vm = raft_members.address_of(name) == raft_members.address_of(joiner)
@@ -72,11 +72,11 @@
 ) -> raft_members.MembershipChange | None:
     """Return the removal of a silent or leaving voter that lowers the group's fault tolerance."""
     silent = silent_voters(group, policy.surplus_silence_s, now)
-    leaving = [name for name in group.leaving if name in group.voters.voters]
+    leaving = [name for name in group.leaving if name in group.membership.voters]
     missing = list(dict.fromkeys([*silent, *leaving]))
     removable = [name for name in missing if name != group.leader]
     if not removable or not removal_improves_tolerance(
-        len(group.voters.voters), len(missing), policy
+        len(group.membership.voters), len(missing), policy
     ):
         return None
     return raft_members.MembershipChange(remove=removable[0])
@@ -102,7 +102,7 @@
 
 def silent_voters(group: GroupStatus, silence_s: float, now: float) -> list[str]:
     """Return the voters not heard from for `silence_s`, the longest silent first."""
-    others = [name for name in group.voters.voters if name != group.leader]
+    others = [name for name in group.membership.voters if name != group.leader]
     silent = [name for name in others if now - group.heard_at.get(name, now) > silence_s]
     return sorted(silent, key=lambda name: group.heard_at[name])
 
@@ -112,7 +112,7 @@
     status = raft_members.ReplicationStatus(group.leader, group.commit, group.matches)
     for name in group.joiners:
         joiner = raft_members.JoiningMember(name, "", raft_messages.Address("", ""), "")
-        change = raft_members.next_change(group.voters, joiner, status, False)
+        change = raft_members.next_change(group.membership, joiner, status, False)
         if change is not None:
             return change
     return None
@@ -122,10 +122,10 @@
     group: GroupStatus, policy: RepairPolicy, now: float
 ) -> raft_members.MembershipChange | None:
     """Return the removal of a learner, or a voter that is not needed, after a long silence."""
-    for learner in group.voters.learners:
+    for learner in group.membership.learners:
         if now - group.heard_at.get(learner, now) > policy.silence_s:
             return raft_members.MembershipChange(remove=learner)
     silent = silent_voters(group, policy.silence_s, now)
-    if silent and len(group.voters.voters) > 2 * policy.losses_max + 1:
+    if silent and len(group.membership.voters) > 2 * policy.losses_max + 1:
         return raft_members.MembershipChange(remove=silent[0])
     return None
--- a/src/merlinthread/coordination/raft.py
+++ b/src/merlinthread/coordination/raft.py
@@ -76,7 +76,7 @@
 
     def is_voter(self) -> bool:
         """Return whether this member is a voter."""
-        return self.name in self.log.voters.voters
+        return self.name in self.log.membership.voters
 
     def is_leader(self) -> bool:
         """Return whether this member is leader in its term; a later term may have another leader.
@@ -89,13 +89,15 @@
         """Return the time until which no other member can be elected, -inf without a lease."""
         if self.role != LEADER:
             return float("-inf")
-        acks = [self.progress[name].acked_at for name in self.without_self(self.log.voters.voters)]
+        acks = [
+            self.progress[name].acked_at for name in self.without_self(self.log.membership.voters)
+        ]
         acks.append(float("inf"))
         acks.sort(reverse=True)
-        if not self.is_voter() or len(acks) < self.log.voters.majority():
+        if not self.is_voter() or len(acks) < self.log.membership.majority():
             return float("-inf")
         lease_s = self.timing.election_min_s * self.timing.lease_fraction
-        return acks[self.log.voters.majority() - 1] + lease_s
+        return acks[self.log.membership.majority() - 1] + lease_s
 
     def holds_lease(self, now: float) -> bool:
         """Return whether this member holds the lease and has committed an entry of its term."""
@@ -132,13 +134,13 @@
         self.heartbeat_at = now + self.timing.heartbeat_s
         reachable = [
             name
-            for name in self.without_self(self.log.voters.voters)
+            for name in self.without_self(self.log.membership.voters)
             if now - self.progress[name].heard_at < self.timing.election_max_s
         ]
-        if len(reachable) + 1 < self.log.voters.majority():
+        if len(reachable) + 1 < self.log.membership.majority():
             self.become_follower(self.hard_state.term, "", now)
             return
-        for name in self.without_self(self.log.voters.members()):
+        for name in self.without_self(self.log.membership.members()):
             self.send_append(name, now)
 
     def resign(self, now: float) -> None:
@@ -158,10 +160,10 @@
         term = self.hard_state.term + 1
         if not is_pre_vote:
             self.set_hard_state(term, self.name)
-        if len(self.votes) >= self.log.voters.majority():
+        if len(self.votes) >= self.log.membership.majority():
             self.on_vote_quorum(now, is_pre_vote)
             return
-        for name in self.without_self(self.log.voters.voters):
+        for name in self.without_self(self.log.membership.voters):
             request = raft_messages.VoteRequest(
                 self.name,
                 term,
@@ -182,7 +184,7 @@
         first = self.log.last_index() + 1
         self.progress = {
             name: raft_messages.Progress(next=first, heard_at=now)
-            for name in self.without_self(self.log.voters.members())
+            for name in self.without_self(self.log.membership.members())
         }
         if self.last_known_leader in self.progress:
             self.progress[self.last_known_leader].heard_at = self.heard_leader_at
@@ -265,9 +267,9 @@
         wanted_term = self.hard_state.term + 1 if self.is_pre_vote else self.hard_state.term
         if reply.term != wanted_term or not reply.is_granted:
             return
-        if reply.sender in self.log.voters.voters:
+        if reply.sender in self.log.membership.voters:
             self.votes.add(reply.sender)
-        if len(self.votes) >= self.log.voters.majority():
+        if len(self.votes) >= self.log.membership.majority():
             self.on_vote_quorum(now, self.is_pre_vote)
 
     def on_append(self, append: raft_messages.AppendEntries, now: float) -> None:
@@ -354,9 +356,9 @@
 
     def rejects_identity(self, name: str, identity: str) -> bool:
         """Return whether `identity` is not the one registered for `name`, and reply if so."""
-        if not self.log.voters.has_other_identity(name, identity):
+        if not self.log.membership.has_other_identity(name, identity):
             return False
-        registered = self.log.voters.identities[name]
+        registered = self.log.membership.identities[name]
         self.outbox.append((name, raft_messages.IdentityMismatch(self.name, name, registered)))
         return True
 
@@ -421,7 +423,7 @@
         """Send the entries proposed since the last call, batched so that they share one sync."""
         if self.role != LEADER:
             return
-        for name in self.without_self(self.log.voters.members()):
+        for name in self.without_self(self.log.membership.members()):
             next_index = self.progress[name].next
             is_in_log = self.log.term_at(next_index - 1) is not None
             if is_in_log and next_index <= self.log.last_index():
@@ -449,7 +451,9 @@
             )
         matches = {name: progress.match for name, progress in self.progress.items()}
         members = raft_members.apply_change(
-            self.log.voters, change, raft_members.ReplicationStatus(self.name, self.commit, matches)
+            self.log.membership,
+            change,
+            raft_members.ReplicationStatus(self.name, self.commit, matches),
         )
         if change.add:
             first = self.log.last_index() + 1
@@ -458,11 +462,13 @@
 
     def advance_commit(self) -> None:
         """Commit up to the highest entry of this term that a majority has saved."""
-        matches = [self.progress[name].match for name in self.without_self(self.log.voters.voters)]
+        matches = [
+            self.progress[name].match for name in self.without_self(self.log.membership.voters)
+        ]
         if self.is_voter():
             matches.append(self.log.saved_index)
         matches.sort(reverse=True)
-        index = matches[self.log.voters.majority() - 1]
+        index = matches[self.log.membership.majority() - 1]
         if index > self.commit and self.log.term_at(index) == self.hard_state.term:
             self.commit = index
 
--- a/src/merlinthread/coordination/raft_log.py
+++ b/src/merlinthread/coordination/raft_log.py
@@ -14,7 +14,7 @@
         self.entries: list[journal.Entry] = list(saved.entries) if saved else []
         self.saved_index = self.last_index()
         self.first_voters = raft_messages.Voters(voters=list(first_voters))
-        self.voters = self.effective_voters()
+        self.membership = self.latest_membership()
 
     def last_index(self) -> int:
         """Return the index of the last entry."""
@@ -46,7 +46,7 @@
                 break
         return batch
 
-    def effective_voters(self) -> raft_messages.Voters:
+    def latest_membership(self) -> raft_messages.Voters:
         """Return the latest membership in the log, whether committed or not."""
         for entry in reversed(self.entries):
             if entry.kind == "voters":
@@ -55,7 +55,7 @@
             return msgspec.msgpack.decode(self.snapshot.voters, type=raft_messages.Voters)
         return self.first_voters
 
-    def voters_at(self, index: int) -> raft_messages.Voters:
+    def membership_at(self, index: int) -> raft_messages.Voters:
         """Return the membership as of `index`, for a snapshot."""
         for entry in reversed(self.entries[: index - self.snapshot.index]):
             if entry.kind == "voters":
@@ -74,17 +74,17 @@
         if local_term is not None:
             del self.entries[entry.index - self.snapshot.index - 1 :]
             self.saved_index = min(self.saved_index, entry.index - 1)
-            self.voters = self.effective_voters()
+            self.membership = self.latest_membership()
         self.entries.append(entry)
         if entry.kind == "voters":
-            self.voters = self.effective_voters()
+            self.membership = self.latest_membership()
 
     def append(self, term: int, kind: str, data: bytes) -> journal.Entry:
         """Append a new entry and return it."""
         entry = journal.Entry(self.last_index() + 1, term, kind, data)
         self.entries.append(entry)
         if kind == "voters":
-            self.voters = self.effective_voters()
+            self.membership = self.latest_membership()
         return entry
 
     def has_membership_change_after(self, index: int) -> bool:
@@ -107,7 +107,7 @@
     def discard_unsaved(self) -> None:
         """Discard the entries that are not durable."""
         del self.entries[max(0, self.saved_index - self.snapshot.index) :]
-        self.voters = self.effective_voters()
+        self.membership = self.latest_membership()
 
     def install(self, snapshot: journal.Snapshot) -> None:
         """Replace the snapshot by a leader's; keep later entries if they continue it."""
@@ -117,7 +117,7 @@
             self.entries = []
         self.snapshot = snapshot
         self.saved_index = max(snapshot.index, min(self.saved_index, self.last_index()))
-        self.voters = self.effective_voters()
+        self.membership = self.latest_membership()
 
     def compact(self, index: int, state: bytes) -> journal.Snapshot:
         """Replace the entries up to `index` by a snapshot with `state`, and return it.
@@ -127,7 +127,7 @@
         term = self.term_at(index)
         if term is None:
             raise ValueError(f"index {index} is not in the log")
-        voters = msgspec.msgpack.encode(self.voters_at(index))
+        voters = msgspec.msgpack.encode(self.membership_at(index))
         snapshot = journal.Snapshot(index, term, voters, state)
         self.entries = self.entries[index - self.snapshot.index :]
         self.snapshot = snapshot
--- a/src/merlinthread/nodes/log_member.py
+++ b/src/merlinthread/nodes/log_member.py
@@ -121,7 +121,7 @@
             term=self.raft.hard_state.term,
             last_index=self.raft.log.last_index(),
             known_committed=self.raft.commit,
-            voters=self.raft.log.voters.voters,
+            voters=self.raft.log.membership.voters,
         )
 
     def rejoin_as_new_member(self) -> None:
@@ -396,7 +396,7 @@
 
     def member_addresses(self) -> list[str]:
         """Return the addresses of all members."""
-        return [raft_members.address_of(name) for name in self.raft.log.voters.members()]
+        return [raft_members.address_of(name) for name in self.raft.log.membership.members()]
 
     def other_addresses(self) -> list[str]:
         """Return the addresses of the other members."""
@@ -446,15 +446,15 @@
         if self.raft.leader or not is_due or not self.raft.is_voter():
             return
         self.leaderless_logged_at = now
-        voters = self.raft.log.voters
+        membership = self.raft.log.membership
         logs.warning(
             "no_leader",
             since_s=round(now - self.leaderless_since, 3),
             term=self.raft.hard_state.term,
             last_index=self.raft.log.last_index(),
-            majority=voters.majority(),
+            majority=membership.majority(),
             granted=sorted(self.raft.votes),
-            voters=voters.voters,
+            voters=membership.voters,
         )
 
     def fail_pending(self, reason: str) -> None:
--- a/src/merlinthread/nodes/member_changes.py
+++ b/src/merlinthread/nodes/member_changes.py
@@ -89,7 +89,9 @@
         if member.is_voter() and silence_s < JOIN_AFTER_SILENCE_S:
             return
         join = node_messages.JoinRequest(member.name, levels.NEWEST)
-        member_addresses = [raft_members.address_of(name) for name in member.log.voters.members()]
+        member_addresses = [
+            raft_members.address_of(name) for name in member.log.membership.members()
+        ]
         for address in set(self.settings.control_rpc_addresses()) | set(member_addresses):
             if address != self.address:
                 asyncio.get_running_loop().create_task(self.send_join(address, join))
@@ -112,7 +114,7 @@
         member = self.get_raft()
         now = self.clock()
         if member.holds_lease(now):
-            if join.name in member.log.voters.retired:
+            if join.name in member.log.membership.retired:
                 return node_messages.JoinReply(True)
             self.check_level(join)
             self.joiners[join.name] = now
@@ -185,7 +187,7 @@
 
     def is_surplus(self, member: raft.Raft) -> bool:
         """Return whether removing `member` lets the group tolerate more failures than losing it."""
-        voter_count = len(member.log.voters.voters)
+        voter_count = len(member.log.membership.voters)
         return member.is_voter() and membership_repair.removal_improves_tolerance(
             voter_count, 1, self.policy()
         )
@@ -198,7 +200,7 @@
             raise errors.NotLeaderError(
                 "this member does not hold the leader's lease", member.leader
             )
-        if leave.name not in member.log.voters.voters:
+        if leave.name not in member.log.membership.voters:
             is_committed = not member.log.has_membership_change_after(member.commit)
             return node_messages.LeaveReply(is_committed)
         self.leaving[leave.name] = now
@@ -229,7 +231,7 @@
                 if now - requested_at > REQUEST_EXPIRY_S:
                     del requests[name]
         return membership_repair.GroupStatus(
-            member.log.voters,
+            member.log.membership,
             member.name,
             member.commit,
             {name: progress.match for name, progress in member.progress.items()},
@@ -242,16 +244,16 @@
         self, change: raft_members.MembershipChange, member: raft.Raft, now: float
     ) -> None:
         """Log a membership change, and how many more failures the group tolerates after it."""
-        voters = member.log.voters
+        membership = member.log.membership
         silence_s = member.timing.election_max_s
         silent = membership_repair.silent_voters(self.group_status(member, now), silence_s, now)
-        tolerated = raft_members.failures_tolerated(len(voters.voters), len(silent))
+        tolerated = raft_members.failures_tolerated(len(membership.voters), len(silent))
         metrics.losses_bearable.set(tolerated)
         logs.event(
             "members_change",
             change=msgspec.to_builtins(change),
-            voters=voters.voters,
-            learners=voters.learners,
+            voters=membership.voters,
+            learners=membership.learners,
             silent=silent,
             losses_bearable=tolerated,
         )
--- a/src/merlinthread/roles/control.py
+++ b/src/merlinthread/roles/control.py
@@ -47,8 +47,8 @@
 
     def send_join_request(self) -> None:
         """Ask all members to add this one, until the member that it replaces is removed."""
-        voters = self.task.raft.log.voters
-        if self.own_peer.name in voters.voters and self.config.replaces in voters.retired:
+        membership = self.task.raft.log.membership
+        if self.own_peer.name in membership.voters and self.config.replaces in membership.retired:
             return
         join = messages.JoinRequest(
             self.own_peer.name,
--- a/src/merlinthread/roles/leader_duties.py
+++ b/src/merlinthread/roles/leader_duties.py
@@ -32,11 +32,11 @@
 
     def update_membership(self, now: float) -> None:
         """Propose at most one membership change: new identities, or the next step of a repair."""
-        voters = self.task.raft.log.voters
+        membership = self.task.raft.log.membership
         unknown = {
             name: identity
             for name, identity in self.task.raft.reported_identities().items()
-            if name in voters.members() and name not in voters.identities
+            if name in membership.members() and name not in membership.identities
         }
         if unknown:
             self.change_membership(raft_members.MembershipChange(identities=unknown), now)
@@ -51,7 +51,7 @@
             joiner = raft_members.JoiningMember(name, join.identity, address, join.replaces)
             lost = self.task.raft.progress.get(join.replaces)
             is_silent = lost is None or now - lost.heard_at > LOST_MEMBER_SILENCE_S
-            change = raft_members.next_change(voters, joiner, status, is_silent)
+            change = raft_members.next_change(membership, joiner, status, is_silent)
             if change is not None:
                 self.change_membership(change, now)
                 return
--- a/src/merlinthread/roles/log_task.py
+++ b/src/merlinthread/roles/log_task.py
@@ -339,7 +339,7 @@
 
     def connect_members(self) -> None:
         """Create a sender for each new member of the log."""
-        for name, address in self.raft.log.voters.addresses.items():
+        for name, address in self.raft.log.membership.addresses.items():
             if name != self.name and name not in self.senders:
                 self.senders[name] = bus.Sender(address.log_bus, self.context.codec)
 
@@ -357,7 +357,7 @@
             stable=self.raft.log.saved_index,
             votes=sorted(self.raft.votes),
             is_trial=self.raft.is_pre_vote,
-            identities=self.raft.log.voters.identities,
+            identities=self.raft.log.membership.identities,
             identity=self.raft.identity,
             dropped={name: sender.dropped for name, sender in self.senders.items()},
             reopened={name: sender.reopened for name, sender in self.senders.items()},
@@ -376,7 +376,7 @@
         seen_at = self.raft.heard_leader_at
         if self.raft.is_leader():
             seen_at = self.raft.lease_until() - self.raft.timing.election_min_s
-        controls = {name: a.bus for name, a in self.raft.log.voters.addresses.items()}
+        controls = {name: a.bus for name, a in self.raft.log.membership.addresses.items()}
         self.published = PublishedState(directive, self.raft.leader, seen_at, controls)
 
     def stop(self) -> None:
--- a/src/merlinthread/roles/operators_api.py
+++ b/src/merlinthread/roles/operators_api.py
@@ -96,12 +96,12 @@
         state = task.state
         raft = task.raft
         members = []
-        for name in raft.log.voters.members():
+        for name in raft.log.membership.members():
             progress = raft.progress.get(name)
             members.append(
                 operator_calls.MemberStatus(
                     name,
-                    "voter" if name in raft.log.voters.voters else "learner",
+                    "voter" if name in raft.log.membership.voters else "learner",
                     name == raft.name,
                     0 if progress is None else raft.log.last_index() - progress.match,
                 )
--- a/tests/test_control_nodes.py
+++ b/tests/test_control_nodes.py
@@ -104,8 +104,8 @@
         await controls.start(lost, folder=f"{lost}-empty")
         assert await read_version(controls) == 5
         new = controls.nodes[lost].member
-        await fleet_nodes.until(lambda: new.name in new.raft.log.voters.voters, 15)
-        assert len(new.raft.log.voters.voters) == 3
+        await fleet_nodes.until(lambda: new.name in new.raft.log.membership.voters, 15)
+        assert len(new.raft.log.membership.voters) == 3
         # Another member fails right after the repair.
         other = next(ip for ip in controls.ips if ip != lost)
         controls.kill(other)
@@ -123,8 +123,8 @@
         controls.kill(gone)
         await controls.start(f"{fleet_nodes.NETWORK}.19")
         new = controls.nodes[f"{fleet_nodes.NETWORK}.19"].member
-        await fleet_nodes.until(lambda: new.name in new.raft.log.voters.voters, 15)
-        await fleet_nodes.until(lambda: len(new.raft.log.voters.voters) == 3, 15)
+        await fleet_nodes.until(lambda: new.name in new.raft.log.membership.voters, 15)
+        await fleet_nodes.until(lambda: len(new.raft.log.membership.voters) == 3, 15)
         assert await read_version(controls) == 2
 
     run(tmp_path, scenario)
@@ -233,8 +233,8 @@
         old = member.name
         member.rejoin_as_new_member()
         assert member.name != old
-        await fleet_nodes.until(lambda: member.name in member.raft.log.voters.voters, 15)
-        await fleet_nodes.until(lambda: old not in member.raft.log.voters.voters, 15)
+        await fleet_nodes.until(lambda: member.name in member.raft.log.membership.voters, 15)
+        await fleet_nodes.until(lambda: old not in member.raft.log.membership.voters, 15)
 
     run(tmp_path, scenario)
 
@@ -261,10 +261,10 @@
     async def scenario(controls):
         await put_configuration(controls, 3)
         for node in controls.nodes.values():
-            voters = node.member.raft.log.voters
-            await fleet_nodes.until(lambda voters=voters, n=node: n.member.applied > 0, 15)
+            membership = node.member.raft.log.membership
+            await fleet_nodes.until(lambda membership=membership, n=node: n.member.applied > 0, 15)
         leader = controls.nodes[controls.leader()].member
-        await fleet_nodes.until(lambda: len(leader.raft.log.voters.voters) == count, 15)
+        await fleet_nodes.until(lambda: len(leader.raft.log.membership.voters) == count, 15)
         assert await read_version(controls) == 3
 
     run(tmp_path, scenario, count)
--- a/tests/test_leader_duties.py
+++ b/tests/test_leader_duties.py
@@ -23,7 +23,7 @@
         duties.join_requests["n0"] = (join, cluster.now)
         duties.update_membership(cluster.now)
         cluster.process_ready(leader)
-    assert lost not in leader.raft.log.voters.voters, "still a voter after 3 s"
+    assert lost not in leader.raft.log.membership.voters, "still a voter after 3 s"
     cluster.crash(second)
     cluster.run(3.0)
     data = cluster.propose()
--- a/tests/test_log_repair.py
+++ b/tests/test_log_repair.py
@@ -132,7 +132,7 @@
         await controls.start(REPLACEMENT)
         controls.ips = seeds
         new = controls.nodes[REPLACEMENT].member
-        await fleet_nodes.until(lambda: new.name in new.raft.log.voters.voters)
+        await fleet_nodes.until(lambda: new.name in new.raft.log.membership.voters)
 
     run(tmp_path, scenario)
 
@@ -143,11 +143,11 @@
         leader = controls.leader()
         await controls.start(REPLACEMENT)
         new = controls.nodes[REPLACEMENT].member
-        await fleet_nodes.until(lambda: new.name in new.raft.log.voters.voters)
+        await fleet_nodes.until(lambda: new.name in new.raft.log.membership.voters)
         await controls.nodes[leader].stop()
         fleet_nodes.end_tasks(controls.nodes.pop(leader))
         # A further failure right away: of three remaining voters, two are a majority.
-        assert len(new.raft.log.voters.voters) == 3
+        assert len(new.raft.log.membership.voters) == 3
         controls.kill(next(ip for ip in controls.nodes if ip != REPLACEMENT))
         await put_configuration(controls, 2)
 
@@ -161,7 +161,7 @@
         leader = controls.leader()
         await controls.start(REPLACEMENT)
         new = controls.nodes[REPLACEMENT].member
-        await fleet_nodes.until(lambda: new.name in new.raft.log.voters.voters)
+        await fleet_nodes.until(lambda: new.name in new.raft.log.membership.voters)
         member = controls.nodes[leader].member
         await fleet_nodes.until(
             lambda: not member.raft.log.has_membership_change_after(member.raft.commit)
@@ -188,8 +188,8 @@
         await put_configuration(controls, 2)
         await controls.start(leader)
         assert await read_version(controls) == 2
-        voters = controls.nodes[leader].member.raft.log.voters
-        assert sorted(voters.voters) == sorted(f"{ip}:{controls.port}" for ip in controls.ips)
+        membership = controls.nodes[leader].member.raft.log.membership
+        assert sorted(membership.voters) == sorted(f"{ip}:{controls.port}" for ip in controls.ips)
 
     run(tmp_path, scenario)
 
--- a/tests/test_raft_machine.py
+++ b/tests/test_raft_machine.py
@@ -108,8 +108,8 @@
     @stateful.rule(which=st.integers(0, 3))
     def a_learner_is_promoted(self, which: int) -> None:
         leader = self.cluster.leader()
-        if leader and leader.raft.log.voters.learners:
-            learners = leader.raft.log.voters.learners
+        if leader and leader.raft.log.membership.learners:
+            learners = leader.raft.log.membership.learners
             self.cluster.change(
                 raft_members.MembershipChange(promote=learners[which % len(learners)])
             )
@@ -117,7 +117,7 @@
     @stateful.rule(name=NAMES)
     def a_voter_is_removed(self, name: str) -> None:
         leader = self.cluster.leader()
-        if leader and len(leader.raft.log.voters.voters) > COUNT:
+        if leader and len(leader.raft.log.membership.voters) > COUNT:
             self.cluster.change(raft_members.MembershipChange(remove=name))
 
     @stateful.invariant()
@@ -139,7 +139,7 @@
         assert data is not None, "no leader after recovery"
         self.cluster.run(2.0)
         leader = self.cluster.leader()
-        for name in leader.raft.log.voters.voters:
+        for name in leader.raft.log.membership.voters:
             assert data in self.cluster.members[name].applied, f"{name} lacks the last command"
 
 
@@ -246,7 +246,7 @@
         leader = cluster.leader()
         matches = {name: p.match for name, p in leader.raft.progress.items()}
         status = raft_members.ReplicationStatus(leader.name, leader.raft.commit, matches)
-        change = raft_members.next_change(leader.raft.log.voters, joiner, status, True)
+        change = raft_members.next_change(leader.raft.log.membership, joiner, status, True)
         if change and cluster.change(change):
             steps.append("add" if change.add else "promote" if change.promote else "remove")
     assert steps == ["add", "promote", "remove"]
--- a/tests/test_repair_policy.py
+++ b/tests/test_repair_policy.py
@@ -1,4 +1,4 @@
-"""Membership repair: single decisions, and repeated failures in a simulated cluster."""
+"""Voters repair: single decisions, and repeated failures in a simulated cluster."""
 
 import random
 
@@ -116,7 +116,7 @@
                 continue
             progress = member.raft.progress
             status = membership_repair.GroupStatus(
-                member.raft.log.voters,
+                member.raft.log.membership,
                 member.name,
                 member.raft.commit,
                 {name: known.match for name, known in progress.items()},
