--- a/src/merlinthread/roles/agent.py
+++ b/src/merlinthread/roles/agent.py
@@ -10,8 +10,8 @@
     commands,
     control_state,
     fetch,
+    reconciliation,
     sessions,
-    switch,
 )
 from merlinthread.protocol import messages
 from merlinthread.roles import base, chunk_server, target, weights
@@ -234,11 +234,11 @@
         for task in self.heartbeat_tasks:
             task.wake_event.set()
 
-    def wanted_models(self, directive: control_state.Directive) -> list[switch.WantedModel]:
+    def wanted_models(self, directive: control_state.Directive) -> list[reconciliation.WantedModel]:
         """Return the models and adapters that the engine should serve."""
         if self.config.target_kind == bundles.SERVICE:
             return []
-        return switch.wanted_models(directive, self.context.settings.name)
+        return reconciliation.wanted_models(directive, self.context.settings.name)
 
     def peers_by_manifest(self, directive: control_state.Directive) -> dict[str, list[fetch.Peer]]:
         """Return the wanted manifests, each with the other VMs that should hold its chunks."""
@@ -249,7 +249,7 @@
             if name == self.context.settings.name:
                 continue
             peer = fetch.Peer(name, placement.bus, self.distance(placement))
-            for item in switch.wanted_models(directive, name):
+            for item in reconciliation.wanted_models(directive, name):
                 if item.manifest in peers:
                     peers[item.manifest].append(peer)
         return peers
@@ -277,8 +277,8 @@
         if self.trouble and now < self.last_attempt_at + FAILED_STEP_RETRY_S:
             return
         directive = self.directive
-        wanted = switch.wanted_models(directive, self.context.settings.name)
-        step = switch.next_step(
+        wanted = reconciliation.wanted_models(directive, self.context.settings.name)
+        step = reconciliation.next_step(
             wanted, self.target.serving, self.weights.complete_manifests(), bool(directive.paused)
         )
         if step is None or directive.bundle is None:
@@ -286,10 +286,10 @@
         self.last_attempt_at = now
         self.execute_step(step, directive)
 
-    def execute_step(self, step: switch.Step, directive: control_state.Directive) -> None:
+    def execute_step(self, step: reconciliation.Step, directive: control_state.Directive) -> None:
         """Send the order for a step, and record a failure in `trouble`."""
         layout = None
-        if isinstance(step, switch.Load):
+        if isinstance(step, reconciliation.Load):
             layout = manifests.to_dict(self.weights.manifests[step.item.manifest])
         try:
             self.target.send_order(step, directive.generation, layout)
--- a/src/merlinthread/roles/operators_api.py
+++ b/src/merlinthread/roles/operators_api.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from merlinthread import errors
-from merlinthread.coordination import agents, bundles, commands, control_state, switch
+from merlinthread.coordination import agents, bundles, commands, control_state, reconciliation
 from merlinthread.protocol import bundle_file, operator_calls, signatures
 from merlinthread.transport import http_server
 
@@ -143,7 +143,7 @@
     report: agents.AgentReport,
 ) -> operator_calls.AgentStatus:
     """Return the status of a target VM."""
-    wanted = switch.wanted_models(directive, report.name)
+    wanted = reconciliation.wanted_models(directive, report.name)
     placed = state.placement.get(report.name)
     is_done = report.kind == bundles.SERVICE or report.serving == {
         item.name: item.manifest for item in wanted
--- a/src/merlinthread/roles/target.py
+++ b/src/merlinthread/roles/target.py
@@ -8,7 +8,7 @@
 
 from merlinthread import errors, logs, metrics
 from merlinthread import settings as settings_
-from merlinthread.coordination import bundles, control_state, fair_queue, switch
+from merlinthread.coordination import bundles, control_state, fair_queue, reconciliation
 from merlinthread.protocol import attempts, engine_calls, error_responses, events
 from merlinthread.roles import base
 from merlinthread.transport import http_client, http_server
@@ -165,7 +165,7 @@
 
     # Orders
 
-    def send_order(self, step: switch.Step, generation: int, layout: object) -> None:
+    def send_order(self, step: reconciliation.Step, generation: int, layout: object) -> None:
         """Send the engine the order for a step and wait until it is done.
 
         Raises MerlinthreadError (fenced) if the engine has accepted a newer order, other errors
@@ -202,9 +202,11 @@
                 outcome=outcome,
             )
 
-    def make_order(self, step: switch.Step, generation: int, layout: object) -> engine_calls.Order:
+    def make_order(
+        self, step: reconciliation.Step, generation: int, layout: object
+    ) -> engine_calls.Order:
         """Return the order for a step, with this agent's fencing token."""
-        if isinstance(step, switch.Unload):
+        if isinstance(step, reconciliation.Unload):
             return engine_calls.Order(engine_calls.UNLOAD, step.name, generation, self.incarnation)
         own = self.context.settings.http
         return engine_calls.Order(
--- a/tests/test_deciders.py
+++ b/tests/test_deciders.py
@@ -1,4 +1,4 @@
-"""Decision logic: fair queue, placement, switch, membership, claims, bundles, routing."""
+"""Decision logic: fair queue, placement, reconciliation, membership, claims, bundles, routing."""
 
 import random
 
@@ -15,10 +15,10 @@
     control_state,
     fair_queue,
     placement,
+    reconciliation,
     routing,
     sessions,
     summaries,
-    switch,
 )
 
 A, B, C = "a" * 64, "b" * 64, "c" * 64
@@ -161,17 +161,23 @@
 
 
 def test_weights_are_loaded_whole_adapter_after_model_and_old_ones_last():
-    item, adapter = switch.WantedModel("m", "v2", B), switch.WantedModel("x", "v1", C, base="m")
-    wanted = [item, adapter]
-    assert switch.next_step(wanted, {"m": A, "old": A}, set(), False) is None
-    assert switch.next_step(wanted, {"m": A}, {C}, False) is None
-    assert switch.next_step(wanted, {"m": A, "old": A}, {B, C}, False) == switch.Load(item)
-    assert switch.next_step(wanted, {"m": B, "old": A}, {B, C}, False) == switch.Load(adapter)
-    assert switch.next_step(wanted, {"m": B, "x": C, "old": A}, {B, C}, False) == switch.Unload(
-        "old"
+    item, adapter = reconciliation.WantedModel("m", "v2", B), reconciliation.WantedModel(
+        "x", "v1", C, base="m"
     )
-    assert switch.next_step(wanted, {"m": B, "x": C}, {B, C}, False) is None
-    assert switch.next_step(wanted, {"m": A}, {B, C}, True) is None
+    wanted = [item, adapter]
+    assert reconciliation.next_step(wanted, {"m": A, "old": A}, set(), False) is None
+    assert reconciliation.next_step(wanted, {"m": A}, {C}, False) is None
+    assert reconciliation.next_step(
+        wanted, {"m": A, "old": A}, {B, C}, False
+    ) == reconciliation.Load(item)
+    assert reconciliation.next_step(
+        wanted, {"m": B, "old": A}, {B, C}, False
+    ) == reconciliation.Load(adapter)
+    assert reconciliation.next_step(
+        wanted, {"m": B, "x": C, "old": A}, {B, C}, False
+    ) == reconciliation.Unload("old")
+    assert reconciliation.next_step(wanted, {"m": B, "x": C}, {B, C}, False) is None
+    assert reconciliation.next_step(wanted, {"m": A}, {B, C}, True) is None
 
 
 # Membership
