--- a/src/merlinthread/coordination/dispatch.py
+++ b/src/merlinthread/coordination/dispatch.py
@@ -32,7 +32,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Demand:
+class Requirements:
     """The requirements of one attempt; `version` is the lowest that may serve it.
 
     `version_soon` becomes mandatory shortly. Until then a back end with an older version may serve
@@ -126,52 +126,64 @@
 
 
 def is_eligible(
-    backend: backend_record.Backend, demand: Demand, engine: fleet.Engine | None, now: float
+    backend: backend_record.Backend,
+    requirements: Requirements,
+    engine: fleet.Engine | None,
+    now: float,
 ) -> bool:
     """Return whether a back end can serve this attempt now and is not ejected."""
-    return can_serve(backend, demand, engine, now) and not backend.is_ejected(now)
+    return can_serve(backend, requirements, engine, now) and not backend.is_ejected(now)
 
 
 def can_serve(
-    backend: backend_record.Backend, demand: Demand, engine: fleet.Engine | None, now: float
+    backend: backend_record.Backend,
+    requirements: Requirements,
+    engine: fleet.Engine | None,
+    now: float,
 ) -> bool:
     """Return whether a back end can serve this attempt now, ejected or not."""
     if backend.availability.lacks_permit(now):
         return False
-    return can_serve_with_permit(backend, demand, engine, now)
+    return can_serve_with_permit(backend, requirements, engine, now)
 
 
 def can_serve_with_permit(
-    backend: backend_record.Backend, demand: Demand, engine: fleet.Engine | None, now: float
+    backend: backend_record.Backend,
+    requirements: Requirements,
+    engine: fleet.Engine | None,
+    now: float,
 ) -> bool:
     """Return whether a back end can serve this attempt given a permit, ejected or not."""
-    if backend.service != demand.service or backend.is_draining:
+    if backend.service != requirements.service or backend.is_draining:
         return False
-    if backend.instance in demand.tried:
+    if backend.instance in requirements.tried:
         return False
     if now < backend.full_until or backend.is_changing(now):
         return False
     if backend.availability.is_unavailable(now):
         return False
-    if not demand.model or engine is None:
+    if not requirements.model or engine is None:
         return True
-    held = backend.version_of(demand.model, engine.layers)
-    return held > 0 and held >= demand.version
+    held = backend.version_of(requirements.model, engine.layers)
+    return held > 0 and held >= requirements.version
 
 
 def starts_in_time(
-    backend: backend_record.Backend, demand: Demand, engine: fleet.Engine | None, now: float
+    backend: backend_record.Backend,
+    requirements: Requirements,
+    engine: fleet.Engine | None,
+    now: float,
 ) -> bool:
     """Return whether an attempt is expected to start while the loaded version may serve it."""
-    if not demand.model or engine is None:
+    if not requirements.model or engine is None:
         return True
-    held = backend.version_of(demand.model, engine.layers)
-    return held >= demand.version_soon or backend.is_responsive(now)
+    held = backend.version_of(requirements.model, engine.layers)
+    return held >= requirements.version_soon or backend.is_responsive(now)
 
 
 def candidates(
     backends: Iterable[backend_record.Backend],
-    demand: Demand,
+    requirements: Requirements,
     engine: fleet.Engine | None,
     now: float,
 ) -> list[backend_record.Backend]:
@@ -180,14 +192,14 @@
     If all are ejected, return those without an attempt in flight, so that one request at a time
     tries them, as in the half-open state of a circuit breaker (Nygard 2007).
     """
-    serving = [backend for backend in backends if can_serve(backend, demand, engine, now)]
+    serving = [backend for backend in backends if can_serve(backend, requirements, engine, now)]
     healthy = [backend for backend in serving if not backend.is_ejected(now)]
     return healthy or [backend for backend in serving if not backend.in_flight]
 
 
 def permit_candidates(
     backends: Iterable[backend_record.Backend],
-    demand: Demand,
+    requirements: Requirements,
     engine: fleet.Engine | None,
     now: float,
 ) -> list[backend_record.Backend]:
@@ -198,18 +210,18 @@
     serving = [
         backend
         for backend in backends
-        if can_serve_with_permit(backend, demand, engine, now)
-        and starts_in_time(backend, demand, engine, now)
+        if can_serve_with_permit(backend, requirements, engine, now)
+        and starts_in_time(backend, requirements, engine, now)
         and not backend.is_ejected(now)
     ]
     if not all(backend.availability.is_limited() for backend in serving):
         return []
-    return sorted(serving, key=lambda backend: evaluate(backend, demand, engine, now).cost_s)
+    return sorted(serving, key=lambda backend: evaluate(backend, requirements, engine, now).cost_s)
 
 
 def choose(
     backends: Iterable[backend_record.Backend],
-    demand: Demand,
+    requirements: Requirements,
     engine: fleet.Engine | None,
     now: float,
     rng: random.Random,
@@ -222,10 +234,10 @@
     """
     eligible = [
         backend
-        for backend in candidates(backends, demand, engine, now)
-        if starts_in_time(backend, demand, engine, now)
+        for backend in candidates(backends, requirements, engine, now)
+        if starts_in_time(backend, requirements, engine, now)
     ]
-    choices = [evaluate(backend, demand, engine, now) for backend in eligible]
+    choices = [evaluate(backend, requirements, engine, now) for backend in eligible]
     if not choices:
         return None
     # Entries decide independently on delayed reports and would overload the best back end. The
@@ -249,7 +261,7 @@
 
 def shortlist(
     backends: Sequence[backend_record.Backend],
-    demand: Demand,
+    requirements: Requirements,
     engine: fleet.Engine | None,
     now: float,
     rng: random.Random,
@@ -259,9 +271,9 @@
     """Return the `count` cheapest back ends of a sample after the `skipped` cheapest."""
     if len(backends) > SAMPLE_MAX:
         backends = rng.sample(backends, SAMPLE_MAX)
-    eligible = candidates(backends, demand, engine, now)
+    eligible = candidates(backends, requirements, engine, now)
     evaluated = [
-        (evaluate(backend, demand, engine, now).cost_s, rng.random(), backend)
+        (evaluate(backend, requirements, engine, now).cost_s, rng.random(), backend)
         for backend in eligible
     ]
     evaluated.sort(key=lambda entry: entry[:2])
@@ -270,25 +282,28 @@
 
 def choose_best(
     backends: Iterable[backend_record.Backend],
-    demand: Demand,
+    requirements: Requirements,
     engine: fleet.Engine | None,
     now: float,
 ) -> Choice | None:
     """Return the cheapest back end that can serve an attempt, or None."""
     eligible = [
         backend
-        for backend in candidates(backends, demand, engine, now)
-        if starts_in_time(backend, demand, engine, now)
+        for backend in candidates(backends, requirements, engine, now)
+        if starts_in_time(backend, requirements, engine, now)
     ]
-    choices = [evaluate(backend, demand, engine, now) for backend in eligible]
+    choices = [evaluate(backend, requirements, engine, now) for backend in eligible]
     return min(choices, key=lambda choice: choice.cost_s, default=None)
 
 
 def evaluate(
-    backend: backend_record.Backend, demand: Demand, engine: fleet.Engine | None, now: float
+    backend: backend_record.Backend,
+    requirements: Requirements,
+    engine: fleet.Engine | None,
+    now: float,
 ) -> Choice:
     """Return a back end with its expected times and cost for an attempt."""
-    first_byte_s = expected_first_byte_s(backend, engine, demand.prompt_tokens, now)
+    first_byte_s = expected_first_byte_s(backend, engine, requirements.prompt_tokens, now)
     cost_s = first_byte_s + DISTANCE_COST_S[backend.distance]
     if now < backend.cold_until:
         cost_s += first_byte_s
@@ -299,7 +314,10 @@
     if backend.is_ejected(now):
         return Choice(backend, first_byte_s, math.inf, math.inf)
     return Choice(
-        backend, first_byte_s, first_byte_s - prompt_read_s(engine, demand.prompt_tokens), cost_s
+        backend,
+        first_byte_s,
+        first_byte_s - prompt_read_s(engine, requirements.prompt_tokens),
+        cost_s,
     )
 
 
--- a/src/merlinthread/nodes/backend_pool.py
+++ b/src/merlinthread/nodes/backend_pool.py
@@ -170,14 +170,16 @@
             known.is_draining = True
         self.recorder.record_leaving(backend.instance, request_id)
 
-    def permit_candidates(self, demand: dispatch.Demand) -> list[backend_record.Backend]:
+    def permit_candidates(
+        self, requirements: dispatch.Requirements
+    ) -> list[backend_record.Backend]:
         """Return the back ends that could take an attempt with a permit, best first.
 
         The list is empty if a back end could take it without a permit.
         """
-        engine = self.engine_of(demand.service)
-        backends = self.backends_by_service.get(demand.service, [])
-        return dispatch.permit_candidates(backends, demand, engine, self.clock())
+        engine = self.engine_of(requirements.service)
+        backends = self.backends_by_service.get(requirements.service, [])
+        return dispatch.permit_candidates(backends, requirements, engine, self.clock())
 
     def available_at(self, service: str) -> float | None:
         """Return when a back end of a service is available again, or None if one is now."""
@@ -231,36 +233,44 @@
         """Return the wait queue of a service."""
         return self.queues.setdefault(service, wait_queue.WaitQueue())
 
-    async def choose(self, demand: dispatch.Demand, wait_s_max: float) -> dispatch.Choice | None:
+    async def choose(
+        self, requirements: dispatch.Requirements, wait_s_max: float
+    ) -> dispatch.Choice | None:
         """Choose a back end, if possible with an expected wait of at most `wait_s_max` seconds.
 
         For engines, probe the best few first, since other entries may have sent requests since the
         last load reports. If none of the subscribed engines is good enough, probe some others.
         """
-        engine = self.engine_of(demand.service)
-        backends = self.backends_by_service.get(demand.service, [])
+        engine = self.engine_of(requirements.service)
+        backends = self.backends_by_service.get(requirements.service, [])
         if engine is None or not self.settings.agent_port:
-            return dispatch.choose(backends, demand, engine, self.clock(), self.rng, wait_s_max)
-        subscribed = self.subscribed.get(demand.service, [])
+            return dispatch.choose(
+                backends, requirements, engine, self.clock(), self.rng, wait_s_max
+            )
+        subscribed = self.subscribed.get(requirements.service, [])
         probed = dispatch.shortlist(
-            subscribed, demand, engine, self.clock(), self.rng, PROBE_AGENTS
+            subscribed, requirements, engine, self.clock(), self.rng, PROBE_AGENTS
         )
         await self.probe(probed)
-        choice = dispatch.choose_best(probed, demand, engine, self.clock())
+        choice = dispatch.choose_best(probed, requirements, engine, self.clock())
         if choice is not None and choice.wait_s <= wait_s_max:
             return choice
         others = self.unsubscribed(backends, subscribed)
-        probed = dispatch.shortlist(others, demand, engine, self.clock(), self.rng, PROBE_AGENTS)
+        probed = dispatch.shortlist(
+            others, requirements, engine, self.clock(), self.rng, PROBE_AGENTS
+        )
         await self.probe(probed)
         known = [*subscribed, *(backend for backend in probed if not backend.probe_unanswered)]
         # Unsubscribed engines that did not answer the probe are the last resort.
-        choice = dispatch.choose_best(known, demand, engine, self.clock())
-        return choice or dispatch.choose_best(probed, demand, engine, self.clock())
+        choice = dispatch.choose_best(known, requirements, engine, self.clock())
+        return choice or dispatch.choose_best(probed, requirements, engine, self.clock())
 
-    def evaluate(self, backend: backend_record.Backend, demand: dispatch.Demand) -> dispatch.Choice:
+    def evaluate(
+        self, backend: backend_record.Backend, requirements: dispatch.Requirements
+    ) -> dispatch.Choice:
         """Return the choice of one given back end, with its expected wait."""
-        engine = self.engine_of(demand.service)
-        return dispatch.evaluate(backend, demand, engine, self.clock())
+        engine = self.engine_of(requirements.service)
+        return dispatch.evaluate(backend, requirements, engine, self.clock())
 
     def unsubscribed(
         self, backends: list[backend_record.Backend], subscribed: list[backend_record.Backend]
--- a/src/merlinthread/nodes/request_task.py
+++ b/src/merlinthread/nodes/request_task.py
@@ -193,12 +193,12 @@
 
     # Choice of back ends
 
-    def demand(self) -> dispatch.Demand:
+    def requirements(self) -> dispatch.Requirements:
         """Return the requirements of the next attempt."""
         assert self.context is not None
         model = self.context.call.model
         now = self.clock()
-        return dispatch.Demand(
+        return dispatch.Requirements(
             self.service,
             model,
             self.pool.required_version(model, now) if model else 0,
@@ -244,10 +244,10 @@
         Raises RequestError after the deadline.
         """
         assert self.context is not None
-        choice = await self.pool.choose(self.demand(), remaining_s)
+        choice = await self.pool.choose(self.requirements(), remaining_s)
         if choice is None and self.tried and self.context.is_idempotent():
             self.tried.clear()
-            choice = await self.pool.choose(self.demand(), remaining_s)
+            choice = await self.pool.choose(self.requirements(), remaining_s)
         # The VM may have been suspended meanwhile.
         if self.clock() >= self.context.deadline:
             raise errors.RequestError("deadline exceeded", kind=errors.ErrorKind.DEADLINE_EXCEEDED)
@@ -265,8 +265,8 @@
         self.permit = None
         if choice is not None and not choice.backend.availability.is_limited():
             return choice
-        demand = self.demand()
-        candidates = self.pool.permit_candidates(demand)
+        requirements = self.requirements()
+        candidates = self.pool.permit_candidates(requirements)
         patience_s = queue_deadline - self.clock()
         if choice is not None and choice.backend not in candidates:
             # Other back ends have no limit, so there is no reason to wait for this one's permit.
@@ -280,7 +280,7 @@
             backend = next(
                 candidate for candidate in candidates if candidate.instance == result.instance
             )
-            return self.pool.evaluate(backend, demand)
+            return self.pool.evaluate(backend, requirements)
         if self.pool.available_at(self.service) is not None:
             reason = f"all back ends have rate limits; next permit in {result.back_in_s:.2f} s"
             raise self.unavailable(f"{reason} ({result.source})", result.back_in_s)
--- a/tests/test_entry_node.py
+++ b/tests/test_entry_node.py
@@ -433,10 +433,12 @@
             return {agent: known if agent == heard.instance else None for agent in agents}
 
         entry.node.prober.ask = answers_of_the_heard_one
-        choice = await pool.choose(dispatch.Demand("model", "m", 1), 0.2)
+        choice = await pool.choose(dispatch.Requirements("model", "m", 1), 0.2)
         assert choice.backend is heard, "nothing is known of the other one"
         pool.subscribed = {"model": []}
-        choice = await pool.choose(dispatch.Demand("model", "m", 1, tried={heard.instance}), 0.2)
+        choice = await pool.choose(
+            dispatch.Requirements("model", "m", 1, tried={heard.instance}), 0.2
+        )
         assert choice.backend is silent
 
     asyncio.run(scenario())
--- a/tests/test_fleet_deciders.py
+++ b/tests/test_fleet_deciders.py
@@ -153,7 +153,11 @@
     for one in (busy, idle):
         one.weights = [fleet.Weights("m", 1, 16)]
     choice = dispatch.choose(
-        [busy, idle], dispatch.Demand("s", "m", prompt_tokens=900.0), ENGINE, 0.0, random.Random(1)
+        [busy, idle],
+        dispatch.Requirements("s", "m", prompt_tokens=900.0),
+        ENGINE,
+        0.0,
+        random.Random(1),
     )
     assert choice.backend is idle
 
@@ -166,7 +170,7 @@
         "new": [fleet.Weights("m", 2, 16)],
     }
     backends = [backend(name, weights=weights) for name, weights in held.items()]
-    demand = dispatch.Demand("s", "m", 2)
+    demand = dispatch.Requirements("s", "m", 2)
     able = [b.instance for b in backends if dispatch.is_eligible(b, demand, ENGINE, 0.0)]
     assert able == ["new"]
 
@@ -178,7 +182,7 @@
         dispatch.record_failure(one, 100.0)
         waits.append(one.ejected_until - 100.0)
     assert waits == sorted(set(waits))
-    demand = dispatch.Demand("s")
+    demand = dispatch.Requirements("s")
     assert not dispatch.is_eligible(one, demand, None, 100.0)
     assert dispatch.is_eligible(one, demand, None, 110.0)
     dispatch.record_success(one, 0.1)
@@ -187,7 +191,7 @@
 
 def test_the_last_back_end_there_is_is_tried_by_one_request_at_a_time_after_a_failure():
     # Two of three back ends were removed, and one connection attempt to the last one failed.
-    demand = dispatch.Demand("s")
+    demand = dispatch.Requirements("s")
     only, taken_away = backend("only"), backend("taken away")
     taken_away.is_draining = True
     dispatch.record_failure(only, 10.0)
@@ -215,7 +219,7 @@
     silent, heard = backend("silent"), backend("heard", in_flight=8)
     for one, at in ((silent, 0.0), (heard, 9.5)):
         one.apply_report(fleet.EngineReport(weights=[fleet.Weights("m", 1, 16)]), at)
-    demand = dispatch.Demand("s", "m", prompt_tokens=900.0)
+    demand = dispatch.Requirements("s", "m", prompt_tokens=900.0)
     choice = dispatch.choose([silent, heard], demand, ENGINE, 10.0, random.Random(1))
     assert choice.backend is heard
     assert dispatch.choose([silent], demand, ENGINE, 10.0, random.Random(1)).backend is silent
@@ -303,7 +307,7 @@
     for one, tokens in ((busy, 5000.0), (idle, 0.0)):
         one.apply_report(fleet.EngineReport(weights=[fleet.Weights("m", 1, 16)]), 9.95)
         one.apply_probe_reply(load_tracker.EngineLoad(load_tracker.Outstanding(3, 2, tokens)), 10.0)
-    demand = dispatch.Demand("s", "m", prompt_tokens=1000.0)
+    demand = dispatch.Requirements("s", "m", prompt_tokens=1000.0)
     choices = [dispatch.evaluate(one, demand, ENGINE, 10.0) for one in (busy, idle)]
     expected = 5000.0 / ENGINE.read_tokens_per_s
     assert choices[0].first_byte_s - choices[1].first_byte_s == pytest.approx(expected)
@@ -328,7 +332,7 @@
         report = fleet.EngineReport(weights=[fleet.Weights("m", 1, 16)], pace=pace)
         one.apply_report(report, 9.95)
     silent.apply_probe_reply(None, 10.0)
-    demand = dispatch.Demand("s", "m", prompt_tokens=1000.0)
+    demand = dispatch.Requirements("s", "m", prompt_tokens=1000.0)
     asked = dispatch.shortlist([slow, silent, prompt], demand, ENGINE, 10.0, random.Random(1), 3)
     assert asked[0] is prompt
 
@@ -377,7 +381,9 @@
         "silent", in_flight=3, response_time=backend_record.ResponseTime(0.005, responses=1000)
     )
     idle = backend("idle", response_time=backend_record.ResponseTime(0.1, responses=1000))
-    choice = dispatch.choose([silent, idle], dispatch.Demand("s"), None, 0.0, random.Random(1))
+    choice = dispatch.choose(
+        [silent, idle], dispatch.Requirements("s"), None, 0.0, random.Random(1)
+    )
     assert choice.backend is idle
 
 
@@ -396,7 +402,7 @@
     silent.apply_probe_reply(None, 9.99)
     asked_before.apply_probe_reply(nothing, 9.9)
     all_of_them = [prompt, slow, silent, asked_before]
-    demand = dispatch.Demand("s", "m", version_soon=2)
+    demand = dispatch.Requirements("s", "m", version_soon=2)
     found = dispatch.shortlist(all_of_them, demand, ENGINE, 10.0, random.Random(1), 4)
     assert len(found) == 4, "each may be asked"
     for one in all_of_them:
--- a/tests/test_load_feed.py
+++ b/tests/test_load_feed.py
@@ -95,7 +95,7 @@
     engine.apply_probe_reply(
         load_tracker.EngineLoad(load_tracker.Outstanding(), is_busy=True), 10.0
     )
-    demand = dispatch.Demand("s")
+    demand = dispatch.Requirements("s")
     assert not dispatch.is_eligible(engine, demand, None, 10.5)
     later = 10.1 + backend_record.REPORT_FRESH_S
     assert dispatch.is_eligible(engine, demand, None, later)
@@ -107,5 +107,7 @@
     assert engine.has_stale_reports(20.0)
     engine.stop_reports()
     assert not engine.has_stale_reports(20.0)
-    choices = dispatch.shortlist([engine], dispatch.Demand("s"), None, 20.0, random.Random(1), 2)
+    choices = dispatch.shortlist(
+        [engine], dispatch.Requirements("s"), None, 20.0, random.Random(1), 2
+    )
     assert choices == [engine]
--- a/tests/test_new_back_ends.py
+++ b/tests/test_new_back_ends.py
@@ -79,7 +79,7 @@
     for backend, work_s in ((quicker, 0.0213), (slower, 0.0214)):
         backend.response_time = backend_record.ResponseTime(work_s, responses=1000)
     chosen = [
-        dispatch.choose([quicker, slower], dispatch.Demand("safe"), None, 0.0, rng).backend
+        dispatch.choose([quicker, slower], dispatch.Requirements("safe"), None, 0.0, rng).backend
         for _ in range(100)
     ]
     assert 30 <= chosen.count(slower) <= 70
