--- a/src/merlinthread/coordination/backend_record.py
+++ b/src/merlinthread/coordination/backend_record.py
@@ -31,7 +31,7 @@
     mean_s: float = DEFAULT_RESPONSE_S
     responses: int = 0
 
-    def note(self, response_s: float) -> None:
+    def record(self, response_s: float) -> None:
         """Add the response time of one response."""
         self.responses += 1
         self.mean_s += max(RESPONSE_SMOOTHING, 1.0 / self.responses) * (response_s - self.mean_s)
--- a/src/merlinthread/coordination/dispatch.py
+++ b/src/merlinthread/coordination/dispatch.py
@@ -331,8 +331,8 @@
 def record_success(backend: backend_record.Backend, response_s: float) -> None:
     """Record a complete response and its duration, and reset the failure count."""
     backend.failures = 0
-    backend.response_time.note(response_s)
-    backend.service_response_time.note(response_s)
+    backend.response_time.record(response_s)
+    backend.service_response_time.record(response_s)
 
 
 def record_full(backend: backend_record.Backend, now: float) -> None:
--- a/tests/test_new_back_ends.py
+++ b/tests/test_new_back_ends.py
@@ -50,7 +50,7 @@
 def test_one_slow_answer_after_the_start_does_not_keep_a_back_end_from_work():
     usual = backend_record.ResponseTime()
     for _ in range(50):
-        usual.note(WORK_S)
+        usual.record(WORK_S)
     backend = backend_record.Backend("i", "safe", "a:1", "zone", 0, 8, service_response_time=usual)
     assert backend.expected_response_s() == pytest.approx(WORK_S)
     dispatch.record_success(backend, 10 * WORK_S)
