--- a/bench/transfer.py
+++ b/bench/transfer.py
@@ -154,7 +154,7 @@
                 ]
             )
             readers = min(shape.agents, agent.plan.readers_max)
-            agent.plan.spare_every_s = readers * shape.piece_bytes / shape.origin_rate
+            agent.plan.extra_read_interval_s = readers * shape.piece_bytes / shape.origin_rate
 
     def distance(self, one: Agent, other: Agent) -> int:
         """Return the distance between two agents."""
--- a/src/merlinthread/coordination/fetch_claimed.py
+++ b/src/merlinthread/coordination/fetch_claimed.py
@@ -109,13 +109,13 @@
         """Read a chunk of another owner, unread ones first, within this VM's share."""
         if not self.is_reader or now < self.next_extra_read_at or not self.may_read_origin(now):
             return None
-        if self.spare_every_s == math.inf:
+        if self.extra_read_interval_s == math.inf:
             return None
         taken = self.takeover_read(now)
         if taken is None:
             taken = self.repeat_read()
         if taken is not None:
-            self.next_extra_read_at = now + self.spare_every_s
+            self.next_extra_read_at = now + self.extra_read_interval_s
         return taken
 
     def takeover_read(self, now: float) -> fetch.OriginRead | None:
--- a/src/merlinthread/coordination/fetch_policies.py
+++ b/src/merlinthread/coordination/fetch_policies.py
@@ -110,12 +110,12 @@
     a VM makes no progress, the higher the rank up to which it may request chunks.
 
     The owner of the plan sets two limits on reading chunks of other owners from the origin. A
-    reader may read one each `spare_every_s` while no peer can serve it. With `is_late` it
+    reader may read one each `extra_read_interval_s` while no peer can serve it. With `is_late` it
     reads without that limit.
     """
 
     is_late = False
-    spare_every_s = math.inf
+    extra_read_interval_s = math.inf
     next_extra_read_at = float("-inf")
 
     def next_action(self, now: float) -> fetch.Action | None:
@@ -130,12 +130,12 @@
         return super().fallback_read(needed, now) or self.extra_read(needed, now)
 
     def extra_read(self, needed: int, now: float) -> fetch.OriginRead | None:
-        """Read a chunk of another owner, at most one each `spare_every_s`."""
+        """Read a chunk of another owner, at most one each `extra_read_interval_s`."""
         if not self.is_reader or now < self.next_extra_read_at or not self.may_read_origin(now):
             return None
-        if self.spare_every_s == math.inf:
+        if self.extra_read_interval_s == math.inf:
             return None
-        self.next_extra_read_at = now + self.spare_every_s
+        self.next_extra_read_at = now + self.extra_read_interval_s
         return fetch.OriginRead(self.scarcest_in_zone(needed))
 
     def scarcest_in_zone(self, needed: int) -> int:
--- a/src/merlinthread/nodes/piece_fetcher.py
+++ b/src/merlinthread/nodes/piece_fetcher.py
@@ -106,7 +106,7 @@
         share = DOWNLOAD_SHARE if is_serving else IDLE_DOWNLOAD_SHARE
         self.download_pacer.bytes_per_s = share * self.link_bytes_per_s
         plan.set_peers(self.view.peers())
-        plan.spare_every_s = self.spare_every_s(plan)
+        plan.extra_read_interval_s = self.extra_read_interval_s(plan)
         self.rate.record(plan.held.bit_count(), self.clock())
         plan.is_late = self.is_late(plan, manifest, started)
 
@@ -137,7 +137,7 @@
         for recipient in plan.claim_recipients():
             self.send(recipient, claim)
 
-    def spare_every_s(self, plan: fetch_policies.Zoned) -> float:
+    def extra_read_interval_s(self, plan: fetch_policies.Zoned) -> float:
         """Return the time the origin's link takes to send one piece to each reader, in seconds.
 
         Infinite if the link's bandwidth is not known.
--- a/tests/test_chunk_announcements.py
+++ b/tests/test_chunk_announcements.py
@@ -100,7 +100,7 @@
         plan.readers_max = 8
         plan.on_participants_changed()
         plan.is_late = True
-        plan.spare_every_s = 0.1
+        plan.extra_read_interval_s = 0.1
     assert sum(plan.is_reader for plan in plans) == 8
     owned = 0
     for plan in plans:
--- a/tests/test_fleet_deciders.py
+++ b/tests/test_fleet_deciders.py
@@ -340,7 +340,7 @@
 def test_the_origins_spare_link_is_shared_among_vms_for_what_the_zone_lacks():
     plan = make_zoned("a", {"b": fetch.SAME_ZONE, "far": fetch.OTHER_REGION})
     plan.held = plan.owned
-    plan.spare_every_s = 0.5
+    plan.extra_read_interval_s = 0.5
     plan.on_peer_report("b", plan.all_chunks & ~plan.owned & ~(1 << 7 | 1 << 9), 0.0)
     plan.postpone_requests("b", 9.0)
     found = []
