--- a/src/merlinthread/coordination/agents.py
+++ b/src/merlinthread/coordination/agents.py
@@ -46,7 +46,7 @@
     """An agent's newest report and when it arrived, on the receiver's clock."""
 
     report: AgentReport
-    heard_at: float
+    received_at: float
 
 
 class AgentView:
@@ -107,12 +107,12 @@
         found = [
             received.report
             for received in self.received.values()
-            if now - received.heard_at < self.lost_after_s
+            if now - received.received_at < self.lost_after_s
         ]
         return sorted(found, key=lambda report: report.name)
 
     def forget(self, now: float) -> None:
         """Drop agents without a report for `forget_after_s` seconds."""
         for name, received in list(self.received.items()):
-            if now - received.heard_at > self.forget_after_s:
+            if now - received.received_at > self.forget_after_s:
                 del self.received[name]
--- a/src/merlinthread/coordination/backend_availability.py
+++ b/src/merlinthread/coordination/backend_availability.py
@@ -37,7 +37,7 @@
     """Whether one incarnation accepts requests; times are on the VM's clock, in seconds.
 
     `leaving_source` and `leaving_since` describe the first signal that it is leaving.
-    `limit_per_s` is the advertised limit for all VMs together, received at `limit_heard_at`, or
+    `limit_per_s` is the advertised limit for all VMs together, received at `limit_received_at`, or
     None for no limit. No permit is available before `next_permit_at`.
     """
 
@@ -46,7 +46,7 @@
     leaving_since: float = float("-inf")
     rest_until: float = float("-inf")
     limit_per_s: float | None = None
-    limit_heard_at: float = float("-inf")
+    limit_received_at: float = float("-inf")
     next_permit_at: float = float("-inf")
 
     def is_resting(self, now: float) -> bool:
@@ -78,24 +78,24 @@
         current limit was received.
         """
         before = self.limit_per_s
-        if before is not None and sent_at < self.limit_heard_at:
+        if before is not None and sent_at < self.limit_received_at:
             if per_s is None or per_s > before:
                 return False
         if per_s is None or before is None or per_s > before:
             # The known permit time belongs to the previous limit.
             self.next_permit_at = float("-inf")
         self.limit_per_s = per_s
-        self.limit_heard_at = now
+        self.limit_received_at = now
         return per_s != before
 
-    def merge_limit(self, per_s: float | None, heard_at: float) -> None:
-        """Merge a limit that another VM received at `heard_at`, unless a newer one is known."""
-        if heard_at <= self.limit_heard_at:
+    def merge_limit(self, per_s: float | None, received_at: float) -> None:
+        """Merge a limit that another VM received at `received_at`, unless a newer one is known."""
+        if received_at <= self.limit_received_at:
             return
         if per_s != self.limit_per_s:
             self.next_permit_at = float("-inf")
         self.limit_per_s = per_s
-        self.limit_heard_at = heard_at
+        self.limit_received_at = received_at
 
     def record_leaving(self, source: LeavingSource, now: float) -> bool:
         """Record that the back end is leaving; return whether that is new."""
--- a/src/merlinthread/coordination/limit_table.py
+++ b/src/merlinthread/coordination/limit_table.py
@@ -30,7 +30,7 @@
     """The latest limit of one back end; `revision` is that of its last change."""
 
     per_s: float | None
-    heard_at: float
+    received_at: float
     revision: int
 
 
@@ -45,17 +45,17 @@
     def merge(self, report: LimitReport, now: float) -> bool:
         """Merge a report; return whether it changed the limit."""
         known = self.records.get(report.instance)
-        heard_at = now - report.heard_age_s
-        if known is not None and heard_at <= known.heard_at:
+        received_at = now - report.heard_age_s
+        if known is not None and received_at <= known.received_at:
             return False
         previous = known.per_s if known is not None else None
         if report.per_s == previous:
             if known is not None:
-                known.heard_at = heard_at
+                known.received_at = received_at
             return False
         self.revision += 1
         self.records.pop(report.instance, None)
-        self.records[report.instance] = LimitRecord(report.per_s, heard_at, self.revision)
+        self.records[report.instance] = LimitRecord(report.per_s, received_at, self.revision)
         self.prune(now)
         return True
 
@@ -66,7 +66,7 @@
             self.records = {
                 instance: known
                 for instance, known in self.records.items()
-                if known.per_s is not None or now - known.heard_at <= LIFTED_EXPIRY_S
+                if known.per_s is not None or now - known.received_at <= LIFTED_EXPIRY_S
             }
         while len(self.records) > RECORDS_MAX:
             del self.records[next(iter(self.records))]
@@ -74,7 +74,7 @@
     def reports_for(self, instances: Iterable[str], now: float) -> list[LimitReport]:
         """Return reports of the known limits of some back ends."""
         found = [(name, self.records[name]) for name in instances if name in self.records]
-        return [LimitReport(name, known.per_s, now - known.heard_at) for name, known in found]
+        return [LimitReport(name, known.per_s, now - known.received_at) for name, known in found]
 
     def since(self, revision: int, now: float) -> list[LimitReport]:
         """Return reports of the limits that changed after `revision`."""
--- a/src/merlinthread/coordination/rate_limits.py
+++ b/src/merlinthread/coordination/rate_limits.py
@@ -82,7 +82,7 @@
     """The rate algorithm's state for one back end; the next permit falls due at `due_at`."""
 
     per_s: float
-    heard_at: float
+    received_at: float
     due_at: float = 0.0
     last_requested_at: float = 0.0
 
@@ -90,12 +90,12 @@
         """Return the interval between permits, in seconds."""
         return interval_s(self.per_s)
 
-    def update_limit(self, per_s: float, heard_at: float, now: float) -> None:
+    def update_limit(self, per_s: float, received_at: float, now: float) -> None:
         """Apply a limit that an entry received, unless a newer one is known."""
-        if heard_at < self.heard_at:
+        if received_at < self.received_at:
             return
         is_higher = per_s > self.per_s
-        self.per_s, self.heard_at = per_s, heard_at
+        self.per_s, self.received_at = per_s, received_at
         if is_higher:
             # Permits granted under the lower limit delay the next one by at most one interval.
             self.due_at = min(self.due_at, now + self.interval_s())
@@ -183,12 +183,12 @@
     def allowance(self, advertised: AdvertisedLimit, now: float) -> Allowance:
         """Return a back end's allowance, updated with an advertised limit."""
         known = self.allowances.get(advertised.instance)
-        heard_at = now - advertised.heard_age_s
+        received_at = now - advertised.heard_age_s
         if known is None:
-            known = Allowance(advertised.per_s, heard_at)
+            known = Allowance(advertised.per_s, received_at)
             known.due_at = max(now + known.interval_s(), self.first_permit_at) + known.tolerance_s()
             self.allowances[advertised.instance] = known
-        known.update_limit(advertised.per_s, heard_at, now)
+        known.update_limit(advertised.per_s, received_at, now)
         known.last_requested_at = now
         return known
 
--- a/src/merlinthread/nodes/attempt_descriptions.py
+++ b/src/merlinthread/nodes/attempt_descriptions.py
@@ -31,7 +31,7 @@
     if availability.limit_per_s is None:
         return ""
     source = permit.source if permit is not None else "nobody"
-    age_ms = round(1000 * (now - availability.limit_heard_at))
+    age_ms = round(1000 * (now - availability.limit_received_at))
     return (
         f", limit {availability.limit_per_s:g} per second received {age_ms} ms ago, "
         f"permit from {source}"
--- a/src/merlinthread/nodes/permits.py
+++ b/src/merlinthread/nodes/permits.py
@@ -259,5 +259,5 @@
     availability = backend.availability
     assert availability.limit_per_s is not None
     return rate_limits.AdvertisedLimit(
-        backend.instance, availability.limit_per_s, max(0.0, now - availability.limit_heard_at)
+        backend.instance, availability.limit_per_s, max(0.0, now - availability.limit_received_at)
     )
--- a/tests/permit_net.py
+++ b/tests/permit_net.py
@@ -89,7 +89,7 @@
             self.rng,
         )
         availability = backend_availability.Availability(
-            limit_per_s=self.limit_per_s, limit_heard_at=clock()
+            limit_per_s=self.limit_per_s, limit_received_at=clock()
         )
         return Entry(
             client, backend_record.Backend("i", "s", "a:1", "zone", 0, 8, availability=availability)
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -97,7 +97,7 @@
 
 
 def limited_backend(per_s: float) -> backend_record.Backend:
-    availability = backend_availability.Availability(limit_per_s=per_s, limit_heard_at=0.0)
+    availability = backend_availability.Availability(limit_per_s=per_s, limit_received_at=0.0)
     return backend_record.Backend("i", "s", "a:1", "zone", 0, 8, availability=availability)
 
 
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -184,9 +184,9 @@
 def test_a_limit_that_another_vm_heard_before_does_not_undo_what_was_heard_since():
     availability = backend_availability.Availability()
     availability.record_limit(2.0, sent_at=0.0, now=5.0)
-    availability.merge_limit(None, heard_at=4.0)
+    availability.merge_limit(None, received_at=4.0)
     assert availability.limit_per_s == 2.0
-    availability.merge_limit(None, heard_at=6.0)
+    availability.merge_limit(None, received_at=6.0)
     assert not availability.is_limited()
 
 
