--- a/src/merlinthread/coordination/limit_table.py
+++ b/src/merlinthread/coordination/limit_table.py
@@ -76,7 +76,7 @@
         found = [(name, self.records[name]) for name in instances if name in self.records]
         return [LimitReport(name, known.per_s, now - known.received_at) for name, known in found]
 
-    def since(self, revision: int, now: float) -> list[LimitReport]:
+    def changes_since(self, revision: int, now: float) -> list[LimitReport]:
         """Return reports of the limits that changed after `revision`."""
         changed = [name for name, known in self.records.items() if known.revision > revision]
         return self.reports_for(changed, now)
--- a/src/merlinthread/nodes/limit_registry.py
+++ b/src/merlinthread/nodes/limit_registry.py
@@ -43,4 +43,4 @@
 
     def changes_since(self, revision: int) -> list[limit_table.LimitReport]:
         """Return the limits that changed after `revision`, or none if it is negative."""
-        return self.table.since(revision, self.clock()) if revision >= 0 else []
+        return self.table.changes_since(revision, self.clock()) if revision >= 0 else []
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -174,7 +174,7 @@
     for number in range(limit_table.RECORDS_MAX + 50):
         ledger.merge(limit_table.LimitReport(f"i-{number}", 1.0, 0.0), number)
     assert len(ledger.records) == limit_table.RECORDS_MAX
-    assert len(ledger.since(ledger.revision - 3, 0.0)) == 3
+    assert len(ledger.changes_since(ledger.revision - 3, 0.0)) == 3
     ledger.merge(limit_table.LimitReport("over", None, 0.0), 10_000.0)
     ledger.merge(limit_table.LimitReport("i-4000", None, 0.0), 10_000.0)
     ledger.merge(limit_table.LimitReport("i-4001", 2.0, 0.0), 10_100.0)
