--- a/src/merlinthread/coordination/backend_record.py
+++ b/src/merlinthread/coordination/backend_record.py
@@ -9,7 +9,7 @@
 
 # Age up to which a load report counts as current.
 REPORT_FRESH_S = 1.0
-# Response time assumed before any back end of the service has answered.
+# Response time assumed before any back end of the service has responded.
 DEFAULT_RESPONSE_S = 0.1
 # Weight of one response in the moving average of the response time; the first ones weigh more.
 RESPONSE_SMOOTHING = 0.1
@@ -44,9 +44,9 @@
     `unread` counts this entry's attempts whose prompt has not been read yet, `unread_tokens` their
     tokens. `others` is the number of requests of other entries in the last report, `others_queued`
     how many of them were queued, and `others_unread_tokens` the tokens of their unread prompts, or
-    None if unknown. `probe_unanswered` is set while the agent has not answered the last load probe.
-    `ready_at` is when usable weights are expected, or None if they are loaded or no time is known.
-    `availability` outlives this record. `response_time` is the mean of this back end,
+    None if unknown. `probe_unanswered` is set while the agent has not replied to the last load
+    probe. `ready_at` is when usable weights are expected, or None if they are loaded or no time is
+    known. `availability` outlives this record. `response_time` is the mean of this back end,
     `service_response_time` that of all back ends of its service.
     """
 
@@ -67,7 +67,7 @@
     others_unread_tokens: float | None = None
     pace: float = 1.0
     probe_unanswered: bool = False
-    answered_at: float = float("-inf")
+    probe_replied_at: float = float("-inf")
     is_busy: bool = False
     reported_at: float = float("-inf")
     failures: int = 0
@@ -85,7 +85,7 @@
     def expected_response_s(self) -> float:
         """Return the expected response time of a request, in seconds.
 
-        Blend the back end's own mean with that of its service until it has answered enough
+        Blend the back end's own mean with that of its service until it has responded to enough
         requests. Otherwise a slow first response could keep it from getting further requests.
         """
         weight = self.response_time.responses / (PRIOR_RESPONSES + self.response_time.responses)
@@ -110,7 +110,7 @@
 
     def load_updated_at(self) -> float:
         """Return when the load was last updated by a report or a probe."""
-        return max(self.reported_at, self.answered_at)
+        return max(self.reported_at, self.probe_replied_at)
 
     def has_stale_reports(self, now: float) -> bool:
         """Return whether reports have stopped arriving; the VM may be hung."""
@@ -131,7 +131,7 @@
 
     def is_responsive(self, now: float) -> bool:
         """Return whether a request sent now is expected to arrive without delay."""
-        return now >= self.slow_until and now - self.answered_at <= RESPONSIVE_WITHIN_S
+        return now >= self.slow_until and now - self.probe_replied_at <= RESPONSIVE_WITHIN_S
 
     def record_first_byte_delay(self, took_s: float, now: float) -> None:
         """Record how long an attempt waited for its first byte, or ended without one."""
@@ -167,7 +167,7 @@
             self.others_unread_tokens = reply.others.unread_tokens
             self.is_busy = reply.is_busy
             self.pace = max(1.0, reply.pace)
-            self.answered_at = now
+            self.probe_replied_at = now
 
     def stop_reports(self) -> None:
         """Discard the report state after unsubscribing, so that missing reports cost nothing."""
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -104,7 +104,7 @@
         watcher.apply(node_messages.WatchReply("f", 9, False, [], [], published, 0, b"", [], 0.0))
         assert pool.required_version("m", clock()) == 0
         (backend,) = pool.backends.values()
-        backend.answered_at = clock()
+        backend.probe_replied_at = clock()
         budget = pool.budget("safe")
         while budget.spend(clock()):
             pass
