--- a/src/merlinthread/coordination/membership_repair.py
+++ b/src/merlinthread/coordination/membership_repair.py
@@ -18,7 +18,7 @@
     `surplus_silence_s` of silence, other members that are not needed after `silence_s`.
     """
 
-    losses_max: int
+    fault_tolerance: int
     surplus_silence_s: float
     silence_s: float
 
@@ -86,10 +86,10 @@
     """Return whether removing some of the `missing` voters lets the group tolerate more failures.
 
     It is False if the group tolerates enough failures as it is; the group never shrinks below the
-    size that tolerates `losses_max`. Of an odd number of voters, only a second removal helps.
+    size that tolerates `fault_tolerance`. Of an odd number of voters, only a second removal helps.
     """
     tolerated = raft_members.failures_tolerated(voters, missing)
-    removable = min(missing, voters - (2 * policy.losses_max + 1))
+    removable = min(missing, voters - (2 * policy.fault_tolerance + 1))
     best = max(
         (
             raft_members.failures_tolerated(voters - removed, missing - removed)
@@ -97,7 +97,7 @@
         ),
         default=tolerated,
     )
-    return tolerated < policy.losses_max and best > tolerated
+    return tolerated < policy.fault_tolerance and best > tolerated
 
 
 def silent_voters(group: GroupStatus, silence_s: float, now: float) -> list[str]:
@@ -126,6 +126,6 @@
         if now - group.heard_at.get(learner, now) > policy.silence_s:
             return raft_members.MembershipChange(remove=learner)
     silent = silent_voters(group, policy.silence_s, now)
-    if silent and len(group.membership.voters) > 2 * policy.losses_max + 1:
+    if silent and len(group.membership.voters) > 2 * policy.fault_tolerance + 1:
         return raft_members.MembershipChange(remove=silent[0])
     return None
