--- a/src/merlinthread/coordination/raft.py
+++ b/src/merlinthread/coordination/raft.py
@@ -66,8 +66,8 @@
         self.progress: dict[str, raft_messages.Progress] = {}
         self.outbox: list[tuple[str, raft_messages.Message]] = []
         self.hard_state_changed = False
-        self.installed: journal.Snapshot | None = None
-        self.term_start = 0
+        self.installed_snapshot: journal.Snapshot | None = None
+        self.term_start_index = 0
         self.heartbeat_at = now
         self.election_at = now
         self.reset_election(now)
@@ -101,7 +101,11 @@
 
     def holds_lease(self, now: float) -> bool:
         """Return whether this member holds the lease and has committed an entry of its term."""
-        return self.role == LEADER and self.commit >= self.term_start and now < self.lease_until()
+        return (
+            self.role == LEADER
+            and self.commit >= self.term_start_index
+            and now < self.lease_until()
+        )
 
     def without_self(self, names: list[str]) -> list[str]:
         """Return `names` without this member."""
@@ -190,7 +194,7 @@
             self.progress[self.last_known_leader].heard_at = self.heard_leader_at
         self.heartbeat_at = now
         self.append_entry("empty", b"")
-        self.term_start = self.log.last_index()
+        self.term_start_index = self.log.last_index()
         self.tick(now)
 
     def set_hard_state(self, term: int, voted_for: str) -> None:
@@ -213,9 +217,9 @@
         handler = {
             raft_messages.VoteRequest: self.on_vote_request,
             raft_messages.VoteReply: self.on_vote_reply,
-            raft_messages.AppendEntries: self.on_append,
+            raft_messages.AppendEntries: self.on_append_entries,
             raft_messages.AppendReply: self.on_append_reply,
-            raft_messages.InstallSnapshot: self.on_install,
+            raft_messages.InstallSnapshot: self.on_install_snapshot,
             raft_messages.IdentityMismatch: self.on_identity_mismatch,
         }[type(message)]
         handler(message, now)  # type: ignore[operator]
@@ -272,7 +276,7 @@
         if len(self.votes) >= self.log.membership.majority():
             self.on_vote_quorum(now, self.is_pre_vote)
 
-    def on_append(self, append: raft_messages.AppendEntries, now: float) -> None:
+    def on_append_entries(self, append: raft_messages.AppendEntries, now: float) -> None:
         """Store the leader's entries if the entry before them matches the one in this log."""
         if not self.follow_leader(append.sender, append.term, now):
             self.reply_append(append.sender, False, self.log.last_index(), append.sent_at)
@@ -330,7 +334,7 @@
         progress.next = max(progress.next, progress.match + 1)
         self.advance_commit()
 
-    def on_install(self, install: raft_messages.InstallSnapshot, now: float) -> None:
+    def on_install_snapshot(self, install: raft_messages.InstallSnapshot, now: float) -> None:
         """Install the leader's snapshot if it is ahead of the commit index."""
         if not self.follow_leader(install.sender, install.term, now):
             self.reply_append(install.sender, False, self.log.last_index(), install.sent_at)
@@ -339,7 +343,7 @@
         self.leader_commit = max(self.leader_commit, snapshot.index)
         if snapshot.index > self.commit:
             self.log.install(snapshot)
-            self.installed = snapshot
+            self.installed_snapshot = snapshot
             self.commit = snapshot.index
             self.delivered_index = snapshot.index
         self.reply_append(install.sender, True, snapshot.index, install.sent_at)
@@ -368,7 +372,7 @@
         previous = progress.next - 1
         previous_term = self.log.term_at(previous)
         if previous_term is None:
-            self.send_install(name, progress, now)
+            self.send_snapshot(name, progress, now)
             return
         entries = self.log.entries_from(progress.next, self.limits)
         append = raft_messages.AppendEntries(
@@ -384,9 +388,9 @@
         progress.sent_at = now
         self.outbox.append((name, append))
 
-    def send_install(self, name: str, progress: raft_messages.Progress, now: float) -> None:
-        """Send the snapshot at most every `resend_s`, and a heartbeat otherwise."""
-        if now - progress.sent_at < self.timing.resend_s:
+    def send_snapshot(self, name: str, progress: raft_messages.Progress, now: float) -> None:
+        """Send the snapshot at most every `snapshot_resend_s`, and a heartbeat otherwise."""
+        if now - progress.sent_at < self.timing.snapshot_resend_s:
             self.outbox.append(
                 (
                     name,
@@ -441,7 +445,7 @@
         another one is uncommitted.
         """
         self.require_leader()
-        if self.commit < self.term_start:
+        if self.commit < self.term_start_index:
             raise raft_members.change_refused(
                 "the leader has not committed an entry of its term yet; try again in a second"
             )
@@ -482,7 +486,7 @@
         )
         ready = raft_messages.Ready(
             hard_state,
-            self.installed,
+            self.installed_snapshot,
             list(self.log.unsaved_entries()),
             self.outbox,
             list(committed),
@@ -495,7 +499,7 @@
         if ready.hard_state is not None and ready.hard_state == self.hard_state:
             self.hard_state_changed = False
         if ready.snapshot is not None:
-            self.installed = None
+            self.installed_snapshot = None
         if ready.entries:
             self.log.saved_index = max(self.log.saved_index, ready.entries[-1].index)
         if ready.committed:
--- a/src/merlinthread/coordination/raft_messages.py
+++ b/src/merlinthread/coordination/raft_messages.py
@@ -141,7 +141,7 @@
     election_min_s: float = 0.6
     election_max_s: float = 1.2
     lease_fraction: float = 0.8
-    resend_s: float = 0.5
+    snapshot_resend_s: float = 0.5
 
 
 @dataclasses.dataclass(slots=True)
--- a/src/merlinthread/nodes/log_member.py
+++ b/src/merlinthread/nodes/log_member.py
@@ -384,7 +384,7 @@
         full.
         """
         if self.raft.is_leader():
-            if self.raft.commit >= self.raft.term_start:
+            if self.raft.commit >= self.raft.term_start_index:
                 lease_s = TIMING.election_min_s * TIMING.lease_fraction
                 self.current_at = self.raft.lease_until() - lease_s
         elif self.raft.last_known_leader and self.applied >= self.raft.leader_commit:
--- a/tests/test_log_repair.py
+++ b/tests/test_log_repair.py
@@ -221,11 +221,11 @@
     async def scenario(controls):
         await put_configuration(controls, 1)
         member = controls.nodes[controls.leader()].member
-        member.raft.term_start = member.raft.commit + 1
+        member.raft.term_start_index = member.raft.commit + 1
         member.current_at = float("-inf")
         member.update_current_at()
         assert member.staleness_s(time.monotonic()) == log_member.UNKNOWN_AGE_S
-        member.raft.term_start = member.raft.commit
+        member.raft.term_start_index = member.raft.commit
         member.update_current_at()
         assert member.staleness_s(time.monotonic()) < fleet_watcher.STALE_AFTER_S
 
