--- a/src/merlinthread/coordination/permit_slots.py
+++ b/src/merlinthread/coordination/permit_slots.py
@@ -17,35 +17,35 @@
 class PermitSlots:
     """One entry's time slots: number `rank`, from 0, of every `entries` slots.
 
-    `ahead_s` is the offset of the slots' clock from this VM's clock, in seconds.
+    `clock_offset_s` is the offset of the slots' clock from this VM's clock, in seconds.
     """
 
     def __init__(self, rank: int) -> None:
         self.entries = DEFAULT_ENTRIES
         self.rank = rank % DEFAULT_ENTRIES
-        self.ahead_s = 0.0
+        self.clock_offset_s = 0.0
         self.started_at = -math.inf
         # Middle of the last used slot by back end: slot numbers change with the limit.
         self.used: dict[str, float] = {}
         self.pruned_at = -math.inf
 
-    def begin(self, now: float) -> None:
+    def start(self, now: float) -> None:
         """Start using time slots because no control VM grants permits any more.
 
         The first slot is skipped: the control VM may have granted its permit in advance.
         """
         self.started_at = now
 
-    def update(self, entries: int, rank: int, ahead_s: float) -> None:
+    def update(self, entries: int, rank: int, clock_offset_s: float) -> None:
         """Update the number of entries, this entry's rank and the clock offset."""
-        self.entries, self.rank, self.ahead_s = entries, rank, ahead_s
+        self.entries, self.rank, self.clock_offset_s = entries, rank, clock_offset_s
 
     def decide(self, request: rate_limits.PermitRequest, now: float) -> rate_limits.Decision:
         """Grant the permit of the earliest slot, or refuse with a time to retry."""
         self.prune(now)
         slots = [self.next_slot(advertised, now) for advertised in request.limits]
         starts = [
-            max(now, slot * rate_limits.interval_s(advertised.per_s) - self.ahead_s)
+            max(now, slot * rate_limits.interval_s(advertised.per_s) - self.clock_offset_s)
             for slot, advertised in zip(slots, request.limits, strict=True)
         ]
         decision = rate_limits.Decision(free_in_s=[at - now for at in starts])
@@ -58,21 +58,23 @@
         decision.instance = request.limits[best].instance
         decision.start_in_s = starts[best] - now
         interval_s = rate_limits.interval_s(request.limits[best].per_s)
-        self.used[decision.instance] = (slots[best] + 0.5) * interval_s - self.ahead_s
+        self.used[decision.instance] = (slots[best] + 0.5) * interval_s - self.clock_offset_s
         after = self.next_slot(request.limits[best], now)
-        after_at = after * rate_limits.interval_s(request.limits[best].per_s) - self.ahead_s
+        after_at = after * rate_limits.interval_s(request.limits[best].per_s) - self.clock_offset_s
         decision.free_in_s[best] = after_at - now
         return decision
 
     def next_slot(self, advertised: rate_limits.AdvertisedLimit, now: float) -> int:
         """Return this entry's next unused slot number for a back end."""
         interval_s = rate_limits.interval_s(advertised.per_s)
-        present = math.floor((now + self.ahead_s) / interval_s)
+        present = math.floor((now + self.clock_offset_s) / interval_s)
         if self.started_at > -math.inf:
-            present = max(present, math.floor((self.started_at + self.ahead_s) / interval_s) + 2)
+            present = max(
+                present, math.floor((self.started_at + self.clock_offset_s) / interval_s) + 2
+            )
         used_at = self.used.get(advertised.instance, -math.inf)
         if used_at > -math.inf:
-            present = max(present, math.floor((used_at + self.ahead_s) / interval_s) + 1)
+            present = max(present, math.floor((used_at + self.clock_offset_s) / interval_s) + 1)
         # Offset the rotation by back end, so that an entry's slots don't all coincide.
         begin = zlib.crc32(advertised.instance.encode()) + self.rank
         return present + (begin - present) % self.entries
--- a/src/merlinthread/nodes/permits.py
+++ b/src/merlinthread/nodes/permits.py
@@ -189,14 +189,14 @@
         if self.leader != address:
             logs.event("permits_from", control=address, before=self.leader, entries=reply.entries)
         self.leader = address
-        ahead_s = reply.at - self.clock()
-        self.slots.update(max(1, reply.entries), reply.rank, ahead_s)
+        clock_offset_s = reply.at - self.clock()
+        self.slots.update(max(1, reply.entries), reply.rank, clock_offset_s)
 
     def mark_leader_lost(self) -> None:
         """Record that no leader answers, and delay the next search."""
         if self.leader:
             logs.event("permits_by_turns", lost=self.leader, entries=self.slots.entries)
-            self.slots.begin(self.clock())
+            self.slots.start(self.clock())
         self.leader = ""
         self.unanswered_at = self.clock()
         self.search_not_before = self.unanswered_at + SEARCH_BACKOFF_S
