--- a/src/merlinthread/coordination/fair_queue.py
+++ b/src/merlinthread/coordination/fair_queue.py
@@ -59,7 +59,7 @@
             raise errors.RequestError(
                 f"the engine's queue is full with {self.waiting_max} waiting requests",
                 kind=errors.ErrorKind.OVERLOADED,
-                retry_after_s=self.wait_estimate_s(),
+                retry_after_s=self.expected_wait_s(),
             )
         if request.account not in self.waiting and not self.has_running(request.account):
             self.raise_counter(request.account)
@@ -77,7 +77,7 @@
         floor = min(active, default=0.0)
         self.counters[account] = max(self.counters.get(account, 0.0), floor)
 
-    def wait_estimate_s(self) -> float:
+    def expected_wait_s(self) -> float:
         """Return the expected time to work off the queue at the measured throughput, in seconds."""
         if self.tokens_per_s <= 0:
             return 1.0
--- a/src/merlinthread/roles/target.py
+++ b/src/merlinthread/roles/target.py
@@ -56,7 +56,7 @@
         with self.lock:
             was_waiting = self.queue.cancel(queued.id)
             self.start_events.pop(queued.id, None)
-            estimate = self.queue.wait_estimate_s()
+            estimate = self.queue.expected_wait_s()
         if was_waiting:
             raise errors.RequestError(
                 "the deadline passed while the request was queued; it was not run",
