--- a/src/merlinthread/coordination/fleet.py
+++ b/src/merlinthread/coordination/fleet.py
@@ -211,9 +211,10 @@
 
     `is_leaving` means that the back end accepts no further requests. `rest_s` is how long it asks
     this VM to send nothing, None if it does not; `rest_problem` is why such a request was invalid.
-    `is_other` means that another instance responded than the one addressed. `limit_per_s` is the
-    number of requests per second that it accepts from all callers together, None without a limit;
-    `limit_problem` is why a limit was invalid. `unread` holds the names of unknown headers.
+    `is_other_instance` means that the response is not from the instance that was addressed.
+    `limit_per_s` is the number of requests per second that the back end accepts from all callers
+    together, None without a limit; `limit_problem` is why a limit was invalid. `unknown_headers`
+    holds the names of headers that are not known.
     """
 
     request_id: str | None
@@ -224,7 +225,7 @@
     is_leaving: bool = False
     rest_s: float | None = None
     rest_problem: str = ""
-    is_other: bool = False
+    is_other_instance: bool = False
     limit_per_s: float | None = None
     limit_problem: str = ""
-    unread: frozenset[str] = frozenset()
+    unknown_headers: frozenset[str] = frozenset()
--- a/src/merlinthread/nodes/attempts.py
+++ b/src/merlinthread/nodes/attempts.py
@@ -247,11 +247,11 @@
         short and is accepted from whatever answers at the address.
         """
         request_id = self.context.call.request_id
-        if response_head.unread:
+        if response_head.unknown_headers:
             self.pool.recorder.record_unread_headers(
-                response_head.unread, self.backend.instance, request_id
+                response_head.unknown_headers, self.backend.instance, request_id
             )
-        is_authentic = not response_head.is_other and (
+        is_authentic = not response_head.is_other_instance and (
             response_head.request_id is not None or response_head.is_signed
         )
         if response_head.is_leaving and is_authentic:
--- a/tests/test_unread_words.py
+++ b/tests/test_unread_words.py
@@ -14,7 +14,7 @@
 
 
 def unread_headers(headers) -> frozenset[str]:
-    return dialect.PlatformDialect().response_head(200, headers).unread
+    return dialect.PlatformDialect().response_head(200, headers).unknown_headers
 
 
 def test_a_header_without_a_reader_is_found_and_those_of_http_are_none():
