--- a/src/merlinthread/coordination/commands.py
+++ b/src/merlinthread/coordination/commands.py
@@ -116,7 +116,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Answer:
-    """The result of a command; `error` is empty or the name of an error kind."""
+    """The result of a command; `error` is empty or the value of an error kind."""
 
     error: str = ""
     message: str = ""
--- a/src/merlinthread/coordination/fetch_claimed.py
+++ b/src/merlinthread/coordination/fetch_claimed.py
@@ -12,7 +12,7 @@
 CLAIM_LIFETIME_S = 1.2
 # Short, so that owners resume soon after an outage of the origin.
 OWNED_CHUNK_RETRY_S = 0.1
-# Lower bound of the delay for other VMs: after an outage, owners read first.
+# Lower bound of the delay for VMs that do not own the chunk, so that owners read first.
 FALLBACK_RETRY_S = 1.0
 
 
@@ -64,11 +64,11 @@
 
     def unread_chunks(self, now: float) -> int:
         """Return the needed chunks that no available VM holds or has claimed."""
-        rest = self.needed()
+        unread = self.needed()
         for peer in self.peers.values():
             if peer.unavailable_until < now:
-                rest &= ~peer.held
-        return rest & ~self.active_claims(now)
+                unread &= ~peer.held
+        return unread & ~self.active_claims(now)
 
     def next_action(self, now: float) -> fetch.Action | None:
         """Read an unread owned chunk, any unread chunk if late, else request from peers."""
@@ -78,9 +78,9 @@
             own = self.unread_chunks(now) & self.owned
             if own:
                 return fetch.OriginRead(self.least_failed(own))
-            taken = self.takeover_read(now) if self.is_late else None
-            if taken is not None:
-                return taken
+            takeover = self.takeover_read(now) if self.is_late else None
+            if takeover is not None:
+                return takeover
         return (
             self.request_from_peer(now)
             or self.fallback_read(self.needed(), now)
@@ -111,12 +111,12 @@
             return None
         if self.extra_read_interval_s == math.inf:
             return None
-        taken = self.takeover_read(now)
-        if taken is None:
-            taken = self.repeat_read()
-        if taken is not None:
+        action = self.takeover_read(now)
+        if action is None:
+            action = self.repeat_read()
+        if action is not None:
             self.next_extra_read_at = now + self.extra_read_interval_s
-        return taken
+        return action
 
     def takeover_read(self, now: float) -> fetch.OriginRead | None:
         """Return a read of an unread chunk of any owner, a repeated read if late, or None."""
@@ -129,13 +129,13 @@
 
     def repeat_read(self) -> fetch.OriginRead | None:
         """Return a read of a needed chunk that no peer of this zone is known to hold, or None."""
-        lacking = self.needed()
+        missing = self.needed()
         for peer in self.peers.values():
             if peer.distance == fetch.SAME_ZONE:
-                lacking &= ~peer.held
-        if not lacking:
+                missing &= ~peer.held
+        if not missing:
             return None
-        return fetch.OriginRead(min(fetch.bit_positions(lacking), key=self.rank))
+        return fetch.OriginRead(min(fetch.bit_positions(missing), key=self.rank))
 
     def active_claims(self, now: float) -> int:
         """Return the chunks claimed by other VMs within the last CLAIM_LIFETIME_S."""
--- a/src/merlinthread/coordination/incarnations.py
+++ b/src/merlinthread/coordination/incarnations.py
@@ -1,11 +1,11 @@
 """Incarnations of back ends: a back end's id together with the start time of its process.
 
-A process may restart under the same id, without any state of the previous one. What is known of a
-back end is therefore stored by incarnation, so that a delayed message of the previous process does
-not affect the new one.
+A process may restart under the same id, without any state of the previous one. The state kept for
+a back end is therefore keyed by incarnation, so that a delayed message from the previous process
+does not affect the new one.
 
 The start time comes from a clock that may have been set back between two starts. A later start time
-shows a newer incarnation; an earlier one alone shows nothing (see `coordination.instances`).
+proves a newer incarnation; an earlier one alone proves nothing (see `coordination.instances`).
 """
 
 import dataclasses
--- a/src/merlinthread/coordination/raft.py
+++ b/src/merlinthread/coordination/raft.py
@@ -24,7 +24,7 @@
     """One member of a Raft group.
 
     `first_voters` is the initial configuration, used while neither the log nor the snapshot names
-    members. `identity` identifies the data folder: messages of a member that returns with another
+    members. `identity` identifies the data folder: messages from a member that returns with another
     identity are rejected, since it has lost its votes and entries. Outdated and unexpected messages
     are ignored.
     """
@@ -115,8 +115,8 @@
 
     def reset_election(self, now: float) -> None:
         """Restart the election timer with a random timeout."""
-        wait = self.rng.uniform(self.timing.election_min_s, self.timing.election_max_s)
-        self.election_at = now + wait
+        timeout_s = self.rng.uniform(self.timing.election_min_s, self.timing.election_max_s)
+        self.election_at = now + timeout_s
 
     def next_tick_at(self) -> float:
         """Return the time at which `tick` should be called next."""
@@ -268,8 +268,8 @@
             return
         if self.role != CANDIDATE or reply.is_trial != self.is_pre_vote:
             return
-        wanted_term = self.hard_state.term + 1 if self.is_pre_vote else self.hard_state.term
-        if reply.term != wanted_term or not reply.is_granted:
+        expected_term = self.hard_state.term + 1 if self.is_pre_vote else self.hard_state.term
+        if reply.term != expected_term or not reply.is_granted:
             return
         if reply.sender in self.log.membership.voters:
             self.votes.add(reply.sender)
@@ -282,10 +282,10 @@
             self.reply_append(append.sender, False, self.log.last_index(), append.sent_at)
             return
         self.leader_commit = max(self.leader_commit, append.commit)
-        first = append.previous_index
-        local_term = self.log.term_at(first)
-        if first > self.log.snapshot.index and local_term != append.previous_term:
-            hint = min(first - 1, self.log.last_index())
+        previous = append.previous_index
+        local_term = self.log.term_at(previous)
+        if previous > self.log.snapshot.index and local_term != append.previous_term:
+            hint = min(previous - 1, self.log.last_index())
             self.reply_append(append.sender, False, hint, append.sent_at)
             return
         for entry in append.entries:
@@ -355,8 +355,8 @@
 
     def reported_identities(self) -> dict[str, str]:
         """Return the data folder identities of this leader and of members that replied to it."""
-        heard = {name: p.identity for name, p in self.progress.items() if p.identity}
-        return heard | {self.name: self.identity}
+        replied = {name: known.identity for name, known in self.progress.items() if known.identity}
+        return replied | {self.name: self.identity}
 
     def rejects_identity(self, name: str, identity: str) -> bool:
         """Return whether `identity` is not the one registered for `name`, and reply if so."""
@@ -479,7 +479,7 @@
     # Calls of the owner
 
     def ready(self) -> raft_messages.Ready:
-        """Return the pending work of the owner, who calls `mark_saved` once it is durable."""
+        """Return the pending work of the owner, which calls `mark_saved` once it is durable."""
         hard_state = self.hard_state if self.hard_state_changed else None
         committed = self.log.entries_between(
             self.delivered_index, min(self.commit, self.log.saved_index)
--- a/src/merlinthread/coordination/raft_log.py
+++ b/src/merlinthread/coordination/raft_log.py
@@ -36,10 +36,10 @@
     def entries_from(self, first: int, limits: raft_messages.Limits) -> list[journal.Entry]:
         """Return entries from `first` on, up to the limits of one AppendEntries message."""
         batch: list[journal.Entry] = []
-        size = 0
+        size_bytes = 0
         for entry in self.entries[first - self.snapshot.index - 1 :]:
-            size += len(entry.data)
-            if batch and size > limits.bytes_per_append:
+            size_bytes += len(entry.data)
+            if batch and size_bytes > limits.bytes_per_append:
                 break
             batch.append(entry)
             if len(batch) == limits.entries_per_append:
@@ -110,7 +110,7 @@
         self.membership = self.latest_membership()
 
     def install(self, snapshot: journal.Snapshot) -> None:
-        """Replace the snapshot by a leader's; keep later entries if they continue it."""
+        """Replace the snapshot by a leader's; keep the later entries if they follow from it."""
         if self.term_at(snapshot.index) == snapshot.term:
             self.entries = self.entries[snapshot.index - self.snapshot.index :]
         else:
--- a/src/merlinthread/coordination/retry_budget.py
+++ b/src/merlinthread/coordination/retry_budget.py
@@ -1,4 +1,4 @@
-"""Limits retries to a ratio of the first attempts, over all entries together."""
+"""Limit retries to a ratio of the first attempts, over all entries together."""
 
 import collections
 
@@ -6,14 +6,14 @@
 class RetryBudget:
     """A sliding window over the first attempts and retries of one service.
 
-    Allows `ratio` retries per first attempt within `window_s` seconds, plus `free` retries. Since
-    each entry applies the ratio to its own requests, they need no coordination.
+    Allows `ratio` retries per first attempt within `window_s` seconds, plus `free_retries`. Entries
+    need no coordination, since each applies the ratio to its own requests.
     """
 
-    def __init__(self, ratio: float, window_s: float, free: int) -> None:
+    def __init__(self, ratio: float, window_s: float, free_retries: int) -> None:
         self.ratio = ratio
         self.window_s = window_s
-        self.free = free
+        self.free_retries = free_retries
         self.first_attempts: collections.deque[float] = collections.deque()
         self.retries: collections.deque[float] = collections.deque()
 
@@ -25,7 +25,7 @@
     def allows(self, now: float) -> bool:
         """Return whether one more retry is within the budget."""
         self.prune(now)
-        return len(self.retries) < self.ratio * len(self.first_attempts) + self.free
+        return len(self.retries) < self.ratio * len(self.first_attempts) + self.free_retries
 
     def spend(self, now: float) -> bool:
         """Use one retry of the budget; return False if it is exhausted."""
