--- a/src/merlinthread/coordination/agents.py
+++ b/src/merlinthread/coordination/agents.py
@@ -72,21 +72,25 @@
     def update_load(
         self,
         name: str,
-        order: tuple[int, int],
+        sort_key: tuple[int, int],
         load: tuple[int, int, int],
         now: float,
     ) -> AgentReport | None:
         """Apply a report that differs from the last only in its load; return the full report.
 
-        `load` is running, queued and queued tokens. Return None if no report of that incarnation
-        is known.
+        `sort_key` is that of the report, `load` its `running`, `queued` and `queued_tokens`. Return
+        None if no report of that incarnation is known.
         """
         known = self.received.get(name)
-        if known is None or known.report.incarnation != order[0]:
+        if known is None or known.report.incarnation != sort_key[0]:
             return None
-        running, queued, tokens = load
+        running, queued, queued_tokens = load
         report = dataclasses.replace(
-            known.report, counter=order[1], running=running, queued=queued, queued_tokens=tokens
+            known.report,
+            counter=sort_key[1],
+            running=running,
+            queued=queued,
+            queued_tokens=queued_tokens,
         )
         self.update(report, now)
         return report
--- a/src/merlinthread/coordination/backend_availability.py
+++ b/src/merlinthread/coordination/backend_availability.py
@@ -1,12 +1,12 @@
 """Availability of back ends: leaving, resting, or limited to a rate.
 
-A back end signals its state in its responses; control VMs relay what its heartbeats said.
-Either channel may be late or lose messages, so the more restrictive signal wins:
+A back end signals its state in its responses, and in heartbeats that control VMs relay. Either
+channel may be late or lose messages, so the more restrictive signal wins:
 
 - Leaving is final for an incarnation, even if a late heartbeat still says `ready`. The next
   incarnation has a name of its own (`coordination.incarnations`).
-- A rest applies to the VM that was asked for it, until it ends. Traffic then resumes at once,
-  without the single trial request of a half-open circuit breaker.
+- A rest applies only to the VM that received the request for it, until it ends. Traffic then
+  resumes at once, without the single trial request of a half-open circuit breaker.
 - A rate limit covers the requests of all VMs together and stays until a response changes it. Each
   request then needs a permit (`coordination.rate_limits`).
 
@@ -77,16 +77,16 @@
         applies at once. A higher limit, or none, applies only if its request was sent after the
         current limit was received.
         """
-        before = self.limit_per_s
-        if before is not None and sent_at < self.limit_received_at:
-            if per_s is None or per_s > before:
+        previous = self.limit_per_s
+        if previous is not None and sent_at < self.limit_received_at:
+            if per_s is None or per_s > previous:
                 return False
-        if per_s is None or before is None or per_s > before:
+        if per_s is None or previous is None or per_s > previous:
             # The known permit time belongs to the previous limit.
             self.next_permit_at = float("-inf")
         self.limit_per_s = per_s
         self.limit_received_at = now
-        return per_s != before
+        return per_s != previous
 
     def merge_limit(self, per_s: float | None, received_at: float) -> None:
         """Merge a limit that another VM received at `received_at`, unless a newer one is known."""
@@ -149,9 +149,9 @@
         return sum(availability.is_leaving for availability in self.availabilities.values())
 
     def count_limited(self) -> int:
-        """Return how many have a rate limit."""
+        """Return how many incarnations have a rate limit."""
         return sum(availability.is_limited() for availability in self.availabilities.values())
 
     def count_resting(self, now: float) -> int:
-        """Return how many are resting."""
+        """Return how many incarnations are resting."""
         return sum(availability.is_resting(now) for availability in self.availabilities.values())
--- a/src/merlinthread/coordination/backend_record.py
+++ b/src/merlinthread/coordination/backend_record.py
@@ -176,7 +176,9 @@
 
     def version_of(self, model: str, layers: int) -> int:
         """Return the highest fully loaded version of a model's weights, or 0."""
-        whole = [
-            held.version for held in self.weights if held.model == model and held.is_whole(layers)
+        versions = [
+            loaded.version
+            for loaded in self.weights
+            if loaded.model == model and loaded.is_whole(layers)
         ]
-        return max(whole, default=0)
+        return max(versions, default=0)
--- a/src/merlinthread/coordination/dispatch.py
+++ b/src/merlinthread/coordination/dispatch.py
@@ -114,8 +114,8 @@
     if not found:
         return None
     staying = [backend.availability for backend in found if not backend.is_draining]
-    opens_at = min((availability.available_at(now) for availability in staying), default=math.inf)
-    return opens_at if opens_at > now else None
+    first_at = min((availability.available_at(now) for availability in staying), default=math.inf)
+    return first_at if first_at > now else None
 
 
 def prompt_read_s(engine: fleet.Engine | None, tokens: float) -> float:
@@ -164,8 +164,8 @@
         return False
     if not requirements.model or engine is None:
         return True
-    held = backend.version_of(requirements.model, engine.layers)
-    return held > 0 and held >= requirements.version
+    loaded = backend.version_of(requirements.model, engine.layers)
+    return loaded > 0 and loaded >= requirements.version
 
 
 def starts_in_time(
@@ -177,8 +177,8 @@
     """Return whether an attempt is expected to start while the loaded version may serve it."""
     if not requirements.model or engine is None:
         return True
-    held = backend.version_of(requirements.model, engine.layers)
-    return held >= requirements.version_soon or backend.is_responsive(now)
+    loaded = backend.version_of(requirements.model, engine.layers)
+    return loaded >= requirements.version_soon or backend.is_responsive(now)
 
 
 def candidates(
@@ -255,8 +255,8 @@
     Otherwise a back end with a marginally higher mean response time would get no requests, and so
     no responses to correct its mean.
     """
-    enough_s = (1 + COST_TOLERANCE) * min(choice.cost_s for choice in choices)
-    return next(choice for choice in choices if choice.cost_s <= enough_s)
+    cost_max_s = (1 + COST_TOLERANCE) * min(choice.cost_s for choice in choices)
+    return next(choice for choice in choices if choice.cost_s <= cost_max_s)
 
 
 def shortlist(
@@ -323,9 +323,9 @@
 
 def record_failure(backend: backend_record.Backend, now: float) -> None:
     """Eject a back end after a failure; the time doubles with each failure in a row."""
-    wait = min(EJECTION_MAX_S, EJECTION_S * 2**backend.failures)
+    ejection_s = min(EJECTION_MAX_S, EJECTION_S * 2**backend.failures)
     backend.failures += 1
-    backend.ejected_until = now + wait
+    backend.ejected_until = now + ejection_s
 
 
 def record_success(backend: backend_record.Backend, response_s: float) -> None:
--- a/src/merlinthread/coordination/fair_queue.py
+++ b/src/merlinthread/coordination/fair_queue.py
@@ -78,7 +78,7 @@
         self.counters[account] = max(self.counters.get(account, 0.0), floor)
 
     def expected_wait_s(self) -> float:
-        """Return the expected time to work off the queue at the measured throughput, in seconds."""
+        """Return the expected time to process the queue at the measured throughput, in seconds."""
         if self.tokens_per_s <= 0:
             return 1.0
         return max(0.1, self.waiting_tokens / self.tokens_per_s)
--- a/src/merlinthread/coordination/fetch.py
+++ b/src/merlinthread/coordination/fetch.py
@@ -196,8 +196,8 @@
         """
         near = [peer.name for peer in self.peers.values() if peer.distance == SAME_ZONE]
         if isinstance(action, PeerRequest):
-            asked = self.peers.get(action.peer)
-            return near if asked is not None and asked.distance != SAME_ZONE else []
+            source = self.peers.get(action.peer)
+            return near if source is not None and source.distance != SAME_ZONE else []
         return near + [
             max(zone, key=lambda name: rendezvous_weight(name, self.manifest, action.index))
             for zone in self.other_zones.values()
@@ -290,11 +290,11 @@
         state = self.peers.get(peer)
         if state is None:
             return
-        wait = min(FAILURE_BACKOFF_MAX_S, FAILURE_BACKOFF_S * 2**state.failures)
+        backoff_s = min(FAILURE_BACKOFF_MAX_S, FAILURE_BACKOFF_S * 2**state.failures)
         state.failures += 1
         state.reported_at = now
-        state.not_before = now + wait
-        state.unavailable_until = now + wait + UNAVAILABLE_S
+        state.not_before = now + backoff_s
+        state.unavailable_until = now + backoff_s + UNAVAILABLE_S
 
     def on_corrupt_chunk(self, peer: str, now: float) -> None:
         """Record that a peer sent a chunk with a wrong digest, and suspend requests to it."""
@@ -364,9 +364,9 @@
         chosen: list[int] = []
         rest = useful
         for level in levels[1:] + [0]:
-            few = bit_positions(rest & ~level)
-            self.rng.shuffle(few)
-            chosen.extend(few[: CHUNKS_PER_REQUEST - len(chosen)])
+            rarest = bit_positions(rest & ~level)
+            self.rng.shuffle(rarest)
+            chosen.extend(rarest[: CHUNKS_PER_REQUEST - len(chosen)])
             rest &= level
             if len(chosen) >= CHUNKS_PER_REQUEST:
                 break
--- a/src/merlinthread/coordination/fetch_policies.py
+++ b/src/merlinthread/coordination/fetch_policies.py
@@ -60,13 +60,13 @@
         Reports from other zones may grow older, but are refreshed too: the peers of this zone may
         all lack the same chunks.
         """
-        due = [peer for peer in self.available_peers(now) if peer.staleness(now) > 1]
-        if not due:
+        stale = [peer for peer in self.available_peers(now) if peer.staleness(now) > 1]
+        if not stale:
             return None
-        peer = max(due, key=lambda peer: peer.staleness(now))
+        peer = max(stale, key=lambda peer: peer.staleness(now))
         indices = fetch.bit_positions(needed)
-        part = self.rng.sample(indices, max(1, len(indices) // 4))
-        return fetch.PeerRequest(peer.name, sum(1 << index for index in part))
+        sample = self.rng.sample(indices, max(1, len(indices) // 4))
+        return fetch.PeerRequest(peer.name, sum(1 << index for index in sample))
 
     def fallback_read(self, needed: int, now: float) -> fetch.OriginRead | None:
         """Read a chunk whose owner has not delivered it in time, or return None.
@@ -80,23 +80,23 @@
         for peer in self.peers.values():
             if peer.unavailable_until < now:
                 needed &= ~peer.held
-        due = [
+        overdue = [
             index
             for index in fetch.bit_positions(needed)
             if waited >= self.origin_grace_s * (1 + self.rank(index))
         ]
-        if not due:
+        if not overdue:
             return None
-        return fetch.OriginRead(min(due, key=self.rank))
+        return fetch.OriginRead(min(overdue, key=self.rank))
 
     def rank(self, index: int) -> int:
         """Return this VM's position in its zone's rendezvous order for a chunk, from 0."""
         if index not in self.ranks:
-            mine = fetch.rendezvous_weight(self.own_name, self.manifest, index)
+            own_weight = fetch.rendezvous_weight(self.own_name, self.manifest, index)
             ahead = [
                 name
                 for name in self.zone_members
-                if fetch.rendezvous_weight(name, self.manifest, index) > mine
+                if fetch.rendezvous_weight(name, self.manifest, index) > own_weight
             ]
             self.ranks[index] = len(ahead)
         return self.ranks[index]
@@ -109,9 +109,8 @@
     Only the VM that ranks first for a chunk in its zone requests it from another zone. The longer
     a VM makes no progress, the higher the rank up to which it may request chunks.
 
-    The owner of the plan sets two limits on reading chunks of other owners from the origin. A
-    reader may read one each `extra_read_interval_s` while no peer can serve it. With `is_late` it
-    reads without that limit.
+    The plan's owner limits how often a reader reads chunks of other owners from the origin: once
+    per `extra_read_interval_s` while no peer can serve it, and without that limit if `is_late`.
     """
 
     is_late = False
@@ -130,7 +129,7 @@
         return super().fallback_read(needed, now) or self.extra_read(needed, now)
 
     def extra_read(self, needed: int, now: float) -> fetch.OriginRead | None:
-        """Read a chunk of another owner, at most one each `extra_read_interval_s`."""
+        """Read a chunk of another owner, at most one per `extra_read_interval_s`."""
         if not self.is_reader or now < self.next_extra_read_at or not self.may_read_origin(now):
             return None
         if self.extra_read_interval_s == math.inf:
@@ -172,14 +171,14 @@
         A request to another zone is limited to `cross_zone_chunks`.
         """
         allowed = self.cross_zone_chunks(now)
-        due = [
+        stale = [
             peer
             for peer in self.available_peers(now)
             if peer.staleness(now) > 1 and (peer.distance == fetch.SAME_ZONE or allowed)
         ]
-        if not due:
+        if not stale:
             return None
-        peer = max(due, key=lambda peer: peer.staleness(now))
+        peer = max(stale, key=lambda peer: peer.staleness(now))
         return fetch.PeerRequest(peer.name, needed if peer.distance == fetch.SAME_ZONE else allowed)
 
     def cross_zone_chunks(self, now: float) -> int:
--- a/src/merlinthread/coordination/fingerprints.py
+++ b/src/merlinthread/coordination/fingerprints.py
@@ -12,13 +12,13 @@
 DIGEST_BYTES = 12
 
 
-def fingerprint(call: fleet.RequestHead, account: str, body: bytes) -> str:
+def fingerprint(head: fleet.RequestHead, account: str, body: bytes) -> str:
     """Return the hex digest of a request's identifying parts.
 
     Each part is prefixed with its length, so that different splits of the same bytes differ.
     """
     digest = blake3.blake3()
-    for part in (call.method, call.host.encode(), call.path, account.encode(), body):
+    for part in (head.method, head.host.encode(), head.path, account.encode(), body):
         digest.update(b"%d:" % len(part))
         digest.update(part)
     return digest.digest(DIGEST_BYTES).hex()
--- a/src/merlinthread/coordination/fleet.py
+++ b/src/merlinthread/coordination/fleet.py
@@ -47,7 +47,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Engine:
-    """The properties of a service's model workers; speeds are in seconds and tokens."""
+    """The properties of a service's engines; speeds are in seconds and tokens."""
 
     slots: int
     models: list[str]
--- a/src/merlinthread/coordination/instances.py
+++ b/src/merlinthread/coordination/instances.py
@@ -167,10 +167,11 @@
         return self.position
 
     def changes_since(self, position: int, now: float) -> tuple[bool, list[Instance], list[str]]:
-        """Return if the update is full, the instances changed since `position`, and those gone.
+        """Return whether the update is full, the instances that changed, and those gone.
 
-        A full update includes the latest departures: nodes keep using an instance that is only
-        missing for some heartbeats, since it may not have been heard from here after a restart.
+        An update that is not full has the changes after `position` only. A full one includes the
+        latest departures: nodes keep using an instance that is only missing for some heartbeats,
+        since it may not have been heard from here after a restart.
         """
         is_full = position < self.compacted_position or position > self.position or position == 0
         after = 0 if is_full else position
@@ -191,9 +192,9 @@
     return same_sequence != old or (new.cold_s > 0) != (old.cold_s > 0)
 
 
-def is_newer(one: fleet.Heartbeat, other: fleet.Heartbeat) -> bool:
-    """Return whether `one` is known to be from a later incarnation of the same back end."""
-    return incarnations.parse(one.instance).is_newer(incarnations.parse(other.instance))
+def is_newer(heartbeat: fleet.Heartbeat, other: fleet.Heartbeat) -> bool:
+    """Return whether `heartbeat` is known to be from a later incarnation of `other`'s back end."""
+    return incarnations.parse(heartbeat.instance).is_newer(incarnations.parse(other.instance))
 
 
 def has_ended(former: fleet.Heartbeat, heartbeat: fleet.Heartbeat) -> bool:
--- a/src/merlinthread/coordination/levels.py
+++ b/src/merlinthread/coordination/levels.py
@@ -108,7 +108,7 @@
     def __init__(self, members: MemberLevels, first_level: int) -> None:
         self.members = members
         self.first_level = first_level
-        # Since when all other members are known to read `NEWEST`, None if one is not.
+        # The time since which all other members are known to read `NEWEST`, None if one is not.
         self.readable_since: float | None = None
 
     def update(self, others: Iterable[str], now: float) -> None:
--- a/src/merlinthread/coordination/load_feed.py
+++ b/src/merlinthread/coordination/load_feed.py
@@ -49,12 +49,12 @@
     return min(REPORT_INTERVAL_MAX_S, max(REPORT_INTERVAL_MIN_S, needed_s))
 
 
-def is_urgent(report: fleet.EngineReport, told: fleet.EngineReport | None) -> bool:
+def is_urgent(report: fleet.EngineReport, last_sent: fleet.EngineReport | None) -> bool:
     """Return whether a report must be sent at once instead of after the interval.
 
-    That is so if it differs from `told`, the last one sent, in whether the engine is usable: in its
-    weights, or in whether it is changing them.
+    It must if the engine's weights, or whether it is changing them, differ from `last_sent`, the
+    last report, since that decides whether the engine is usable.
     """
-    if told is None:
+    if last_sent is None:
         return True
-    return report.is_busy != told.is_busy or report.weights != told.weights
+    return report.is_busy != last_sent.is_busy or report.weights != last_sent.weights
--- a/src/merlinthread/coordination/load_tracker.py
+++ b/src/merlinthread/coordination/load_tracker.py
@@ -2,7 +2,7 @@
 
 An engine's reports are delayed and do not show which prompts are unread, although these determine
 the time to the next request's first byte. Entries therefore notify the agent of each attempt; it
-combines the notifications with the last report to tell an entry the current load of the others.
+combines the notifications with the last report to tell an entry the current load of all others.
 """
 
 import dataclasses
--- a/src/merlinthread/coordination/membership_repair.py
+++ b/src/merlinthread/coordination/membership_repair.py
@@ -56,7 +56,7 @@
     """Return the removal of a member whose VM asks to join under a new name after losing its disk.
 
     The old member can't return. It is removed before its successor becomes a voter, since with both
-    as voters one more failure could leave two of four.
+    as voters, one more failure could leave only two of four.
     """
     members = group.membership.members()
     for joiner in group.joiners:
--- a/src/merlinthread/coordination/pacing.py
+++ b/src/merlinthread/coordination/pacing.py
@@ -45,8 +45,8 @@
 
         Bytes that arrived no faster than the rate conform at once.
         """
-        begun = max(self.free_at, now - size / self.bytes_per_s)
-        self.free_at = begun + size / self.bytes_per_s
+        started_at = max(self.free_at, now - size / self.bytes_per_s)
+        self.free_at = started_at + size / self.bytes_per_s
         return self.free_at
 
     def cancel_reservation(self, size: int) -> None:
@@ -70,7 +70,7 @@
         self.last_duration_s = 0.0
 
     def has_room(self, in_flight: int) -> bool:
-        """Return whether one more transfer may start beside those under way."""
+        """Return whether one more transfer may start beside those in flight."""
         return in_flight < int(self.size)
 
     def record(self, took_s: float, now: float) -> None:
--- a/src/merlinthread/coordination/permit_slots.py
+++ b/src/merlinthread/coordination/permit_slots.py
@@ -25,8 +25,8 @@
         self.rank = rank % DEFAULT_ENTRIES
         self.clock_offset_s = 0.0
         self.started_at = -math.inf
-        # Middle of the last used slot by back end: slot numbers change with the limit.
-        self.used: dict[str, float] = {}
+        # Time of the middle of the last used slot, by back end: slot numbers change with the limit.
+        self.used_at: dict[str, float] = {}
         self.pruned_at = -math.inf
 
     def start(self, now: float) -> None:
@@ -58,33 +58,35 @@
         decision.instance = request.limits[best].instance
         decision.start_in_s = starts[best] - now
         interval_s = rate_limits.interval_s(request.limits[best].per_s)
-        self.used[decision.instance] = (slots[best] + 0.5) * interval_s - self.clock_offset_s
-        after = self.next_slot(request.limits[best], now)
-        after_at = after * rate_limits.interval_s(request.limits[best].per_s) - self.clock_offset_s
-        decision.free_in_s[best] = after_at - now
+        self.used_at[decision.instance] = (slots[best] + 0.5) * interval_s - self.clock_offset_s
+        following = self.next_slot(request.limits[best], now)
+        following_at = (
+            following * rate_limits.interval_s(request.limits[best].per_s) - self.clock_offset_s
+        )
+        decision.free_in_s[best] = following_at - now
         return decision
 
     def next_slot(self, advertised: rate_limits.AdvertisedLimit, now: float) -> int:
         """Return this entry's next unused slot number for a back end."""
         interval_s = rate_limits.interval_s(advertised.per_s)
-        present = math.floor((now + self.clock_offset_s) / interval_s)
+        earliest = math.floor((now + self.clock_offset_s) / interval_s)
         if self.started_at > -math.inf:
-            present = max(
-                present, math.floor((self.started_at + self.clock_offset_s) / interval_s) + 2
+            earliest = max(
+                earliest, math.floor((self.started_at + self.clock_offset_s) / interval_s) + 2
             )
-        used_at = self.used.get(advertised.instance, -math.inf)
+        used_at = self.used_at.get(advertised.instance, -math.inf)
         if used_at > -math.inf:
-            present = max(present, math.floor((used_at + self.clock_offset_s) / interval_s) + 1)
+            earliest = max(earliest, math.floor((used_at + self.clock_offset_s) / interval_s) + 1)
         # Offset the rotation by back end, so that an entry's slots don't all coincide.
-        begin = zlib.crc32(advertised.instance.encode()) + self.rank
-        return present + (begin - present) % self.entries
+        first = zlib.crc32(advertised.instance.encode()) + self.rank
+        return earliest + (first - earliest) % self.entries
 
     def prune(self, now: float) -> None:
         """Drop slots used long ago."""
         if now - self.pruned_at >= rate_limits.IDLE_EXPIRY_S:
             self.pruned_at = now
-            self.used = {
+            self.used_at = {
                 instance: used_at
-                for instance, used_at in self.used.items()
+                for instance, used_at in self.used_at.items()
                 if now - used_at < rate_limits.IDLE_EXPIRY_S
             }
--- a/src/merlinthread/coordination/rate_limits.py
+++ b/src/merlinthread/coordination/rate_limits.py
@@ -161,15 +161,15 @@
         """Grant the earliest permit of the requested back ends, or refuse with a time to retry."""
         self.prune(now)
         allowances = [self.allowance(advertised, now) for advertised in request.limits]
-        use = self.usage.setdefault(request.service, AccountUsage())
-        use.record_request(request.account, now)
-        is_over = use.is_over_share(request.account)
+        usage = self.usage.setdefault(request.service, AccountUsage())
+        usage.record_request(request.account, now)
+        is_over = usage.is_over_share(request.account)
         decision = Decision()
         starts = [permit_start_at(known, request.patience_s, is_over, now) for known in allowances]
         best = min(range(len(starts)), key=lambda index: starts[index], default=None)
         if best is not None and starts[best] < math.inf:
             allowances[best].consume(starts[best])
-            use.record_grant(request.account)
+            usage.record_grant(request.account)
             decision.instance = request.limits[best].instance
             decision.start_in_s = starts[best] - now
         elif allowances:
@@ -195,8 +195,8 @@
     def retry_at(self, service: str, allowances: list[Allowance], now: float) -> float:
         """Return when a client refused now should retry; retries are spaced out."""
         earliest = max(now, min(known.free_at() for known in allowances))
-        step_s = 1.0 / sum(1.0 / known.interval_s() for known in allowances)
-        at = max(earliest, self.last_retries.get(service, -math.inf) + step_s)
+        spacing_s = 1.0 / sum(1.0 / known.interval_s() for known in allowances)
+        at = max(earliest, self.last_retries.get(service, -math.inf) + spacing_s)
         if at > earliest + RETRY_SPREAD_S:
             at = earliest
         self.last_retries[service] = at
@@ -213,9 +213,9 @@
             if now - known.last_requested_at < IDLE_EXPIRY_S
         }
         self.usage = {
-            service: use
-            for service, use in self.usage.items()
-            if now - use.period_started_at < IDLE_EXPIRY_S
+            service: usage
+            for service, usage in self.usage.items()
+            if now - usage.period_started_at < IDLE_EXPIRY_S
         }
         self.last_retries = {
             service: at for service, at in self.last_retries.items() if now - at < IDLE_EXPIRY_S
--- a/src/merlinthread/coordination/route_table.py
+++ b/src/merlinthread/coordination/route_table.py
@@ -34,7 +34,7 @@
         """Return the account that holds `key`, or None."""
         return self.accounts.get(key)
 
-    def engine_of(self, model: str) -> fleet.Service | None:
+    def service_of_model(self, model: str) -> fleet.Service | None:
         """Return the service whose engines run `model`, or None."""
         for service in self.services.values():
             if service.engine is not None and model in service.engine.models:
--- a/src/merlinthread/coordination/wait_queue.py
+++ b/src/merlinthread/coordination/wait_queue.py
@@ -11,7 +11,7 @@
     """A waiting request; the lowest `urgency` goes first, then the earliest arrival."""
 
     urgency: int
-    arrived: float
+    arrived_at: float
     number: int
     woken: asyncio.Future = dataclasses.field(compare=False)
 
@@ -26,10 +26,10 @@
     def __len__(self) -> int:
         return len(self.waiters)
 
-    async def wait(self, urgency: int, arrived: float, timeout_s: float) -> bool:
+    async def wait(self, urgency: int, arrived_at: float, timeout_s: float) -> bool:
         """Wait until woken to try again; return False after `timeout_s` seconds."""
         woken = asyncio.get_running_loop().create_future()
-        waiter = Waiter(urgency, arrived, next(self.numbers), woken)
+        waiter = Waiter(urgency, arrived_at, next(self.numbers), woken)
         heapq.heappush(self.waiters, waiter)
         try:
             async with asyncio.timeout(max(0.0, timeout_s)):
--- a/src/merlinthread/protocol/engine_calls.py
+++ b/src/merlinthread/protocol/engine_calls.py
@@ -9,7 +9,7 @@
 
 @dataclasses.dataclass(slots=True)
 class FencingToken:
-    """The newest order numbers an engine has accepted; it rejects orders lower in either."""
+    """The highest generation and epoch that an engine accepted; it rejects orders below either."""
 
     generation: int = 0
     epoch: int = 0
--- a/src/merlinthread/protocol/messages.py
+++ b/src/merlinthread/protocol/messages.py
@@ -36,7 +36,7 @@
 @MESSAGES.add("beat")
 @dataclasses.dataclass(slots=True)
 class LoadHeartbeat:
-    """A heartbeat of an agent of which only the load changed since its last Heartbeat."""
+    """A heartbeat of an agent whose load alone has changed since its last Heartbeat."""
 
     name: str
     incarnation: int
@@ -67,7 +67,7 @@
 @MESSAGES.add("poll")
 @dataclasses.dataclass(slots=True)
 class PollRequest:
-    """An entry's request to a control VM for what is newer than `revision`."""
+    """An entry's request to a control VM for a directive newer than `revision`."""
 
     entry: str
     revision: int
@@ -127,7 +127,7 @@
 @MESSAGES.add("told")
 @dataclasses.dataclass(slots=True)
 class AgentChangesReply:
-    """The leader's reply; `listener` changes when it no longer has the earlier changes."""
+    """The leader's reply; `listener` changes when the leader has lost the earlier changes."""
 
     listener: str
     wants_full: bool
--- a/src/merlinthread/protocol/node_messages.py
+++ b/src/merlinthread/protocol/node_messages.py
@@ -40,7 +40,7 @@
 @MESSAGES.add("node.named_version")
 @dataclasses.dataclass(slots=True)
 class NamedVersion:
-    """The newest published version of a model's weights, confirmed `age_s` seconds ago or less."""
+    """The newest published version of a model's weights, confirmed at most `age_s` seconds ago."""
 
     model: str
     version: int
--- a/src/merlinthread/protocol/retry_after.py
+++ b/src/merlinthread/protocol/retry_after.py
@@ -7,7 +7,7 @@
 
 HEADER = b"retry-after"
 DATE_HEADER = b"date"
-# One day; a longer delay is taken for an error of the server.
+# One day; a longer delay is treated as a mistake of the server.
 MAX_DELAY_S = 86_400.0
 # Allows fractions, which are not in the RFC but sent by some servers.
 DELAY_SECONDS = re.compile(rb"[0-9]{1,20}(\.[0-9]{1,20})?")
--- a/src/merlinthread/state/chunks.py
+++ b/src/merlinthread/state/chunks.py
@@ -57,7 +57,7 @@
             self.used_bytes += size
 
     def has(self, digest: str) -> bool:
-        """Return whether the chunk is stored; verify it if it is of an earlier process."""
+        """Return whether the chunk is stored; verify it first if an earlier process wrote it."""
         if digest in self.unverified:
             return self.read(digest) is not None
         return digest in self.chunks
--- a/src/merlinthread/state/journal.py
+++ b/src/merlinthread/state/journal.py
@@ -135,7 +135,7 @@
         self.commit = max(self.commit, append.commit)
 
     def put_entry(self, entry: Entry) -> None:
-        """Store `entry` at its index, removing any conflicting entries from there on."""
+        """Store `entry` at its index, removing any existing entries from that index on."""
         keep_count = entry.index - self.snapshot.index - 1
         if keep_count < 0 or keep_count > len(self.entries):
             raise errors.LogDamagedError(
--- a/src/merlinthread/state/records.py
+++ b/src/merlinthread/state/records.py
@@ -27,7 +27,7 @@
     """Return the payloads of all valid records in `data`, and the total length of these records.
 
     Every record is synced before the next is written. An invalid record at the end is therefore an
-    interrupted write and is ignored. An invalid record with a valid one after it had been synced:
+    interrupted write and is ignored. An invalid record before a valid one had been synced; it
     raises LogDamagedError, because ignoring it could lose an acknowledged entry.
     """
     payloads: list[bytes] = []
