--- a/src/merlinthread/coordination/dispatch.py
+++ b/src/merlinthread/coordination/dispatch.py
@@ -80,7 +80,7 @@
         unread += estimate_others_unread(backend, engine)
     unread_s = prompt_read_s(engine, unread + tokens)
     waiting = max(0, load - backend.slots + 1)
-    request_s = engine.usual_answer * engine.step_s * FULL_SLOWDOWN
+    request_s = engine.usual_response_tokens * engine.step_s * FULL_SLOWDOWN
     waiting_s = waiting / max(1, backend.slots) * request_s
     return BASE_LATENCY_S + backend.pace * (pass_s + unread_s + waiting_s + load * RUNNING_COST_S)
 
@@ -88,7 +88,7 @@
 def estimate_others_unread(backend: backend_record.Backend, engine: fleet.Engine) -> float:
     """Return the known or estimated tokens of other entries' unread prompts."""
     if backend.others_unread_tokens is None:
-        return backend.others_queued * engine.usual_prompt
+        return backend.others_queued * engine.usual_prompt_tokens
     return backend.others_unread_tokens
 
 
--- a/src/merlinthread/coordination/fleet.py
+++ b/src/merlinthread/coordination/fleet.py
@@ -57,8 +57,8 @@
     step_s: float = 0.0
     steps_per_pass: int = 1
     read_tokens_per_s: float = 0.0
-    usual_prompt: float = 0.0
-    usual_answer: float = 0.0
+    usual_prompt_tokens: float = 0.0
+    usual_response_tokens: float = 0.0
 
 
 @dataclasses.dataclass(slots=True)
--- a/tests/test_fleet_deciders.py
+++ b/tests/test_fleet_deciders.py
@@ -322,7 +322,7 @@
         one.in_flight = load
         found.append(dispatch.expected_first_byte_s(one, ENGINE, 0.0, 10.0))
     steps = [after - before for before, after in zip(found, found[1:], strict=False)]
-    bare_s = ENGINE.usual_answer * ENGINE.step_s / one.slots
+    bare_s = ENGINE.usual_response_tokens * ENGINE.step_s / one.slots
     assert steps[0] < bare_s < 2 * bare_s < steps[1] == pytest.approx(steps[2])
 
 
