--- a/src/merlinthread/coordination/fleet.py
+++ b/src/merlinthread/coordination/fleet.py
@@ -183,11 +183,11 @@
     method: bytes
     path: bytes
     host: str
-    key: str = ""
+    api_key: str = ""
     deadline_s: float | None = None
     model: str = ""
     prompt_tokens: int = 0
-    answer_tokens: int = 0
+    response_tokens: int = 0
     prefix: str = ""
     last_event_id: str = ""
 
--- a/src/merlinthread/nodes/route_finder.py
+++ b/src/merlinthread/nodes/route_finder.py
@@ -30,7 +30,7 @@
     route = table.find(call.host, path)
     if route is None:
         raise refusal(f"no route for {call.host}{path}", errors.ErrorKind.UNKNOWN_ROUTE, is_current)
-    account = table.account_of(call.key) if call.key else None
+    account = table.account_of(call.api_key) if call.api_key else None
     if table.has_accounts and not route.is_public and account is None:
         logs.debug("key_unknown", request=call.request_id)
         raise refusal("the key is unknown", errors.ErrorKind.UNAUTHORISED, is_current)
