--- a/src/merlinthread/coordination/backend_availability.py
+++ b/src/merlinthread/coordination/backend_availability.py
@@ -28,8 +28,8 @@
 class LeavingSource(enum.StrEnum):
     """Where the signal that a back end is leaving came from."""
 
-    ANSWER = "answer"
-    NEWS = "news"
+    RESPONSE = "answer"
+    CONTROL_VM = "news"
 
 
 @dataclasses.dataclass(slots=True)
--- a/src/merlinthread/nodes/backend_pool.py
+++ b/src/merlinthread/nodes/backend_pool.py
@@ -153,7 +153,7 @@
         backend.slots = heartbeat.slots
         if heartbeat.state != fleet.READY:
             backend.availability.record_leaving(
-                backend_availability.LeavingSource.NEWS, self.clock()
+                backend_availability.LeavingSource.CONTROL_VM, self.clock()
             )
         # A heartbeat in state `ready` does not revoke an earlier leaving signal.
         backend.is_draining = backend.availability.is_leaving
--- a/src/merlinthread/nodes/signal_recorder.py
+++ b/src/merlinthread/nodes/signal_recorder.py
@@ -40,7 +40,7 @@
         one would otherwise stop all traffic to the back end until its process restarts.
         """
         availability = self.signals.availability_of(instance)
-        if availability.record_leaving(backend_availability.LeavingSource.ANSWER, self.clock()):
+        if availability.record_leaving(backend_availability.LeavingSource.RESPONSE, self.clock()):
             logs.event("backend_leaves", instance=instance, request=request_id)
             self.update_metrics()
 
--- a/tests/test_backend_signals.py
+++ b/tests/test_backend_signals.py
@@ -134,7 +134,7 @@
     count = backend_availability.RECORDS_MAX + 100
     for number in range(count):
         signals.availability_of(f"i-{number}").record_leaving(
-            backend_availability.LeavingSource.NEWS, number
+            backend_availability.LeavingSource.CONTROL_VM, number
         )
     signals.prune({"i-0"}, count)
     assert len(signals.availabilities) == backend_availability.RECORDS_MAX + 1
