--- a/src/merlinthread/coordination/backend_availability.py
+++ b/src/merlinthread/coordination/backend_availability.py
@@ -20,7 +20,7 @@
 from merlinthread.coordination import limit_table
 
 # Longest accepted rest; the back end may ask for another one afterwards.
-REST_S_MAX = 300.0
+REST_MAX_S = 300.0
 # Records kept of back ends that are no longer present.
 RECORDS_MAX = 4096
 
@@ -112,7 +112,7 @@
         Refusals may arrive out of order, so the latest end applies.
         """
         was_resting = self.is_resting(now)
-        self.rest_until = max(self.rest_until, now + min(rest_s, REST_S_MAX))
+        self.rest_until = max(self.rest_until, now + min(rest_s, REST_MAX_S))
         return not was_resting
 
 
--- a/src/merlinthread/coordination/rate_limits.py
+++ b/src/merlinthread/coordination/rate_limits.py
@@ -17,7 +17,7 @@
 # Any window then holds at most its share of the limit plus two requests.
 TOLERANCE_SHARE = 0.85
 # Longest interval between two permits: a back end can lift its limit only in a response.
-INTERVAL_S_MAX = 10.0
+INTERVAL_MAX_S = 10.0
 # State not used for this long is dropped.
 IDLE_EXPIRY_S = 60.0
 # Time within which all entries discover a new leader; until then some use their time slots.
@@ -74,7 +74,7 @@
 
 def interval_s(per_s: float) -> float:
     """Return the interval between permits for a limit of `per_s`, in seconds."""
-    return min(INTERVAL_S_MAX, 1.0 / (GRANTED_SHARE * per_s))
+    return min(INTERVAL_MAX_S, 1.0 / (GRANTED_SHARE * per_s))
 
 
 @dataclasses.dataclass(slots=True)
--- a/src/merlinthread/protocol/retry_after.py
+++ b/src/merlinthread/protocol/retry_after.py
@@ -8,7 +8,7 @@
 HEADER = b"retry-after"
 DATE_HEADER = b"date"
 # One day; a longer delay is treated as a mistake of the server.
-MAX_DELAY_S = 86_400.0
+DELAY_MAX_S = 86_400.0
 # Allows fractions, which are not in the RFC but sent by some servers.
 DELAY_SECONDS = re.compile(rb"[0-9]{1,20}(\.[0-9]{1,20})?")
 
@@ -45,9 +45,9 @@
 
 
 def check_delay(seconds: float) -> RetryAfter:
-    """Return the delay, or a problem if it exceeds MAX_DELAY_S."""
-    if seconds > MAX_DELAY_S:
-        return RetryAfter(problem=f"more than {MAX_DELAY_S:.0f} s")
+    """Return the delay, or a problem if it exceeds DELAY_MAX_S."""
+    if seconds > DELAY_MAX_S:
+        return RetryAfter(problem=f"more than {DELAY_MAX_S:.0f} s")
     return RetryAfter(seconds)
 
 
--- a/tests/test_backend_signals.py
+++ b/tests/test_backend_signals.py
@@ -80,7 +80,7 @@
     if found.seconds is None:
         assert found.problem
     else:
-        assert 0 <= found.seconds <= retry_after.MAX_DELAY_S
+        assert 0 <= found.seconds <= retry_after.DELAY_MAX_S
 
 
 class Signals(stateful.RuleBasedStateMachine):
@@ -103,7 +103,7 @@
     @stateful.rule(rest_s=st.floats(0.01, 1000.0))
     def ask_for_rest(self, rest_s):
         self.availability().record_rest(rest_s, self.now)
-        self.ends.append(self.now + min(rest_s, backend_availability.REST_S_MAX))
+        self.ends.append(self.now + min(rest_s, backend_availability.REST_MAX_S))
 
     @stateful.rule(source=st.sampled_from(backend_availability.LeavingSource))
     def leave(self, source):
