--- a/src/merlinthread/coordination/fleet.py
+++ b/src/merlinthread/coordination/fleet.py
@@ -1,7 +1,8 @@
 """Data types shared by nodes, back ends and operators, independent of any wire format.
 
 A configuration names routes, services, client accounts and limits. A back end is a process that
-runs requests of one service; each start of it is an instance with its own id.
+runs requests of one service. Fields called `instance` name one of its incarnations
+(`coordination.incarnations`).
 """
 
 import dataclasses
--- a/src/merlinthread/coordination/reconciliation.py
+++ b/src/merlinthread/coordination/reconciliation.py
@@ -59,7 +59,7 @@
 
     A version is loaded only if its manifest is in `complete`, and an adapter only while the engine
     serves the wanted version of its model. Models that are no longer wanted are unloaded last, so
-    that the engine serves throughout. While the rollout is paused there are no steps.
+    that the engine serves throughout. While the roll is paused there are no steps.
     """
     if is_paused:
         return None
--- a/src/merlinthread/coordination/retry_delays.py
+++ b/src/merlinthread/coordination/retry_delays.py
@@ -29,13 +29,13 @@
 class Refusal:
     """The circumstances of a refused request; times are in seconds from now.
 
-    `left_s` is the time until its deadline. `is_none_free` is set if no back end could take the
-    request at all. `ready_in_s` is the forecast of when half of the service's engines will serve
-    again, or None if some serve now or there is no forecast.
+    `remaining_s` is the time until its deadline. `is_unavailable` is set if no back end could take
+    the request at all. `ready_in_s` is the forecast of when half of the service's engines will
+    serve again, or None if some serve now or there is no forecast.
     """
 
-    left_s: float
-    is_none_free: bool
+    remaining_s: float
+    is_unavailable: bool
     ready_in_s: float | None = None
 
 
@@ -55,9 +55,9 @@
 @POLICIES.add("share")
 def by_share(refusal: Refusal, rng: random.Random) -> float:
     """Return a share of the remaining time, or a fixed delay if no back end is available."""
-    if refusal.is_none_free:
+    if refusal.is_unavailable:
         return UNAVAILABLE_DELAY_S
-    latest_s = min(DELAY_MAX_S, refusal.left_s * DELAY_SHARE)
+    latest_s = min(DELAY_MAX_S, refusal.remaining_s * DELAY_SHARE)
     return max(RETRY_AFTER_MIN_S, latest_s * rng.uniform(JITTER_MIN, 1.0))
 
 
@@ -69,6 +69,6 @@
     """
     if refusal.ready_in_s is None:
         return by_share(refusal, rng)
-    latest_s = refusal.left_s - SECOND_ATTEMPT_S
-    later_s = FORECAST_MARGIN_S + RETRY_SPREAD_S * rng.random()
-    return max(RETRY_AFTER_MIN_S, min(latest_s, refusal.ready_in_s + later_s))
+    latest_s = refusal.remaining_s - SECOND_ATTEMPT_S
+    margin_s = FORECAST_MARGIN_S + RETRY_SPREAD_S * rng.random()
+    return max(RETRY_AFTER_MIN_S, min(latest_s, refusal.ready_in_s + margin_s))
--- a/src/merlinthread/state/folder.py
+++ b/src/merlinthread/state/folder.py
@@ -25,7 +25,8 @@
         except BlockingIOError:
             os.close(self.fd)
             raise errors.FolderInUseError(
-                f"{path}: another process has locked this data folder; stop it or set another one"
+                f"{path}: another process has locked this data folder; stop it or configure "
+                "another folder"
             )
 
     def release(self) -> None:
