--- a/src/merlinthread/coordination/backend_availability.py
+++ b/src/merlinthread/coordination/backend_availability.py
@@ -1,12 +1,12 @@
 """Availability of back ends: leaving, resting, or limited to a rate.
 
-A back end signals its state in its responses; control VMs relay what its heartbeats said.
-Either channel may be late or lose messages, so the more restrictive signal wins:
+A back end signals its state in its responses, and in heartbeats that control VMs relay. Either
+channel may be late or lose messages, so the more restrictive signal wins:
 
 - Leaving is final for an incarnation, even if a late heartbeat still says `ready`. The next
   incarnation has a name of its own (`coordination.incarnations`).
-- A rest applies to the VM that was asked for it, until it ends. Traffic then resumes at once,
-  without the single trial request of a half-open circuit breaker.
+- A rest applies only to the VM that received the request for it, until it ends. Traffic then
+  resumes at once, without the single trial request of a half-open circuit breaker.
 - A rate limit covers the requests of all VMs together and stays until a response changes it. Each
   request then needs a permit (`coordination.rate_limits`).
 
@@ -20,7 +20,7 @@
 from merlinthread.coordination import limit_table
 
 # Longest accepted rest; the back end may ask for another one afterwards.
-REST_S_MAX = 300.0
+REST_MAX_S = 300.0
 # Records kept of back ends that are no longer present.
 RECORDS_MAX = 4096
 
@@ -28,8 +28,8 @@
 class LeavingSource(enum.StrEnum):
     """Where the signal that a back end is leaving came from."""
 
-    ANSWER = "answer"
-    NEWS = "news"
+    RESPONSE = "answer"
+    CONTROL_VM = "news"
 
 
 @dataclasses.dataclass(slots=True)
@@ -37,7 +37,7 @@
     """Whether one incarnation accepts requests; times are on the VM's clock, in seconds.
 
     `leaving_source` and `leaving_since` describe the first signal that it is leaving.
-    `limit_per_s` is the advertised limit for all VMs together, received at `limit_heard_at`, or
+    `limit_per_s` is the advertised limit for all VMs together, received at `limit_received_at`, or
     None for no limit. No permit is available before `next_permit_at`.
     """
 
@@ -46,7 +46,7 @@
     leaving_since: float = float("-inf")
     rest_until: float = float("-inf")
     limit_per_s: float | None = None
-    limit_heard_at: float = float("-inf")
+    limit_received_at: float = float("-inf")
     next_permit_at: float = float("-inf")
 
     def is_resting(self, now: float) -> bool:
@@ -77,25 +77,25 @@
         applies at once. A higher limit, or none, applies only if its request was sent after the
         current limit was received.
         """
-        before = self.limit_per_s
-        if before is not None and sent_at < self.limit_heard_at:
-            if per_s is None or per_s > before:
+        previous = self.limit_per_s
+        if previous is not None and sent_at < self.limit_received_at:
+            if per_s is None or per_s > previous:
                 return False
-        if per_s is None or before is None or per_s > before:
+        if per_s is None or previous is None or per_s > previous:
             # The known permit time belongs to the previous limit.
             self.next_permit_at = float("-inf")
         self.limit_per_s = per_s
-        self.limit_heard_at = now
-        return per_s != before
+        self.limit_received_at = now
+        return per_s != previous
 
-    def merge_limit(self, per_s: float | None, heard_at: float) -> None:
-        """Merge a limit that another VM received at `heard_at`, unless a newer one is known."""
-        if heard_at <= self.limit_heard_at:
+    def merge_limit(self, per_s: float | None, received_at: float) -> None:
+        """Merge a limit that another VM received at `received_at`, unless a newer one is known."""
+        if received_at <= self.limit_received_at:
             return
         if per_s != self.limit_per_s:
             self.next_permit_at = float("-inf")
         self.limit_per_s = per_s
-        self.limit_heard_at = heard_at
+        self.limit_received_at = received_at
 
     def record_leaving(self, source: LeavingSource, now: float) -> bool:
         """Record that the back end is leaving; return whether that is new."""
@@ -112,7 +112,7 @@
         Refusals may arrive out of order, so the latest end applies.
         """
         was_resting = self.is_resting(now)
-        self.rest_until = max(self.rest_until, now + min(rest_s, REST_S_MAX))
+        self.rest_until = max(self.rest_until, now + min(rest_s, REST_MAX_S))
         return not was_resting
 
 
@@ -149,9 +149,9 @@
         return sum(availability.is_leaving for availability in self.availabilities.values())
 
     def count_limited(self) -> int:
-        """Return how many have a rate limit."""
+        """Return how many incarnations have a rate limit."""
         return sum(availability.is_limited() for availability in self.availabilities.values())
 
     def count_resting(self, now: float) -> int:
-        """Return how many are resting."""
+        """Return how many incarnations are resting."""
         return sum(availability.is_resting(now) for availability in self.availabilities.values())
--- a/src/merlinthread/nodes/permits.py
+++ b/src/merlinthread/nodes/permits.py
@@ -189,14 +189,14 @@
         if self.leader != address:
             logs.event("permits_from", control=address, before=self.leader, entries=reply.entries)
         self.leader = address
-        ahead_s = reply.at - self.clock()
-        self.slots.update(max(1, reply.entries), reply.rank, ahead_s)
+        clock_offset_s = reply.at - self.clock()
+        self.slots.update(max(1, reply.entries), reply.rank, clock_offset_s)
 
     def mark_leader_lost(self) -> None:
         """Record that no leader answers, and delay the next search."""
         if self.leader:
             logs.event("permits_by_turns", lost=self.leader, entries=self.slots.entries)
-            self.slots.begin(self.clock())
+            self.slots.start(self.clock())
         self.leader = ""
         self.unanswered_at = self.clock()
         self.search_not_before = self.unanswered_at + SEARCH_BACKOFF_S
@@ -259,5 +259,5 @@
     availability = backend.availability
     assert availability.limit_per_s is not None
     return rate_limits.AdvertisedLimit(
-        backend.instance, availability.limit_per_s, max(0.0, now - availability.limit_heard_at)
+        backend.instance, availability.limit_per_s, max(0.0, now - availability.limit_received_at)
     )
