--- a/src/merlinthread/coordination/fleet.py
+++ b/src/merlinthread/coordination/fleet.py
@@ -1,7 +1,8 @@
 """Data types shared by nodes, back ends and operators, independent of any wire format.
 
 A configuration names routes, services, client accounts and limits. A back end is a process that
-runs requests of one service; each start of it is an instance with its own id.
+runs requests of one service. Fields called `instance` name one of its incarnations
+(`coordination.incarnations`).
 """
 
 import dataclasses
@@ -47,7 +48,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Engine:
-    """The properties of a service's model workers; speeds are in seconds and tokens."""
+    """The properties of a service's engines; speeds are in seconds and tokens."""
 
     slots: int
     models: list[str]
@@ -57,8 +58,8 @@
     step_s: float = 0.0
     steps_per_pass: int = 1
     read_tokens_per_s: float = 0.0
-    usual_prompt: float = 0.0
-    usual_answer: float = 0.0
+    usual_prompt_tokens: float = 0.0
+    usual_response_tokens: float = 0.0
 
 
 @dataclasses.dataclass(slots=True)
@@ -183,11 +184,11 @@
     method: bytes
     path: bytes
     host: str
-    key: str = ""
+    api_key: str = ""
     deadline_s: float | None = None
     model: str = ""
     prompt_tokens: int = 0
-    answer_tokens: int = 0
+    response_tokens: int = 0
     prefix: str = ""
     last_event_id: str = ""
 
@@ -211,9 +212,10 @@
 
     `is_leaving` means that the back end accepts no further requests. `rest_s` is how long it asks
     this VM to send nothing, None if it does not; `rest_problem` is why such a request was invalid.
-    `is_other` means that another instance responded than the one addressed. `limit_per_s` is the
-    number of requests per second that it accepts from all callers together, None without a limit;
-    `limit_problem` is why a limit was invalid. `unread` holds the names of unknown headers.
+    `is_other_instance` means that the response is not from the instance that was addressed.
+    `limit_per_s` is the number of requests per second that the back end accepts from all callers
+    together, None without a limit; `limit_problem` is why a limit was invalid. `unknown_headers`
+    holds the names of headers that are not known.
     """
 
     request_id: str | None
@@ -224,7 +226,7 @@
     is_leaving: bool = False
     rest_s: float | None = None
     rest_problem: str = ""
-    is_other: bool = False
+    is_other_instance: bool = False
     limit_per_s: float | None = None
     limit_problem: str = ""
-    unread: frozenset[str] = frozenset()
+    unknown_headers: frozenset[str] = frozenset()
--- a/src/merlinthread/nodes/entry_node.py
+++ b/src/merlinthread/nodes/entry_node.py
@@ -44,7 +44,7 @@
         self.dialect = dialect
         self.clock = clock
         self.rpc_client = node_bus.RpcClient(codec)
-        suspect_ledger = crash_tracker.CrashTracker()
+        suspect_tracker = crash_tracker.CrashTracker()
         signals = backend_availability.AvailabilityTable()
         self.watcher = fleet_watcher.FleetWatcher(
             settings,
@@ -52,11 +52,11 @@
             self.rpc_client,
             clock,
             self.apply_fleet_update,
-            suspect_ledger,
+            suspect_tracker,
             signals,
         )
         self.crashes = crash_detector.CrashDetector(
-            settings.name, self.watcher, suspect_ledger, self.rpc_client, clock
+            settings.name, self.watcher, suspect_tracker, self.rpc_client, clock
         )
         self.address = f"{settings.ip}:{settings.entry_port}"
         self.datagrams = node_bus.DatagramEndpoint(codec, self.dispatch_datagram)
--- a/tests/test_new_back_ends.py
+++ b/tests/test_new_back_ends.py
@@ -50,7 +50,7 @@
 def test_one_slow_answer_after_the_start_does_not_keep_a_back_end_from_work():
     usual = backend_record.ResponseTime()
     for _ in range(50):
-        usual.note(WORK_S)
+        usual.record(WORK_S)
     backend = backend_record.Backend("i", "safe", "a:1", "zone", 0, 8, service_response_time=usual)
     assert backend.expected_response_s() == pytest.approx(WORK_S)
     dispatch.record_success(backend, 10 * WORK_S)
@@ -79,7 +79,7 @@
     for backend, work_s in ((quicker, 0.0213), (slower, 0.0214)):
         backend.response_time = backend_record.ResponseTime(work_s, responses=1000)
     chosen = [
-        dispatch.choose([quicker, slower], dispatch.Demand("safe"), None, 0.0, rng).backend
+        dispatch.choose([quicker, slower], dispatch.Requirements("safe"), None, 0.0, rng).backend
         for _ in range(100)
     ]
     assert 30 <= chosen.count(slower) <= 70
