--- a/src/merlinthread/nodes/agent_node.py
+++ b/src/merlinthread/nodes/agent_node.py
@@ -14,13 +14,13 @@
 from merlinthread.transport import node_bus
 
 REPORT_INTERVAL_S = 0.2
-# An unchanged report is sent at this interval too, to show that the agent is alive.
+# An unchanged report is repeated at this interval, to show that the agent is alive.
 UNCHANGED_REPORT_INTERVAL_S = 0.4
 SUBSCRIPTION_TTL_S = 3.5
 
 
 class AgentNode:
-    """Agent of the engine at `settings.engine`."""
+    """The agent of the engine at `settings.engine`."""
 
     def __init__(
         self,
@@ -37,7 +37,7 @@
             settings, dialect, self.rpc_client, clock, lambda: None
         )
         self.engine = engine_client.EngineClient(dialect, settings.engine)
-        self.datagrams = node_bus.DatagramEndpoint(codec, self.on_datagram)
+        self.datagrams = node_bus.DatagramEndpoint(codec, self.dispatch_datagram)
         self.weights = weights_task.WeightsTask(
             settings,
             self.watcher,
@@ -48,8 +48,8 @@
             self.send_load,
             self.datagrams.send,
         )
-        self.listener = node_bus.RpcServer(
-            codec, self.on_message, lambda: self.weights.server.upload_pacer.bytes_per_s
+        self.rpc_server = node_bus.RpcServer(
+            codec, self.dispatch_request, lambda: self.weights.server.upload_pacer.bytes_per_s
         )
         self.load_tracker = load_tracker.LoadTracker()
         self.subscribers: dict[str, float] = {}
@@ -63,7 +63,7 @@
     async def start(self) -> None:
         """Start listening for other nodes, and start the background tasks."""
         await self.datagrams.listen(self.settings.ip, self.settings.agent_port)
-        await self.listener.listen(self.settings.ip, self.settings.agent_port)
+        await self.rpc_server.listen(self.settings.ip, self.settings.agent_port)
         loop = asyncio.get_running_loop()
         self.tasks = [
             loop.create_task(self.watcher.run()),
@@ -77,19 +77,19 @@
 
     async def stop(self) -> None:
         """Stop accepting connections from peers."""
-        self.listener.server.stop_accepting()
+        self.rpc_server.server.stop_accepting()
 
-    def on_datagram(self, message: Any) -> None:
+    def dispatch_datagram(self, message: Any) -> None:
         """Handle a datagram from an entry or another agent."""
         if isinstance(message, node_messages.LoadSubscription):
             self.subscribers[message.address] = self.clock() + SUBSCRIPTION_TTL_S
         elif isinstance(message, node_messages.AttemptNotice):
-            self.on_attempt_notice(message)
+            self.record_attempt_stage(message)
         elif isinstance(message, node_messages.PieceNotice | node_messages.PieceClaim):
-            self.weights.on_notice(message)
+            self.weights.record_notice(message)
         elif isinstance(message, node_messages.LoadQuery) and self.last_report is not None:
             outstanding = self.load_tracker.outstanding(message.address, self.clock())
-            answer = node_messages.LoadReply(
+            reply = node_messages.LoadReply(
                 message.number,
                 outstanding.attempts,
                 outstanding.unread,
@@ -97,10 +97,10 @@
                 self.last_report.is_busy,
                 self.last_report.pace,
             )
-            self.datagrams.send(message.address, answer)
+            self.datagrams.send(message.address, reply)
 
-    def on_attempt_notice(self, notice: node_messages.AttemptNotice) -> None:
-        """Record a state change of an attempt in the load tracker."""
+    def record_attempt_stage(self, notice: node_messages.AttemptNotice) -> None:
+        """Record the stage that an attempt has reached."""
         if notice.stage is node_messages.AttemptStage.SENT:
             self.load_tracker.record_start(notice.entry, notice.number, notice.tokens, self.clock())
         elif notice.stage is node_messages.AttemptStage.READ:
@@ -109,45 +109,45 @@
             self.load_tracker.record_end(notice.entry, notice.number)
 
     def build_load_update(self, report: fleet.EngineReport, entry: str) -> node_messages.LoadUpdate:
-        """Return a load update for `entry`, which leaves out the entry's own attempts."""
+        """Return a load update for `entry`, without the outstanding work of `entry` itself."""
         self.sequence += 1
         outstanding = self.load_tracker.outstanding(entry, self.clock())
         return node_messages.LoadUpdate(self.settings.engine, self.sequence, report, outstanding)
 
-    async def on_message(self, message: Any) -> Any:
+    async def dispatch_request(self, message: Any) -> Any:
         """Handle a request from another agent; raise ProtocolError for other messages."""
         if isinstance(message, node_messages.PieceRequest):
             return await self.weights.serve_piece(message)
         if isinstance(message, node_messages.ManifestRequest):
             return self.weights.serve_manifest(message)
-        raise errors.ProtocolError(f"agent does not handle message type {type(message).__name__}")
+        raise errors.ProtocolError(f"an agent does not handle {type(message).__name__}")
 
     async def poll_engine(self) -> None:
-        """Poll the engine's report and send it to the subscribed entries, forever."""
+        """Poll the engine's report and send it to the subscribed entries, until cancelled."""
         while True:
             try:
-                report = await self.engine.report()
+                report = await self.engine.fetch_report()
                 self.detect_restart(report)
                 self.set_engine_reachable(True, "")
-                self.weights.on_engine_report(report)
+                self.weights.record_engine_report(report)
                 report.ready_in_s = self.weights.ready_in_s()
                 self.load_tracker.apply_report(report.running + report.queued, self.clock())
                 self.send_load(report)
             except errors.MerlinthreadError as error:
                 self.set_engine_reachable(False, error.message)
-                self.weights.on_engine_report(None)
+                self.weights.record_engine_report(None)
                 self.last_report = None
             await asyncio.sleep(REPORT_INTERVAL_S)
 
     def detect_restart(self, report: fleet.EngineReport) -> None:
-        """Reset the state of the engine if its start time has changed."""
+        """Discard the recorded load if the engine's start time shows that it has restarted."""
         previous_ms, self.born_ms = self.born_ms, report.born_ms
         if previous_ms in (0, report.born_ms):
             return
         logs.event("engine_reborn", born_ms=report.born_ms, before_ms=previous_ms)
         self.load_tracker = load_tracker.LoadTracker()
         self.last_report = None
-        self.weights.on_engine_report(None)
+        self.weights.record_engine_report(None)
 
     def set_engine_reachable(self, is_reachable: bool, reason: str) -> None:
         """Record whether the engine responds, and log a change."""
@@ -182,7 +182,7 @@
 
 
 @node_roles.NODES.add("agent")
-def make_agent(settings: node_settings.NodeSettings, dialect: dialects.Dialect) -> AgentNode:
+def make_agent_node(settings: node_settings.NodeSettings, dialect: dialects.Dialect) -> AgentNode:
     """Create an agent that uses the system clock."""
     codec = codecs.Codec([node_messages.MESSAGES], [])
     return AgentNode(settings, dialect, codec, clocks.now, random.Random())
--- a/src/merlinthread/nodes/attempt_descriptions.py
+++ b/src/merlinthread/nodes/attempt_descriptions.py
@@ -1,6 +1,7 @@
 """Descriptions of attempts for the request log.
 
-They show the state on which a back end was chosen and what its response said about itself.
+They show the known state of the back end when it was chosen, and the availability signals in its
+response.
 """
 
 from merlinthread.coordination import backend_record, dispatch, fleet
@@ -8,12 +9,12 @@
 
 
 def describe_choice(
-    choice: dispatch.Choice, permit: permits.Permit | None, arrived: float, now: float
+    choice: dispatch.Choice, permit: permits.Permit | None, arrived_at: float, now: float
 ) -> str:
-    """Describe the known state of a back end chosen for a request that arrived at `arrived`."""
+    """Describe the known state of the back end that was chosen for a request."""
     backend = choice.backend
     age_ms = round(1000 * (now - backend.load_updated_at())) if backend.has_fresh_load(now) else -1
-    waited_ms = round(1000 * (now - arrived))
+    waited_ms = round(1000 * (now - arrived_at))
     expected_ms = round(1000 * choice.first_byte_s)
     unread = round(backend.unread_tokens + (backend.others_unread_tokens or 0.0))
     return (
@@ -30,7 +31,7 @@
     availability = backend.availability
     if availability.limit_per_s is None:
         return ""
-    source = permit.source if permit is not None else "nobody"
+    source = permit.source if permit is not None else "none"
     age_ms = round(1000 * (now - availability.limit_received_at))
     return (
         f", limit {availability.limit_per_s:g} per second received {age_ms} ms ago, "
@@ -39,7 +40,7 @@
 
 
 def describe_signals(head: fleet.ResponseHead) -> str:
-    """Describe what a response says about the back end that sent it."""
+    """Describe the availability signals in a response."""
     parts = []
     if head.is_leaving:
         parts.append("says that it is leaving")
--- a/src/merlinthread/nodes/control_api.py
+++ b/src/merlinthread/nodes/control_api.py
@@ -46,11 +46,11 @@
         """Handle one HTTP exchange; errors become error responses."""
         request = exchange.request
         try:
-            call = self.dialect.control_call(request)
-            response = await self.handle(call)
+            call = self.dialect.parse_control_call(request)
+            response = await self.dispatch(call)
         except TimeoutError:
             response = error_response(
-                errors.ControlError("no majority answered in time; send it again")
+                errors.ControlError("no majority replied in time; send the request again")
             )
         except errors.MerlinthreadError as error:
             response = error_response(error)
@@ -64,11 +64,11 @@
             )
         await exchange.respond(response)
 
-    async def handle(self, call: dialects.ControlCall) -> http_messages.Response:
+    async def dispatch(self, call: dialects.ControlCall) -> http_messages.Response:
         """Dispatch a call to its handler; return the response."""
         if isinstance(call, dialects.ReceiveHeartbeat):
-            return await self.on_heartbeat(call.heartbeat)
-        if isinstance(call, dialects.Leave):
+            return await self.receive_heartbeat(call.heartbeat)
+        if isinstance(call, dialects.RemoveInstance):
             await self.commit_departure(self.registry.latest(call.instance), fleet.GONE)
             return ok_response()
         if isinstance(call, dialects.PutConfiguration):
@@ -79,8 +79,8 @@
             return ok_response()
         return await self.get_configuration()
 
-    async def on_heartbeat(self, heartbeat: fleet.Heartbeat) -> http_messages.Response:
-        """Record a heartbeat; one that reports draining is acknowledged once that is committed."""
+    async def receive_heartbeat(self, heartbeat: fleet.Heartbeat) -> http_messages.Response:
+        """Record a heartbeat; the draining state is committed before it is acknowledged."""
         self.record_heartbeat(heartbeat)
         if heartbeat.state == fleet.DRAINING:
             await self.commit_departure(heartbeat.instance, fleet.DRAINING)
@@ -108,15 +108,14 @@
         """
         reply = await self.read_configuration()
         if not reply.version:
-            raise errors.ControlError("no configuration was put yet", retry_after_s=0.5)
+            raise errors.ControlError("no configuration has been stored yet", retry_after_s=0.5)
         body = zlib.decompress(reply.body)
         return http_messages.Response(200, [(b"content-type", b"application/json")], body)
 
     async def read_configuration(self) -> node_messages.ConfigurationReply:
         """Read the newest configuration from the leader.
 
-        Raises NotLeaderError if the leader is unknown, and an error of the RPC if it does not
-        reply.
+        Raises NotLeaderError if the leader is unknown, and the errors of `RpcClient.call`.
         """
         if self.member.raft.is_leader():
             return self.read_local_configuration()
--- a/src/merlinthread/nodes/crash_registry.py
+++ b/src/merlinthread/nodes/crash_registry.py
@@ -2,7 +2,7 @@
 
 Crash reports of entries are not persisted: any control VM accepts one and forwards it to the
 others. Holds are committed to the replicated log, so that they survive a power loss of all VMs;
-without that, a request could crash several more processes after each one.
+otherwise a request could crash several more processes after each such loss.
 """
 
 import asyncio
@@ -55,7 +55,7 @@
 
     # Reports
 
-    def on_report(self, report: node_messages.CrashReport) -> None:
+    def merge_report(self, report: node_messages.CrashReport) -> None:
         """Merge a crash report, and forward it to the other control VMs unless it was forwarded."""
         now = self.clock()
         revision_before = self.tracker.revision
@@ -100,7 +100,7 @@
     def send_undelivered(self) -> None:
         """Send undelivered reports again.
 
-        Otherwise three control VMs might know of one crash each, and none of them of all three.
+        Otherwise each of three control VMs might know of one crash, and none of all three.
         """
         undelivered, self.undelivered = self.undelivered, {}
         now = self.clock()
@@ -114,8 +114,8 @@
 
     # Replicated log
 
-    def on_applied(self) -> None:
-        """Update the tracker and the metric from the holds in the replicated state."""
+    def apply_holds(self) -> None:
+        """Update the crash records and the metric from the holds in the replicated state."""
         now = self.clock()
         held = self.member.state.held
         for fingerprint, request in held.items():
@@ -150,7 +150,7 @@
             # Followers propose only what the leader did not, in case it lacks the reports.
             patience_s = 0.0 if self.member.raft.is_leader() else DECISION_INTERVAL_S
             now = self.clock()
-            for command in due_commands(self.tracker, self.held_since, now, patience_s):
+            for command in commands_to_propose(self.tracker, self.held_since, now, patience_s):
                 await self.commit(command)
 
     async def commit(self, command: fleet_state.Command) -> None:
@@ -170,13 +170,13 @@
             self.schedule_send(address, [])
 
 
-def due_commands(
+def commands_to_propose(
     tracker: crash_tracker.CrashTracker, held_since: dict[str, float], now: float, patience_s: float
 ) -> list[fleet_state.PlaceHold | fleet_state.ReleaseHold]:
     """Return the commands for holds and releases that are not in the log yet.
 
-    Those due for less than `patience_s` are left out. `held_since` has the time at which the hold
-    of each request last changed in the log, by fingerprint.
+    Those that became due less than `patience_s` ago are omitted. `held_since` has the time at which
+    the hold of each request last changed in the log, by fingerprint.
     """
     commands: list[fleet_state.PlaceHold | fleet_state.ReleaseHold] = []
     for record in tracker.held():
--- a/src/merlinthread/nodes/weights_task.py
+++ b/src/merlinthread/nodes/weights_task.py
@@ -97,7 +97,7 @@
     # Update loop
 
     async def run(self) -> None:
-        """Keep the engine on the newest published version, forever."""
+        """Keep the engine on the newest published version, until cancelled."""
         while True:
             try:
                 await self.run_once()
@@ -165,8 +165,8 @@
         )
         return plan
 
-    def on_engine_report(self, report: fleet.EngineReport | None) -> None:
-        """Record the engine's report, or None if the engine did not respond."""
+    def record_engine_report(self, report: fleet.EngineReport | None) -> None:
+        """Record the engine's report; it is None if the engine did not respond."""
         self.report = report
         if report is not None and not self.store.is_engine_seen:
             self.store.is_engine_seen = True
@@ -190,7 +190,7 @@
         """Return the bit set of the staged pieces that match the manifest."""
         held = 0
         for index in range(len(manifest.digests)):
-            if await self.engine.staged(manifest, index) is not None:
+            if await self.engine.read_staged_piece(manifest, index) is not None:
                 held |= 1 << index
         return held
 
@@ -211,7 +211,7 @@
         await self.await_load_retry(manifest)
         if self.view.is_superseded(manifest) or self.report is None:
             return
-        status = await self.engine.load(manifest.model, manifest.version, False)
+        status = await self.engine.load_staged_weights(manifest.model, manifest.version, False)
         logs.event("engine_ordered", version=manifest.version, status=status)
         if self.report is not None and status == engine_client.STATUS_ACCEPTED:
             self.report.is_busy = True
@@ -257,14 +257,14 @@
         """Return the reply to a peer's request for a piece."""
         if self.plan is None or self.manifest is None:
             return piece_server.EMPTY_REPLY
-        self.server.note_serving(self.is_serving())
+        self.server.set_serving(self.is_serving())
         return await self.server.serve(self.plan, self.manifest, request)
 
     def serve_manifest(self, request: node_messages.ManifestRequest) -> node_messages.ManifestReply:
         """Return the reply to a peer's request for a manifest."""
         return piece_server.serve_manifest(self.manifest, request)
 
-    def on_notice(self, notice: node_messages.PieceNotice | node_messages.PieceClaim) -> None:
+    def record_notice(self, notice: node_messages.PieceNotice | node_messages.PieceClaim) -> None:
         """Record a peer's notice that it has received a piece or is reading it from the origin."""
         manifest = self.manifest
         if manifest is None or self.plan is None:
--- a/src/merlinthread/platform/dialect.py
+++ b/src/merlinthread/platform/dialect.py
@@ -23,13 +23,13 @@
 class PlatformDialect:
     """Converts between the platform's HTTP messages and internal types."""
 
-    def configuration(self, body: bytes) -> fleet.Configuration:
+    def parse_configuration(self, body: bytes) -> fleet.Configuration:
         """Parse a configuration; raise ConfigurationError if it is invalid."""
         return bodies.parse_configuration(body)
 
     # Operators and back ends
 
-    def control_call(self, request: http_messages.Request) -> dialects.ControlCall:
+    def parse_control_call(self, request: http_messages.Request) -> dialects.ControlCall:
         """Parse a call of an operator or back end; raise MerlinthreadError if it is invalid."""
         path = request.target.split(b"?")[0]
         if path == names.CONFIGURATION_PATH and request.method == b"GET":
@@ -46,7 +46,7 @@
             if request.method == b"PUT":
                 return dialects.ReceiveHeartbeat(bodies.parse_heartbeat(instance, request.body))
             if request.method == b"DELETE":
-                return dialects.Leave(instance)
+                return dialects.RemoveInstance(instance)
         raise errors.RequestError(
             f"unknown call: {request.method.decode()} {path.decode('ascii', 'replace')}",
             kind=errors.ErrorKind.UNKNOWN_ROUTE,
@@ -58,7 +58,7 @@
 
     # Clients
 
-    def client_call(self, request: http_messages.Request) -> fleet.RequestHead:
+    def parse_request_head(self, request: http_messages.Request) -> fleet.RequestHead:
         """Parse the head of a client's request."""
         headers = {key.lower(): value for key, value in request.headers}
         host = headers.get(b"host", b"").decode("latin-1").lower().split(":")[0]
@@ -113,7 +113,9 @@
             headers.append((names.REQUEST_PRIORITY, b"%d" % target.urgency))
         return http_messages.Request(request.method, request.target, headers, request.body)
 
-    def response_head(self, status: int, headers: http_messages.Headers) -> fleet.ResponseHead:
+    def parse_response_head(
+        self, status: int, headers: http_messages.Headers
+    ) -> fleet.ResponseHead:
         """Parse the head of a back end's response."""
         request_id = http_messages.get_header(headers, names.REQUEST_ID)
         not_run = http_messages.get_header(headers, names.NOT_RUN) is not None
@@ -139,11 +141,11 @@
     # Engine and origin
 
     def report_request(self, address: str) -> http_messages.Request:
-        """Return the request for the report of an engine."""
+        """Return the request for an engine's status report."""
         return http_messages.Request(b"GET", names.REPORT_PATH, host_header(address))
 
-    def report(self, body: bytes) -> fleet.EngineReport:
-        """Parse an engine's report; raise ProtocolError if it is invalid."""
+    def parse_report(self, body: bytes) -> fleet.EngineReport:
+        """Parse an engine's status report; raise ProtocolError if it is invalid."""
         return bodies.parse_report(body)
 
     def manifest_request(self, address: str, model: str, version: int) -> http_messages.Request:
@@ -153,7 +155,7 @@
             b"GET", request_target(names.MANIFEST_PATH, model, query), host_header(address)
         )
 
-    def manifest(self, body: bytes) -> fleet.Manifest:
+    def parse_manifest(self, body: bytes) -> fleet.Manifest:
         """Parse a manifest; raise ProtocolError if it is invalid."""
         return bodies.parse_manifest(body)
 
@@ -179,17 +181,18 @@
         return http_messages.Request(b"GET", path, host_header(address))
 
     def load_request(
-        self, address: str, model: str, version: int, cuts_streams: bool
+        self, address: str, model: str, version: int, truncates_streams: bool
     ) -> http_messages.Request:
         """Return the request that makes an engine load the staged weights.
 
-        With `cuts_streams` the engine truncates running responses; otherwise the load is queued.
+        With `truncates_streams`, the engine truncates running responses; otherwise it queues the
+        load.
         """
         load_order = {
             "operation": "start",
             "model": model,
             "version": version,
-            "manner": "truncate" if cuts_streams else "queue",
+            "manner": "truncate" if truncates_streams else "queue",
         }
         body = msgspec.json.encode(load_order)
         headers = [*body_headers(address, body), JSON_TYPE]
@@ -205,7 +208,7 @@
 
 
 def unknown_header_names(headers: http_messages.Headers) -> frozenset[str]:
-    """Return the names of response headers that are not known."""
+    """Return the names of the response headers that are not known."""
     unknown = {name.lower() for name, _ in headers} - KNOWN_RESPONSE_HEADERS
     return frozenset(name.decode("latin-1") for name in unknown)
 
--- a/src/merlinthread/transport/node_bus.py
+++ b/src/merlinthread/transport/node_bus.py
@@ -1,7 +1,7 @@
 """Messaging between nodes: calls over HTTP POST and one-way messages over UDP.
 
-A call may be repeated after its reply is lost, so every message must be idempotent. Calls to a node
-behind a network partition end with their timeout.
+A call may be repeated after its reply is lost, so every message must be idempotent. A call across
+a network partition fails after its timeout.
 """
 
 import asyncio
@@ -62,7 +62,7 @@
 
 
 def parse_error_kind(name: str) -> errors.ErrorKind:
-    """Return the error kind `name`, or INTERNAL for one that only newer versions know."""
+    """Return the error kind `name`, or INTERNAL if this version does not know it."""
     try:
         return errors.ErrorKind(name)
     except ValueError:
@@ -72,7 +72,7 @@
 class RpcServer:
     """A server that replies to calls of other nodes with the results of `handler`.
 
-    `pacing_bytes_per_s` returns the rate at which long replies are sent; infinity disables pacing.
+    `pacing_bytes_per_s` returns the rate at which long replies are sent, infinity for no pacing.
     """
 
     def __init__(
@@ -82,7 +82,7 @@
         pacing_bytes_per_s: Callable[[], float] = lambda: math.inf,
     ) -> None:
         self.codec = codec
-        self.handler = handler
+        self.run_handlerr = handler
         self.pacing_bytes_per_s = pacing_bytes_per_s
         limits = http_messages.Limits(body_bytes=MESSAGE_BYTES_MAX, idle_timeout_s=2 * KEEP_ALIVE_S)
         self.server = stream_server.Server(self.serve, limits)
@@ -93,38 +93,38 @@
 
     async def serve(self, exchange: stream_server.Exchange) -> None:
         """Handle one call."""
-        reply = await self.handle(exchange.request.body)
+        reply = await self.run_handler(exchange.request.body)
         headers = [(b"content-type", MEDIA_TYPE)]
         frame = self.codec.encode(reply)
-        rate = self.pacing_bytes_per_s()
-        if len(frame) <= SEND_CHUNK_BYTES or rate == math.inf:
+        bytes_per_s = self.pacing_bytes_per_s()
+        if len(frame) <= SEND_CHUNK_BYTES or bytes_per_s == math.inf:
             await exchange.respond(http_messages.Response(200, headers, frame))
         else:
-            await self.send_paced(exchange, headers, frame, rate)
+            await self.send_paced(exchange, headers, frame, bytes_per_s)
 
     async def send_paced(
         self,
         exchange: stream_server.Exchange,
         headers: http_messages.Headers,
         frame: bytes,
-        rate: float,
+        bytes_per_s: float,
     ) -> None:
-        """Send a response in chunks at `rate`, in bytes per second."""
+        """Send a response in chunks at the given rate."""
         loop = asyncio.get_running_loop()
         exchange.start_response(200, [*headers, (b"content-length", b"%d" % len(frame))])
         started_at = loop.time()
         for offset in range(0, len(frame), SEND_CHUNK_BYTES):
-            await asyncio.sleep(started_at + offset / rate - loop.time())
+            await asyncio.sleep(started_at + offset / bytes_per_s - loop.time())
             await exchange.send(frame[offset : offset + SEND_CHUNK_BYTES])
         await exchange.finish()
 
-    async def handle(self, body: bytes) -> Any:
+    async def run_handler(self, body: bytes) -> Any:
         """Decode a call, run the handler and return the reply.
 
         An exception of the handler is returned as `ErrorReply`.
         """
         try:
-            return await self.handler(self.codec.decode(body))
+            return await self.run_handlerr(self.codec.decode(body))
         except errors.MerlinthreadError as error:
             return node_messages.ErrorReply(str(error.kind), error.message)
         except asyncio.CancelledError:
@@ -137,9 +137,9 @@
 class DatagramEndpoint(asyncio.DatagramProtocol):
     """Sends and receives one-way messages over UDP; they may be lost."""
 
-    def __init__(self, codec: codecs.Codec, deliver: Callable[[Any], None]) -> None:
+    def __init__(self, codec: codecs.Codec, handler: Callable[[Any], None]) -> None:
         self.codec = codec
-        self.deliver = deliver
+        self.handler = handler
         self.transport: asyncio.DatagramTransport | None = None
 
     async def listen(self, host: str, port: int) -> None:
@@ -152,13 +152,13 @@
         self.transport = transport  # type: ignore[assignment]
 
     def datagram_received(self, data: bytes, address: object) -> None:
-        """Pass a message to `deliver`; drop it if it can't be decoded."""
+        """Pass a message to `handler`; drop it if it can't be decoded."""
         try:
             message = self.codec.decode(data)
         except errors.ProtocolError as error:
             logs.debug("datagram_refused", reason=error.message)
             return
-        self.deliver(message)
+        self.handler(message)
 
     def send(self, address: str, message: Any) -> None:
         """Send one message to `address` ("IP:port"); do nothing before `listen`."""
--- a/tests/test_leaving_answers.py
+++ b/tests/test_leaving_answers.py
@@ -76,7 +76,7 @@
         asked = asyncio.create_task(fleet_.ask())
         await fleet_nodes.until(lambda: leaver.runs)
         del fleet_.entry.node.watcher.instances[leaver.instance]
-        fleet_.entry.node.on_update()
+        fleet_.entry.node.apply_fleet_update()
         fleet_.feed(fleet_.workers)
         assert (await asked).status == 200
         assert (await fleet_.ask()).status == 503
@@ -190,21 +190,23 @@
     async def check_missed_departure(fleet_):
         watcher = fleet_.entries[0].node.watcher
         leaver = fleet_.workers[0]
-        await fleet_nodes.until(lambda: watcher.current)
+        await fleet_nodes.until(lambda: watcher.current_control_vm)
         # The departure is acknowledged between the loss of the entry's control VM and the search.
-        former = watcher.current.partition(":")[0]
-        asked, may_ask = watcher.ask, asyncio.Event()
+        former = watcher.current_control_vm.partition(":")[0]
+        asked, may_ask = watcher.request_changes, asyncio.Event()
 
         async def ask(*of):
             await may_ask.wait()
             return await asked(*of)
 
-        watcher.ask = ask
+        watcher.request_changes = ask
         leaver.is_down = True
         fleet_.controls.kill(former)
         await fleet_.controls.until_acknowledged("DELETE", f"/instances/{leaver.instance}")
         may_ask.set()
-        await fleet_nodes.until(lambda: watcher.current and not watcher.current.startswith(former))
+        await fleet_nodes.until(
+            lambda: watcher.current_control_vm and not watcher.current_control_vm.startswith(former)
+        )
         before = len(leaver.runs)
         for _ in range(REQUESTS):
             assert (await fleet_.ask(0, b"")).status == 200
--- a/tests/test_weights_task.py
+++ b/tests/test_weights_task.py
@@ -96,8 +96,8 @@
         agent = self.agents.pop(number)
         for task in agent.tasks:
             task.cancel()
-        agent.listener.server.listener.close()
-        for connection in list(agent.listener.server.connections):
+        agent.rpc_server.server.listener.close()
+        for connection in list(agent.rpc_server.server.connections):
             connection.abort()
         agent.datagrams.transport.close()
 
@@ -273,11 +273,11 @@
         sent = []
         agent.datagrams.send = lambda address, message: sent.append((address, message))
         stage = node_messages.AttemptStage
-        agent.on_datagram(node_messages.AttemptNotice("entry-1", 1, stage.SENT, 700.0))
-        agent.on_datagram(node_messages.AttemptNotice("entry-1", 2, stage.SENT, 500.0))
-        agent.on_datagram(node_messages.AttemptNotice("entry-1", 2, stage.READ))
+        agent.dispatch_datagram(node_messages.AttemptNotice("entry-1", 1, stage.SENT, 700.0))
+        agent.dispatch_datagram(node_messages.AttemptNotice("entry-1", 2, stage.SENT, 500.0))
+        agent.dispatch_datagram(node_messages.AttemptNotice("entry-1", 2, stage.READ))
         for asker in ("entry-1", "entry-2"):
-            agent.on_datagram(node_messages.LoadQuery(asker, 7))
+            agent.dispatch_datagram(node_messages.LoadQuery(asker, 7))
         answers = {
             address: message
             for address, message in sent
@@ -285,11 +285,11 @@
         }
         assert answers["entry-1"] == node_messages.LoadReply(7, 0, 0, 0.0)
         assert answers["entry-2"] == node_messages.LoadReply(7, 2, 1, 700.0)
-        agent.on_datagram(node_messages.AttemptNotice("entry-1", 1, stage.ENDED))
+        agent.dispatch_datagram(node_messages.AttemptNotice("entry-1", 1, stage.ENDED))
         assert len(agent.load_tracker.open) == 1
         sent.clear()
         agent.last_report = None
-        agent.on_datagram(node_messages.LoadQuery("entry-2", 8))
+        agent.dispatch_datagram(node_messages.LoadQuery("entry-2", 8))
         assert not sent, "an agent without its engine must not reply"
 
     run(1, scenario)
@@ -315,7 +315,7 @@
     monkeypatch,
 ):
     read_indexes = []
-    staged = engine_client.EngineClient.staged
+    staged = engine_client.EngineClient.read_staged_piece
 
     async def count_reads(self, manifest, index):
         read_indexes.append(index)
@@ -328,7 +328,7 @@
             lambda: fleet_nodes.is_free(f"{fleet_nodes.NETWORK}.21", fleet.port)
         )
         fleet.engines[0].version = 0
-        monkeypatch.setattr(engine_client.EngineClient, "staged", count_reads)
+        monkeypatch.setattr(engine_client.EngineClient, "read_staged_piece", count_reads)
         await fleet.start_agent(0)
         fleet.publish(1)
         await fleet.wait_until_loaded(1)
@@ -455,7 +455,7 @@
         address = await origin.start()
         client = engine_client.EngineClient(dialect.PlatformDialect(), "127.0.0.1:1")
         try:
-            await client.manifest(address, "m", 1)
+            await client.fetch_manifest(address, "m", 1)
         except engine_client.errors.WeightsError as error:
             assert error.kind is engine_client.errors.ErrorKind.ORIGIN_CHANGED
             return
