--- a/bench/permits.py
+++ b/bench/permits.py
@@ -71,7 +71,7 @@
         frame = codec.encode(node_messages.LoadQuery(address, number, permit_request))
         encoded_at = time.process_time()
         query = codec.decode(frame)
-        reply_message = node_messages.LoadReply(number, 0, 0, 0.0, permit=server.answer(query))
+        reply_message = node_messages.LoadReply(number, 0, 0, 0.0, permit=server.reply_to(query))
         reply = codec.encode(reply_message)
         replied_at = time.process_time()
         codec.decode(reply)
--- a/bench/transfer.py
+++ b/bench/transfer.py
@@ -152,7 +152,7 @@
                 ]
             )
             readers = min(shape.agents, agent.plan.readers_max)
-            agent.plan.spare_every_s = readers * shape.piece_bytes / shape.origin_rate
+            agent.plan.extra_read_interval_s = readers * shape.piece_bytes / shape.origin_rate
 
     def distance(self, one: Agent, other: Agent) -> int:
         """Return the distance between two agents."""
@@ -344,7 +344,7 @@
         wanted = fetch.bit_positions(action.wanted & peer.plan.held)
         reported = peer.plan.held
         free_in_s = peer.outgoing.wait_s(self.now) if wanted else 0.0
-        if not wanted or free_in_s > piece_server.UPLOAD_WAIT_S_MAX:
+        if not wanted or free_in_s > piece_server.UPLOAD_WAIT_MAX_S:
             sent_at = peer.link_out.transmit(EMPTY_REPLY_BYTES, self.now)
             self.schedule(
                 sent_at + delay, lambda: self.on_no_piece(agent, action, reported, free_in_s)
--- a/src/merlinthread/coordination/dispatch.py
+++ b/src/merlinthread/coordination/dispatch.py
@@ -32,7 +32,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Demand:
+class Requirements:
     """The requirements of one attempt; `version` is the lowest that may serve it.
 
     `version_soon` becomes mandatory shortly. Until then a back end with an older version may serve
@@ -80,7 +80,7 @@
         unread += estimate_others_unread(backend, engine)
     unread_s = prompt_read_s(engine, unread + tokens)
     waiting = max(0, load - backend.slots + 1)
-    request_s = engine.usual_answer * engine.step_s * FULL_SLOWDOWN
+    request_s = engine.usual_response_tokens * engine.step_s * FULL_SLOWDOWN
     waiting_s = waiting / max(1, backend.slots) * request_s
     return BASE_LATENCY_S + backend.pace * (pass_s + unread_s + waiting_s + load * RUNNING_COST_S)
 
@@ -88,7 +88,7 @@
 def estimate_others_unread(backend: backend_record.Backend, engine: fleet.Engine) -> float:
     """Return the known or estimated tokens of other entries' unread prompts."""
     if backend.others_unread_tokens is None:
-        return backend.others_queued * engine.usual_prompt
+        return backend.others_queued * engine.usual_prompt_tokens
     return backend.others_unread_tokens
 
 
@@ -114,8 +114,8 @@
     if not found:
         return None
     staying = [backend.availability for backend in found if not backend.is_draining]
-    opens_at = min((availability.available_at(now) for availability in staying), default=math.inf)
-    return opens_at if opens_at > now else None
+    first_at = min((availability.available_at(now) for availability in staying), default=math.inf)
+    return first_at if first_at > now else None
 
 
 def prompt_read_s(engine: fleet.Engine | None, tokens: float) -> float:
@@ -126,52 +126,64 @@
 
 
 def is_eligible(
-    backend: backend_record.Backend, demand: Demand, engine: fleet.Engine | None, now: float
+    backend: backend_record.Backend,
+    requirements: Requirements,
+    engine: fleet.Engine | None,
+    now: float,
 ) -> bool:
     """Return whether a back end can serve this attempt now and is not ejected."""
-    return can_serve(backend, demand, engine, now) and not backend.is_ejected(now)
+    return can_serve(backend, requirements, engine, now) and not backend.is_ejected(now)
 
 
 def can_serve(
-    backend: backend_record.Backend, demand: Demand, engine: fleet.Engine | None, now: float
+    backend: backend_record.Backend,
+    requirements: Requirements,
+    engine: fleet.Engine | None,
+    now: float,
 ) -> bool:
     """Return whether a back end can serve this attempt now, ejected or not."""
     if backend.availability.lacks_permit(now):
         return False
-    return can_serve_with_permit(backend, demand, engine, now)
+    return can_serve_with_permit(backend, requirements, engine, now)
 
 
 def can_serve_with_permit(
-    backend: backend_record.Backend, demand: Demand, engine: fleet.Engine | None, now: float
+    backend: backend_record.Backend,
+    requirements: Requirements,
+    engine: fleet.Engine | None,
+    now: float,
 ) -> bool:
     """Return whether a back end can serve this attempt given a permit, ejected or not."""
-    if backend.service != demand.service or backend.is_draining:
+    if backend.service != requirements.service or backend.is_draining:
         return False
-    if backend.instance in demand.tried:
+    if backend.instance in requirements.tried:
         return False
     if now < backend.full_until or backend.is_changing(now):
         return False
     if backend.availability.is_unavailable(now):
         return False
-    if not demand.model or engine is None:
+    if not requirements.model or engine is None:
         return True
-    held = backend.version_of(demand.model, engine.layers)
-    return held > 0 and held >= demand.version
+    loaded = backend.version_of(requirements.model, engine.layers)
+    return loaded > 0 and loaded >= requirements.version
 
 
 def starts_in_time(
-    backend: backend_record.Backend, demand: Demand, engine: fleet.Engine | None, now: float
+    backend: backend_record.Backend,
+    requirements: Requirements,
+    engine: fleet.Engine | None,
+    now: float,
 ) -> bool:
     """Return whether an attempt is expected to start while the loaded version may serve it."""
-    if not demand.model or engine is None:
+    if not requirements.model or engine is None:
         return True
-    held = backend.version_of(demand.model, engine.layers)
-    return held >= demand.version_soon or backend.is_responsive(now)
+    loaded = backend.version_of(requirements.model, engine.layers)
+    return loaded >= requirements.version_soon or backend.is_responsive(now)
 
 
 def candidates(
     backends: Iterable[backend_record.Backend],
-    demand: Demand,
+    requirements: Requirements,
     engine: fleet.Engine | None,
     now: float,
 ) -> list[backend_record.Backend]:
@@ -180,14 +192,14 @@
     If all are ejected, return those without an attempt in flight, so that one request at a time
     tries them, as in the half-open state of a circuit breaker (Nygard 2007).
     """
-    serving = [backend for backend in backends if can_serve(backend, demand, engine, now)]
+    serving = [backend for backend in backends if can_serve(backend, requirements, engine, now)]
     healthy = [backend for backend in serving if not backend.is_ejected(now)]
     return healthy or [backend for backend in serving if not backend.in_flight]
 
 
 def permit_candidates(
     backends: Iterable[backend_record.Backend],
-    demand: Demand,
+    requirements: Requirements,
     engine: fleet.Engine | None,
     now: float,
 ) -> list[backend_record.Backend]:
@@ -198,18 +210,18 @@
     serving = [
         backend
         for backend in backends
-        if can_serve_with_permit(backend, demand, engine, now)
-        and starts_in_time(backend, demand, engine, now)
+        if can_serve_with_permit(backend, requirements, engine, now)
+        and starts_in_time(backend, requirements, engine, now)
         and not backend.is_ejected(now)
     ]
     if not all(backend.availability.is_limited() for backend in serving):
         return []
-    return sorted(serving, key=lambda backend: evaluate(backend, demand, engine, now).cost_s)
+    return sorted(serving, key=lambda backend: evaluate(backend, requirements, engine, now).cost_s)
 
 
 def choose(
     backends: Iterable[backend_record.Backend],
-    demand: Demand,
+    requirements: Requirements,
     engine: fleet.Engine | None,
     now: float,
     rng: random.Random,
@@ -222,10 +234,10 @@
     """
     eligible = [
         backend
-        for backend in candidates(backends, demand, engine, now)
-        if starts_in_time(backend, demand, engine, now)
+        for backend in candidates(backends, requirements, engine, now)
+        if starts_in_time(backend, requirements, engine, now)
     ]
-    choices = [evaluate(backend, demand, engine, now) for backend in eligible]
+    choices = [evaluate(backend, requirements, engine, now) for backend in eligible]
     if not choices:
         return None
     # Entries decide independently on delayed reports and would overload the best back end. The
@@ -243,13 +255,13 @@
     Otherwise a back end with a marginally higher mean response time would get no requests, and so
     no responses to correct its mean.
     """
-    enough_s = (1 + COST_TOLERANCE) * min(choice.cost_s for choice in choices)
-    return next(choice for choice in choices if choice.cost_s <= enough_s)
+    cost_max_s = (1 + COST_TOLERANCE) * min(choice.cost_s for choice in choices)
+    return next(choice for choice in choices if choice.cost_s <= cost_max_s)
 
 
 def shortlist(
     backends: Sequence[backend_record.Backend],
-    demand: Demand,
+    requirements: Requirements,
     engine: fleet.Engine | None,
     now: float,
     rng: random.Random,
@@ -259,9 +271,9 @@
     """Return the `count` cheapest back ends of a sample after the `skipped` cheapest."""
     if len(backends) > SAMPLE_MAX:
         backends = rng.sample(backends, SAMPLE_MAX)
-    eligible = candidates(backends, demand, engine, now)
+    eligible = candidates(backends, requirements, engine, now)
     evaluated = [
-        (evaluate(backend, demand, engine, now).cost_s, rng.random(), backend)
+        (evaluate(backend, requirements, engine, now).cost_s, rng.random(), backend)
         for backend in eligible
     ]
     evaluated.sort(key=lambda entry: entry[:2])
@@ -270,25 +282,28 @@
 
 def choose_best(
     backends: Iterable[backend_record.Backend],
-    demand: Demand,
+    requirements: Requirements,
     engine: fleet.Engine | None,
     now: float,
 ) -> Choice | None:
     """Return the cheapest back end that can serve an attempt, or None."""
     eligible = [
         backend
-        for backend in candidates(backends, demand, engine, now)
-        if starts_in_time(backend, demand, engine, now)
+        for backend in candidates(backends, requirements, engine, now)
+        if starts_in_time(backend, requirements, engine, now)
     ]
-    choices = [evaluate(backend, demand, engine, now) for backend in eligible]
+    choices = [evaluate(backend, requirements, engine, now) for backend in eligible]
     return min(choices, key=lambda choice: choice.cost_s, default=None)
 
 
 def evaluate(
-    backend: backend_record.Backend, demand: Demand, engine: fleet.Engine | None, now: float
+    backend: backend_record.Backend,
+    requirements: Requirements,
+    engine: fleet.Engine | None,
+    now: float,
 ) -> Choice:
     """Return a back end with its expected times and cost for an attempt."""
-    first_byte_s = expected_first_byte_s(backend, engine, demand.prompt_tokens, now)
+    first_byte_s = expected_first_byte_s(backend, engine, requirements.prompt_tokens, now)
     cost_s = first_byte_s + DISTANCE_COST_S[backend.distance]
     if now < backend.cold_until:
         cost_s += first_byte_s
@@ -299,22 +314,25 @@
     if backend.is_ejected(now):
         return Choice(backend, first_byte_s, math.inf, math.inf)
     return Choice(
-        backend, first_byte_s, first_byte_s - prompt_read_s(engine, demand.prompt_tokens), cost_s
+        backend,
+        first_byte_s,
+        first_byte_s - prompt_read_s(engine, requirements.prompt_tokens),
+        cost_s,
     )
 
 
 def record_failure(backend: backend_record.Backend, now: float) -> None:
     """Eject a back end after a failure; the time doubles with each failure in a row."""
-    wait = min(EJECTION_MAX_S, EJECTION_S * 2**backend.failures)
+    ejection_s = min(EJECTION_MAX_S, EJECTION_S * 2**backend.failures)
     backend.failures += 1
-    backend.ejected_until = now + wait
+    backend.ejected_until = now + ejection_s
 
 
 def record_success(backend: backend_record.Backend, response_s: float) -> None:
     """Record a complete response and its duration, and reset the failure count."""
     backend.failures = 0
-    backend.response_time.note(response_s)
-    backend.service_response_time.note(response_s)
+    backend.response_time.record(response_s)
+    backend.service_response_time.record(response_s)
 
 
 def record_full(backend: backend_record.Backend, now: float) -> None:
--- a/src/merlinthread/nodes/attempts.py
+++ b/src/merlinthread/nodes/attempts.py
@@ -1,7 +1,7 @@
 """One attempt to run a client's request on a back end.
 
-An attempt records in its back end's state how it ended. Its `State` says what is known about the
-request: whether it was sent, and whether it may have run. `request_task` decides on retries.
+An attempt records its outcome in the record of the back end. Its `State` says whether the request
+was sent, and whether it may have run. `request_task` decides on retries.
 """
 
 import asyncio
@@ -37,7 +37,7 @@
 
 
 class VersionExpiredError(errors.UnreachableError):
-    """An attempt had no first event before its weights version expired."""
+    """The weights version of an attempt expired before the first event of the response."""
 
 
 class UnavailableError(errors.UnreachableError):
@@ -98,10 +98,10 @@
                 self.backend, self.context.is_idempotent()
             )
             self.check_available()
-            connection.send(self.request())
+            connection.send(self.build_request())
             self.is_sent = True
             self.sent_at = self.clock()
-            async with asyncio.timeout_at(self.loop_time(self.context.deadline)):
+            async with asyncio.timeout_at(self.to_loop_time(self.context.deadline)):
                 outcome, headers = await self.receive_response(connection)
             if outcome.state in (State.DONE, State.FAILED, State.NOT_RUN):
                 self.pool.connections.release(self.backend, connection, headers)
@@ -145,7 +145,7 @@
         if self.permit is None or not self.permit.is_valid(self.backend.instance, now):
             raise UnavailableError("the back end has a rate limit and there is no valid permit")
 
-    def record_break(self, is_silent: bool) -> None:
+    def record_break(self, is_timeout: bool) -> None:
         """Record that the request was sent and got no complete response."""
         broken = crash_detector.BrokenAttempt(
             self.context.fingerprint(),
@@ -153,17 +153,17 @@
             self.context.account.name if self.context.account is not None else "",
             self.context.call.request_id,
             self.backend,
-            self.reservation.started,
+            self.reservation.started_at,
             self.clock(),
         )
-        self.pool.crashes.record_break(broken, is_silent)
+        self.pool.crashes.record_break(broken, is_timeout)
 
     def handle_timeout(self, connection: stream_client.ClientConnection | None) -> None:
-        """Handle a timeout of the connection, if there is one."""
+        """Report a response timeout to the connection pool, if a connection was opened."""
         if connection is not None:
             self.pool.connections.handle_timeout(self.backend.instance, connection)
 
-    def loop_time(self, at: float) -> float:
+    def to_loop_time(self, at: float) -> float:
         """Convert a time of this node's clock to the event loop's clock."""
         return asyncio.get_running_loop().time() + (at - self.clock())
 
@@ -171,13 +171,13 @@
         """Update the back end's state after a complete response."""
         now = self.clock()
         if outcome.state is State.DONE:
-            dispatch.record_success(self.backend, now - self.reservation.started)
-            if self.pool.crashes.ledger.records:
+            dispatch.record_success(self.backend, now - self.reservation.started_at)
+            if self.pool.crashes.tracker.records:
                 self.pool.crashes.record_success(self.context.fingerprint())
         elif outcome.state is State.NOT_RUN:
             dispatch.record_full(self.backend, now)
 
-    def request(self) -> http_messages.Request:
+    def build_request(self) -> http_messages.Request:
         """Return the request to send to the back end."""
         remaining_s = None
         if self.context.call.deadline_s is not None:
@@ -212,7 +212,7 @@
         """
         head = await self.read_head(connection)
         headers = list(head.headers.raw_items())
-        response_head = self.dialect.response_head(head.status_code, headers)
+        response_head = self.dialect.parse_response_head(head.status_code, headers)
         if (
             response_head.request_id is not None
             and response_head.request_id != self.context.call.request_id
@@ -244,14 +244,14 @@
 
         Leaving and limits have lasting effects, so they are accepted only from a response that
         repeats the request id or is signed, and that was not sent by another instance. A rest is
-        short and is accepted from whatever answers at the address.
+        short, so it is accepted from any process at the address.
         """
         request_id = self.context.call.request_id
-        if response_head.unread:
+        if response_head.unknown_headers:
             self.pool.recorder.record_unread_headers(
-                response_head.unread, self.backend.instance, request_id
+                response_head.unknown_headers, self.backend.instance, request_id
             )
-        is_authentic = not response_head.is_other and (
+        is_authentic = not response_head.is_other_instance and (
             response_head.request_id is not None or response_head.is_signed
         )
         if response_head.is_leaving and is_authentic:
@@ -277,7 +277,7 @@
         return event
 
     async def first_event(self, connection: stream_client.ClientConnection) -> h11.Event:
-        """Return the next event before the first data of a stream; other responses have no timeout.
+        """Return the next event before the first data of a response; only streams have a timeout.
 
         Raises ResponseTimeoutError, or VersionExpiredError if the loaded version expires earlier.
         """
@@ -293,13 +293,13 @@
             raise VersionExpiredError("no response before the loaded weights version expired")
 
     def first_event_timeout_s(self) -> float:
-        """Return the timeout for the first event, in seconds; infinite if it can't be retried."""
+        """Return the timeout for the first event; infinite if the request can't be retried."""
         if not self.context.is_idempotent():
             return math.inf
         return max(FIRST_EVENT_MIN_S, FIRST_EVENT_OBJECTIVE_FACTOR * self.context.route.objective_s)
 
     def event_gap_timeout_s(self) -> float:
-        """Return the timeout between two events, in seconds."""
+        """Return the timeout between two events."""
         if not self.context.is_idempotent() or not self.context.route.gap_s:
             return self.first_event_timeout_s()
         return max(GAP_MIN_S, GAP_FACTOR * self.context.route.gap_s)
@@ -321,10 +321,10 @@
 
     async def read_body(self, connection: stream_client.ClientConnection) -> bytes:
         """Return the complete body."""
-        parts = []
+        chunks = []
         while isinstance(event := await connection.next_event(), h11.Data):
-            parts.append(bytes(event.data))
-        return b"".join(parts)
+            chunks.append(bytes(event.data))
+        return b"".join(chunks)
 
     async def relay_stream(
         self,
--- a/src/merlinthread/nodes/crash_detector.py
+++ b/src/merlinthread/nodes/crash_detector.py
@@ -24,15 +24,15 @@
 # If a whole VM fails, only a new instance at its address confirms the crash, seconds later.
 UNCONFIRMED_EXPIRY_S = 15.0
 # Bounds the memory for attempts without a confirmed crash.
-UNCONFIRMED_MAX = 1024
+UNCONFIRMED_ATTEMPTS_MAX = 1024
 REPLACED_REASON = "another instance is at its address"
 REPORT_TIMEOUT_S = 0.9
-REPORT_RETRY_S = 0.1
+REPORT_RETRY_DELAY_S = 0.1
 
 
 @dataclasses.dataclass(slots=True)
 class BrokenAttempt:
-    """An attempt that began at `began_at` and broke at `at`; `label` describes its request."""
+    """An attempt without a complete response; `label` describes its request."""
 
     fingerprint: str
     label: str
@@ -40,11 +40,11 @@
     request_id: str
     backend: backend_record.Backend
     began_at: float
-    at: float
+    broke_at: float
 
     def crash(self) -> crash_tracker.Crash:
         """Return the crash to record once it is confirmed."""
-        return crash_tracker.Crash(self.at, self.backend.instance, self.began_at)
+        return crash_tracker.Crash(self.broke_at, self.backend.instance, self.began_at)
 
 
 class CrashDetector:
@@ -54,16 +54,16 @@
         self,
         name: str,
         watcher: fleet_watcher.FleetWatcher,
-        ledger: crash_tracker.CrashTracker,
-        caller: node_bus.RpcClient,
+        tracker: crash_tracker.CrashTracker,
+        rpc_client: node_bus.RpcClient,
         clock: Callable[[], float],
     ) -> None:
         self.name = name
         self.watcher = watcher
-        self.ledger = ledger
-        self.caller = caller
+        self.tracker = tracker
+        self.rpc_client = rpc_client
         self.clock = clock
-        self.broken: dict[str, list[BrokenAttempt]] = {}
+        self.broken_attempts: dict[str, list[BrokenAttempt]] = {}
         self.unconfirmed: list[BrokenAttempt] = []
         self.checks: dict[str, asyncio.Task[None]] = {}
         self.pending_reports: dict[str, None] = {}
@@ -73,11 +73,11 @@
 
     # Detection
 
-    def record_break(self, attempt: BrokenAttempt, is_silent: bool) -> None:
+    def record_break(self, attempt: BrokenAttempt, is_timeout: bool) -> None:
         """Record an attempt without a complete response, and check whether its back end crashed.
 
         Back ends that were leaving are ignored, since they were expected to stop. After a timeout
-        (`is_silent`) there is no check, to avoid a connection for each late response.
+        (`is_timeout`) there is no check, to avoid a connection for each late response.
         """
         backend = attempt.backend
         if backend.is_draining:
@@ -87,11 +87,13 @@
             return
         if backend.instance in self.watcher.gone:
             return
-        if is_silent:
+        if is_timeout:
             self.keep_unconfirmed([attempt])
             return
-        recent = self.broken.setdefault(backend.instance, [])
-        recent[:] = [other for other in recent if attempt.at - other.at <= BREAK_WINDOW_S]
+        recent = self.broken_attempts.setdefault(backend.instance, [])
+        recent[:] = [
+            other for other in recent if attempt.broke_at - other.broke_at <= BREAK_WINDOW_S
+        ]
         recent.append(attempt)
         if backend.instance not in self.checks:
             task = asyncio.get_running_loop().create_task(self.check_process(backend))
@@ -120,7 +122,7 @@
 
     def apply_check(self, backend: backend_record.Backend, has_crashed: bool, reason: str) -> None:
         """Record the result of a check for the broken attempts of a back end."""
-        attempts = self.broken.pop(backend.instance, [])
+        attempts = self.broken_attempts.pop(backend.instance, [])
         if has_crashed:
             self.record_crashes(attempts, reason)
         else:
@@ -131,11 +133,13 @@
         """Keep attempts until another instance replaces their back end, or until they expire."""
         now = self.clock()
         remaining = [
-            attempt for attempt in self.unconfirmed if now - attempt.at <= UNCONFIRMED_EXPIRY_S
+            attempt
+            for attempt in self.unconfirmed
+            if now - attempt.broke_at <= UNCONFIRMED_EXPIRY_S
         ]
-        self.unconfirmed = [*remaining, *attempts][-UNCONFIRMED_MAX:]
+        self.unconfirmed = [*remaining, *attempts][-UNCONFIRMED_ATTEMPTS_MAX:]
 
-    def on_update(self) -> None:
+    def apply_fleet_update(self) -> None:
         """Confirm crashes of replaced back ends; report all records again after a change of feed.
 
         A control VM that has restarted has a new feed and may have lost the records.
@@ -145,13 +149,13 @@
         feed = self.watcher.feed()
         if feed and feed != self.last_feed:
             self.last_feed = feed
-            for record in self.ledger.records.values():
+            for record in self.tracker.records.values():
                 self.pending_reports[record.fingerprint] = None
             self.has_pending_reports.set()
         # Counting is slow with many records, and updates are frequent.
-        if self.ledger.revision != self.metrics_revision:
-            self.metrics_revision = self.ledger.revision
-            metrics.held_requests.set(len(self.ledger.held()))
+        if self.tracker.revision != self.metrics_revision:
+            self.metrics_revision = self.tracker.revision
+            metrics.held_requests.set(len(self.tracker.held()))
 
     def is_replaced(self, backend: backend_record.Backend) -> bool:
         """Return whether another instance is present at a back end's address."""
@@ -181,14 +185,14 @@
         """Record confirmed crashes during some attempts, and queue reports of new ones."""
         log_broken_attempts(attempts, True, reason)
         for attempt in attempts:
-            if self.ledger.record_crash(
+            if self.tracker.record_crash(
                 attempt.fingerprint, attempt.label, attempt.crash(), attempt.account
             ):
                 self.queue_report(attempt.fingerprint)
 
     def record_success(self, fingerprint: str) -> None:
         """Record a complete response, which clears a suspect request."""
-        if self.ledger.is_suspect(fingerprint) and self.ledger.clear(fingerprint, self.clock()):
+        if self.tracker.is_suspect(fingerprint) and self.tracker.clear(fingerprint, self.clock()):
             logs.event("request_cleared", fingerprint=fingerprint)
             self.queue_report(fingerprint)
 
@@ -205,24 +209,24 @@
             await self.has_pending_reports.wait()
             self.has_pending_reports.clear()
             if not await self.send_reports():
-                await asyncio.sleep(REPORT_RETRY_S)
+                await asyncio.sleep(REPORT_RETRY_DELAY_S)
                 self.has_pending_reports.set()
 
     async def send_reports(self) -> bool:
-        """Send the queued reports to one control VM; return whether none is left to retry."""
-        control = self.watcher.current
+        """Send the queued reports to one control VM; return False if they must be sent again."""
+        control = self.watcher.current_control_vm
         if not control:
             return not self.pending_reports
         # Reports queued during the call belong to the next one.
         sent, self.pending_reports = self.pending_reports, {}
         now = self.clock()
-        records = [self.ledger.records.get(fingerprint) for fingerprint in sent]
-        reports = [self.ledger.report_of(record, now) for record in records if record]
+        records = [self.tracker.records.get(fingerprint) for fingerprint in sent]
+        reports = [self.tracker.report_of(record, now) for record in records if record]
         if not reports:
             return True
         report = node_messages.CrashReport(self.name, reports)
         try:
-            await self.caller.call(control, report, REPORT_TIMEOUT_S)
+            await self.rpc_client.call(control, report, REPORT_TIMEOUT_S)
         except errors.MerlinthreadError as error:
             logs.debug("crash_report_lost", control=control, reason=error.message)
             self.pending_reports = sent | self.pending_reports
@@ -231,7 +235,7 @@
 
 
 def log_broken_attempts(attempts: list[BrokenAttempt], has_crashed: bool, reason: str) -> None:
-    """Log broken attempts by instance, with whether its process has crashed and why."""
+    """Log the broken attempts of each instance, and whether its process has crashed."""
     metrics.breaks_total.labels("ended" if has_crashed else "unproven").inc(len(attempts))
     for instance in dict.fromkeys(attempt.backend.instance for attempt in attempts):
         at_instance = [attempt for attempt in attempts if attempt.backend.instance == instance]
--- a/src/merlinthread/nodes/limit_registry.py
+++ b/src/merlinthread/nodes/limit_registry.py
@@ -19,7 +19,6 @@
         self.clock = clock
         self.notify = notify
         self.table = limit_table.LimitTable()
-        # The back ends whose limits must be forwarded to the other control VMs.
         self.outgoing: set[str] = set()
 
     def merge_from_entry(self, reports: list[limit_table.LimitReport]) -> None:
@@ -43,4 +42,4 @@
 
     def changes_since(self, revision: int) -> list[limit_table.LimitReport]:
         """Return the limits that changed after `revision`, or none if it is negative."""
-        return self.table.since(revision, self.clock()) if revision >= 0 else []
+        return self.table.changes_since(revision, self.clock()) if revision >= 0 else []
--- a/src/merlinthread/nodes/load_prober.py
+++ b/src/merlinthread/nodes/load_prober.py
@@ -1,7 +1,7 @@
 """Load queries and attempt notices from an entry to agents.
 
-Both are single datagrams that may be lost. An agent that does not answer in time is judged by its
-last load report, and its ledger expires attempts whose end it did not receive.
+Both are single datagrams, which may be lost. If an agent does not reply in time, its last load
+report is used. An agent expires attempts whose end it was not notified of.
 """
 
 import asyncio
@@ -22,29 +22,29 @@
         self.address = address
         self.send = send
         self.query_numbers = itertools.count(1)
-        self.waiting: dict[int, asyncio.Future[load_tracker.EngineLoad]] = {}
+        self.pending_queries: dict[int, asyncio.Future[load_tracker.EngineLoad]] = {}
 
-    async def ask(
+    async def query(
         self, agents: Sequence[str], wait_s: float
     ) -> dict[str, load_tracker.EngineLoad | None]:
-        """Query agents for their engines' loads; the load is None without a reply in `wait_s`."""
+        """Return the loads of the agents' engines; None for those without a reply in `wait_s`."""
         loop = asyncio.get_running_loop()
         numbers = {agent: next(self.query_numbers) for agent in agents}
         futures = {agent: loop.create_future() for agent in agents}
         for agent, number in numbers.items():
-            self.waiting[number] = futures[agent]
+            self.pending_queries[number] = futures[agent]
             self.send(agent, node_messages.LoadQuery(self.address, number))
         if futures:
             await asyncio.wait(futures.values(), timeout=wait_s)
         for number in numbers.values():
-            self.waiting.pop(number, None)
+            self.pending_queries.pop(number, None)
         return {
             agent: future.result() if future.done() else None for agent, future in futures.items()
         }
 
     def receive(self, reply: node_messages.LoadReply) -> None:
         """Accept an agent's reply, or drop it if the query has timed out."""
-        future = self.waiting.pop(reply.number, None)
+        future = self.pending_queries.pop(reply.number, None)
         if future is not None and not future.done():
             others = load_tracker.Outstanding(reply.attempts, reply.unread, reply.tokens)
             future.set_result(load_tracker.EngineLoad(others, reply.is_busy, reply.pace))
--- a/src/merlinthread/nodes/piece_fetcher.py
+++ b/src/merlinthread/nodes/piece_fetcher.py
@@ -32,7 +32,7 @@
 PEER_TIMEOUT_S = 1.0
 POLL_INTERVAL_S = 0.02
 PROGRESS_LOG_INTERVAL_S = 1.0
-# The recent rate is used to estimate whether a download will be late, after a warm-up.
+# Warm-up and window of the rate from which the end of a download is estimated.
 RATE_WARMUP_S = 2.0
 RATE_WINDOW_S = 1.0
 
@@ -106,14 +106,14 @@
         share = DOWNLOAD_SHARE if is_serving else IDLE_DOWNLOAD_SHARE
         self.download_pacer.bytes_per_s = share * self.link_bytes_per_s
         plan.set_peers(self.view.peers())
-        plan.spare_every_s = self.spare_every_s(plan)
+        plan.extra_read_interval_s = self.extra_read_interval_s(plan)
         self.rate.record(plan.held.bit_count(), self.clock())
         plan.is_late = self.is_late(plan, manifest, started)
 
     def start_transfers(
         self, plan: fetch_policies.Zoned, manifest: fleet.Manifest, running: set[asyncio.Task]
     ) -> None:
-        """Start transfers that the plan schedules, as far as window and pacer allow."""
+        """Start the transfers that the plan schedules and that the window and pacer allow."""
         loop = asyncio.get_running_loop()
         while self.window.has_room(len(running)) and not self.download_pacer.wait_s(self.clock()):
             if self.store.is_full():
@@ -137,7 +137,7 @@
         for recipient in plan.claim_recipients():
             self.send(recipient, claim)
 
-    def spare_every_s(self, plan: fetch_policies.Zoned) -> float:
+    def extra_read_interval_s(self, plan: fetch_policies.Zoned) -> float:
         """Return the time the origin's link takes to send one piece to each reader, in seconds.
 
         Infinite if the link's bandwidth is not known.
@@ -165,9 +165,9 @@
         index = -1
         try:
             if isinstance(action, fetch.OriginRead):
-                index = await self.from_origin(plan, manifest, action)
+                index = await self.fetch_from_origin(plan, manifest, action)
             else:
-                index = await self.from_peer(plan, manifest, action)
+                index = await self.fetch_from_peer(plan, manifest, action)
         finally:
             plan.on_action_finished(action)
             if index < 0:
@@ -182,12 +182,12 @@
         metrics.pieces_total.labels("origin" if is_from_origin else "peer").inc()
         self.announce_piece(plan, manifest, action, index)
 
-    async def from_origin(
+    async def fetch_from_origin(
         self, plan: fetch.FetchPlan, manifest: fleet.Manifest, action: fetch.OriginRead
     ) -> int:
         """Fetch a piece from the origin and stage it; return its index, or -1 on failure."""
         try:
-            data = await self.engine.piece(self.view.origin(), manifest, action.index)
+            data = await self.engine.fetch_piece(self.view.origin(), manifest, action.index)
             await self.store.put(manifest.model, action.index, data)
         except errors.MerlinthreadError as error:
             wait_s = max(ORIGIN_RETRY_DELAY_S, engine_client.origin_retry_delay_s(error))
@@ -202,7 +202,7 @@
             return -1
         return action.index
 
-    async def from_peer(
+    async def fetch_from_peer(
         self, plan: fetch.FetchPlan, manifest: fleet.Manifest, action: fetch.PeerRequest
     ) -> int:
         """Fetch any wanted piece from a peer and stage it; return its index, or -1 on failure."""
--- a/src/merlinthread/transport/bus.py
+++ b/src/merlinthread/transport/bus.py
@@ -52,12 +52,13 @@
     def call(self, message: Any, timeout_s: float) -> Any:
         """Send a message and return the reply.
 
-        `timeout_s` limits the send and the receive separately. Raises UnreachableError if either
-        fails, and MerlinthreadError, with the peer's error kind, if the peer reports an error.
+        `timeout_s` applies to the send and to the receive separately. Raises UnreachableError if
+        either fails, and MerlinthreadError, with the peer's error kind, if the peer reports an
+        error.
         """
-        milliseconds = max(1, int(timeout_s * 1000))
-        self.socket.send_timeout = milliseconds
-        self.socket.recv_timeout = milliseconds
+        timeout_ms = max(1, int(timeout_s * 1000))
+        self.socket.send_timeout = timeout_ms
+        self.socket.recv_timeout = timeout_ms
         try:
             frame = self.codec.encode(message)
             self.socket.send(frame)
@@ -66,7 +67,7 @@
             BYTES_RECEIVED.inc(len(frame))
             reply = self.codec.decode(frame)
         except pynng.exceptions.NNGException as error:
-            # pynng may not recover from a connection that stalls while it is established.
+            # pynng may not recover if establishing a connection stalls.
             self.socket.close()
             self.socket = self.open_socket()
             raise errors.UnreachableError(f"{self.address}: {error}")
@@ -116,7 +117,7 @@
         workers: int,
     ) -> None:
         self.codec = codec
-        self.handler = handler
+        self.run_handlerr = handler
         self.stopping = threading.Event()
         self.socket = pynng.Rep0(recv_max_size=MESSAGE_BYTES_MAX, recv_timeout=STOP_POLL_MS)
         self.socket.listen(address_url(address))
@@ -135,16 +136,16 @@
         try:
             with self.socket.new_context() as context:
                 while not self.stopping.is_set():
-                    self.serve_one(context)
+                    self.serve_call(context)
         except pynng.exceptions.Closed:
             return
 
-    def serve_one(self, context: pynng.Context) -> None:
+    def serve_call(self, context: pynng.Context) -> None:
         """Handle one call, or return after `STOP_POLL_MS`; raise Closed if the socket is closed."""
         try:
             frame = context.recv()
             BYTES_RECEIVED.inc(len(frame))
-            frame = self.handle(frame)
+            frame = self.run_handler(frame)
             context.send(frame)
             BYTES_SENT.inc(len(frame))
         except pynng.exceptions.Closed:
@@ -154,13 +155,13 @@
         except pynng.exceptions.NNGException as error:
             logs.debug("bus_answer_failed", error=str(error))
 
-    def handle(self, frame: bytes) -> bytes:
+    def run_handler(self, frame: bytes) -> bytes:
         """Decode a call, run the handler and return the encoded reply.
 
         An exception of the handler is returned as `ErrorReply`.
         """
         try:
-            reply = self.handler(self.codec.decode(frame))
+            reply = self.run_handlerr(self.codec.decode(frame))
         except errors.MerlinthreadError as error:
             reply = messages.ErrorReply(str(error.kind), error.message)
         except Exception as error:
@@ -181,11 +182,11 @@
 
 
 class Receiver:
-    """Receives one-way messages on `address` and passes them to `deliver` in a separate thread."""
+    """Receives one-way messages on `address` and passes them to `handler` in a separate thread."""
 
-    def __init__(self, address: str, codec: codecs.Codec, deliver: Callable[[Any], None]) -> None:
+    def __init__(self, address: str, codec: codecs.Codec, handler: Callable[[Any], None]) -> None:
         self.codec = codec
-        self.deliver = deliver
+        self.handler = handler
         self.socket = pynng.Pull0(recv_max_size=MESSAGE_BYTES_MAX)
         self.socket.listen(address_url(address))
         self.thread = threading.Thread(target=self.receive, name="mailbox", daemon=True)
@@ -195,12 +196,12 @@
         self.thread.start()
 
     def receive(self) -> None:
-        """Pass on messages until the socket is closed; drop those that can't be decoded."""
+        """Handle messages until the socket is closed; drop those that can't be decoded."""
         while True:
             try:
                 frame = self.socket.recv()
                 BYTES_RECEIVED.inc(len(frame))
-                self.deliver(self.codec.decode(frame))
+                self.handler(self.codec.decode(frame))
             except pynng.exceptions.Closed:
                 return
             except pynng.exceptions.NNGException as error:
@@ -218,8 +219,8 @@
 class Sender:
     """Sends one-way messages to one peer; drops a message if the send queue is full.
 
-    pynng waits 10 s for a connection that stalls while it is established. The socket is reopened
-    earlier, if there has been no connection for `RECONNECT_AFTER_S`.
+    If establishing a connection stalls, pynng waits 10 s before it tries again. The socket is
+    therefore reopened if there has been no connection for `RECONNECT_AFTER_S`.
     """
 
     def __init__(self, address: str, codec: codecs.Codec) -> None:
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -31,7 +31,7 @@
 
 class Watcher:
     controls = ["here:1"]
-    current = "here:1"
+    current_control_vm = "here:1"
 
 
 def make_office():
@@ -59,45 +59,45 @@
 
 def test_a_question_that_comes_twice_takes_one_permit():
     office, _, times = make_office()
-    office.answer(query(1))
+    office.reply_to(query(1))
     times[0] += 1.0
-    first, again = office.answer(query(2)), office.answer(query(2))
+    first, again = office.reply_to(query(2)), office.reply_to(query(2))
     assert first.decision.instance == "i" and again is first
     times[0] += 0.3
-    assert office.answer(query(3)).decision.instance == "i"
+    assert office.reply_to(query(3)).decision.instance == "i"
 
 
 def test_a_member_that_does_not_surely_lead_gives_nothing_out_and_names_the_leader():
     office, member, _ = make_office()
     member.leads, member.leader = False, "there:1"
-    assert office.answer(query(1)) == node_messages.PermitReply(None, "there:1")
+    assert office.reply_to(query(1)) == node_messages.PermitReply(None, "there:1")
     member.leader = member.address
-    assert office.answer(query(2)) == node_messages.PermitReply(None, "")
+    assert office.reply_to(query(2)) == node_messages.PermitReply(None, "")
 
 
 def test_who_leads_again_begins_with_nothing():
     office, member, times = make_office()
-    office.answer(query(1))
+    office.reply_to(query(1))
     times[0] += 5.0
     member.leads = False
-    office.answer(query(2))
+    office.reply_to(query(2))
     member.leads = True
-    assert not office.answer(query(3)).decision.instance
+    assert not office.reply_to(query(3)).decision.instance
 
 
 def test_entries_are_told_their_turns_and_those_that_asked_long_ago_have_none():
     office, _, times = make_office()
     for number, name in enumerate(("c", "a", "b")):
-        office.answer(query(number, name))
-    answer = office.answer(query(9, "b"))
+        office.reply_to(query(number, name))
+    answer = office.reply_to(query(9, "b"))
     assert (answer.entries, answer.rank, answer.at) == (3, 1, times[0])
     times[0] += 2 * permit_server.ENTRY_EXPIRY_S
-    answer = office.answer(query(10, "b"))
+    answer = office.reply_to(query(10, "b"))
     assert (answer.entries, answer.rank) == (1, 0)
 
 
 def limited_backend(per_s: float) -> backend_record.Backend:
-    availability = backend_availability.Availability(limit_per_s=per_s, limit_heard_at=0.0)
+    availability = backend_availability.Availability(limit_per_s=per_s, limit_received_at=0.0)
     return backend_record.Backend("i", "s", "a:1", "zone", 0, 8, availability=availability)
 
 
@@ -118,7 +118,7 @@
         backend = limited_backend(50.0)
         began = client.clock()
         found = await asyncio.gather(*[client.acquire("s", "a", 0.0, [backend]) for _ in range(20)])
-        assert client.clock() - began < 10 * permits.ANSWER_TIMEOUT_S
+        assert client.clock() - began < 10 * permits.REPLY_TIMEOUT_S
         assert len({message.number for _, message in sent}) == 1
         assert sum(isinstance(each, permits.Permit) for each in found) <= 1
         assert backend.availability.lacks_permit(client.clock())
@@ -138,7 +138,7 @@
         while len({message.number for _, message in sent}) < 2:
             await asyncio.sleep(0.001)
         # Another task takes over the search, and the rest wait for it.
-        assert client.waiting and not any(task.done() for task in others)
+        assert client.pending_queries and not any(task.done() for task in others)
         await asyncio.gather(*others)
         assert len({message.number for _, message in sent}) == 2
 
@@ -151,6 +151,6 @@
         await client.acquire("s", "a", 0.0, [limited_backend(0.01)])
         decision = rate_limits.Decision("i", 0.0, [1.0])
         client.receive(sent[0][1].number, node_messages.PermitReply(decision, "", 3, 1, 0.0))
-        assert not client.leader and not client.waiting
+        assert not client.leader and not client.pending_queries
 
     asyncio.run(scenario())
