--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -313,11 +313,11 @@
         if row["policy"] == "spread" and not row["faults"] and row["time_to_n_over_bound"]
     ]
     if len(without_faults) > 2:
-        intercept, rise = measure.fit_line(without_faults)
-        value = intercept + rise * float(numpy.log2(ROLL_VMS))
+        intercept, slope = measure.fit_line(without_faults)
+        value = intercept + slope * float(numpy.log2(ROLL_VMS))
         lines += [
             "",
-            f"By the slope over log2 N ({rise:.3f} a doubling), N = {ROLL_VMS} takes {value:.2f} "
+            f"By the slope over log2 N ({slope:.3f} a doubling), N = {ROLL_VMS} takes {value:.2f} "
             "times the bound.",
         ]
     return lines
--- a/bench/control.py
+++ b/bench/control.py
@@ -168,11 +168,11 @@
     assert leader is not None
     mesh_codec = messages.make_codec([codec.parse_key(fleet.mesh_key)])
     counts = [0] * threads
-    stop_at = time.monotonic() + seconds
+    deadline = time.monotonic() + seconds
 
     def send_claims(number: int) -> None:
         caller = bus.RpcClient(leader.bus, mesh_codec)
-        while time.monotonic() < stop_at:
+        while time.monotonic() < deadline:
             key = f"bench {number} {counts[number]}"
             claim = commands.Claim(key, "0" * 64, "attempt", time.time())
             name = mesh_codec.names[commands.Claim]
--- a/bench/demo.py
+++ b/bench/demo.py
@@ -113,8 +113,8 @@
         names = {digest: name for name, digest in digests.items()}
         for model in ("hint", "assistant", "crosswords"):
             counts = self.fleet.serving_counts(model)
-            shown = ", ".join(f"{names[d]}: {n}" for d, n in sorted(counts.items()))
-            self.rows.append((f"replicas, {when}, {model}", shown or "none"))
+            text = ", ".join(f"{names[d]}: {n}" for d, n in sorted(counts.items()))
+            self.rows.append((f"replicas, {when}, {model}", text or "none"))
             if not counts:
                 raise RuntimeError(f"{when}: no engine serves {model}")
 
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -417,8 +417,8 @@
         key = str(self.folder / "keys" / "ana.key")
         self.run_json_command("bundle", "propose", str(self.write_bundle(bundle)), "-o", "ana")
         self.run_json_command("bundle", "sign", version, "-o", "ana", "-k", key)
-        more = ["--wait"] if wait else []
-        return self.run_json_command("bundle", "roll", version, "-o", "ana", *more)
+        options = ["--wait"] if wait else []
+        return self.run_json_command("bundle", "roll", version, "-o", "ana", *options)
 
     def kill(self) -> None:
         """Kill all processes."""
@@ -432,19 +432,20 @@
         """Terminate all processes; kill those that have not exited after 6 s."""
         for process in self.processes.values():
             process.stop()
-        stop_at = time.monotonic() + 6
+        deadline = time.monotonic() + 6
         for process in self.processes.values():
-            if process.wait(max(0.1, stop_at - time.monotonic())) is None:
+            if process.wait(max(0.1, deadline - time.monotonic())) is None:
                 process.signal(signal.SIGKILL)
         for process in self.processes.values():
             process.wait(5)
         self.proxy.close()
 
 
-def simple_bundle(version: int, models: dict[str, tuple[str, int]], **more: Any) -> dict:
+def simple_bundle(version: int, models: dict[str, tuple[str, int]], **fields: Any) -> dict:
     """Return a bundle with two groups and the given models.
 
-    `models` maps a name to the digest of its manifest and its share in percent.
+    `models` maps a name to the digest of its manifest and its share in percent. `fields` are added
+    to the bundle.
     """
     return {
         "version": version,
@@ -457,5 +458,5 @@
             {"name": "crews", "share_percent": 40, "accounts": ["b1"]},
         ],
         "services": [{"name": "tickets", "repeatable": ["/lookup"]}],
-        **more,
+        **fields,
     }
--- a/bench/measure.py
+++ b/bench/measure.py
@@ -39,8 +39,8 @@
     spread = sum((x - mean_x) ** 2 for x, _ in points)
     if spread == 0:
         return mean_y, 0.0
-    rise = sum((x - mean_x) * (y - mean_y) for x, y in points) / spread
-    return mean_y - rise * mean_x, rise
+    slope = sum((x - mean_x) * (y - mean_y) for x, y in points) / spread
+    return mean_y - slope * mean_x, slope
 
 
 def describe_machine() -> dict:
@@ -50,8 +50,8 @@
 
 def print_results(name: str, figures: dict, save: str = "") -> int:
     """Print the results as one line of JSON, and write them to file `save` if given; return 0."""
-    closing = {"bench": name, "at": int(time.time()), **figures}
+    results = {"bench": name, "at": int(time.time()), **figures}
     if save:
-        pathlib.Path(save).write_text(json.dumps(closing, indent=1) + "\n")
-    print(json.dumps(closing))
+        pathlib.Path(save).write_text(json.dumps(results, indent=1) + "\n")
+    print(json.dumps(results))
     return 0
--- a/bench/processes.py
+++ b/bench/processes.py
@@ -68,12 +68,12 @@
 
 def wait_for(what: str, check: Callable[[], Any], timeout_s: float = 20.0) -> Any:
     """Poll `check` until its result is true and return that; raise TimeoutError naming `what`."""
-    stop_at = time.monotonic() + timeout_s
+    deadline = time.monotonic() + timeout_s
     while True:
         result = check()
         if result:
             return result
-        if time.monotonic() >= stop_at:
+        if time.monotonic() >= deadline:
             raise TimeoutError(f"timed out after {timeout_s} s waiting for {what}")
         time.sleep(POLL_S)
 
--- a/bench/requests.py
+++ b/bench/requests.py
@@ -175,8 +175,8 @@
                     )
                 )
                 number += 1
-        while (ticket := queue_model.start_next()) is not None:
-            remaining[ticket.id] = ticket.output_tokens
+        while (request := queue_model.start_next()) is not None:
+            remaining[request.id] = request.output_tokens
         busy += len(remaining)
         for name in list(remaining):
             queue_model.charge(name, 1)
@@ -238,7 +238,7 @@
     for number in range(count):
         pending.put(number)
 
-    def work() -> None:
+    def send_drafts() -> None:
         while True:
             try:
                 number = pending.get_nowait()
@@ -259,7 +259,7 @@
 
     with concurrent.futures.ThreadPoolExecutor(6) as pool:
         for _ in range(6):
-            pool.submit(work)
+            pool.submit(send_drafts)
     return bodies
 
 
--- a/examples/embed_fair_queue.py
+++ b/examples/embed_fair_queue.py
@@ -14,11 +14,11 @@
         queue.add(fair_queue.QueuedRequest(f"t{number}", account, 1, 0, TOKENS, arrived_at=0.0))
     served = {"publisher": 0, "school": 0}
     for _ in range(200):
-        ticket = queue.start_next()
-        assert ticket is not None
-        queue.charge(ticket.id, TOKENS)
-        queue.finish(ticket.id)
-        served[ticket.account] += TOKENS
+        request = queue.start_next()
+        assert request is not None
+        queue.charge(request.id, TOKENS)
+        queue.finish(request.id)
+        served[request.account] += TOKENS
     print(f"tokens served: {served}")
     assert served == {"publisher": 3000, "school": 1000}
 
--- a/examples/embed_log.py
+++ b/examples/embed_log.py
@@ -20,7 +20,7 @@
         self.raft = raft.Raft(name, NAMES, self.journal, now, identity=self.journal.identity)
         self.applied: list[bytes] = []
 
-    def work(self) -> list[tuple[str, object]]:
+    def process_ready(self) -> list[tuple[str, object]]:
         """Save entries, apply committed ones, and return the messages to send.
 
         Messages must not be sent before the entries are saved.
@@ -36,19 +36,19 @@
 
 def run(members: dict[str, Member], now: float, seconds: float) -> float:
     """Advance the time and deliver every message at once; return the new time."""
-    stop_at = now + seconds
-    while now < stop_at:
+    end = now + seconds
+    while now < end:
         now += STEP_S
         for member in members.values():
             member.raft.tick(now)
             member.raft.flush(now)
-        messages = [m for member in members.values() for m in member.work()]
+        messages = [m for member in members.values() for m in member.process_ready()]
         while messages:
             receiver, message = messages.pop(0)
             if receiver in members:
                 members[receiver].raft.step(message, now)
                 members[receiver].raft.flush(now)
-                messages.extend(members[receiver].work())
+                messages.extend(members[receiver].process_ready())
     return now
 
 
@@ -64,11 +64,11 @@
         print(f"{leader.name} leads; all applied: {[m.applied for m in members.values()]}")
         del members[leader.name]
         now = run(members, now, 4.0)
-        follower = next(m for m in members.values() if m.raft.holds_lease(now))
-        follower.raft.propose(b"second", now)
+        new_leader = next(m for m in members.values() if m.raft.holds_lease(now))
+        new_leader.raft.propose(b"second", now)
         now = run(members, now, 0.5)
-        print(f"{follower.name} leads now; applied: {follower.applied}")
-        assert follower.applied == [b"first", b"second"]
+        print(f"{new_leader.name} leads now; applied: {new_leader.applied}")
+        assert new_leader.applied == [b"first", b"second"]
 
 
 if __name__ == "__main__":
