--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -16,11 +16,11 @@
 # Modules whose tests use no processes, sockets or sleeps.
 QUICK_MODULES = {
     "test_backend_signals.py",
-    "test_change_over.py",
+    "test_reload_schedule.py",
     "test_chunk_announcements.py",
     "test_crash_ledger.py",
-    "test_deciders.py",
-    "test_fleet_deciders.py",
+    "test_coordination.py",
+    "test_fleet_coordination.py",
     "test_incarnations.py",
     "test_layers.py",
     "test_load_feed.py",
