--- a/tests/test_bus.py
+++ b/tests/test_bus.py
@@ -26,7 +26,7 @@
         self.listener.close()
 
 
-def test_a_sender_whose_connection_stalled_at_its_start_gets_through_later():
+def test_sender_recovers_from_a_connection_stalled_at_its_start():
     """Guards against members that never connect and so can't elect a leader."""
     listener = StallingListener()
     sender = bus.Sender(listener.address, CODEC)
@@ -45,7 +45,7 @@
     receiver.stop()
 
 
-def test_a_caller_whose_connection_stalled_at_its_start_gets_through_later():
+def test_rpc_client_recovers_from_a_connection_stalled_at_its_start():
     listener = StallingListener()
     client = bus.RpcClient(listener.address, CODEC)
     listener.accept_one()
@@ -63,7 +63,7 @@
     server.stop()
 
 
-def test_a_responder_that_is_stopped_still_gives_the_answer_that_it_works_on():
+def test_stopped_rpc_server_still_sends_its_pending_reply():
     """pynng aborts the process if a socket is closed while a thread is sending."""
     address = f"127.0.0.1:{processes.Ports().take()}"
     started, release = threading.Event(), threading.Event()
--- a/tests/test_chunk_announcements.py
+++ b/tests/test_chunk_announcements.py
@@ -33,7 +33,7 @@
     return int(vm.split(".")[1])
 
 
-def test_a_chunk_from_the_origin_is_told_to_the_own_zone_and_to_who_brings_it_into_each_other_one():
+def test_origin_chunk_is_announced_to_own_zone_and_one_vm_per_other_zone():
     plan = make_plan(7)
     recipients = plan.announcement_recipients(fetch.OriginRead(11))
     own = {vm for vm in recipients if zone_of(vm) == 2}
@@ -45,7 +45,7 @@
         assert make_plan(number).rank(11) == 0, "not the first in rendezvous order of its zone"
 
 
-def test_whoever_is_told_asks_for_it_at_once_also_if_it_knew_nothing_of_the_teller():
+def test_announced_chunk_is_requested_at_once():
     reader = make_plan(7)
     for vm in reader.announcement_recipients(fetch.OriginRead(11)):
         plan = make_plan(int(vm.split(".")[3].split(":")[0]))
@@ -57,7 +57,7 @@
         assert action == fetch.PeerRequest(name(7), 1 << 11)
 
 
-def test_one_vm_of_a_zone_tells_the_zone():
+def test_chunk_from_another_zone_is_announced_within_the_own_zone():
     importer = make_plan(8)
     importer.on_announcement(name(7), 11)
     far = fetch.PeerRequest(name(7), 1 << 11)
@@ -66,7 +66,7 @@
     assert importer.announcement_recipients(fetch.PeerRequest(name(13), 1 << 11)) == []
 
 
-def test_who_has_announced_stays_among_those_asked_in_a_large_group():
+def test_announcing_vm_stays_a_peer_in_a_large_group():
     plan = make_plan(0, 300)
     strangers = [vm for vm in plan.participants if vm not in plan.peers and vm != plan.own_name]
     plan.on_announcement(strangers[0], 5)
@@ -79,7 +79,7 @@
     assert len(plan.peers) == fetch.NEIGHBOURS_MAX + 1
 
 
-def test_a_word_of_a_stranger_or_of_no_chunk_changes_nothing():
+def test_announcement_by_an_unknown_vm_or_of_an_unknown_chunk_is_ignored():
     plan = make_plan(0)
     plan.on_announcement("10.9.9.9:7000", 5)
     plan.on_announcement(name(7), CHUNKS)
@@ -87,14 +87,14 @@
     assert not any(peer.held for peer in plan.peers.values())
 
 
-def test_no_more_vms_read_the_origin_than_fill_its_link():
+def test_origin_reader_count_follows_the_origin_link_within_bounds():
     assert fetch.origin_reader_count(7.3e6 / 8, 3.65e6 / 8) == 16
     assert fetch.origin_reader_count(0.0, 3.65e6 / 8) == fetch.READERS_MAX
     assert fetch.origin_reader_count(1e12, 3.65e6 / 8) == fetch.READERS_MAX
     assert fetch.origin_reader_count(1.0, 3.65e6 / 8) == fetch.READERS_MIN
 
 
-def test_all_chunks_have_a_reader_and_nobody_else_reads_while_time_presses():
+def test_each_chunk_has_one_reader_and_no_other_vm_reads_when_late():
     plans = [make_plan(number) for number in range(VMS)]
     for plan in plans:
         plan.readers_max = 8
@@ -111,7 +111,7 @@
     assert not isinstance(idle.next_action(0.01), fetch.OriginRead)
 
 
-def test_a_busy_peer_is_asked_again_once_it_has_sent_what_it_promised():
+def test_busy_peer_is_available_again_after_free_in_s():
     plan = make_plan(0)
     plan.on_peer_report(name(5), plan.all_chunks, 0.0)
     assert plan.peers[name(5)] in plan.available_peers(0.01)
@@ -120,7 +120,7 @@
     assert plan.peers[name(5)] in plan.available_peers(0.42)
 
 
-def test_a_peer_of_the_own_zone_is_asked_though_words_from_far_are_older():
+def test_peer_of_the_own_zone_is_asked_before_staler_distant_ones():
     # The VM may not request its last chunk from another zone.
     plan = next(plan for plan in map(make_plan, range(VMS)) if plan.rank(40) > 3)
     plan.held = plan.all_chunks & ~(1 << 40)
@@ -132,7 +132,7 @@
     assert plan.peers[action.peer].distance == fetch.SAME_ZONE
 
 
-def test_an_answer_from_before_does_not_undo_an_announcement():
+def test_older_reply_does_not_undo_an_announcement():
     plan = make_plan(0)
     plan.on_announcement(name(5), 7)
     plan.on_peer_report(name(5), 0b1, 0.1)
--- a/tests/test_compare.py
+++ b/tests/test_compare.py
@@ -8,25 +8,25 @@
 from bench import compare, verdict
 
 
-def test_a_difference_well_beyond_its_spread_is_told():
+def test_difference_beyond_its_spread_is_better_or_worse():
     told = verdict.judge([0.03, 0.04, 0.035, 0.03])
     assert (told.word, told.pairs, told.more) == ("better", 4, 0)
     assert verdict.judge([-0.03, -0.04, -0.035]).word == "worse"
 
 
-def test_a_difference_within_its_spread_tells_how_many_more_days_it_takes():
+def test_difference_within_its_spread_gives_the_number_of_missing_pairs():
     told = verdict.judge([0.05, -0.03, 0.02, -0.01])
     assert told.word == "not told apart"
     # Mean 0.0075, spread 0.0350: (2 x 0.0350 / 0.0075) squared is 87.1.
     assert told.more == 88 - 4
 
 
-def test_two_pairs_tell_nothing_however_alike_they_are():
+def test_two_pairs_are_too_few_for_a_verdict():
     assert verdict.judge([0.1, 0.1]).word == "not told apart"
     assert verdict.judge([]).more == verdict.LEAST_PAIRS
 
 
-def test_a_difference_too_small_to_matter_is_not_called_better():
+def test_negligible_difference_is_not_better():
     assert verdict.judge([0.001, 0.001, 0.001]).word == "not told apart"
 
 
@@ -44,7 +44,7 @@
         (["--decision", "returns"], ["--program"]),
     ],
 )
-def test_what_there_is_not_ends_with_code_2_and_one_line(capsys, arguments, words):
+def test_invalid_arguments_end_with_code_2_and_one_line(capsys, arguments, words):
     with pytest.raises(SystemExit) as caught:
         compare.main(arguments)
     assert caught.value.code == 2
@@ -55,7 +55,7 @@
 
 
 @pytest.mark.parametrize("name, day", [("site.toml", "mist"), ("none.toml", "quiet-1")])
-def test_a_day_or_site_that_does_not_exist_ends_with_code_2(tmp_path, capsys, name, day):
+def test_missing_day_or_site_ends_with_code_2_and_one_line(tmp_path, capsys, name, day):
     site(tmp_path)
     arguments = ["--decision", "returns", "--program", "p", "--folder", str(tmp_path / "f")]
     with pytest.raises(SystemExit) as caught:
@@ -71,7 +71,7 @@
     assert listed["returns"] == ["forecast", "share"]
 
 
-def test_differences_are_taken_day_by_day_and_seed_by_seed(tmp_path):
+def test_pairs_are_formed_per_day_and_seed(tmp_path):
     path = site(tmp_path)
     plays = [compare.Play(path, "quiet-1", seed, way) for seed in (1, 2) for way in ("a", "b")]
     worths = {play.key(): play.seed + (0.5 if play.way == "b" else 0.0) for play in plays}
--- a/tests/test_control_failures.py
+++ b/tests/test_control_failures.py
@@ -58,7 +58,7 @@
     )
 
 
-def test_waiting_for_a_generation_bears_an_entry_that_does_not_listen_yet():
+def test_wait_for_generation_tolerates_a_refused_connection():
     """Guards against a failure if an entry does not accept connections yet."""
     calls = []
 
@@ -78,7 +78,7 @@
         wait_for_generation(fleet, 2, 0.1)
 
 
-def test_a_bundle_s_life_goes_on_through_kills_of_the_leader_at_each_stage(make_fleet):
+def test_each_bundle_stage_survives_a_kill_of_the_leader(make_fleet):
     fleet = make_fleet(SMALL)
     ana = operators.Operator(fleet)
     generation = 0
@@ -102,7 +102,7 @@
     assert {line.version for line in history.bundles} == {1, 2, 3}
 
 
-def test_every_leader_learns_of_all_agents_whichever_control_vm_leads(make_fleet):
+def test_each_new_leader_learns_of_all_agents(make_fleet):
     fleet = make_fleet(fleets.dataclasses.replace(SMALL, services=3))
     led = set()
     for _ in range(3):
@@ -115,7 +115,7 @@
     assert len(led) >= 2
 
 
-def test_a_resend_after_a_lost_answer_and_a_new_leader_gives_the_first_answer(make_fleet):
+def test_roll_resent_to_a_new_leader_returns_the_first_result(make_fleet):
     fleet = make_fleet(SMALL)
     ana = operators.Operator(fleet)
     request_id = uuid.uuid4().hex
@@ -128,7 +128,7 @@
     assert ana.roll(1).generation == first.generation + 1
 
 
-def test_a_frozen_leader_that_wakes_can_neither_commit_nor_answer(make_fleet):
+def test_frozen_leader_can_neither_commit_nor_answer_after_it_resumes(make_fleet):
     fleet = make_fleet(SMALL)
     ana = operators.Operator(fleet)
     ana.bring_in(bundle(1))
@@ -151,7 +151,7 @@
 @pytest.mark.parametrize(
     "faults", [{"drop_to_upstream": True}, {"drop_to_upstream": True, "drop_from_upstream": True}]
 )
-def test_a_cut_off_zone_keeps_what_it_has_and_catches_up(make_fleet, faults):
+def test_partitioned_zone_keeps_its_generation_and_catches_up(make_fleet, faults):
     fleet = make_fleet(SMALL)
     ana = operators.Operator(fleet)
     first = ana.bring_in(bundle(1))
@@ -190,7 +190,7 @@
     wait_for_generation(fleet, 2, 15)
 
 
-def test_a_lost_disk_is_repaired_and_then_a_second_loss_is_survived(make_fleet):
+def test_second_loss_is_survived_after_a_lost_disk_is_replaced(make_fleet):
     fleet = make_fleet(SMALL)
     ana = operators.Operator(fleet)
     ana.bring_in(bundle(1))
@@ -224,7 +224,7 @@
     wait_for_generation(fleet, result.generation, 10)
 
 
-def test_of_8_operators_with_one_version_number_exactly_one_wins(make_fleet):
+def test_one_of_8_concurrent_proposals_of_a_version_wins(make_fleet):
     fleet = make_fleet(SMALL)
     for number in range(8):
         fleet.add_operator(f"op-{number}")
@@ -244,7 +244,7 @@
     assert {r for r in results if r.startswith("lost")} == {f"lost to {winners[0]}"}
 
 
-def test_nothing_reverts_after_1000_changes_and_a_restart_of_all(make_fleet):
+def test_generation_survives_1000_changes_and_a_restart_of_all(make_fleet):
     fleet = make_fleet(
         fleets.Shape(
             zones=("zone-a",),
@@ -273,7 +273,7 @@
         assert sum(path.stat().st_size for path in folder.iterdir()) < 2_000_000
 
 
-def test_a_flipped_byte_is_refused_and_the_others_go_on(make_fleet):
+def test_damaged_log_is_refused_and_the_other_members_continue(make_fleet):
     fleet = make_fleet(SMALL)
     ana = operators.Operator(fleet)
     ana.bring_in(bundle(1))
@@ -297,7 +297,7 @@
     assert ana.bring_in(bundle(3)).generation == 3
 
 
-def test_a_full_disk_of_the_leader_is_a_clear_refusal_and_loses_nothing(make_fleet):
+def test_leader_with_a_full_disk_is_replaced_and_loses_nothing(make_fleet):
     fleet = make_fleet(SMALL)
     ana = operators.Operator(fleet)
     ana.bring_in(bundle(1))
@@ -329,7 +329,7 @@
     assert "folder_in_use" in second.process.log.read_text()
 
 
-def test_without_a_majority_a_roll_is_refused_and_reading_too(make_fleet):
+def test_roll_without_a_majority_is_refused(make_fleet):
     fleet = make_fleet(SMALL)
     ana = operators.Operator(fleet, timeout_s=4.0)
     ana.bring_in(bundle(1))
--- a/tests/test_control_replacement.py
+++ b/tests/test_control_replacement.py
@@ -29,7 +29,7 @@
     await fleet_nodes.until(lambda: time.monotonic() >= ready_at)
 
 
-def test_a_loss_once_a_replacement_has_had_its_time_leaves_a_majority(tmp_path):
+def test_majority_survives_a_loss_after_a_replacement_caught_up(tmp_path):
     async def scenario(controls):
         set_catch_up(controls)
         await put_configuration(controls, 1)
@@ -42,7 +42,7 @@
     run(tmp_path, scenario)
 
 
-def test_a_control_vm_that_has_just_started_is_not_told_as_joined_to_a_majority(tmp_path):
+def test_control_vm_restarted_alone_reports_itself_stale(tmp_path):
     async def scenario(controls):
         await put_configuration(controls, 4)
         for ip in controls.ips:
@@ -58,9 +58,7 @@
     run(tmp_path, scenario)
 
 
-def test_a_control_vm_that_can_not_follow_the_log_is_not_told_as_joined_to_a_majority(
-    tmp_path, monkeypatch
-):
+def test_control_vm_that_cannot_save_the_log_reports_itself_stale(tmp_path, monkeypatch):
     async def scenario(controls):
         await put_configuration(controls, 1)
         follower = next(ip for ip in controls.ips if ip != controls.leader())
@@ -87,7 +85,7 @@
     run(tmp_path, scenario)
 
 
-def test_a_member_that_starts_alone_tells_the_last_change_that_was_acknowledged(tmp_path):
+def test_member_restarted_alone_returns_the_last_acknowledged_change(tmp_path):
     async def scenario(controls):
         await put_configuration(controls, 4)
         await put_configuration(controls, 7)
@@ -102,7 +100,7 @@
     run(tmp_path, scenario)
 
 
-def test_a_watcher_prefers_a_control_vm_that_hears_a_leader_to_one_that_answers_first(tmp_path):
+def test_watcher_prefers_a_control_vm_that_hears_a_leader(tmp_path):
     async def scenario(controls):
         await put_configuration(controls, 1)
         for ip in controls.ips:
@@ -124,7 +122,7 @@
     run(tmp_path, scenario)
 
 
-def test_a_joiner_that_knows_only_a_follower_is_taken_in(tmp_path):
+def test_new_member_can_join_through_a_follower(tmp_path):
     async def scenario(controls):
         await put_configuration(controls, 1)
         follower = next(ip for ip in controls.ips if ip != controls.leader())
@@ -137,7 +135,7 @@
     run(tmp_path, scenario)
 
 
-def test_a_voter_that_ends_as_planned_beside_its_successor_leaves_the_group_first(tmp_path):
+def test_replaced_voter_leaves_the_group_before_it_stops(tmp_path):
     async def scenario(controls):
         await put_configuration(controls, 1)
         leader = controls.leader()
@@ -154,7 +152,7 @@
     run(tmp_path, scenario)
 
 
-def test_a_leader_that_ends_as_planned_first_finishes_the_change_of_members_under_way(tmp_path):
+def test_stopping_leader_finishes_a_membership_change_first(tmp_path):
     async def scenario(controls):
         set_catch_up(controls)
         await put_configuration(controls, 1)
@@ -179,7 +177,7 @@
     run(tmp_path, scenario)
 
 
-def test_a_voter_that_is_needed_ends_without_leaving_the_group(tmp_path):
+def test_needed_voter_stops_without_leaving_the_group(tmp_path):
     async def scenario(controls):
         await put_configuration(controls, 1)
         leader = controls.leader()
@@ -194,7 +192,7 @@
     run(tmp_path, scenario)
 
 
-def test_an_empty_control_vm_asks_to_join_with_its_first_turn(tmp_path):
+def test_empty_control_vm_requests_to_join_at_once(tmp_path):
     async def scenario():
         asked = []
 
@@ -217,7 +215,7 @@
     asyncio.run(scenario())
 
 
-def test_a_new_leader_is_not_sure_before_it_has_committed_an_entry_of_its_term(tmp_path):
+def test_new_leader_reports_unknown_staleness_until_it_commits(tmp_path):
     async def scenario(controls):
         await put_configuration(controls, 1)
         member = controls.nodes[controls.leader()].member
--- a/tests/test_coordination.py
+++ b/tests/test_coordination.py
@@ -84,7 +84,7 @@
     assert "quiet" in serve(queue, 2)
 
 
-def test_an_account_that_idled_can_not_claim_the_past():
+def test_idle_account_gets_no_credit_for_past_time():
     queue = fair_queue.FairQueue(1, 1000)
     for number in range(300):
         queue.add(ticket(number, "busy"))
@@ -95,7 +95,7 @@
     assert abs(got["busy"] - got["late"]) <= 10
 
 
-def test_nothing_idles_while_somebody_waits_and_priority_goes_first():
+def test_all_slots_are_used_and_priority_0_starts_first():
     queue = fair_queue.FairQueue(2, 1000)
     for number in range(3):
         queue.add(ticket(number, "only"))
@@ -105,7 +105,7 @@
     assert queue.start_next().account == "night"
 
 
-def test_a_full_line_refuses_with_the_time_it_will_take():
+def test_full_queue_refuses_with_retry_after_s():
     queue = fair_queue.FairQueue(1, 5)
     queue.record_throughput(100, 1.0)
     for number in range(5):
@@ -149,7 +149,7 @@
     )
 
 
-def test_a_zone_that_is_cut_off_keeps_its_placement():
+def test_partitioned_zone_keeps_its_placement():
     bundle = bundles.Bundle(1, models(50, 50), [])
     live = [report(f"vm-{i}", f"z{i % 2}") for i in range(8)]
     first = placement.plan(bundle, live, {})
@@ -160,7 +160,7 @@
 # Switch
 
 
-def test_weights_are_loaded_whole_adapter_after_model_and_old_ones_last():
+def test_next_step_loads_complete_weights_base_first_and_unloads_last():
     item, adapter = switch.WantedModel("m", "v2", B), switch.WantedModel("x", "v1", C, base="m")
     wanted = [item, adapter]
     assert switch.next_step(wanted, {"m": A, "old": A}, set(), False) is None
@@ -219,7 +219,7 @@
 TestReportsMachine = ReportsMachine.TestCase
 
 
-def test_a_beat_needs_the_full_report_of_its_incarnation():
+def test_load_update_needs_a_full_report_of_its_incarnation():
     view = agents.AgentView(2.0)
     assert view.update_load("vm", (1, 2), (3, 4, 5), 0.0) is None
     view.update(report("vm", incarnation=1, counter=1, serving={"m": A}), 0.0)
@@ -291,7 +291,7 @@
 TestSessionsMachine = SessionsMachine.TestCase
 
 
-def test_summaries_add_up_load_by_model_and_leave_out_the_leaving():
+def test_summary_adds_up_load_by_model_without_leaving_agents():
     summary = summaries.Summary("e", 1, 1, "z", "r", "http://e")
     reports = [
         report("a", serving={"m": A, "x": C}, slots=4, running=2, queued=1),
@@ -304,7 +304,7 @@
     assert summaries.as_target(summary, "generate", "m", "y") is None
 
 
-def test_a_summary_table_stays_small_and_listeners_keep_different_entries():
+def test_summary_table_is_bounded_and_differs_between_listeners():
     kept = []
     for listener in ("e1", "e2", "e3"):
         table = summaries.SummaryTable(listener, 10.0)
@@ -395,7 +395,7 @@
 
 
 @pytest.mark.parametrize("gives_up_first", [True, False])
-def test_a_claim_that_was_given_up_frees_its_key_in_either_order(gives_up_first):
+def test_abandoned_claim_frees_its_key_in_either_order(gives_up_first):
     state = control_state.ControlState()
     claim = commands.Claim("k", "body", "t1", 100.0)
     give_up = commands.Complete("k", "t1", 0, b"", not_run=True)
@@ -405,7 +405,7 @@
     assert again.status == "granted"
 
 
-def test_a_key_past_its_retention_is_refused_not_forgotten():
+def test_key_past_its_retention_is_refused_as_expired():
     state = control_state.ControlState()
     state.apply(commands.Claim("k", "body", "t1", 100.0), 1)
     state.apply(commands.Complete("k", "t1", 200, b"x"), 2)
@@ -451,7 +451,7 @@
     assert choice.report in reports and choice.reason
 
 
-def test_own_zone_first_but_not_at_any_price():
+def test_own_zone_is_preferred_unless_heavily_loaded():
     near, far = report("near", "z0", slots=1), report("far", "z1", slots=1)
     place, wanted = routing.Location("z0", "r"), routing.Requirements("generate", "m")
     chosen = routing.least_loaded(
@@ -464,7 +464,7 @@
     assert chosen.report is far
 
 
-def test_leaving_and_excluded_targets_are_never_candidates():
+def test_leaving_and_excluded_targets_cannot_serve():
     wanted = routing.Requirements("generate", "m", excluded=frozenset({"x"}))
     assert routing.can_serve(report("a", serving={"m": A}), wanted)
     assert not routing.can_serve(report("a", serving={"m": A}, is_leaving=True), wanted)
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -9,7 +9,7 @@
 from tests import calls
 
 
-def test_every_entry_streams_whole_answers(rolled_fleet):
+def test_every_entry_returns_complete_responses(rolled_fleet):
     for vm in rolled_fleet.entries():
         for is_streamed in (True, False):
             answer = calls.ask(vm.http, is_streamed=is_streamed)
@@ -17,7 +17,7 @@
             assert answer.is_whole(), answer.text
 
 
-def test_a_decision_is_logged_for_each_request(rolled_fleet):
+def test_routing_decision_is_logged_for_each_request(rolled_fleet):
     entry = rolled_fleet.entries()[0]
     calls.ask(entry.http, **{"X-Request-Id": "logged-1"})
     routed = [e for e in entry.process.events("routed") if e["request_id"] == "logged-1"]
@@ -25,7 +25,7 @@
     assert routed[0]["target"] and routed[0]["reason"] and routed[0]["candidates"] >= 1
 
 
-def test_a_call_under_one_key_runs_once_at_any_entry(rolled_fleet):
+def test_call_repeated_with_one_key_runs_once(rolled_fleet):
     key = calls.new_key()
     answers = [
         calls.call(vm.http, "/draft", b'{"lamp": "once"}', Idempotency_Key=key)
@@ -46,7 +46,7 @@
         ({"X_Deadline_Ms": "soon"}, "bad_request"),
     ],
 )
-def test_refusals_say_what_to_do(rolled_fleet, headers, error):
+def test_invalid_call_is_refused_with_its_error(rolled_fleet, headers, error):
     answer = calls.call(rolled_fleet.entries()[0].http, "/draft", **headers)
     assert answer.error()["error"] == error
     assert answer.error()["ran"] == "no"
@@ -69,7 +69,7 @@
         assert "merlinthread_generation 1.0" in text
 
 
-def test_a_resent_command_gives_the_first_answer(rolled_fleet):
+def test_resent_command_returns_the_first_result(rolled_fleet):
     fleet = rolled_fleet
     bundle = fleets.simple_bundle(7, {"hint": ("a" * 64, 100)})
     path = str(fleet.write_bundle(bundle))
@@ -96,7 +96,7 @@
     assert json.loads(done.stdout)["error"] == "bad_signature"
 
 
-def test_a_planned_stop_ends_every_process(rolled_fleet):
+def test_graceful_stop_of_an_entry_exits_with_0(rolled_fleet):
     vm = rolled_fleet.entries()[-1]
     vm.process.stop()
     assert vm.process.wait(15) == 0
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -22,18 +22,18 @@
         ("935a9952f119acf8", "every back end is busy"),
     ],
 )
-def test_the_cause_stands_in_what_is_shown(request_id, cause):
+def test_explanation_contains_the_cause(request_id, cause):
     explained = explain.find_related_lines(read_log_lines(), request_id)
     text = "\n".join(explain.format_line(line) for line in explained)
     assert explained[-1].fields["request"] == request_id
     assert cause in text
 
 
-def test_what_the_entry_came_to_believe_before_is_shown_first():
+def test_related_lines_of_one_entry_are_in_order_of_time():
     explained = explain.find_related_lines(read_log_lines(), "59595bc069a2e844")
     assert {line.fields["process"] for line in explained} == {"front-nbo-c-1"}
     assert [line.at for line in explained] == sorted(line.at for line in explained)
 
 
-def test_an_unknown_request_explains_nothing():
+def test_unknown_request_has_no_explanation():
     assert explain.find_related_lines(read_log_lines(), "0000") == []
--- a/tests/test_fetch_claimed.py
+++ b/tests/test_fetch_claimed.py
@@ -45,7 +45,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_after_the_origin_was_away_all_are_whole_sooner_and_it_sends_less(seed):
+def test_claimed_recovers_faster_and_reads_less_after_an_origin_outage(seed):
     outage = transfer.Fault(2.5, 8.5)
     claimed = simulate("claimed", 24, seed, outage)
     zoned = simulate("zoned", 24, seed, outage)
@@ -53,14 +53,14 @@
     assert claimed["origin_copies"] <= 1.35
 
 
-def test_on_a_calm_rollout_the_origin_sends_less_and_nobody_waits_longer():
+def test_claimed_reads_less_without_faults_and_is_not_slower():
     claimed = simulate("claimed", 24, 1, transfer.Fault())
     zoned = simulate("zoned", 24, 1, transfer.Fault())
     assert claimed["origin_copies"] <= zoned["origin_copies"] - 0.05
     assert claimed["half_s"] <= zoned["half_s"] + 0.1
 
 
-def test_a_chunk_that_another_vm_reads_is_not_read_until_the_claim_is_old():
+def test_claimed_chunk_is_not_read_until_the_claim_expires():
     plan = make_reader()
     own = fetch.bit_positions(plan.owned)
     for index in range(CHUNKS):
@@ -70,7 +70,7 @@
     assert isinstance(action, fetch.OriginRead) and action.index in own
 
 
-def test_an_owner_does_not_read_what_another_zone_has():
+def test_owner_does_not_read_chunks_held_in_another_zone():
     plan = make_reader()
     far = next(peer.name for peer in plan.peers.values() if peer.distance == fetch.OTHER_REGION)
     for index in fetch.bit_positions(plan.owned):
@@ -78,7 +78,7 @@
     assert not isinstance(plan.next_action(0.1), fetch.OriginRead)
 
 
-def test_what_only_a_lost_vm_had_is_read_again():
+def test_chunks_held_only_by_a_lost_vm_are_read_again():
     plan = make_reader()
     far = next(peer.name for peer in plan.peers.values() if peer.distance == fetch.OTHER_REGION)
     for index in fetch.bit_positions(plan.owned):
@@ -87,7 +87,7 @@
     assert isinstance(plan.next_action(0.2), fetch.OriginRead)
 
 
-def test_all_readers_hear_what_the_origin_gave_and_who_reads_what():
+def test_origin_reads_and_claims_are_announced_to_all_readers():
     plan = make_reader()
     recipients = plan.announcement_recipients(fetch.OriginRead(0))
     assert len(recipients) == len(set(recipients))
@@ -95,7 +95,7 @@
     assert set(plan.claim_recipients()) == set(plan.readers) - {plan.own_name}
 
 
-def test_an_origin_that_was_away_is_tried_by_owners_at_once_and_by_others_much_later():
+def test_failed_origin_read_is_retried_sooner_by_the_owner():
     plan = make_reader()
     own = fetch.bit_positions(plan.owned)[0]
     plan.on_origin_failed(5.0, 0.3, own)
@@ -113,7 +113,7 @@
     assert isinstance(plan.next_action(6.0 + 2 * fetch_claimed.FALLBACK_RETRY_S), fetch.OriginRead)
 
 
-def test_a_claim_of_a_chunk_that_there_is_not_changes_nothing():
+def test_claim_of_an_unknown_chunk_is_ignored():
     plan = make_reader()
     plan.on_claim(CHUNKS, 1.0)
     assert not plan.claims
--- a/tests/test_fetch_policies.py
+++ b/tests/test_fetch_policies.py
@@ -171,19 +171,19 @@
     assert sum(plan.stats.from_origin for plan in plans) == 40
 
 
-def test_the_baseline_reads_a_copy_for_each_vm():
+def test_origin_only_policy_reads_a_copy_for_each_vm():
     plans = simulate_fleet(5, "origin_only")
     assert sum(plan.stats.from_origin for plan in plans) == 5 * 40
 
 
-def test_a_zone_cut_off_before_it_has_anything_reads_about_one_more_copy():
+def test_zone_partitioned_at_the_start_reads_about_one_more_copy():
     plans = simulate_fleet(20, "spread", cut_after=1)
     assert all(plan.is_complete() for plan in plans)
     copies = sum(plan.stats.from_origin for plan in plans) / 40
     assert copies <= 2.1, f"{copies} copies for two sides"
 
 
-def test_rarest_first_takes_what_the_fewest_have():
+def test_rarest_chunks_come_first():
     plan = fetch_policies.Spread("me", "m", 8, 0, 2, 0.0, random.Random(1))
     plan.set_peers([fetch.Peer(name, "", 0) for name in PEERS])
     plan.on_peer_report("vm-a", 0b1111, 0.0)
@@ -192,7 +192,7 @@
     assert plan.rarest_chunks(0b1111)[:2] == [3, 2]
 
 
-def test_a_paced_link_keeps_its_rate():
+def test_pacer_keeps_its_rate():
     pacer = pacing.Pacer(1000.0)
     ends = [pacer.reserve_until(100, now=5.0) for _ in range(10)]
     assert ends[-1] == pytest.approx(6.0)
--- a/tests/test_fleet_coordination.py
+++ b/tests/test_fleet_coordination.py
@@ -34,7 +34,7 @@
     return fleet.Configuration(version, routes, [fleet.Service("s")], accounts or [])
 
 
-def test_the_longest_prefix_of_the_host_wins():
+def test_longest_path_prefix_of_the_host_wins():
     table = route_table.RouteTable(
         make_configuration([make_route("short", prefix="/a/"), make_route("long", prefix="/a/b/")])
     )
@@ -56,7 +56,7 @@
         make_configuration(version=0),
     ],
 )
-def test_a_configuration_that_contradicts_itself_is_refused_with_its_field(configuration):
+def test_invalid_configuration_is_refused_with_its_field(configuration):
     with pytest.raises(errors.ConfigurationError) as raised:
         route_table.validate(configuration)
     assert raised.value.field
@@ -74,7 +74,7 @@
     assert registry.known["i"].heartbeat.state == fleet.DRAINING
 
 
-def test_an_instance_that_left_does_not_come_back():
+def test_heartbeat_of_a_departed_instance_is_ignored():
     registry = instances.InstanceRegistry(BEAT_S)
     registry.record_heartbeat(beat(), 0.0)
     registry.mark_gone("i")
@@ -82,7 +82,7 @@
     assert registry.known == {}
 
 
-def test_a_new_instance_at_an_address_takes_the_place_of_the_old_one():
+def test_new_instance_replaces_the_old_one_at_its_address():
     registry = instances.InstanceRegistry(BEAT_S)
     registry.record_heartbeat(beat("old"), 0.0)
     registry.record_heartbeat(beat("new"), 1.0)
@@ -90,7 +90,7 @@
     assert list(registry.known) == ["new"]
 
 
-def test_who_knows_a_position_is_told_what_changed_after_it():
+def test_changes_since_a_position_are_incremental():
     registry = instances.InstanceRegistry(BEAT_S)
     registry.record_heartbeat(beat("a", "1.1.1.1:1"), 0.0)
     position = registry.position
@@ -102,7 +102,7 @@
     assert registry.changes_since(position, 0.5)[2] == ["a"]
 
 
-def test_silent_instances_are_dropped_and_all_is_told_anew():
+def test_expired_instances_are_dropped_and_changes_are_full():
     registry = instances.InstanceRegistry(BEAT_S)
     registry.record_heartbeat(beat("a", "1.1.1.1:1"), 0.0)
     registry.record_heartbeat(beat("b", "1.1.1.1:2"), 9.0)
@@ -112,7 +112,7 @@
     assert is_full and [told.heartbeat.instance for told in changed] == ["b"]
 
 
-def test_the_highest_version_wins_whatever_the_order():
+def test_highest_version_wins_in_any_order():
     state = fleet_state.FleetState()
     assert state.apply(fleet_state.Configure(5, b"five"))
     assert not state.apply(fleet_state.Configure(4, b"four"))
@@ -120,14 +120,14 @@
     assert (state.version, state.body) == (5, b"five")
 
 
-def test_gone_is_final():
+def test_gone_instance_does_not_return_to_draining():
     state = fleet_state.FleetState()
     assert state.apply(fleet_state.Depart("i", fleet.GONE))
     assert not state.apply(fleet_state.Depart("i", fleet.DRAINING))
     assert state.departed == {"i": fleet.GONE}
 
 
-def test_all_entries_together_keep_to_the_budget():
+def test_retry_budget_holds_across_all_entries():
     entries = [retry_budget.RetryBudget(0.15, 10.0, 3) for _ in range(7)]
     now, spent, requests = 0.0, 0, 0
     for step in range(2000):
@@ -158,7 +158,7 @@
     assert choice.backend is idle
 
 
-def test_only_whole_weights_of_the_required_version_are_chosen():
+def test_only_complete_weights_of_the_required_version_are_eligible():
     held = {
         "empty": [],
         "part": [fleet.Weights("m", 2, 8)],
@@ -171,7 +171,7 @@
     assert able == ["new"]
 
 
-def test_a_failed_back_end_is_set_aside_longer_each_time_and_comes_back():
+def test_repeated_failures_lengthen_the_ejection_of_a_back_end():
     one = backend()
     waits = []
     for _ in range(3):
@@ -185,7 +185,7 @@
     assert one.failures == 0
 
 
-def test_the_last_back_end_there_is_is_tried_by_one_request_at_a_time_after_a_failure():
+def test_last_ejected_back_end_gets_one_request_at_a_time():
     # Two of three back ends were removed, and one connection attempt to the last one failed.
     demand = dispatch.Demand("s")
     only, taken_away = backend("only"), backend("taken away")
@@ -204,14 +204,14 @@
     assert dispatch.choose([only], demand, None, 10.05, random.Random(1)) is None
 
 
-def test_an_old_report_is_not_believed():
+def test_stale_report_is_ignored():
     one = backend(in_flight=2)
     one.apply_report(fleet.EngineReport(running=9), 0.0)
     assert one.load(0.5) == 9
     assert one.load(5.0) == 2
 
 
-def test_a_back_end_whose_reports_have_stopped_is_chosen_last():
+def test_back_end_without_recent_reports_is_chosen_last():
     silent, heard = backend("silent"), backend("heard", in_flight=8)
     for one, at in ((silent, 0.0), (heard, 9.5)):
         one.apply_report(fleet.EngineReport(weights=[fleet.Weights("m", 1, 16)]), at)
@@ -221,14 +221,14 @@
     assert dispatch.choose([silent], demand, ENGINE, 10.0, random.Random(1)).backend is silent
 
 
-def test_a_pace_spreads_transfers_and_takes_back_what_did_not_happen():
+def test_pacer_spreads_transfers_and_returns_cancelled_reservations():
     pacer = pacing.Pacer(100.0, 0.0)
     assert [pacer.reserve(50, 0.0) for _ in range(3)] == [0.0, 0.5, 1.0]
     pacer.cancel_reservation(50)
     assert pacer.reserve(50, 0.0) == 1.0
 
 
-def test_events_are_given_whole_whatever_the_pieces():
+def test_events_are_complete_for_any_chunk_size():
     text = b"id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda"
     for size in range(1, len(text)):
         splitter = event_stream.EventSplitter()
@@ -245,7 +245,7 @@
     return plan
 
 
-def test_a_chunk_is_asked_of_a_far_zone_by_one_vm_of_the_zone():
+def test_one_vm_per_zone_requests_a_chunk_from_other_zones():
     zone = ["a", "b", "c"]
     asked = []
     for me in zone:
@@ -257,14 +257,14 @@
     assert asked[0] & asked[1] == asked[0] & asked[2] == asked[1] & asked[2] == 0
 
 
-def test_a_vm_without_news_asks_far_zones_for_all_it_lacks():
+def test_vm_without_progress_requests_all_chunks_from_other_zones():
     names = {"b": fetch.SAME_ZONE, "far": fetch.OTHER_REGION}
     plan = make_zoned("a", names)
     assert plan.cross_zone_chunks(0.0) != plan.all_chunks
     assert plan.cross_zone_chunks(3 * plan.origin_grace_s) == plan.all_chunks
 
 
-def test_the_origin_is_read_for_what_is_missing_only_when_time_presses():
+def test_unowned_chunks_are_read_from_the_origin_only_when_late():
     plan = make_zoned("a", {"b": fetch.SAME_ZONE, "c": fetch.SAME_ZONE})
     plan.held = plan.owned
     assert not isinstance(plan.next_action(0.0), fetch.OriginRead)
@@ -273,7 +273,7 @@
     assert isinstance(action, fetch.OriginRead) and not plan.held >> action.index & 1
 
 
-def test_a_ledger_tells_each_entry_what_the_others_have_to_be_read():
+def test_load_tracker_reports_the_load_of_other_entries():
     ledger = load_tracker.LoadTracker()
     ledger.record_start("entry-1", 1, 900.0, 10.0)
     ledger.record_start("entry-2", 1, 500.0, 10.0)
@@ -285,7 +285,7 @@
     assert ledger.outstanding("entry-3", 10.2) == load_tracker.Outstanding(2, 1, 900.0)
 
 
-def test_lost_notes_are_forgotten_and_unknown_load_counts():
+def test_lost_notices_expire_and_unreported_load_counts():
     ledger = load_tracker.LoadTracker()
     ledger.record_start("entry-1", 1, 900.0, 10.0)
     late = 10.0 + load_tracker.UNREAD_EXPIRY_S + 0.1
@@ -298,7 +298,7 @@
     assert not ledger.open
 
 
-def test_prompts_that_others_have_sent_put_the_first_byte_off():
+def test_unread_prompts_of_other_entries_delay_the_first_byte():
     busy, idle = backend("busy"), backend("idle")
     for one, tokens in ((busy, 5000.0), (idle, 0.0)):
         one.apply_report(fleet.EngineReport(weights=[fleet.Weights("m", 1, 16)]), 9.95)
@@ -311,7 +311,7 @@
     assert best is not None and best.backend is idle
 
 
-def test_a_request_beyond_the_slots_waits_for_one_that_ends():
+def test_expected_first_byte_is_later_once_all_slots_are_used():
     one = backend("one")
     found = []
     for load in range(one.slots - 2, one.slots + 2):
@@ -322,7 +322,7 @@
     assert steps[0] < bare_s < 2 * bare_s < steps[1] == pytest.approx(steps[2])
 
 
-def test_an_engine_whose_agent_is_silent_or_which_is_slow_looks_worse():
+def test_shortlist_prefers_fast_engines_with_responding_agents():
     prompt, silent, slow = backend("prompt"), backend("silent"), backend("slow")
     for one, pace in ((prompt, 1.0), (silent, 1.0), (slow, 4.0)):
         report = fleet.EngineReport(weights=[fleet.Weights("m", 1, 16)], pace=pace)
@@ -333,7 +333,7 @@
     assert asked[0] is prompt
 
 
-def test_the_origins_spare_link_is_shared_among_vms_for_what_the_zone_lacks():
+def test_spare_origin_bandwidth_is_used_for_chunks_missing_in_the_zone():
     plan = make_zoned("a", {"b": fetch.SAME_ZONE, "far": fetch.OTHER_REGION})
     plan.held = plan.owned
     plan.spare_every_s = 0.5
@@ -349,7 +349,7 @@
     assert {index for _, index in found} <= {7, 9} - set(fetch.bit_positions(plan.owned))
 
 
-def test_a_chunk_that_the_origin_fails_to_give_does_not_hold_the_others_up():
+def test_failed_origin_read_does_not_block_other_chunks():
     plan = make_zoned("a", {})
     plan.is_late = True
     read = []
@@ -364,7 +364,7 @@
     assert plan.held == plan.all_chunks & ~(1 << 3 | 1 << 17)
 
 
-def test_a_rate_is_that_of_the_last_moment():
+def test_recent_rate_follows_the_last_second():
     rate = pacing.RecentRate(1.0)
     assert rate.per_s() == 0.0
     for tenth in range(30):
@@ -372,7 +372,7 @@
     assert rate.per_s() == pytest.approx(30.0, rel=0.2)
 
 
-def test_a_back_end_that_answers_nothing_does_not_go_on_drawing_requests():
+def test_unresponsive_back_end_stops_attracting_requests():
     silent = backend(
         "silent", in_flight=3, response_time=backend_record.ResponseTime(0.005, responses=1000)
     )
@@ -381,7 +381,7 @@
     assert choice.backend is idle
 
 
-def test_shortly_before_a_version_is_due_the_old_one_serves_only_where_requests_arrive_promptly():
+def test_old_version_near_its_end_is_used_only_on_prompt_back_ends():
     old = [fleet.Weights("m", 1, 16)]
     report = fleet.EngineReport(weights=old)
     prompt, slow, silent, asked_before = (
@@ -404,7 +404,7 @@
         assert (choice is not None) == (one is prompt)
 
 
-def test_a_late_heartbeat_of_an_ended_instance_does_not_replace_the_one_at_its_address():
+def test_late_heartbeat_of_an_ended_instance_is_refused():
     # The control VM does not know the old instance, since it has just started or was partitioned.
     registry = instances.InstanceRegistry(BEAT_S)
     registry.record_heartbeat(beat("new", sequence=3), 0.0)
@@ -416,7 +416,7 @@
     assert set(registry.known) == {"new"}
 
 
-def test_an_instance_that_has_just_begun_is_known_at_once_whatever_comes_late_of_the_one_before():
+def test_first_heartbeat_of_a_new_instance_replaces_the_old_one():
     registry = instances.InstanceRegistry(BEAT_S)
     registry.record_heartbeat(beat("first", sequence=7), 0.0)
     assert registry.record_heartbeat(beat("second", sequence=1), 0.9)
@@ -424,7 +424,7 @@
     assert set(registry.known) == {"second"}
 
 
-def test_an_instance_heard_late_is_known_once_the_one_at_its_address_is_silent():
+def test_instance_heard_late_replaces_a_silent_one():
     registry = instances.InstanceRegistry(BEAT_S)
     registry.record_heartbeat(beat("first", sequence=7), 0.0)
     assert not registry.record_heartbeat(beat("second", sequence=12), 0.9)
@@ -433,7 +433,7 @@
     assert set(registry.known) == {"second"}
 
 
-def test_an_instance_at_the_address_of_one_that_has_left_is_known_at_once():
+def test_new_instance_is_accepted_at_the_address_of_a_departed_one():
     registry = instances.InstanceRegistry(BEAT_S)
     registry.record_heartbeat(beat("first", sequence=7), 0.0)
     registry.mark_gone("first")
@@ -441,7 +441,7 @@
     assert set(registry.known) == {"second"}
 
 
-def test_an_instance_that_drains_gives_its_address_up_at_once():
+def test_draining_instance_is_replaced_at_its_address_at_once():
     registry = instances.InstanceRegistry(BEAT_S)
     registry.record_heartbeat(beat("first", sequence=7, state=fleet.DRAINING), 0.0)
     assert registry.record_heartbeat(beat("second", sequence=1), 0.1)
--- a/tests/test_http_client.py
+++ b/tests/test_http_client.py
@@ -19,7 +19,7 @@
     connection.sendall(HEAD + b"6\r\nsecond\r\n0\r\n\r\n")
 
 
-def test_a_released_answer_leaves_nothing_for_the_next_one():
+def test_released_response_leaves_no_bytes_for_the_next_one():
     """Guards against reading the last chunk as the status line of the next response."""
     listener = socket.create_server(("127.0.0.1", 0))
     release = threading.Event()
--- a/tests/test_input_validation.py
+++ b/tests/test_input_validation.py
@@ -139,7 +139,7 @@
             messages.make_codec(keys).decode(data)
 
 
-def test_a_changed_or_foreign_message_is_refused():
+def test_message_modified_or_under_an_unknown_key_is_refused():
     trusted_codec = messages.make_codec([codec.Key(b"k" * 32)])
     frame = bytearray(trusted_codec.encode(messages.ManifestRequest("abc")))
     assert trusted_codec.decode(bytes(frame)) == messages.ManifestRequest("abc")
@@ -151,7 +151,7 @@
         trusted_codec.decode(foreign_codec.encode(messages.ManifestRequest("abc")))
 
 
-def test_keys_rotate_without_a_gap():
+def test_mesh_keys_rotate_without_refused_messages():
     old, new = codec.Key(b"o" * 32), codec.Key(b"n" * 32)
     before, both, after = (messages.make_codec(keys) for keys in ([old], [old, new], [new]))
     wanted = messages.ManifestRequest("abc")
@@ -161,7 +161,7 @@
     assert both.decode(after.encode(wanted)) == wanted
 
 
-def test_every_error_kind_has_an_answer_and_advice_when_it_may_pass():
+def test_every_error_kind_has_a_response_with_retry_after_if_temporary():
     assert set(error_responses.RESPONSES) == set(errors.ErrorKind)
     for kind, answer in error_responses.RESPONSES.items():
         body = error_responses.error_body(errors.MerlinthreadError("x", kind=kind))
@@ -197,7 +197,7 @@
     assert json.loads(done.stdout)["field"] == "models.0.share_percent"
 
 
-def test_the_command_line_starts_without_the_daemon_s_libraries():
+def test_command_line_does_not_import_the_libraries_of_the_daemon():
     done = run_module("merlinthread.cli.main", "list")
     assert "bundle" in done.stdout
     code = (
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -17,7 +17,7 @@
     assert "imports 'transport'" in layers.find_problems(tmp_path)[0]
 
 
-def test_no_part_of_the_product_starts_a_process():
+def test_package_starts_no_process():
     for path in ROOT.rglob("*.py"):
         text = path.read_text()
         for name in ("subprocess", "multiprocessing", "os.fork", "posix_spawn", "shared_memory"):
--- a/tests/test_leader_duties.py
+++ b/tests/test_leader_duties.py
@@ -7,7 +7,7 @@
 from tests import raft_cluster
 
 
-def test_a_replaced_member_goes_before_a_second_loss_would_leave_two_of_four():
+def test_replaced_member_is_removed_before_a_second_failure():
     """Guards against a group of four that loses its majority with a second failure."""
     cluster = raft_cluster.Cluster(3)
     cluster.run(2.0)
--- a/tests/test_load_prober.py
+++ b/tests/test_load_prober.py
@@ -21,7 +21,7 @@
     return load_tracker.EngineLoad(load_tracker.Outstanding(2, 1, tokens), True, 1.5)
 
 
-def test_all_answers_end_the_wait_and_each_goes_to_its_agent():
+def test_ask_returns_the_reply_of_each_agent():
     async def scenario(prober, sent):
         task = asyncio.ensure_future(prober.ask(["a", "b"], 60.0))
         while len(sent) < 2:
@@ -37,7 +37,7 @@
     run(scenario)
 
 
-def test_an_agent_that_does_not_answer_is_told_as_unknown_and_its_late_answer_dropped():
+def test_late_reply_is_dropped_and_the_load_is_unknown():
     async def scenario(prober, sent):
         found = await prober.ask(["a"], 0.01)
         assert found == {"a": None}
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -74,7 +74,7 @@
     ]
 
 
-def test_no_request_of_a_kept_day_is_left_out():
+def test_every_request_of_the_recorded_logs_is_counted():
     lines = test_explain.read_log_lines()
     requests = [line for line in lines if line.fields["event"] == "request"]
     rows = losses.count_by_window(losses.classify_requests(lines, 400), 2.0)
--- a/tests/test_manifest_finder.py
+++ b/tests/test_manifest_finder.py
@@ -63,7 +63,7 @@
     monkeypatch.setattr(manifest_finder, "PEER_RETRY_INTERVAL_S", 0.002)
 
 
-def test_about_one_agent_of_a_zone_tries_an_origin_that_is_away():
+def test_few_agents_read_the_manifest_from_a_recovered_origin():
     async def scenario():
         world = World()
         tasks = [asyncio.create_task(world.find(name)) for name in world.names]
@@ -78,7 +78,7 @@
     asyncio.run(scenario())
 
 
-def test_whose_turn_it_is_goes_by_lot_about_once_a_zone_and_round():
+def test_about_one_agent_per_zone_retries_the_origin_each_round():
     world = World()
     finders = [
         manifest_finder.ManifestFinder(name, world, world, lambda: 0.0, random.Random(name))
@@ -91,7 +91,7 @@
     assert 0.8 * ZONES * rounds <= turns <= 1.2 * ZONES * rounds
 
 
-def test_a_version_that_is_overtaken_is_not_looked_for_any_longer():
+def test_superseded_version_is_no_longer_searched_for():
     async def scenario():
         world = World()
         rng = random.Random(1)
--- a/tests/test_membership_repair.py
+++ b/tests/test_membership_repair.py
@@ -39,21 +39,21 @@
     return membership_repair.next_change(decided, policy(losses_max), 100.0)
 
 
-def test_a_spare_voter_is_removed_well_before_a_replacement_has_had_its_time():
+def test_silent_spare_voter_is_removed_before_the_catch_up_time_ends():
     assert change(group("abcd", {"c": 1.3}.items())) is None
     assert change(group("abcd", {"c": 1.5}.items())) == raft_members.MembershipChange(remove="c")
 
 
-def test_two_silent_voters_of_an_odd_number_go_although_one_of_them_wins_nothing():
+def test_two_silent_voters_of_an_odd_group_are_removed():
     assert change(group("abcdefg", {"c": 3.0, "d": 3.0}.items()), 2).remove in "cd"
 
 
-def test_no_voter_is_removed_below_the_size_that_bears_the_losses():
+def test_no_voter_is_removed_below_the_size_that_tolerates_the_losses():
     assert change(group("abc", {"c": 100.0}.items())) is None
     assert change(group("abcde", {"c": 100.0, "d": 100.0}.items()), 2) is None
 
 
-def test_a_voter_whose_removal_wins_no_loss_stays_until_it_was_silent_for_long():
+def test_removal_without_a_gain_in_tolerated_losses_waits_longer():
     # The majority of six voters is four, as is that of seven.
     assert change(group("abcdefg", {"c": 7.9}.items()), 2) is None
     assert change(group("abcdefg", {"c": 8.1}.items()), 2) == raft_members.MembershipChange(
@@ -61,31 +61,31 @@
     )
 
 
-def test_a_large_group_that_bears_enough_losses_keeps_a_silent_voter():
+def test_large_group_that_tolerates_enough_losses_keeps_a_silent_voter():
     assert change(group("abcdefgh", {"c": 7.9}.items()), 2) is None
 
 
-def test_of_two_silent_voters_the_longer_silent_goes_first():
+def test_longest_silent_voter_is_removed_first():
     decided = change(group("abcdef", {"c": 3.0, "d": 5.0}.items()), 2)
     assert decided == raft_members.MembershipChange(remove="d")
 
 
-def test_a_leaving_spare_voter_is_removed_at_once_and_a_needed_one_is_not():
+def test_leaving_voter_is_removed_at_once_only_if_it_is_spare():
     assert change(group("abcd", leaving="c")) == raft_members.MembershipChange(remove="c")
     assert change(group("abc", leaving="c")) is None
     assert change(group("abcde", leaving="c")) is None
 
 
-def test_the_leader_is_not_removed_by_itself():
+def test_leader_does_not_remove_itself():
     assert change(group("abcd", leaving="a")) is None
 
 
-def test_a_member_whose_disk_is_lost_is_removed_before_its_successor_joins():
+def test_member_with_a_lost_disk_is_removed_before_its_successor_joins():
     decided = change(group(["a", "b", "c"], joiners=["c#2"]))
     assert decided == raft_members.MembershipChange(remove="c")
 
 
-def test_a_joiner_becomes_a_learner_and_then_a_voter_once_it_has_caught_up():
+def test_joining_member_becomes_a_learner_then_a_voter_once_caught_up():
     assert change(group("abc", joiners="d")).add == "d"
     assert change(group("abc", joiners="d", learners="d", match=8)) is None
     decided = change(group("abc", joiners="d", learners="d"))
@@ -146,7 +146,7 @@
 
 @pytest.mark.parametrize(("size", "losses_max"), [(3, 1), (4, 1), (5, 2), (6, 2), (8, 2)])
 @pytest.mark.parametrize("seed", range(4))
-def test_loss_after_loss_leaves_a_majority_if_replacements_have_their_time(size, losses_max, seed):
+def test_repeated_losses_leave_a_majority_if_replacements_catch_up(size, losses_max, seed):
     rng = random.Random(seed)
     fleet = Fleet(size, losses_max, seed)
     fleet.run(3.0)
--- a/tests/test_node_daemon.py
+++ b/tests/test_node_daemon.py
@@ -68,7 +68,7 @@
     raise AssertionError(f"{event} was never logged")
 
 
-def test_an_entry_without_a_configuration_runs_and_says_that_it_is_not_ready(entry):
+def test_entry_without_a_configuration_runs_but_is_not_ready(entry):
     process, ip, _ = entry
     read_log_until(process, "started")
     assert status(f"http://{ip}:{READY}/readyz") == 503
@@ -77,7 +77,7 @@
     assert b"merlinthread_refusals_total" in text
 
 
-def test_changed_settings_are_taken_over_without_a_signal_and_bad_ones_refused(entry):
+def test_changed_settings_are_reloaded_and_invalid_ones_refused(entry):
     process, ip, path = entry
     read_log_until(process, "started")
     path.write_text(json.dumps(settings_of(ip, ["127.0.0.9:1"])))
@@ -89,7 +89,7 @@
     assert process.poll() is None
 
 
-def test_a_planned_stop_ends_within_its_grace(entry):
+def test_graceful_stop_ends_within_grace_s(entry):
     process, _, _ = entry
     read_log_until(process, "started")
     started_at = time.monotonic()
@@ -99,7 +99,7 @@
     assert time.monotonic() - started_at < 3.5
 
 
-def test_nobody_who_reads_the_log_costs_no_request(entry):
+def test_blocked_log_reader_does_not_block_requests(entry):
     process, ip, _ = entry
     read_log_until(process, "started")
     # Nothing reads the pipe from here on: it fills, and the entry must go on responding.
@@ -108,14 +108,14 @@
     assert process.poll() is None
 
 
-def test_unusable_arguments_are_told():
+def test_invalid_arguments_print_the_usage():
     completed = subprocess.run(
         [sys.executable, "-c", STARTER, "nothing"], capture_output=True, text=True, cwd=ROOT
     )
     assert completed.returncode == 2 and "usage" in completed.stderr
 
 
-def test_a_missing_settings_file_is_told(tmp_path):
+def test_missing_settings_file_is_reported(tmp_path):
     completed = subprocess.run(
         [sys.executable, "-c", STARTER, "entry"],
         env=os.environ | {"MERLINTHREAD_CONFIG": str(tmp_path / "none.json")},
@@ -126,7 +126,7 @@
     assert completed.returncode == 2 and "none.json" in completed.stderr
 
 
-def test_the_deploy_file_names_what_is_there():
+def test_deploy_file_refers_to_existing_files():
     text = (ROOT / "deploy" / "system.toml").read_text()
     for name in ("deploy/build.sh", "deploy/node.py"):
         assert name in text and (ROOT / name).exists()
--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -14,16 +14,16 @@
 ROOT = pathlib.Path(__file__).parent.parent
 
 
-def test_config_and_cli_pages_are_what_the_code_says():
+def test_config_and_cli_pages_match_the_code():
     assert (ROOT / "docs" / "CONFIG.md").read_text() == pages.config_page()
     assert (ROOT / "docs" / "CLI.md").read_text() == pages.cli_page()
 
 
-def test_the_capacity_page_agrees_with_its_raw_figures():
+def test_capacity_page_matches_its_raw_figures():
     assert (ROOT / "docs" / "CAPACITY.md").read_text() == capacity.page()
 
 
-def test_the_tests_that_the_promises_name_exist():
+def test_tests_named_in_promises_exist():
     known = set()
     for path in (ROOT / "tests").glob("test_*.py"):
         known |= set(re.findall(r"^def (test_\w+)", path.read_text(), re.MULTILINE))
@@ -34,7 +34,7 @@
     assert named <= known, f"missing tests: {named - known}"
 
 
-def test_files_that_pages_name_exist():
+def test_files_named_in_pages_exist():
     for page in [ROOT / "README.md", *(ROOT / "docs").rglob("*.md")]:
         for name in re.findall(r"`((?:docs|examples|bench|tests)/[\w./-]+)`", page.read_text()):
             assert (ROOT / name).exists(), f"{page.name} refers to {name}, which is missing"
@@ -54,7 +54,7 @@
 
 
 @pytest.mark.parametrize("name", ["embed_log", "embed_fair_queue"])
-def test_examples_of_embedding_run(name):
+def test_embedding_examples_run(name):
     completed = subprocess.run(
         [sys.executable, str(ROOT / "examples" / f"{name}.py")],
         capture_output=True,
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -24,7 +24,7 @@
 COMMON = {b"last-event-id", b"content-encoding", b"/instances/"}
 
 
-def test_nothing_outside_the_folder_knows_the_platforms_names():
+def test_platform_names_are_used_only_in_the_platform_package():
     for path in SOURCES.rglob("*.py"):
         if "platform" in path.parts[len(SOURCES.parts) :]:
             continue
@@ -35,7 +35,7 @@
             assert word in COMMON or not found, f"{path} contains {word!r}"
 
 
-def test_the_folder_is_imported_by_nothing_of_the_product():
+def test_platform_package_is_not_imported_by_other_packages():
     for path in SOURCES.rglob("*.py"):
         if "platform" in path.parts[len(SOURCES.parts) :]:
             continue
@@ -81,7 +81,7 @@
 
 
 @pytest.mark.parametrize("change", [{"ip": None}, {"seeds": "x"}, {"port_range": [1]}])
-def test_settings_that_can_not_be_used_are_refused_by_field(tmp_path, change):
+def test_invalid_settings_are_refused_with_their_field(tmp_path, change):
     path = tmp_path / "node.json"
     path.write_text(json.dumps(SETTINGS | change))
     with pytest.raises(errors.SettingsError) as raised:
@@ -89,7 +89,7 @@
     assert next(iter(change)) in raised.value.message
 
 
-def test_a_configuration_keeps_what_decides():
+def test_configuration_fields_are_parsed():
     body = fleet_nodes.configuration(7, ["safe"], "model", "10.0.0.1:90")
     configuration = bodies.parse_configuration(json.dumps(body).encode())
     route = configuration.routes[-1]
@@ -122,7 +122,7 @@
         ("DELETE", "/instances/i-1", dialects.Leave),
     ],
 )
-def test_calls_of_operators_and_workers_are_told_apart(method, path, kind):
+def test_control_calls_are_recognized_by_method_and_path(method, path, kind):
     body = b'{"model":"m","version":2}'
     request = http_messages.Request(method.encode(), path.encode(), [], body)
     assert isinstance(dialect.PlatformDialect().control_call(request), kind)
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -155,7 +155,7 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_long_rough_runs_keep_every_committed_entry(seed):
+def test_random_faults_lose_no_committed_entry(seed):
     rng = random.Random(seed)
     for _ in range(25):
         cluster = raft_cluster.Cluster(rng.choice((3, 3, 5)), rng.randrange(1000))
@@ -188,7 +188,7 @@
         assert data in cluster.members["c0"].applied
 
 
-def test_a_cut_off_member_does_not_unseat_the_leader():
+def test_partitioned_member_does_not_depose_the_leader():
     cluster = raft_cluster.Cluster(3)
     cluster.run(2.0)
     leader = cluster.leader()
@@ -202,7 +202,7 @@
     assert leader.raft.hard_state.term == term
 
 
-def test_a_leader_that_was_cut_off_stops_leading_and_its_lease_ends_first():
+def test_lease_of_a_partitioned_leader_ends_before_it_steps_down():
     cluster = raft_cluster.Cluster(3)
     cluster.run(2.0)
     leader = cluster.leader()
@@ -215,7 +215,7 @@
     assert cluster.leader() is not None
 
 
-def test_a_member_that_lost_its_disk_is_turned_away_under_its_old_name():
+def test_member_with_a_lost_disk_is_refused_under_its_old_name():
     cluster = raft_cluster.Cluster(3)
     cluster.run(2.0)
     leader = cluster.leader()
@@ -292,7 +292,7 @@
     assert member.commit == 3
 
 
-def test_a_restarted_follower_does_not_break_the_lease_it_gave():
+def test_restarted_follower_does_not_break_the_lease_it_granted():
     cluster = raft_cluster.Cluster(3)
     cluster.run(2.0)
     leader = cluster.leader()
@@ -310,7 +310,7 @@
     assert not cluster.members[other].raft.is_leader()
 
 
-def test_the_silence_of_a_former_leader_counts_from_when_it_was_heard_not_from_the_election():
+def test_former_leader_is_silent_since_it_was_last_heard():
     cluster = raft_cluster.Cluster(3)
     cluster.run(2.0)
     lost = cluster.leader().name
@@ -321,7 +321,7 @@
     assert progress[lost].heard_at <= lost_at
 
 
-def test_a_member_that_resigned_neither_leads_nor_stands_again():
+def test_resigned_member_neither_leads_nor_starts_an_election():
     cluster = raft_cluster.Cluster(3)
     cluster.run(2.0)
     resigned = cluster.leader()
--- a/tests/test_reload_schedule.py
+++ b/tests/test_reload_schedule.py
@@ -33,7 +33,7 @@
     return shares
 
 
-def test_some_engines_serve_at_every_moment_of_a_change_over():
+def test_enough_engines_serve_throughout_a_version_change():
     shares = serving_shares(102, 6.0, 6.6)
     assert min(shares) >= 0.4, f"only {min(shares):.2f} of the engines serve"
     out_of_service_s = sum(1 - share for share in shares) * 0.05
@@ -42,11 +42,11 @@
     ), f"an engine is out of service for {out_of_service_s:.2f} s on average"
 
 
-def test_weights_that_come_after_the_old_ones_are_left_are_taken_at_once():
+def test_weights_complete_after_the_last_turn_are_loaded_at_once():
     assert reload_schedule.reload_time(2, 9.7, BOUND_S) == 9.7
 
 
-def test_every_zone_keeps_engines_that_serve():
+def test_each_zone_has_engines_in_every_reload_group():
     engines = [(f"zone-{n % 5}", f"engine-{n}") for n in range(60)]
     for zone in range(5):
         groups = {
@@ -55,6 +55,6 @@
         assert groups == set(range(reload_schedule.GROUP_COUNT))
 
 
-def test_the_last_group_is_through_with_the_old_weights_when_they_are_left():
+def test_first_group_reloads_at_once_and_last_group_before_the_bound():
     assert reload_schedule.reload_time(reload_schedule.GROUP_COUNT - 1, 6.0, BOUND_S) == 9.0
     assert reload_schedule.reload_time(0, 6.0, BOUND_S) == 6.0
--- a/tests/test_request_failures.py
+++ b/tests/test_request_failures.py
@@ -86,7 +86,7 @@
 
 
 @pytest.mark.parametrize("victim", ["-target", ""])
-def test_an_answer_whose_engine_or_agent_is_killed_is_resumed_whole(fleet, victim):
+def test_stream_is_resumed_after_its_engine_or_agent_is_killed(fleet, victim):
     asked = BackgroundRequest(fleet.entries()[0].http, "r-kill")
     engine = asked.engine(fleet)
     fleet.processes[engine + victim].kill()
@@ -97,7 +97,7 @@
     assert [e["relayed"] > 0 for e in entry.events("stream_broken")] == [True]
 
 
-def test_a_caller_that_leaves_frees_the_engine_s_place(fleet):
+def test_client_disconnect_cancels_the_run(fleet):
     body = msgspec.json.encode(
         {"model": "hint", "prompt": "gone", "max_tokens": 5000, "stream": True}
     )
@@ -114,7 +114,7 @@
     assert any(run["outcome"] == "cancelled" for run in runs(fleet).values())
 
 
-def test_a_leaving_vm_gets_no_new_work_and_finishes_what_it_has(fleet):
+def test_leaving_vm_gets_no_new_requests_and_finishes_running_ones(fleet):
     asked = BackgroundRequest(fleet.entries()[0].http, "r-leave")
     engine = asked.engine(fleet)
     body = msgspec.json.encode({"name": engine, "state": "leaving"})
@@ -136,7 +136,7 @@
 
 
 @pytest.mark.parametrize("role", ["agent", "entry"])
-def test_a_planned_stop_cuts_no_request_off(fleet, role):
+def test_graceful_stop_interrupts_no_request(fleet, role):
     entry = fleet.entries()[0]
     # The response takes longer than the grace period in which a leaving VM notifies others.
     asked = BackgroundRequest(entry.http, "r-stop", tokens=700)
@@ -151,7 +151,7 @@
     assert broken == [], "a planned stop is no reason to resume"
 
 
-def test_one_key_at_all_entries_at_once_runs_once(fleet):
+def test_concurrent_calls_with_one_key_run_once(fleet):
     key = calls.new_key()
     body = b'{"lamp": "race"}'
 
@@ -166,7 +166,7 @@
     assert service_runs(fleet, body.decode()) == 1
 
 
-def test_a_call_whose_target_dies_on_it_is_unknown_and_stays_so(fleet):
+def test_call_whose_target_is_killed_stays_outcome_unknown(fleet):
     key = calls.new_key()
     body = b'{"lamp": "dies"}'
     slow = fleet.add_stand_in("service", "slow-target", "--delay-s", "5")
@@ -194,7 +194,7 @@
     assert second.error()["error"] == "outcome_unknown"
 
 
-def test_without_a_majority_a_call_is_refused_at_once_and_truly_did_not_run(fleet):
+def test_call_without_a_majority_is_refused_as_not_run(fleet):
     # The leader stays up: it appends the claim to its log but can't commit it.
     leader = processes.wait_for("a leader", fleet.leader)
     others = [vm for vm in fleet.controls() if vm is not leader]
@@ -225,7 +225,7 @@
     assert service_runs(fleet, body.decode()) == 1
 
 
-def test_a_killed_entry_leaves_one_run_and_an_honest_answer_elsewhere(fleet):
+def test_call_whose_entry_is_killed_runs_once(fleet):
     key = calls.new_key()
     body = b'{"lamp": "entry dies"}'
     first, second = fleet.entries()
@@ -251,7 +251,7 @@
     assert any(e["target"].startswith("entry-zone-b") for e in entry.process.events("routed"))
 
 
-def test_a_frozen_engine_does_not_hold_its_callers_beyond_their_deadline(fleet):
+def test_frozen_engines_are_bypassed_within_the_deadline(fleet):
     for name in ("engine-zone-a-0", "engine-zone-a-1"):
         fleet.processes[f"{name}-target"].freeze()
     entry = next(vm for vm in fleet.entries() if vm.settings["availability_zone"] == "zone-a")
@@ -265,7 +265,7 @@
         fleet.processes[f"{name}-target"].thaw()
 
 
-def test_an_attempt_for_an_earlier_incarnation_or_from_a_stranger_is_not_run(fleet):
+def test_unauthenticated_attempt_is_not_run(fleet):
     agent = next(vm for vm in fleet.agents() if vm.name.startswith("engine"))
     body = msgspec.json.encode({"model": "hint", "prompt": "x"})
     headers = {
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -19,23 +19,21 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_control_vms_lost_for_good_one_after_another_lose_nothing(seed, tmp_path):
+def test_repeated_permanent_losses_of_control_vms_lose_nothing(seed, tmp_path):
     result = soak.run_seed(seed, 9.0, tmp_path, ("replace_control",))
     assert result.broken == [], f"logs are in {tmp_path}"
     assert result.faults["replace_control"] > 0
 
 
 @pytest.mark.parametrize("seed", [2])
-def test_what_workers_say_of_themselves_is_heeded_while_control_vms_and_entries_fall(
-    seed, tmp_path
-):
+def test_worker_signals_are_respected_under_control_and_entry_faults(seed, tmp_path):
     fault_kinds = ("say_leaving", "ask_for_rest", "kill_controls", "stop_control", "kill", "freeze")
     result = soak.run_seed(seed, 8.0, tmp_path, fault_kinds)
     assert result.broken == [], f"logs are in {tmp_path}"
     assert result.faults.keys() & {"say_leaving", "ask_for_rest"}
 
 
-def test_limits_that_workers_name_are_kept_while_control_vms_and_entries_fall(tmp_path):
+def test_worker_limits_are_respected_under_control_and_entry_faults(tmp_path):
     fault_kinds = ("name_limit", "name_limit", "kill", "kill_controls", "stop", "freeze")
     result = soak.run_seed(3, 12.0, tmp_path, fault_kinds)
     assert result.broken == [], f"logs are in {tmp_path}"
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -41,7 +41,7 @@
     assert len(journal.Journal(path).entries) == kept + 1
 
 
-def test_what_was_known_to_be_committed_is_known_after_a_restart_and_a_compaction(tmp_path):
+def test_commit_index_survives_a_restart_and_a_compaction(tmp_path):
     found = journal.Journal(tmp_path)
     found.save(journal.HardState(1, "c0"), [entry(1)])
     found.save(None, [entry(2), entry(3)], commit=1)
@@ -86,14 +86,14 @@
     assert [e.index for e in journal.Journal(path).entries] == [1, 2, 3, 4]
 
 
-def test_zeros_after_the_last_record_count_as_torn(tmp_path):
+def test_zeros_after_the_last_record_are_ignored(tmp_path):
     file = write_journal(tmp_path)
     with open(file, "ab") as handle:
         handle.write(bytes(100))
     assert len(journal.Journal(tmp_path).entries) == 5
 
 
-def test_a_full_disk_takes_back_what_was_half_written(tmp_path, monkeypatch):
+def test_partial_write_is_rolled_back_on_a_full_disk(tmp_path, monkeypatch):
     found = journal.Journal(tmp_path)
     found.save(None, [entry(1)])
     real = os.pwrite
@@ -115,7 +115,7 @@
     assert [e.index for e in journal.Journal(tmp_path).entries] == [1, 2]
 
 
-def test_a_second_process_is_refused_the_folder(tmp_path):
+def test_data_folder_in_use_is_refused(tmp_path):
     held = folder.DataFolder(tmp_path)
     with pytest.raises(errors.FolderInUseError, match=str(tmp_path)):
         folder.DataFolder(tmp_path)
@@ -123,7 +123,7 @@
     folder.DataFolder(tmp_path).release()
 
 
-def test_compaction_keeps_the_folder_small_and_the_state_whole(tmp_path):
+def test_compaction_bounds_the_folder_and_keeps_the_state(tmp_path):
     found = journal.Journal(tmp_path)
     for start in range(0, 3000, 100):
         found.save(None, [entry(i) for i in range(start + 1, start + 101)])
@@ -151,7 +151,7 @@
     assert [e.index for e in reopened.entries] == [4, 5]
 
 
-def test_a_record_file_left_over_from_an_emptied_folder_is_not_taken_up(tmp_path):
+def test_log_file_left_from_an_earlier_journal_is_not_read(tmp_path):
     before = tmp_path / "before"
     before.mkdir()
     left_over = write_journal(before)
@@ -180,7 +180,7 @@
 
 
 @pytest.mark.parametrize("in_memory", [True, False])
-def test_the_chunk_store_keeps_its_bound_and_what_is_pinned(tmp_path, in_memory):
+def test_chunk_store_stays_within_its_bound_and_keeps_pinned_chunks(tmp_path, in_memory):
     store = chunks.ChunkStore(None if in_memory else tmp_path, 300)
     blobs = [bytes([i]) * 100 for i in range(5)]
     digests = [chunks.digest_of(blob) for blob in blobs]
@@ -195,14 +195,14 @@
         store.add(digests[1], blobs[1])
 
 
-def test_wrong_bytes_are_never_stored(tmp_path):
+def test_chunk_with_a_wrong_digest_is_not_stored(tmp_path):
     store = chunks.ChunkStore(tmp_path, 1000)
     with pytest.raises(errors.WeightsError):
         store.add(chunks.digest_of(b"right"), b"wrong")
     assert list(tmp_path.iterdir()) == []
 
 
-def test_a_manifest_is_bound_to_its_digest_and_its_size(tmp_path):
+def test_manifest_with_a_wrong_digest_or_size_is_refused(tmp_path):
     path = tmp_path / "weights"
     path.write_bytes(random.Random(1).randbytes(1000))
     made = manifests.from_file(path, "hint-1", 300)
--- a/tests/test_stream_connections.py
+++ b/tests/test_stream_connections.py
@@ -47,7 +47,7 @@
     return await pool.request(address, get(), 2.0)
 
 
-def test_an_answer_comes_back_whole_and_the_connection_is_used_again():
+def test_response_is_complete_and_the_connection_is_reused():
     async def scenario():
         peers = []
 
@@ -73,7 +73,7 @@
         b"HTTP/1.1 200 OK\r\ncontent-le",
     ],
 )
-def test_an_answer_that_ends_early_is_never_whole(reply):
+def test_truncated_response_raises_an_error(reply):
     async def scenario():
         address = await raw_server(reply)
         with pytest.raises((errors.ProtocolError, errors.UnreachableError)):
@@ -82,7 +82,7 @@
     asyncio.run(scenario())
 
 
-def test_an_answer_until_close_is_whole_only_without_a_reset():
+def test_response_until_close_is_complete_only_without_a_reset():
     async def scenario():
         whole = await raw_server(b"HTTP/1.1 200 OK\r\n\r\nall of it")
         assert (await call(whole)).body == b"all of it"
@@ -93,7 +93,7 @@
     asyncio.run(scenario())
 
 
-def test_bytes_after_an_answer_spoil_the_connection():
+def test_connection_with_extra_bytes_is_not_reused():
     async def scenario():
         reply = b"HTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\naHTTP/1.1 200 OK\r\n"
         address = await raw_server(reply)
@@ -105,7 +105,7 @@
     asyncio.run(scenario())
 
 
-def test_a_client_that_leaves_cancels_the_work_for_it():
+def test_client_disconnect_cancels_the_handler():
     async def scenario():
         began, cancelled = asyncio.Event(), asyncio.Event()
 
@@ -159,7 +159,7 @@
     asyncio.run(scenario())
 
 
-def test_a_head_that_comes_byte_by_byte_gets_408_when_its_time_is_over():
+def test_incomplete_request_head_gets_408_after_the_timeout():
     async def scenario():
         _, address = await serve(unexpected_call, http_messages.Limits(header_timeout_s=0.2))
         reply = await send_raw(address, b"GET / HTTP/1.1\r\nho")
@@ -177,7 +177,7 @@
     asyncio.run(scenario())
 
 
-def test_a_broken_off_answer_does_not_look_complete():
+def test_aborted_response_is_not_taken_as_complete():
     async def scenario():
         async def handler(exchange):
             exchange.start_response(200, [])
@@ -191,7 +191,7 @@
     asyncio.run(scenario())
 
 
-def test_a_leaving_server_finishes_answers_and_asks_clients_to_go():
+def test_stopping_server_finishes_responses_and_sends_connection_close():
     async def scenario():
         release = asyncio.Event()
 
@@ -212,7 +212,7 @@
     asyncio.run(scenario())
 
 
-def test_a_leaving_server_still_answers_a_request_that_is_half_read():
+def test_stopping_server_answers_a_partially_read_request():
     async def scenario():
         async def handler(exchange):
             await exchange.respond(http_messages.Response(200, [], exchange.request.body))
@@ -232,7 +232,7 @@
     asyncio.run(scenario())
 
 
-def test_a_stream_that_began_before_the_stop_is_the_last_answer_on_its_connection():
+def test_connection_closes_after_a_stream_begun_before_the_stop():
     async def scenario():
         release = asyncio.Event()
 
@@ -256,7 +256,7 @@
     asyncio.run(scenario())
 
 
-def test_a_node_that_ends_while_it_answers_is_unreachable_not_a_bad_request():
+def test_node_that_closes_without_a_reply_is_unreachable():
     async def scenario():
         address = await raw_server(b"")
         client = node_bus.RpcClient(fleet_nodes.make_codec())
@@ -267,7 +267,7 @@
     asyncio.run(scenario())
 
 
-def test_what_has_not_arrived_when_a_client_gives_up_never_arrives():
+def test_closing_a_connection_discards_unsent_bytes():
     async def scenario():
         loop = asyncio.get_running_loop()
         listener = socket.create_server(("127.0.0.1", 0))
@@ -309,7 +309,7 @@
             writer.write(b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok")
 
 
-def test_of_connections_that_fell_silent_only_the_first_one_used_costs_its_time_limit():
+def test_one_timeout_discards_all_frozen_idle_connections():
     async def scenario():
         server = FreezableServer()
         address = await server.start()
@@ -325,7 +325,7 @@
     asyncio.run(scenario())
 
 
-def test_a_client_that_ends_its_side_while_it_reads_nothing_is_left_at_once():
+def test_half_closed_client_cancels_a_blocked_handler():
     async def scenario():
         cancelled = asyncio.Event()
         stuck = asyncio.Event()
@@ -354,7 +354,7 @@
     asyncio.run(scenario())
 
 
-def test_a_long_answer_of_a_node_leaves_in_even_parts_and_arrives_whole(monkeypatch):
+def test_long_reply_is_sent_in_paced_chunks(monkeypatch):
     async def scenario():
         # Random bytes, since a compressible payload would fit into one chunk.
         reply = node_messages.PieceReply(3, random.Random(1).randbytes(24_576), b"")
@@ -414,7 +414,7 @@
     "plan, made, cancelled",
     [(["lost", "made"], 1, 1), (["made"], 1, 0), (["lost", "refused"], 0, 1)],
 )
-def test_a_second_opening_packet_follows_one_that_is_lost(monkeypatch, plan, made, cancelled):
+def test_lost_connection_attempt_is_hedged_by_a_second(monkeypatch, plan, made, cancelled):
     connector = FakeConnector(list(plan))
     monkeypatch.setattr(stream_client, "connect", connector.connect)
 
@@ -431,7 +431,7 @@
     assert connector.cancelled == cancelled
 
 
-def test_of_two_connections_made_at_once_one_is_closed(monkeypatch):
+def test_surplus_hedged_connection_is_closed(monkeypatch):
     closed = []
     monkeypatch.setattr(stream_client.ClientConnection, "close", lambda self: closed.append(self))
     gate = asyncio.Event()
--- a/tests/test_transfer_simulation.py
+++ b/tests/test_transfer_simulation.py
@@ -15,21 +15,21 @@
     return transfer.Rollout(shape, transfer.FAULTS[fault]).run().figures()
 
 
-def test_a_fleet_is_whole_within_half_of_the_bound_more_and_reads_the_origin_twice_at_most():
+def test_rollout_time_and_origin_reads_are_bounded():
     found = simulate(40, "none")
     assert found["half"] <= 1.4
     assert found["last"] <= 1.6
     assert found["origin_copies"] <= 2.0
 
 
-def test_without_announcements_it_takes_longer():
+def test_rollout_without_announcements_takes_longer():
     shape = transfer.Shape(agents=20)
     announced = transfer.Rollout(shape, transfer.Fault()).run().figures()
     unannounced = transfer.Rollout(shape, transfer.Fault(), announces=False).run().figures()
     assert announced["half"] < unannounced["half"] - 0.1
 
 
-def test_requests_wait_little_at_a_link_that_carries_less_than_it_should(monkeypatch):
+def test_transfer_window_limits_request_delay_on_a_slow_link(monkeypatch):
     found = simulate(20, "a slow agent")
     assert found["request_wait_ms_worst_link"] <= 300.0
     monkeypatch.setattr(piece_fetcher, "TRANSFER_TARGET_S", 1e9)
@@ -37,7 +37,7 @@
     assert found["request_wait_ms_worst_link"] >= 800.0, "the window has no effect"
 
 
-def test_events_wait_little_at_the_link_of_an_engine_that_gives_more_than_it_carries(monkeypatch):
+def test_receiver_feedback_limits_request_delay_on_a_slow_link(monkeypatch):
     # 24 engines hold all pieces, one of them has a slow link; 16 others fetch.
     shape = transfer.Shape(agents=40, holders=24)
     found = transfer.Rollout(shape, transfer.FAULTS["a slow agent"]).run().figures()
@@ -47,7 +47,7 @@
     assert found["request_wait_ms_worst_link"] >= 450.0, "the receivers' feedback has no effect"
 
 
-def test_slow_readers_of_the_origin_do_not_hold_all_others_up():
+def test_slow_origin_readers_do_not_delay_the_other_agents():
     rollout = transfer.Rollout(transfer.Shape(agents=40), transfer.Fault())
     readers = [agent for agent in rollout.agents.values() if agent.plan.is_reader]
     slow = readers[: len(readers) // 4]
@@ -59,12 +59,12 @@
 
 
 @pytest.mark.parametrize("fault", ["a lost agent", "a zone cut off for 3 s"])
-def test_all_that_can_be_reached_are_whole_under_a_fault(fault):
+def test_reachable_agents_complete_under_a_fault(fault):
     found = simulate(20, fault)
     assert found["last"] <= 3.0
 
 
-def test_a_window_halves_once_for_what_was_under_way_and_grows_again():
+def test_window_halves_once_for_transfers_in_flight_and_recovers():
     window = pacing.TransferWindow(8, 0.4)
     for took_s in (1.0, 1.1, 1.2):
         window.record(took_s, 10.0 + took_s)
@@ -77,14 +77,14 @@
     assert window.size == 8.0
 
 
-def test_a_window_never_closes():
+def test_window_always_has_room_for_one_transfer():
     window = pacing.TransferWindow(8, 0.4)
     for number in range(20):
         window.record(5.0, 10.0 * number)
     assert window.has_room(0)
 
 
-def test_a_sender_slows_down_when_most_receivers_say_so_and_speeds_up_again():
+def test_sender_slows_down_on_feedback_of_most_receivers_and_recovers():
     pacer = pacing.FeedbackPacer(1000.0, 0.0, 0.4)
     for receiver in ("a", "b", "a"):
         pacer.record(receiver, 1.0)
@@ -94,7 +94,7 @@
     assert pacer.bytes_per_s == 1000.0
 
 
-def test_one_receiver_with_a_slow_link_of_its_own_does_not_slow_a_sender_down():
+def test_one_slow_receiver_does_not_slow_down_a_sender():
     pacer = pacing.FeedbackPacer(1000.0, 0.0, 0.4)
     for _ in range(20):
         pacer.record("a", 1.0)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -13,11 +13,11 @@
 
 
 @pytest.mark.parametrize("path", sorted(RECORDED.glob("*.json")), ids=lambda path: path.stem)
-def test_what_landed_builds_write_is_read_by_this_one(path):
+def test_data_written_by_earlier_builds_is_readable(path):
     assert release_bytes.unread(path) == []
 
 
-def test_what_this_build_writes_is_read_by_the_one_that_landed_last(tmp_path):
+def test_data_written_by_this_build_is_readable_by_the_previous_one(tmp_path):
     release_bytes.write(tmp_path / "today.json")
     try:
         with upgrade_builds.build_of(upgrade_builds.LANDED[0]) as old:
@@ -36,7 +36,7 @@
 
 # Requires nearly all requests to succeed, which other tests on the machine could prevent.
 @pytest.mark.timed
-def test_vms_replaced_one_after_the_other_by_this_build_and_back_cost_no_request(tmp_path):
+def test_rolling_upgrade_and_rollback_fail_no_request(tmp_path):
     plan = upgrade.Plan("forward-back", "controls", 1, troubles=("revoke",))
     try:
         with upgrade_builds.build_of(upgrade_builds.LANDED[0]) as old:
@@ -51,6 +51,6 @@
     assert accepted[200] > 10 and sum(revoked.values()) > 10 and 200 not in revoked
 
 
-def test_a_commit_that_is_not_here_is_said_in_one_line(capsys):
+def test_missing_commit_is_reported_in_one_line(capsys):
     assert upgrade.main(["--from", "0" * 40]) == 2
     assert "is not in this clone" in capsys.readouterr().out
--- a/tests/test_weights_failures.py
+++ b/tests/test_weights_failures.py
@@ -85,7 +85,7 @@
                 self.succeeded += 1
 
 
-def test_versions_never_mix_while_a_roll_and_a_rollback_pass_under_load(make_fleet):
+def test_versions_never_mix_during_a_roll_and_a_rollback_under_load(make_fleet):
     fleet = make_fleet(SHAPE)
     first_digest = fleet.publish("hint-1", OBJECT_BYTES, CHUNK_BYTES)
     second_digest = fleet.publish("hint-2", OBJECT_BYTES, CHUNK_BYTES)
@@ -113,7 +113,7 @@
     assert origin_read_ratio(fleet, "hint-2") == pytest.approx(1.0, abs=0.05)
 
 
-def test_corruption_on_the_origin_s_and_the_peers_links_is_found_and_read_again(make_fleet):
+def test_corrupt_chunks_are_detected_and_read_again(make_fleet):
     fleet = make_fleet(SHAPE)
     digest = fleet.publish("hint-1", OBJECT_BYTES, CHUNK_BYTES)
     inject_fault(fleet, fleet.origin_url, corrupt_next=5)
@@ -124,7 +124,7 @@
     assert served_versions(fleet) <= {(digest, object_hash(fleet, "hint-1"))}
 
 
-def test_an_object_that_changes_mid_transfer_pauses_the_roll_and_the_old_version_serves(make_fleet):
+def test_object_changed_mid_transfer_pauses_the_roll(make_fleet):
     fleet = make_fleet(SHAPE)
     first_digest = fleet.publish("hint-1", OBJECT_BYTES, CHUNK_BYTES)
     second_digest = fleet.publish("hint-2", OBJECT_BYTES, CHUNK_BYTES)
@@ -147,7 +147,7 @@
     assert not fleet.status()["paused"]
 
 
-def test_an_engine_that_refuses_a_load_pauses_the_roll_with_its_reason(make_fleet):
+def test_refused_load_pauses_the_roll_with_its_reason(make_fleet):
     fleet = make_fleet(SHAPE)
     first_digest = fleet.publish("hint-1", OBJECT_BYTES, CHUNK_BYTES)
     second_digest = fleet.publish("hint-2", OBJECT_BYTES, CHUNK_BYTES)
@@ -182,7 +182,7 @@
     wait_until_serving(fleet, digest, 7, 60)
 
 
-def test_a_restarted_agent_with_a_folder_reads_nothing_again(make_fleet):
+def test_restarted_agent_with_a_store_folder_reads_nothing_again(make_fleet):
     shape = fleets.dataclasses.replace(SHAPE, with_store_folder=True, engines_per_zone=1)
     fleet = make_fleet(shape)
     digest = fleet.publish("hint-1", OBJECT_BYTES, CHUNK_BYTES)
@@ -197,7 +197,7 @@
     assert origin_read_ratio(fleet, "hint-1") == pytest.approx(1.0, abs=0.05)
 
 
-def test_a_restarted_agent_does_not_order_below_what_its_engine_obeyed(make_fleet):
+def test_directive_older_than_the_fence_of_the_engine_is_refused(make_fleet):
     shape = fleets.dataclasses.replace(SHAPE, engines_per_zone=1, zones=("zone-a",))
     fleet = make_fleet(shape)
     digest = fleet.publish("hint-1", OBJECT_BYTES, CHUNK_BYTES)
--- a/tests/test_weights_task.py
+++ b/tests/test_weights_task.py
@@ -121,7 +121,7 @@
     asyncio.run(main())
 
 
-def test_every_engine_gets_the_version_and_the_origin_is_read_about_once():
+def test_all_engines_load_a_version_with_few_repeated_origin_reads():
     async def scenario(fleet):
         await fleet.wait_until_loaded(1)
         assert len([given for given in fleet.origin.served_pieces if given[0] == 1]) <= PIECES * 1.5
@@ -129,7 +129,7 @@
     run(4, scenario)
 
 
-def test_one_agent_of_a_zone_asks_the_origin_for_a_manifest():
+def test_one_agent_per_zone_reads_the_manifest_from_the_origin():
     async def scenario(fleet):
         await fleet.wait_until_loaded(1)
         fleet.origin.manifests_served = 0
@@ -140,7 +140,7 @@
     run(4, scenario)
 
 
-def test_when_the_first_of_a_zone_does_not_answer_the_next_one_asks_the_origin():
+def test_next_agent_of_a_zone_reads_the_manifest_if_the_first_is_down():
     async def scenario(fleet):
         await fleet.wait_until_loaded(1)
         names = [f"{fleet_nodes.NETWORK}.{21 + number}:{fleet.port}" for number in range(3)]
@@ -162,7 +162,7 @@
     run(3, scenario)
 
 
-def test_a_new_version_replaces_the_old_one_everywhere():
+def test_new_version_replaces_the_old_one_on_all_engines():
     async def scenario(fleet):
         await fleet.wait_until_loaded(1)
         fleet.publish(2)
@@ -171,7 +171,7 @@
     run(3, scenario)
 
 
-def test_a_version_that_is_overtaken_is_left_for_the_newer_one():
+def test_superseded_version_is_abandoned_for_the_newer_one():
     async def scenario(fleet):
         await asyncio.sleep(0)
         fleet.publish(2)
@@ -193,7 +193,7 @@
         super().__setitem__(index, data)
 
 
-def test_what_a_peer_gives_spoilt_is_never_staged():
+def test_corrupt_piece_from_a_peer_is_never_staged():
     async def scenario(fleet):
         corrupt_piece = b"x" * 64
         serve_piece = fleet.agents[0].weights.serve_piece
@@ -216,7 +216,7 @@
     run(4, scenario)
 
 
-def test_corrupt_pieces_are_never_staged_or_given_on():
+def test_corrupt_pieces_from_the_origin_are_never_staged():
     async def scenario(fleet):
         fleet.origin.corrupt = {3, 17}
         await fleet_nodes.until(
@@ -229,7 +229,7 @@
     run(2, scenario)
 
 
-def test_a_piece_that_rots_before_the_order_is_fetched_again(monkeypatch):
+def test_piece_corrupted_after_staging_is_fetched_again(monkeypatch):
     async def scenario(fleet):
         engine = fleet.engines[0]
         find_staged = fleet.agents[0].weights.find_staged
@@ -248,7 +248,7 @@
     run(2, scenario)
 
 
-def test_an_agent_that_is_killed_goes_on_with_what_lies_there():
+def test_restarted_agent_keeps_the_pieces_already_staged():
     async def scenario(fleet):
         await fleet_nodes.until(lambda: len(fleet.engines[0].staged) >= PIECES // 2, 20)
         before = dict(fleet.engines[0].staged)
@@ -266,7 +266,7 @@
     run(2, scenario)
 
 
-def test_an_agent_answers_an_entry_with_what_the_other_entries_have_on_its_engine():
+def test_load_reply_counts_the_attempts_of_other_entries():
     async def scenario(fleet):
         agent = fleet.agents[0]
         await fleet_nodes.until(lambda: agent.last_report is not None)
@@ -295,7 +295,7 @@
     run(1, scenario)
 
 
-def test_an_agent_that_the_origin_refuses_gets_the_manifest_from_a_peer():
+def test_manifest_is_fetched_from_a_peer_if_the_origin_is_down():
     async def scenario(fleet):
         await fleet.wait_until_loaded(1)
         fleet.stop_agent(0)
@@ -311,7 +311,7 @@
     run(2, scenario)
 
 
-def test_pieces_that_lie_whole_at_an_engine_after_a_restart_are_read_once_before_the_order(
+def test_staged_pieces_are_read_once_after_an_agent_restart(
     monkeypatch,
 ):
     read_indexes = []
@@ -337,7 +337,7 @@
     run(1, scenario)
 
 
-def test_an_agent_whose_engine_is_not_up_yet_fetches_and_stages_once_it_is():
+def test_agent_buffers_pieces_until_its_engine_is_up():
     # On a new VM the agent is ready before the engine.
     async def scenario(fleet):
         await fleet.wait_until_loaded(1)
@@ -360,7 +360,7 @@
     run(1, scenario)
 
 
-def test_what_lay_at_an_engine_that_answers_late_is_found():
+def test_staged_pieces_are_found_once_a_late_engine_responds():
     async def scenario(fleet):
         await fleet.wait_until_loaded(1)
         fleet.stop_agent(0)
@@ -381,7 +381,7 @@
     run(1, scenario)
 
 
-def test_no_more_is_kept_than_its_bound():
+def test_piece_store_buffer_is_bounded():
     async def scenario():
         store = piece_store.PieceStore(engine_client.EngineClient(None, "127.0.0.1:1"))
         await store.put("m", 0, bytes(piece_store.BUFFER_BYTES_MAX - 1))
@@ -392,7 +392,7 @@
     asyncio.run(scenario())
 
 
-def test_no_connection_to_the_origin_is_kept_once_all_pieces_are_here():
+def test_origin_connections_are_closed_once_all_pieces_are_fetched():
     async def scenario(fleet):
         await fleet.wait_until_loaded(1)
         pools = [agent.engine.pool for agent in fleet.agents]
@@ -403,7 +403,7 @@
     run(2, scenario)
 
 
-def test_an_engine_that_serves_nothing_yet_has_the_whole_link_for_its_weights():
+def test_download_uses_the_full_link_until_the_engine_serves():
     async def scenario(fleet):
         weights = fleet.agents[0].weights
         link = weights.fetcher.link_bytes_per_s
@@ -418,7 +418,7 @@
     run(2, scenario)
 
 
-def test_weights_that_may_not_be_used_any_more_leave_the_link_to_the_new_ones():
+def test_upload_share_grows_once_the_served_version_has_expired():
     async def scenario(fleet):
         await fleet.wait_until_loaded(1)
         weights = fleet.agents[0].weights
@@ -439,7 +439,7 @@
     run(1, scenario)
 
 
-def test_a_lost_peer_does_not_hold_the_others_up():
+def test_lost_peer_does_not_block_the_others():
     async def scenario(fleet):
         fleet.stop_agent(2)
         engine = fleet.engines.pop(2)
@@ -449,7 +449,7 @@
     run(3, scenario)
 
 
-def test_a_manifest_that_is_gone_from_the_origin_is_told_apart():
+def test_missing_manifest_is_reported_as_origin_changed():
     async def scenario():
         origin = fleet_worker.WeightOrigin({2: make_pieces(2)})
         address = await origin.start()
@@ -464,7 +464,7 @@
     asyncio.run(scenario())
 
 
-def test_weights_that_end_the_engine_that_loads_them_are_ordered_less_and_less_often(monkeypatch):
+def test_loads_that_crash_the_engine_are_retried_with_backoff(monkeypatch):
     """Guards against an endless crash loop of an engine that crashes while it loads weights."""
     monkeypatch.setattr(reload_schedule, "LOAD_RETRY_S", 30.0)
 
@@ -506,7 +506,7 @@
 
 
 @pytest.mark.parametrize("has_manifest", [False, True])
-def test_an_origin_that_asks_for_a_rest_is_left_alone_until_it_is_over(has_manifest):
+def test_origin_retry_after_is_respected(has_manifest):
     rest_s = 1.0
 
     async def scenario(fleet):
@@ -524,7 +524,7 @@
     run(1, scenario)
 
 
-def test_what_an_origin_can_not_mean_does_not_keep_weights_from_engines():
+def test_excessive_origin_retry_after_does_not_block_weights():
     async def scenario(fleet):
         fleet.origin.retry_after = "1e9"
         await fleet_nodes.until(lambda: fleet.origin.rejections)
