--- a/tests/test_bus.py
+++ b/tests/test_bus.py
@@ -58,7 +58,7 @@
         except bus.errors.UnreachableError:
             return False
 
-    processes.wait_for("an answer", call, 5)
+    processes.wait_for("a reply", call, 5)
     client.close()
     server.stop()
 
@@ -77,11 +77,11 @@
     server.start()
     client = bus.RpcClient(address, CODEC)
     with futures.ThreadPoolExecutor(2) as pool:
-        answer = pool.submit(client.call, MESSAGE, 5.0)
+        reply = pool.submit(client.call, MESSAGE, 5.0)
         assert started.wait(5)
         stopped = pool.submit(server.stop)
         processes.wait_for("the stop to begin", server.stopping.is_set, 5)
         release.set()
-        assert answer.result(5) == MESSAGE
+        assert reply.result(5) == MESSAGE
         stopped.result(5)
     client.close()
--- a/tests/test_chunk_announcements.py
+++ b/tests/test_chunk_announcements.py
@@ -68,14 +68,14 @@
 
 def test_announcing_vm_stays_a_peer_in_a_large_group():
     plan = make_plan(0, 300)
-    strangers = [vm for vm in plan.participants if vm not in plan.peers and vm != plan.own_name]
-    plan.on_announcement(strangers[0], 5)
+    non_peers = [vm for vm in plan.participants if vm not in plan.peers and vm != plan.own_name]
+    plan.on_announcement(non_peers[0], 5)
     peers = [
         fetch.Peer(name(n), name(n), fetch.OTHER_REGION * (n % ZONES != 0), f"z{n % ZONES}")
         for n in range(1, 300)
     ]
     plan.set_peers(peers)
-    assert plan.peers[strangers[0]].held >> 5 & 1
+    assert plan.peers[non_peers[0]].held >> 5 & 1
     assert len(plan.peers) == fetch.NEIGHBOURS_MAX + 1
 
 
--- a/tests/test_compare.py
+++ b/tests/test_compare.py
@@ -9,16 +9,16 @@
 
 
 def test_difference_beyond_its_spread_is_better_or_worse():
-    told = verdict.judge([0.03, 0.04, 0.035, 0.03])
-    assert (told.word, told.pairs, told.more) == ("better", 4, 0)
+    found = verdict.judge([0.03, 0.04, 0.035, 0.03])
+    assert (found.word, found.pairs, found.more) == ("better", 4, 0)
     assert verdict.judge([-0.03, -0.04, -0.035]).word == "worse"
 
 
 def test_difference_within_its_spread_gives_the_number_of_missing_pairs():
-    told = verdict.judge([0.05, -0.03, 0.02, -0.01])
-    assert told.word == "not told apart"
+    found = verdict.judge([0.05, -0.03, 0.02, -0.01])
+    assert found.word == "not told apart"
     # Mean 0.0075, spread 0.0350: (2 x 0.0350 / 0.0075) squared is 87.1.
-    assert told.more == 88 - 4
+    assert found.more == 88 - 4
 
 
 def test_two_pairs_are_too_few_for_a_verdict():
@@ -48,10 +48,10 @@
     with pytest.raises(SystemExit) as caught:
         compare.main(arguments)
     assert caught.value.code == 2
-    said = capsys.readouterr().err
-    assert said.count("\n") == 1
+    printed = capsys.readouterr().err
+    assert printed.count("\n") == 1
     for word in words:
-        assert word in said
+        assert word in printed
 
 
 @pytest.mark.parametrize("name, day", [("site.toml", "mist"), ("none.toml", "quiet-1")])
--- a/tests/test_control_failures.py
+++ b/tests/test_control_failures.py
@@ -80,15 +80,15 @@
 
 def test_each_bundle_stage_survives_a_kill_of_the_leader(make_fleet):
     fleet = make_fleet(SMALL)
-    ana = operators.Operator(fleet)
+    operator = operators.Operator(fleet)
     generation = 0
     for number, stage in enumerate(("propose", "sign", "roll")):
         version = number + 1
         for step in ("propose", "sign", "roll"):
             result = {
-                "propose": lambda v=version: ana.propose(bundle(v)),
-                "sign": lambda v=version: ana.sign(bundle(v)),
-                "roll": lambda v=version: ana.roll(v),
+                "propose": lambda v=version: operator.propose(bundle(v)),
+                "sign": lambda v=version: operator.sign(bundle(v)),
+                "roll": lambda v=version: operator.roll(v),
             }[step]()
             generation = max(generation, result.generation)
             if step == stage:
@@ -97,45 +97,45 @@
                 processes.wait_for("a new leader", lambda: fleet.leader(), 10)
                 fleet.restart(leader.name)
         wait_for_generation(fleet, generation)
-    history = ana.history()
+    history = operator.history()
     assert [roll.generation for roll in history.rolls] == [3, 2, 1]
-    assert {line.version for line in history.bundles} == {1, 2, 3}
+    assert {record.version for record in history.bundles} == {1, 2, 3}
 
 
 def test_each_new_leader_learns_of_all_agents(make_fleet):
     fleet = make_fleet(fleets.dataclasses.replace(SMALL, services=3))
-    led = set()
+    leader_names = set()
     for _ in range(3):
         leader = processes.wait_for("a leader", lambda: fleet.leader(), 10)
-        led.add(leader.name)
+        leader_names.add(leader.name)
         processes.wait_for("three agents", lambda: len(fleet.status().get("agents", [])) == 3, 15)
         leader.process.kill()
         processes.wait_for("another leader", lambda: fleet.leader(), 10)
         fleet.restart(leader.name)
-    assert len(led) >= 2
+    assert len(leader_names) >= 2
 
 
 def test_roll_resent_to_a_new_leader_returns_the_first_result(make_fleet):
     fleet = make_fleet(SMALL)
-    ana = operators.Operator(fleet)
+    operator = operators.Operator(fleet)
     request_id = uuid.uuid4().hex
-    ana.propose(bundle(1))
-    ana.sign(bundle(1))
-    first = ana.roll(1, request_id=request_id)
+    operator.propose(bundle(1))
+    operator.sign(bundle(1))
+    first = operator.roll(1, request_id=request_id)
     wait_for_leader(fleet).process.kill()
     processes.wait_for("a new leader", lambda: fleet.leader(), 10)
-    assert ana.roll(1, request_id=request_id) == first
-    assert ana.roll(1).generation == first.generation + 1
+    assert operator.roll(1, request_id=request_id) == first
+    assert operator.roll(1).generation == first.generation + 1
 
 
 def test_frozen_leader_can_neither_commit_nor_answer_after_it_resumes(make_fleet):
     fleet = make_fleet(SMALL)
-    ana = operators.Operator(fleet)
-    ana.bring_in(bundle(1))
+    operator = operators.Operator(fleet)
+    operator.bring_in(bundle(1))
     frozen = wait_for_leader(fleet)
     frozen.process.freeze()
     processes.wait_for("a new leader", lambda: fleet.leader(), 10)
-    result = ana.bring_in(bundle(2))
+    result = operator.bring_in(bundle(2))
     wait_for_generation(fleet, result.generation)
     frozen.process.thaw()
     stale = fleet.get(frozen.http, "/v1/status")
@@ -145,7 +145,7 @@
         lambda: frozen.process.events("following"),
     )
     wait_for_generation(fleet, result.generation)
-    assert ana.history().rolls[0].generation == result.generation
+    assert operator.history().rolls[0].generation == result.generation
 
 
 @pytest.mark.parametrize(
@@ -153,12 +153,14 @@
 )
 def test_partitioned_zone_keeps_its_generation_and_catches_up(make_fleet, faults):
     fleet = make_fleet(SMALL)
-    ana = operators.Operator(fleet)
-    first = ana.bring_in(bundle(1))
+    operator = operators.Operator(fleet)
+    first = operator.bring_in(bundle(1))
     wait_for_generation(fleet, first.generation)
     leader = wait_for_leader(fleet)
-    cut = next(vm for vm in fleet.entries() if vm.settings["availability_zone"] != "zone-a")
-    zone = cut.settings["availability_zone"]
+    partitioned_entry = next(
+        vm for vm in fleet.entries() if vm.settings["availability_zone"] != "zone-a"
+    )
+    zone = partitioned_entry.settings["availability_zone"]
     inside = {vm.name for vm in fleet.vms.values() if vm.settings["availability_zone"] == zone}
     buses = {fleet.vms[name].bus: name for name in inside}
     buses |= {
@@ -166,9 +168,9 @@
     }
     links = []
     for name in fleet.proxy.links:
-        source, _, goal = name.partition(">")
-        goal_name = buses.get(goal, goal)
-        if (source in inside) != (goal_name in inside):
+        source, _, destination = name.partition(">")
+        destination_name = buses.get(destination, destination)
+        if (source in inside) != (destination_name in inside):
             links.append(name)
     fleet.proxy.set(links, **faults)
     fleet.proxy.links[links[0]].reset_all()
@@ -179,23 +181,23 @@
             15,
         )
     outside = [vm.http for vm in fleet.controls() if vm.name not in inside]
-    ana.controls.addresses = outside
-    result = ana.bring_in(bundle(2))
+    operator.controls.addresses = outside
+    result = operator.bring_in(bundle(2))
     assert result.generation == 2
     generations = dict(
         zip([vm.name for vm in fleet.entries()], entry_generations(fleet), strict=True)
     )
-    assert generations[cut.name] >= 1
+    assert generations[partitioned_entry.name] >= 1
     fleet.proxy.set(links)
     wait_for_generation(fleet, 2, 15)
 
 
 def test_second_loss_is_survived_after_a_lost_disk_is_replaced(make_fleet):
     fleet = make_fleet(SMALL)
-    ana = operators.Operator(fleet)
-    ana.bring_in(bundle(1))
+    operator = operators.Operator(fleet)
+    operator.bring_in(bundle(1))
     processes.wait_for(
-        "identities",
+        "the recorded identities of the members",
         lambda: any(vm.process.events("members_change") for vm in fleet.controls()),
     )
     leader = wait_for_leader(fleet)
@@ -217,10 +219,10 @@
         vm for vm in fleet.controls() if vm.name not in (lost.name, new.name, leader.name)
     )
     second.process.kill()
-    ana = operators.Operator(fleet)
+    operator = operators.Operator(fleet)
     processes.wait_for("a leader", lambda: fleet.leader(), 15)
-    assert [line.version for line in ana.history().bundles] == [1]
-    result = ana.bring_in(bundle(2))
+    assert [record.version for record in operator.history().bundles] == [1]
+    result = operator.bring_in(bundle(2))
     wait_for_generation(fleet, result.generation, 10)
 
 
@@ -254,10 +256,10 @@
             control={"compact_after_entries": 200},
         )
     )
-    ana = operators.Operator(fleet)
-    ana.bring_in(bundle(1))
+    operator = operators.Operator(fleet)
+    operator.bring_in(bundle(1))
     for _ in range(999):
-        last = ana.roll(1, is_back=True)
+        last = operator.roll(1, is_back=True)
     assert last.generation == 1000
     for vm in fleet.controls():
         vm.process.kill()
@@ -267,7 +269,7 @@
         fleet.restart(vm.name)
     processes.wait_for("a leader", lambda: fleet.leader(), 15)
     wait_for_generation(fleet, 1000, 10)
-    assert ana.history().rolls[0].generation == 1000
+    assert operator.history().rolls[0].generation == 1000
     for vm in fleet.controls():
         folder = fleet.folder / "data" / vm.name
         assert sum(path.stat().st_size for path in folder.iterdir()) < 2_000_000
@@ -275,16 +277,20 @@
 
 def test_damaged_log_is_refused_and_the_other_members_continue(make_fleet):
     fleet = make_fleet(SMALL)
-    ana = operators.Operator(fleet)
-    ana.bring_in(bundle(1))
+    operator = operators.Operator(fleet)
+    operator.bring_in(bundle(1))
     damaged = next(vm for vm in fleet.controls() if vm.name != wait_for_leader(fleet).name)
     processes.wait_for(
-        "it to follow", lambda: "applied_roll" in damaged.process.log.read_text(), 15
+        "the control VM to apply the roll",
+        lambda: "applied_roll" in damaged.process.log.read_text(),
+        15,
     )
-    ana.bring_in(bundle(2))
+    operator.bring_in(bundle(2))
     path = next((fleet.folder / "data" / damaged.name).glob("log-*.bin"))
     processes.wait_for(
-        "a second record", lambda: len(records.read_records(path.read_bytes(), path)[0]) > 1, 15
+        "a second record in the log file",
+        lambda: len(records.read_records(path.read_bytes(), path)[0]) > 1,
+        15,
     )
     damaged.process.kill()
     data = bytearray(path.read_bytes())
@@ -294,18 +300,18 @@
     fleet.restart(damaged.name)
     assert damaged.process.wait(15) == 13
     assert f"log_damaged: {path}" in damaged.process.log.read_text()
-    assert ana.bring_in(bundle(3)).generation == 3
+    assert operator.bring_in(bundle(3)).generation == 3
 
 
 def test_leader_with_a_full_disk_is_replaced_and_loses_nothing(make_fleet):
     fleet = make_fleet(SMALL)
-    ana = operators.Operator(fleet)
-    ana.bring_in(bundle(1))
+    operator = operators.Operator(fleet)
+    operator.bring_in(bundle(1))
     full = wait_for_leader(fleet)
     size = next((fleet.folder / "data" / full.name).glob("log-*.bin")).stat().st_size
     limit = (size, resource.RLIM_INFINITY)
     resource.prlimit(full.process.handle.pid, resource.RLIMIT_FSIZE, limit)
-    result = ana.bring_in(bundle(2))
+    result = operator.bring_in(bundle(2))
     assert result.generation == 2
     assert wait_for_leader(fleet).name != full.name
     assert full.process.is_running()
@@ -317,7 +323,7 @@
     )
     other.process.kill()
     processes.wait_for("a leader", lambda: fleet.leader(), 15)
-    assert ana.bring_in(bundle(3)).generation == 3
+    assert operator.bring_in(bundle(3)).generation == 3
 
 
 def test_a_second_process_on_one_data_folder_is_refused(make_fleet):
@@ -331,15 +337,15 @@
 
 def test_roll_without_a_majority_is_refused(make_fleet):
     fleet = make_fleet(SMALL)
-    ana = operators.Operator(fleet, timeout_s=4.0)
-    ana.bring_in(bundle(1))
+    operator = operators.Operator(fleet, timeout_s=4.0)
+    operator.bring_in(bundle(1))
     wait_for_generation(fleet, 1)
-    ana.propose(bundle(2))
-    ana.sign(bundle(2))
+    operator.propose(bundle(2))
+    operator.sign(bundle(2))
     for vm in fleet.controls()[1:]:
         vm.process.kill()
     with pytest.raises(errors.MerlinthreadError) as caught:
-        ana.roll(2)
+        operator.roll(2)
     assert caught.value.kind in (
         errors.ErrorKind.NOT_LEADER,
         errors.ErrorKind.OUTCOME_UNKNOWN,
--- a/tests/test_control_replacement.py
+++ b/tests/test_control_replacement.py
@@ -48,11 +48,11 @@
         for ip in controls.ips:
             controls.kill(ip)
         await controls.start(controls.ips[0])
-        alone = controls.nodes[controls.ips[0]]
-        assert alone.changes_for(WATCH).leader_age_s > fleet_watcher.STALE_AFTER_S
+        restarted = controls.nodes[controls.ips[0]]
+        assert restarted.changes_for(WATCH).leader_age_s > fleet_watcher.STALE_AFTER_S
         await controls.start(controls.ips[1])
         await fleet_nodes.until(
-            lambda: alone.changes_for(WATCH).leader_age_s < fleet_watcher.STALE_AFTER_S
+            lambda: restarted.changes_for(WATCH).leader_age_s < fleet_watcher.STALE_AFTER_S
         )
 
     run(tmp_path, scenario)
@@ -67,10 +67,10 @@
             lambda: node.changes_for(WATCH).leader_age_s < fleet_watcher.STALE_AFTER_S
         )
 
-        def full(hard_state, entries, commit):
+        def raise_disk_full(hard_state, entries, commit):
             raise errors.DiskFullError("no room")
 
-        monkeypatch.setattr(node.member.journal, "save", full)
+        monkeypatch.setattr(node.member.journal, "save", raise_disk_full)
         await put_configuration(controls, 2)
         await fleet_nodes.until(
             lambda: node.changes_for(WATCH).leader_age_s > fleet_watcher.STALE_AFTER_S
@@ -94,8 +94,8 @@
         for ip in controls.ips:
             controls.kill(ip)
         await controls.start(controls.ips[0])
-        alone = controls.nodes[controls.ips[0]]
-        await fleet_nodes.until(lambda: alone.changes_for(WATCH).configuration_version == 7)
+        restarted = controls.nodes[controls.ips[0]]
+        await fleet_nodes.until(lambda: restarted.changes_for(WATCH).configuration_version == 7)
 
     run(tmp_path, scenario)
 
@@ -164,11 +164,13 @@
         await fleet_nodes.until(
             lambda: not member.raft.log.has_membership_change_after(member.raft.commit)
         )
-        gone = next(ip for ip in controls.nodes if ip not in (leader, REPLACEMENT))
-        lost = controls.nodes[gone].member.name
-        controls.kill(gone)
+        failed_ip = next(ip for ip in controls.nodes if ip not in (leader, REPLACEMENT))
+        failed_name = controls.nodes[failed_ip].member.name
+        controls.kill(failed_ip)
         # The removal is in the leader's log and not replicated yet.
-        member.raft.change_membership(raft_members.MembershipChange(remove=lost), time.monotonic())
+        member.raft.change_membership(
+            raft_members.MembershipChange(remove=failed_name), time.monotonic()
+        )
         assert member.raft.log.has_membership_change_after(member.raft.commit)
         await controls.nodes[leader].stop()
         fleet_nodes.end_tasks(controls.nodes.pop(leader))
@@ -194,11 +196,11 @@
 
 def test_empty_control_vm_requests_to_join_at_once(tmp_path):
     async def scenario():
-        asked = []
+        sent = []
 
         class Recorder:
             async def call(self, address, message, timeout_s):
-                asked.append((address, message.name))
+                sent.append((address, message.name))
                 return node_messages.JoinReply(False)
 
         settings = fleet_nodes.make_settings(
@@ -208,8 +210,8 @@
             settings, fleet_nodes.make_codec(), Recorder(), lambda: 50.0, None, None
         )
         member.members.request_join(50.0)
-        await fleet_nodes.until(lambda: asked)
-        assert asked == [("127.0.0.11:7000", member.name)]
+        await fleet_nodes.until(lambda: sent)
+        assert sent == [("127.0.0.11:7000", member.name)]
         member.close()
 
     asyncio.run(scenario())
@@ -219,6 +221,7 @@
     async def scenario(controls):
         await put_configuration(controls, 1)
         member = controls.nodes[controls.leader()].member
+        # Until it commits an entry of its own term, a leader may not know the last commits.
         member.raft.term_start = member.raft.commit + 1
         member.current_at = float("-inf")
         member.update_current_at()
--- a/tests/test_coordination.py
+++ b/tests/test_coordination.py
@@ -394,12 +394,12 @@
 TestClaimsMachine = ClaimsMachine.TestCase
 
 
-@pytest.mark.parametrize("gives_up_first", [True, False])
-def test_abandoned_claim_frees_its_key_in_either_order(gives_up_first):
+@pytest.mark.parametrize("releases_first", [True, False])
+def test_abandoned_claim_frees_its_key_in_either_order(releases_first):
     state = control_state.ControlState()
     claim = commands.Claim("k", "body", "t1", 100.0)
-    give_up = commands.Complete("k", "t1", 0, b"", not_run=True)
-    for index, command in enumerate([give_up, claim] if gives_up_first else [claim, give_up]):
+    release = commands.Complete("k", "t1", 0, b"", not_run=True)
+    for index, command in enumerate([release, claim] if releases_first else [claim, release]):
         state.apply(command, index)
     again = state.apply(commands.Claim("k", "body", "t2", 100.0), 9)
     assert again.status == "granted"
@@ -453,20 +453,26 @@
 
 def test_own_zone_is_preferred_unless_heavily_loaded():
     near, far = report("near", "z0", slots=1), report("far", "z1", slots=1)
-    place, wanted = routing.Location("z0", "r"), routing.Requirements("generate", "m")
+    location, requirements = routing.Location("z0", "r"), routing.Requirements("generate", "m")
     chosen = routing.least_loaded(
-        [routing.Candidate(near, 1), routing.Candidate(far, 0)], wanted, place, random.Random(1)
+        [routing.Candidate(near, 1), routing.Candidate(far, 0)],
+        requirements,
+        location,
+        random.Random(1),
     )
     assert chosen.report is near
     chosen = routing.least_loaded(
-        [routing.Candidate(near, 9), routing.Candidate(far, 0)], wanted, place, random.Random(1)
+        [routing.Candidate(near, 9), routing.Candidate(far, 0)],
+        requirements,
+        location,
+        random.Random(1),
     )
     assert chosen.report is far
 
 
 def test_leaving_and_excluded_targets_cannot_serve():
-    wanted = routing.Requirements("generate", "m", excluded=frozenset({"x"}))
-    assert routing.can_serve(report("a", serving={"m": A}), wanted)
-    assert not routing.can_serve(report("a", serving={"m": A}, is_leaving=True), wanted)
-    assert not routing.can_serve(report("x", serving={"m": A}), wanted)
-    assert not routing.can_serve(report("a", serving={"n": A}), wanted)
+    requirements = routing.Requirements("generate", "m", excluded=frozenset({"x"}))
+    assert routing.can_serve(report("a", serving={"m": A}), requirements)
+    assert not routing.can_serve(report("a", serving={"m": A}, is_leaving=True), requirements)
+    assert not routing.can_serve(report("x", serving={"m": A}), requirements)
+    assert not routing.can_serve(report("a", serving={"n": A}), requirements)
--- a/tests/test_fetch_policies.py
+++ b/tests/test_fetch_policies.py
@@ -103,7 +103,7 @@
 TestFetchMachine = FetchMachine.TestCase
 
 
-def simulate_fleet(count: int, policy: str, cut_after: int = 0) -> list[fetch.FetchPlan]:
+def simulate_fleet(count: int, policy: str, partition_after: int = 0) -> list[fetch.FetchPlan]:
     """Simulate a fleet in rounds of one upload and one download per VM; return the plans."""
     rng = random.Random(3)
     names = [f"vm-{number:03d}" for number in range(count)]
@@ -130,14 +130,20 @@
         rng.shuffle(order)
         for name in order:
             run_action(
-                plans, upload_slots, name, busy, now, is_cut=0 < cut_after <= number, names=names
+                plans,
+                upload_slots,
+                name,
+                busy,
+                now,
+                is_partitioned=0 < partition_after <= number,
+                names=names,
             )
         if all(plan.is_complete() for plan in plans.values()):
             break
     return list(plans.values())
 
 
-def run_action(plans, upload_slots, name, busy, now, is_cut, names) -> None:
+def run_action(plans, upload_slots, name, busy, now, is_partitioned, names) -> None:
     """Run one action of one VM."""
     plan = plans[name]
     action = plan.next_action(now)
@@ -148,8 +154,8 @@
         plan.on_chunk_received(action.index, True, now)
     else:
         other = plans[action.peer]
-        crosses = (names.index(name) + names.index(action.peer)) % 2
-        if is_cut and crosses:
+        crosses_zones = (names.index(name) + names.index(action.peer)) % 2
+        if is_partitioned and crosses_zones:
             plan.on_peer_failed(action.peer, now)
         else:
             plan.on_peer_report(action.peer, other.held, now)
@@ -177,10 +183,10 @@
 
 
 def test_zone_partitioned_at_the_start_reads_about_one_more_copy():
-    plans = simulate_fleet(20, "spread", cut_after=1)
+    plans = simulate_fleet(20, "spread", partition_after=1)
     assert all(plan.is_complete() for plan in plans)
     copies = sum(plan.stats.from_origin for plan in plans) / 40
-    assert copies <= 2.1, f"{copies} copies for two sides"
+    assert copies <= 2.1, f"{copies} copies for two zones"
 
 
 def test_rarest_chunks_come_first():
--- a/tests/test_fleet_coordination.py
+++ b/tests/test_fleet_coordination.py
@@ -21,7 +21,7 @@
 )
 from merlinthread.protocol import event_stream
 
-BEAT_S = 1.2
+HEARTBEAT_INTERVAL_S = 1.2
 
 
 def make_route(name="r", host="h", prefix="/a/", **changes) -> fleet.Route:
@@ -62,54 +62,56 @@
     assert raised.value.field
 
 
-def beat(instance="i", address="1.1.1.1:1", sequence=1, state=fleet.READY) -> fleet.Heartbeat:
+def make_heartbeat(
+    instance="i", address="1.1.1.1:1", sequence=1, state=fleet.READY
+) -> fleet.Heartbeat:
     return fleet.Heartbeat(instance, "s", address, "z", 4, state, sequence)
 
 
 def test_a_late_heartbeat_does_not_undo_a_drain():
-    registry = instances.InstanceRegistry(BEAT_S)
-    registry.record_heartbeat(beat(sequence=5, state=fleet.DRAINING), 0.0)
-    registry.record_heartbeat(beat(sequence=4), 0.1)
-    registry.record_heartbeat(beat(sequence=6), 0.2)
+    registry = instances.InstanceRegistry(HEARTBEAT_INTERVAL_S)
+    registry.record_heartbeat(make_heartbeat(sequence=5, state=fleet.DRAINING), 0.0)
+    registry.record_heartbeat(make_heartbeat(sequence=4), 0.1)
+    registry.record_heartbeat(make_heartbeat(sequence=6), 0.2)
     assert registry.known["i"].heartbeat.state == fleet.DRAINING
 
 
 def test_heartbeat_of_a_departed_instance_is_ignored():
-    registry = instances.InstanceRegistry(BEAT_S)
-    registry.record_heartbeat(beat(), 0.0)
+    registry = instances.InstanceRegistry(HEARTBEAT_INTERVAL_S)
+    registry.record_heartbeat(make_heartbeat(), 0.0)
     registry.mark_gone("i")
-    registry.record_heartbeat(beat(sequence=9), 0.1)
+    registry.record_heartbeat(make_heartbeat(sequence=9), 0.1)
     assert registry.known == {}
 
 
 def test_new_instance_replaces_the_old_one_at_its_address():
-    registry = instances.InstanceRegistry(BEAT_S)
-    registry.record_heartbeat(beat("old"), 0.0)
-    registry.record_heartbeat(beat("new"), 1.0)
-    registry.record_heartbeat(beat("old", sequence=2), 1.1)
+    registry = instances.InstanceRegistry(HEARTBEAT_INTERVAL_S)
+    registry.record_heartbeat(make_heartbeat("old"), 0.0)
+    registry.record_heartbeat(make_heartbeat("new"), 1.0)
+    registry.record_heartbeat(make_heartbeat("old", sequence=2), 1.1)
     assert list(registry.known) == ["new"]
 
 
 def test_changes_since_a_position_are_incremental():
-    registry = instances.InstanceRegistry(BEAT_S)
-    registry.record_heartbeat(beat("a", "1.1.1.1:1"), 0.0)
+    registry = instances.InstanceRegistry(HEARTBEAT_INTERVAL_S)
+    registry.record_heartbeat(make_heartbeat("a", "1.1.1.1:1"), 0.0)
     position = registry.position
-    registry.record_heartbeat(beat("b", "1.1.1.1:2"), 0.0)
-    registry.record_heartbeat(beat("a", "1.1.1.1:1", sequence=2), 0.5)
+    registry.record_heartbeat(make_heartbeat("b", "1.1.1.1:2"), 0.0)
+    registry.record_heartbeat(make_heartbeat("a", "1.1.1.1:1", sequence=2), 0.5)
     is_full, changed, gone = registry.changes_since(position, 0.5)
-    assert (is_full, [told.heartbeat.instance for told in changed], gone) == (False, ["b"], [])
+    assert (is_full, [record.heartbeat.instance for record in changed], gone) == (False, ["b"], [])
     registry.mark_gone("a")
     assert registry.changes_since(position, 0.5)[2] == ["a"]
 
 
 def test_expired_instances_are_dropped_and_changes_are_full():
-    registry = instances.InstanceRegistry(BEAT_S)
-    registry.record_heartbeat(beat("a", "1.1.1.1:1"), 0.0)
-    registry.record_heartbeat(beat("b", "1.1.1.1:2"), 9.0)
+    registry = instances.InstanceRegistry(HEARTBEAT_INTERVAL_S)
+    registry.record_heartbeat(make_heartbeat("a", "1.1.1.1:1"), 0.0)
+    registry.record_heartbeat(make_heartbeat("b", "1.1.1.1:2"), 9.0)
     position = registry.position
     assert registry.expire(10.0, 5.0) == ["a"]
     is_full, changed, _ = registry.changes_since(position, 10.0)
-    assert is_full and [told.heartbeat.instance for told in changed] == ["b"]
+    assert is_full and [record.heartbeat.instance for record in changed] == ["b"]
 
 
 def test_highest_version_wins_in_any_order():
@@ -140,7 +142,7 @@
     assert spent <= 0.2 * requests + 7 * 3
 
 
-def backend(name="b", **changes) -> backend_record.Backend:
+def make_backend(name="b", **changes) -> backend_record.Backend:
     fields = {"service": "s", "address": "x", "zone": "z", "distance": 0, "slots": 16}
     return backend_record.Backend(name, **(fields | changes))
 
@@ -149,9 +151,9 @@
 
 
 def test_the_less_loaded_back_end_is_chosen():
-    busy, idle = backend("busy", in_flight=12, unread_tokens=4000.0), backend("idle")
-    for one in (busy, idle):
-        one.weights = [fleet.Weights("m", 1, 16)]
+    busy, idle = make_backend("busy", in_flight=12, unread_tokens=4000.0), make_backend("idle")
+    for backend in (busy, idle):
+        backend.weights = [fleet.Weights("m", 1, 16)]
     choice = dispatch.choose(
         [busy, idle], dispatch.Demand("s", "m", prompt_tokens=900.0), ENGINE, 0.0, random.Random(1)
     )
@@ -165,38 +167,38 @@
         "old": [fleet.Weights("m", 1, 16)],
         "new": [fleet.Weights("m", 2, 16)],
     }
-    backends = [backend(name, weights=weights) for name, weights in held.items()]
+    backends = [make_backend(name, weights=weights) for name, weights in held.items()]
     demand = dispatch.Demand("s", "m", 2)
-    able = [b.instance for b in backends if dispatch.is_eligible(b, demand, ENGINE, 0.0)]
-    assert able == ["new"]
+    eligible = [b.instance for b in backends if dispatch.is_eligible(b, demand, ENGINE, 0.0)]
+    assert eligible == ["new"]
 
 
 def test_repeated_failures_lengthen_the_ejection_of_a_back_end():
-    one = backend()
-    waits = []
+    backend = make_backend()
+    ejections_s = []
     for _ in range(3):
-        dispatch.record_failure(one, 100.0)
-        waits.append(one.ejected_until - 100.0)
-    assert waits == sorted(set(waits))
+        dispatch.record_failure(backend, 100.0)
+        ejections_s.append(backend.ejected_until - 100.0)
+    assert ejections_s == sorted(set(ejections_s))
     demand = dispatch.Demand("s")
-    assert not dispatch.is_eligible(one, demand, None, 100.0)
-    assert dispatch.is_eligible(one, demand, None, 110.0)
-    dispatch.record_success(one, 0.1)
-    assert one.failures == 0
+    assert not dispatch.is_eligible(backend, demand, None, 100.0)
+    assert dispatch.is_eligible(backend, demand, None, 110.0)
+    dispatch.record_success(backend, 0.1)
+    assert backend.failures == 0
 
 
 def test_last_ejected_back_end_gets_one_request_at_a_time():
     # Two of three back ends were removed, and one connection attempt to the last one failed.
     demand = dispatch.Demand("s")
-    only, taken_away = backend("only"), backend("taken away")
-    taken_away.is_draining = True
+    only, draining = make_backend("only"), make_backend("taken away")
+    draining.is_draining = True
     dispatch.record_failure(only, 10.0)
-    choice = dispatch.choose([only, taken_away], demand, None, 10.05, random.Random(1))
+    choice = dispatch.choose([only, draining], demand, None, 10.05, random.Random(1))
     assert choice.backend is only
-    assert choice.wait_s == math.inf, "others are preferred, a request waits a moment for them"
+    assert choice.wait_s == math.inf, "a request waits for other back ends first"
     only.in_flight = 1
     assert dispatch.choose([only], demand, None, 10.05, random.Random(1)) is None
-    sound = backend("sound", in_flight=5)
+    sound = make_backend("sound", in_flight=5)
     choice = dispatch.choose([only, sound], demand, None, 10.05, random.Random(1))
     assert choice.backend is sound
     demand.tried = {"only"}
@@ -205,16 +207,16 @@
 
 
 def test_stale_report_is_ignored():
-    one = backend(in_flight=2)
-    one.apply_report(fleet.EngineReport(running=9), 0.0)
-    assert one.load(0.5) == 9
-    assert one.load(5.0) == 2
+    backend = make_backend(in_flight=2)
+    backend.apply_report(fleet.EngineReport(running=9), 0.0)
+    assert backend.load(0.5) == 9
+    assert backend.load(5.0) == 2
 
 
 def test_back_end_without_recent_reports_is_chosen_last():
-    silent, heard = backend("silent"), backend("heard", in_flight=8)
-    for one, at in ((silent, 0.0), (heard, 9.5)):
-        one.apply_report(fleet.EngineReport(weights=[fleet.Weights("m", 1, 16)]), at)
+    silent, heard = make_backend("silent"), make_backend("heard", in_flight=8)
+    for backend, at in ((silent, 0.0), (heard, 9.5)):
+        backend.apply_report(fleet.EngineReport(weights=[fleet.Weights("m", 1, 16)]), at)
     demand = dispatch.Demand("s", "m", prompt_tokens=900.0)
     choice = dispatch.choose([silent, heard], demand, ENGINE, 10.0, random.Random(1))
     assert choice.backend is heard
@@ -239,22 +241,29 @@
         assert b"".join(event.data for event in found) + splitter.buffer == text
 
 
-def make_zoned(me: str, names: dict[str, int]) -> fetch_policies.Zoned:
-    plan = fetch_policies.Zoned(me, "m@2", 24, 0, 1, 0.0, random.Random(1))
+def make_zoned(own_name: str, names: dict[str, int]) -> fetch_policies.Zoned:
+    plan = fetch_policies.Zoned(own_name, "m@2", 24, 0, 1, 0.0, random.Random(1))
     plan.set_peers([fetch.Peer(name, name, distance) for name, distance in names.items()])
     return plan
 
 
 def test_one_vm_per_zone_requests_a_chunk_from_other_zones():
     zone = ["a", "b", "c"]
-    asked = []
-    for me in zone:
-        names = {name: fetch.SAME_ZONE for name in zone if name != me} | {"far": fetch.OTHER_REGION}
-        plan = make_zoned(me, names)
+    requested = []
+    for own_name in zone:
+        names = {name: fetch.SAME_ZONE for name in zone if name != own_name} | {
+            "far": fetch.OTHER_REGION
+        }
+        plan = make_zoned(own_name, names)
         plan.on_peer_report("far", plan.all_chunks, 0.0)
-        asked.append(plan.cross_zone_chunks(0.0))
-    assert asked[0] | asked[1] | asked[2] == make_zoned("a", {}).all_chunks
-    assert asked[0] & asked[1] == asked[0] & asked[2] == asked[1] & asked[2] == 0
+        requested.append(plan.cross_zone_chunks(0.0))
+    assert requested[0] | requested[1] | requested[2] == make_zoned("a", {}).all_chunks
+    assert (
+        requested[0] & requested[1]
+        == requested[0] & requested[2]
+        == requested[1] & requested[2]
+        == 0
+    )
 
 
 def test_vm_without_progress_requests_all_chunks_from_other_zones():
@@ -274,37 +283,39 @@
 
 
 def test_load_tracker_reports_the_load_of_other_entries():
-    ledger = load_tracker.LoadTracker()
-    ledger.record_start("entry-1", 1, 900.0, 10.0)
-    ledger.record_start("entry-2", 1, 500.0, 10.0)
-    ledger.record_start("entry-2", 2, 700.0, 10.1)
-    assert ledger.outstanding("entry-1", 10.2) == load_tracker.Outstanding(2, 2, 1200.0)
-    ledger.record_first_byte("entry-2", 1)
-    ledger.record_end("entry-2", 2)
-    assert ledger.outstanding("entry-1", 10.2) == load_tracker.Outstanding(1, 0, 0.0)
-    assert ledger.outstanding("entry-3", 10.2) == load_tracker.Outstanding(2, 1, 900.0)
+    tracker = load_tracker.LoadTracker()
+    tracker.record_start("entry-1", 1, 900.0, 10.0)
+    tracker.record_start("entry-2", 1, 500.0, 10.0)
+    tracker.record_start("entry-2", 2, 700.0, 10.1)
+    assert tracker.outstanding("entry-1", 10.2) == load_tracker.Outstanding(2, 2, 1200.0)
+    tracker.record_first_byte("entry-2", 1)
+    tracker.record_end("entry-2", 2)
+    assert tracker.outstanding("entry-1", 10.2) == load_tracker.Outstanding(1, 0, 0.0)
+    assert tracker.outstanding("entry-3", 10.2) == load_tracker.Outstanding(2, 1, 900.0)
 
 
 def test_lost_notices_expire_and_unreported_load_counts():
-    ledger = load_tracker.LoadTracker()
-    ledger.record_start("entry-1", 1, 900.0, 10.0)
+    tracker = load_tracker.LoadTracker()
+    tracker.record_start("entry-1", 1, 900.0, 10.0)
     late = 10.0 + load_tracker.UNREAD_EXPIRY_S + 0.1
-    assert ledger.outstanding("entry-2", late) == load_tracker.Outstanding(1, 0, 0.0)
-    ledger.apply_report(4, late)
-    assert ledger.outstanding("entry-2", late).attempts == 4
-    ledger.apply_report(0, late)
-    assert ledger.outstanding("entry-2", late).attempts == 0
-    ledger.apply_report(0, 10.0 + load_tracker.ATTEMPT_EXPIRY_S + 0.1)
-    assert not ledger.open
+    assert tracker.outstanding("entry-2", late) == load_tracker.Outstanding(1, 0, 0.0)
+    tracker.apply_report(4, late)
+    assert tracker.outstanding("entry-2", late).attempts == 4
+    tracker.apply_report(0, late)
+    assert tracker.outstanding("entry-2", late).attempts == 0
+    tracker.apply_report(0, 10.0 + load_tracker.ATTEMPT_EXPIRY_S + 0.1)
+    assert not tracker.open
 
 
 def test_unread_prompts_of_other_entries_delay_the_first_byte():
-    busy, idle = backend("busy"), backend("idle")
-    for one, tokens in ((busy, 5000.0), (idle, 0.0)):
-        one.apply_report(fleet.EngineReport(weights=[fleet.Weights("m", 1, 16)]), 9.95)
-        one.apply_probe_reply(load_tracker.EngineLoad(load_tracker.Outstanding(3, 2, tokens)), 10.0)
+    busy, idle = make_backend("busy"), make_backend("idle")
+    for backend, tokens in ((busy, 5000.0), (idle, 0.0)):
+        backend.apply_report(fleet.EngineReport(weights=[fleet.Weights("m", 1, 16)]), 9.95)
+        backend.apply_probe_reply(
+            load_tracker.EngineLoad(load_tracker.Outstanding(3, 2, tokens)), 10.0
+        )
     demand = dispatch.Demand("s", "m", prompt_tokens=1000.0)
-    choices = [dispatch.evaluate(one, demand, ENGINE, 10.0) for one in (busy, idle)]
+    choices = [dispatch.evaluate(backend, demand, ENGINE, 10.0) for backend in (busy, idle)]
     expected = 5000.0 / ENGINE.read_tokens_per_s
     assert choices[0].first_byte_s - choices[1].first_byte_s == pytest.approx(expected)
     best = dispatch.choose_best([busy, idle], demand, ENGINE, 10.0)
@@ -312,25 +323,27 @@
 
 
 def test_expected_first_byte_is_later_once_all_slots_are_used():
-    one = backend("one")
+    backend = make_backend("one")
     found = []
-    for load in range(one.slots - 2, one.slots + 2):
-        one.in_flight = load
-        found.append(dispatch.expected_first_byte_s(one, ENGINE, 0.0, 10.0))
+    for load in range(backend.slots - 2, backend.slots + 2):
+        backend.in_flight = load
+        found.append(dispatch.expected_first_byte_s(backend, ENGINE, 0.0, 10.0))
     steps = [after - before for before, after in zip(found, found[1:], strict=False)]
-    bare_s = ENGINE.usual_answer * ENGINE.step_s / one.slots
-    assert steps[0] < bare_s < 2 * bare_s < steps[1] == pytest.approx(steps[2])
+    slot_wait_s = ENGINE.usual_answer * ENGINE.step_s / backend.slots
+    assert steps[0] < slot_wait_s < 2 * slot_wait_s < steps[1] == pytest.approx(steps[2])
 
 
 def test_shortlist_prefers_fast_engines_with_responding_agents():
-    prompt, silent, slow = backend("prompt"), backend("silent"), backend("slow")
-    for one, pace in ((prompt, 1.0), (silent, 1.0), (slow, 4.0)):
+    prompt, silent, slow = make_backend("prompt"), make_backend("silent"), make_backend("slow")
+    for backend, pace in ((prompt, 1.0), (silent, 1.0), (slow, 4.0)):
         report = fleet.EngineReport(weights=[fleet.Weights("m", 1, 16)], pace=pace)
-        one.apply_report(report, 9.95)
+        backend.apply_report(report, 9.95)
     silent.apply_probe_reply(None, 10.0)
     demand = dispatch.Demand("s", "m", prompt_tokens=1000.0)
-    asked = dispatch.shortlist([slow, silent, prompt], demand, ENGINE, 10.0, random.Random(1), 3)
-    assert asked[0] is prompt
+    shortlisted = dispatch.shortlist(
+        [slow, silent, prompt], demand, ENGINE, 10.0, random.Random(1), 3
+    )
+    assert shortlisted[0] is prompt
 
 
 def test_spare_origin_bandwidth_is_used_for_chunks_missing_in_the_zone():
@@ -373,10 +386,10 @@
 
 
 def test_unresponsive_back_end_stops_attracting_requests():
-    silent = backend(
+    silent = make_backend(
         "silent", in_flight=3, response_time=backend_record.ResponseTime(0.005, responses=1000)
     )
-    idle = backend("idle", response_time=backend_record.ResponseTime(0.1, responses=1000))
+    idle = make_backend("idle", response_time=backend_record.ResponseTime(0.1, responses=1000))
     choice = dispatch.choose([silent, idle], dispatch.Demand("s"), None, 0.0, random.Random(1))
     assert choice.backend is idle
 
@@ -384,65 +397,65 @@
 def test_old_version_near_its_end_is_used_only_on_prompt_back_ends():
     old = [fleet.Weights("m", 1, 16)]
     report = fleet.EngineReport(weights=old)
-    prompt, slow, silent, asked_before = (
-        backend(name) for name in ("prompt", "slow", "silent", "asked-before")
+    prompt, slow, silent, probed_before = (
+        make_backend(name) for name in ("prompt", "slow", "silent", "asked-before")
     )
-    nothing = load_tracker.EngineLoad(load_tracker.Outstanding())
-    for one in (prompt, slow, silent, asked_before):
-        one.apply_report(report, 9.99)
-    prompt.apply_probe_reply(nothing, 9.99)
-    slow.apply_probe_reply(nothing, 9.99)
+    no_load = load_tracker.EngineLoad(load_tracker.Outstanding())
+    for backend in (prompt, slow, silent, probed_before):
+        backend.apply_report(report, 9.99)
+    prompt.apply_probe_reply(no_load, 9.99)
+    slow.apply_probe_reply(no_load, 9.99)
     slow.record_first_byte_delay(0.8, 9.0)
     silent.apply_probe_reply(None, 9.99)
-    asked_before.apply_probe_reply(nothing, 9.9)
-    all_of_them = [prompt, slow, silent, asked_before]
+    probed_before.apply_probe_reply(no_load, 9.9)
+    backends = [prompt, slow, silent, probed_before]
     demand = dispatch.Demand("s", "m", version_soon=2)
-    found = dispatch.shortlist(all_of_them, demand, ENGINE, 10.0, random.Random(1), 4)
-    assert len(found) == 4, "each may be asked"
-    for one in all_of_them:
-        choice = dispatch.choose_best([one], demand, ENGINE, 10.0)
-        assert (choice is not None) == (one is prompt)
+    shortlisted = dispatch.shortlist(backends, demand, ENGINE, 10.0, random.Random(1), 4)
+    assert len(shortlisted) == 4, "each may be probed"
+    for backend in backends:
+        choice = dispatch.choose_best([backend], demand, ENGINE, 10.0)
+        assert (choice is not None) == (backend is prompt)
 
 
 def test_late_heartbeat_of_an_ended_instance_is_refused():
     # The control VM does not know the old instance, since it has just started or was partitioned.
-    registry = instances.InstanceRegistry(BEAT_S)
-    registry.record_heartbeat(beat("new", sequence=3), 0.0)
-    assert not registry.record_heartbeat(beat("old", sequence=40), 0.5)
-    assert not registry.record_heartbeat(beat("old", sequence=41), 0.6)
-    registry.record_heartbeat(beat("new", sequence=4), 1.2)
+    registry = instances.InstanceRegistry(HEARTBEAT_INTERVAL_S)
+    registry.record_heartbeat(make_heartbeat("new", sequence=3), 0.0)
+    assert not registry.record_heartbeat(make_heartbeat("old", sequence=40), 0.5)
+    assert not registry.record_heartbeat(make_heartbeat("old", sequence=41), 0.6)
+    registry.record_heartbeat(make_heartbeat("new", sequence=4), 1.2)
     assert set(registry.known) == {"new"}
-    assert not registry.record_heartbeat(beat("old", sequence=42), 2.4)
+    assert not registry.record_heartbeat(make_heartbeat("old", sequence=42), 2.4)
     assert set(registry.known) == {"new"}
 
 
 def test_first_heartbeat_of_a_new_instance_replaces_the_old_one():
-    registry = instances.InstanceRegistry(BEAT_S)
-    registry.record_heartbeat(beat("first", sequence=7), 0.0)
-    assert registry.record_heartbeat(beat("second", sequence=1), 0.9)
-    assert not registry.record_heartbeat(beat("first", sequence=8), 1.0)
+    registry = instances.InstanceRegistry(HEARTBEAT_INTERVAL_S)
+    registry.record_heartbeat(make_heartbeat("first", sequence=7), 0.0)
+    assert registry.record_heartbeat(make_heartbeat("second", sequence=1), 0.9)
+    assert not registry.record_heartbeat(make_heartbeat("first", sequence=8), 1.0)
     assert set(registry.known) == {"second"}
 
 
 def test_instance_heard_late_replaces_a_silent_one():
-    registry = instances.InstanceRegistry(BEAT_S)
-    registry.record_heartbeat(beat("first", sequence=7), 0.0)
-    assert not registry.record_heartbeat(beat("second", sequence=12), 0.9)
-    assert registry.record_heartbeat(beat("second", sequence=13), 2.1)
-    assert not registry.record_heartbeat(beat("first", sequence=8), 2.2)
+    registry = instances.InstanceRegistry(HEARTBEAT_INTERVAL_S)
+    registry.record_heartbeat(make_heartbeat("first", sequence=7), 0.0)
+    assert not registry.record_heartbeat(make_heartbeat("second", sequence=12), 0.9)
+    assert registry.record_heartbeat(make_heartbeat("second", sequence=13), 2.1)
+    assert not registry.record_heartbeat(make_heartbeat("first", sequence=8), 2.2)
     assert set(registry.known) == {"second"}
 
 
 def test_new_instance_is_accepted_at_the_address_of_a_departed_one():
-    registry = instances.InstanceRegistry(BEAT_S)
-    registry.record_heartbeat(beat("first", sequence=7), 0.0)
+    registry = instances.InstanceRegistry(HEARTBEAT_INTERVAL_S)
+    registry.record_heartbeat(make_heartbeat("first", sequence=7), 0.0)
     registry.mark_gone("first")
-    assert registry.record_heartbeat(beat("second", sequence=1), 0.1)
+    assert registry.record_heartbeat(make_heartbeat("second", sequence=1), 0.1)
     assert set(registry.known) == {"second"}
 
 
 def test_draining_instance_is_replaced_at_its_address_at_once():
-    registry = instances.InstanceRegistry(BEAT_S)
-    registry.record_heartbeat(beat("first", sequence=7, state=fleet.DRAINING), 0.0)
-    assert registry.record_heartbeat(beat("second", sequence=1), 0.1)
+    registry = instances.InstanceRegistry(HEARTBEAT_INTERVAL_S)
+    registry.record_heartbeat(make_heartbeat("first", sequence=7, state=fleet.DRAINING), 0.0)
+    assert registry.record_heartbeat(make_heartbeat("second", sequence=1), 0.1)
     assert set(registry.known) == {"second"}
--- a/tests/test_manifest_finder.py
+++ b/tests/test_manifest_finder.py
@@ -18,27 +18,27 @@
 MANIFEST = fleet.Manifest("m", 3, 16, ["00"] * 4)
 
 
-class World:
-    """Engine and network of all agents, with counts of attempted and successful origin reads."""
+class SimulatedAgents:
+    """The engines and the network of all agents; counts attempted and served origin reads."""
 
     def __init__(self) -> None:
         self.is_origin_up = False
-        self.tried = 0
-        self.given = 0
-        self.have: set[str] = set()
+        self.origin_attempts = 0
+        self.origin_reads = 0
+        self.holders: set[str] = set()
         self.names = [f"10.{n % ZONES}.0.{n}:1" for n in range(AGENTS)]
 
     async def manifest(self, origin, model, version):
-        self.tried += 1
+        self.origin_attempts += 1
         await asyncio.sleep(0)
         if not self.is_origin_up:
             raise errors.UnreachableError("refused")
-        self.given += 1
+        self.origin_reads += 1
         return MANIFEST
 
     async def call(self, address, request, timeout_s):
         await asyncio.sleep(0)
-        manifest = MANIFEST if address in self.have else None
+        manifest = MANIFEST if address in self.holders else None
         return node_messages.ManifestReply(manifest)
 
     def peers(self, name: str) -> list[fetch.Peer]:
@@ -55,54 +55,56 @@
         finder = manifest_finder.ManifestFinder(name, self, self, clock, rng)
         finder.last_failed = ("m", 3)
         assert await finder.find("origin", "m", 3, self.peers(name)) is MANIFEST
-        self.have.add(name)
+        self.holders.add(name)
 
 
 @pytest.fixture(autouse=True)
-def short_rounds(monkeypatch):
+def short_retry_interval(monkeypatch):
     monkeypatch.setattr(manifest_finder, "PEER_RETRY_INTERVAL_S", 0.002)
 
 
 def test_few_agents_read_the_manifest_from_a_recovered_origin():
     async def scenario():
-        world = World()
-        tasks = [asyncio.create_task(world.find(name)) for name in world.names]
-        while world.tried < 60:
+        agents = SimulatedAgents()
+        tasks = [asyncio.create_task(agents.find(name)) for name in agents.names]
+        while agents.origin_attempts < 60:
             await asyncio.sleep(0)
-        world.is_origin_up = True
+        agents.is_origin_up = True
         await asyncio.gather(*tasks)
-        assert world.have == set(world.names)
+        assert agents.holders == set(agents.names)
         # Most agents must get the manifest from peers, to leave the origin's link to pieces.
-        assert world.given <= AGENTS // 3
+        assert agents.origin_reads <= AGENTS // 3
 
     asyncio.run(scenario())
 
 
 def test_about_one_agent_per_zone_retries_the_origin_each_round():
-    world = World()
+    agents = SimulatedAgents()
     finders = [
-        manifest_finder.ManifestFinder(name, world, world, lambda: 0.0, random.Random(name))
-        for name in world.names
+        manifest_finder.ManifestFinder(name, agents, agents, lambda: 0.0, random.Random(name))
+        for name in agents.names
     ]
     rounds = 200
-    turns = sum(
-        f.draw_origin_retry(world.peers(f.own_address)) for f in finders for _ in range(rounds)
+    retries = sum(
+        finder.draw_origin_retry(agents.peers(finder.own_address))
+        for finder in finders
+        for _ in range(rounds)
     )
-    assert 0.8 * ZONES * rounds <= turns <= 1.2 * ZONES * rounds
+    assert 0.8 * ZONES * rounds <= retries <= 1.2 * ZONES * rounds
 
 
 def test_superseded_version_is_no_longer_searched_for():
     async def scenario():
-        world = World()
+        agents = SimulatedAgents()
         rng = random.Random(1)
         clock = asyncio.get_running_loop().time
-        finder = manifest_finder.ManifestFinder(world.names[0], world, world, clock, rng)
+        finder = manifest_finder.ManifestFinder(agents.names[0], agents, agents, clock, rng)
         with pytest.raises(errors.UnreachableError):
             async with asyncio.timeout(0.5):
                 finder.last_failed = ("m", 3)
                 wanted = iter([True, True, False])
                 await finder.find(
-                    "origin", "m", 3, world.peers(finder.own_address), lambda: next(wanted, False)
+                    "origin", "m", 3, agents.peers(finder.own_address), lambda: next(wanted, False)
                 )
 
     asyncio.run(scenario())
--- a/tests/test_membership_repair.py
+++ b/tests/test_membership_repair.py
@@ -12,13 +12,13 @@
 REPAIR_INTERVAL_S = 0.2
 
 
-def policy(losses_max: int = 1) -> membership_repair.RepairPolicy:
+def make_policy(losses_max: int = 1) -> membership_repair.RepairPolicy:
     return membership_repair.RepairPolicy(
         losses_max, member_changes.SURPLUS_SILENCE_FRACTION * CATCH_UP_S, 2 * CATCH_UP_S
     )
 
 
-def group(
+def make_group(
     voters, silent_s=(), joiners=(), leaving=(), learners=(), match=9
 ) -> membership_repair.GroupStatus:
     """Return a group led by its first voter; `silent_s` maps names to seconds of silence."""
@@ -35,69 +35,71 @@
     )
 
 
-def change(decided, losses_max: int = 1):
-    return membership_repair.next_change(decided, policy(losses_max), 100.0)
+def next_change(status, losses_max: int = 1):
+    return membership_repair.next_change(status, make_policy(losses_max), 100.0)
 
 
 def test_silent_spare_voter_is_removed_before_the_catch_up_time_ends():
-    assert change(group("abcd", {"c": 1.3}.items())) is None
-    assert change(group("abcd", {"c": 1.5}.items())) == raft_members.MembershipChange(remove="c")
+    assert next_change(make_group("abcd", {"c": 1.3}.items())) is None
+    assert next_change(make_group("abcd", {"c": 1.5}.items())) == raft_members.MembershipChange(
+        remove="c"
+    )
 
 
 def test_two_silent_voters_of_an_odd_group_are_removed():
-    assert change(group("abcdefg", {"c": 3.0, "d": 3.0}.items()), 2).remove in "cd"
+    assert next_change(make_group("abcdefg", {"c": 3.0, "d": 3.0}.items()), 2).remove in "cd"
 
 
 def test_no_voter_is_removed_below_the_size_that_tolerates_the_losses():
-    assert change(group("abc", {"c": 100.0}.items())) is None
-    assert change(group("abcde", {"c": 100.0, "d": 100.0}.items()), 2) is None
+    assert next_change(make_group("abc", {"c": 100.0}.items())) is None
+    assert next_change(make_group("abcde", {"c": 100.0, "d": 100.0}.items()), 2) is None
 
 
 def test_removal_without_a_gain_in_tolerated_losses_waits_longer():
     # The majority of six voters is four, as is that of seven.
-    assert change(group("abcdefg", {"c": 7.9}.items()), 2) is None
-    assert change(group("abcdefg", {"c": 8.1}.items()), 2) == raft_members.MembershipChange(
-        remove="c"
-    )
+    assert next_change(make_group("abcdefg", {"c": 7.9}.items()), 2) is None
+    assert next_change(
+        make_group("abcdefg", {"c": 8.1}.items()), 2
+    ) == raft_members.MembershipChange(remove="c")
 
 
 def test_large_group_that_tolerates_enough_losses_keeps_a_silent_voter():
-    assert change(group("abcdefgh", {"c": 7.9}.items()), 2) is None
+    assert next_change(make_group("abcdefgh", {"c": 7.9}.items()), 2) is None
 
 
 def test_longest_silent_voter_is_removed_first():
-    decided = change(group("abcdef", {"c": 3.0, "d": 5.0}.items()), 2)
-    assert decided == raft_members.MembershipChange(remove="d")
+    change = next_change(make_group("abcdef", {"c": 3.0, "d": 5.0}.items()), 2)
+    assert change == raft_members.MembershipChange(remove="d")
 
 
 def test_leaving_voter_is_removed_at_once_only_if_it_is_spare():
-    assert change(group("abcd", leaving="c")) == raft_members.MembershipChange(remove="c")
-    assert change(group("abc", leaving="c")) is None
-    assert change(group("abcde", leaving="c")) is None
+    assert next_change(make_group("abcd", leaving="c")) == raft_members.MembershipChange(remove="c")
+    assert next_change(make_group("abc", leaving="c")) is None
+    assert next_change(make_group("abcde", leaving="c")) is None
 
 
 def test_leader_does_not_remove_itself():
-    assert change(group("abcd", leaving="a")) is None
+    assert next_change(make_group("abcd", leaving="a")) is None
 
 
 def test_member_with_a_lost_disk_is_removed_before_its_successor_joins():
-    decided = change(group(["a", "b", "c"], joiners=["c#2"]))
-    assert decided == raft_members.MembershipChange(remove="c")
+    change = next_change(make_group(["a", "b", "c"], joiners=["c#2"]))
+    assert change == raft_members.MembershipChange(remove="c")
 
 
 def test_joining_member_becomes_a_learner_then_a_voter_once_caught_up():
-    assert change(group("abc", joiners="d")).add == "d"
-    assert change(group("abc", joiners="d", learners="d", match=8)) is None
-    decided = change(group("abc", joiners="d", learners="d"))
-    assert decided == raft_members.MembershipChange(promote="d")
+    assert next_change(make_group("abc", joiners="d")).add == "d"
+    assert next_change(make_group("abc", joiners="d", learners="d", match=8)) is None
+    change = next_change(make_group("abc", joiners="d", learners="d"))
+    assert change == raft_members.MembershipChange(promote="d")
 
 
-class Fleet:
+class RepairedCluster:
     """A cluster that its leader repairs, whose members fail permanently and are replaced."""
 
     def __init__(self, size: int, losses_max: int, seed: int) -> None:
         self.cluster = raft_cluster.Cluster(size, seed)
-        self.policy = policy(losses_max)
+        self.policy = make_policy(losses_max)
         self.joiners: list[str] = []
         self.repair_at = 0.0
 
@@ -124,9 +126,9 @@
                 [name for name in self.joiners if self.cluster.members[name].is_up],
                 [],
             )
-            decided = membership_repair.next_change(status, self.policy, now)
-            if decided is not None:
-                self.cluster.change(decided)
+            change = membership_repair.next_change(status, self.policy, now)
+            if change is not None:
+                self.cluster.change(change)
 
     def lose(self, names: list[str]) -> None:
         for name in names:
@@ -148,18 +150,18 @@
 @pytest.mark.parametrize("seed", range(4))
 def test_repeated_losses_leave_a_majority_if_replacements_catch_up(size, losses_max, seed):
     rng = random.Random(seed)
-    fleet = Fleet(size, losses_max, seed)
-    fleet.run(3.0)
+    repaired = RepairedCluster(size, losses_max, seed)
+    repaired.run(3.0)
     for number in range(6):
-        names = [member.name for member in fleet.cluster.up()]
-        leader = fleet.cluster.leader().name
+        names = [member.name for member in repaired.cluster.up()]
+        leader = repaired.cluster.leader().name
         count = rng.randint(1, losses_max)
         lost = rng.sample(names, count)
         if rng.random() < 0.5 and leader not in lost:
             lost[0] = leader
-        fleet.lose(lost)
-        fleet.run(rng.choice((0.1, 1.0, 2.0)))
+        repaired.lose(lost)
+        repaired.run(rng.choice((0.1, 1.0, 2.0)))
         for position in range(count):
-            fleet.add(f"r{number}-{position}")
-        fleet.run(CATCH_UP_S)
-    assert fleet.is_committing()
+            repaired.add(f"r{number}-{position}")
+        repaired.run(CATCH_UP_S)
+    assert repaired.is_committing()
--- a/tests/test_node_daemon.py
+++ b/tests/test_node_daemon.py
@@ -18,17 +18,17 @@
 # Each process gets its own address, on which nothing else listens.
 NETWORK = f"127.{64 + os.getpid() // 250 % 128}.{os.getpid() % 250}"
 ADDRESSES = (f"{NETWORK}.{number}" for number in range(100, 250))
-FRONT, READY, METRICS = 8005, 8002, 9464
+FRONT_PORT, READY_PORT, METRICS_PORT = 8005, 8002, 9464
 
 
-def settings_of(ip: str, seeds: list[str]) -> dict:
+def make_settings(ip: str, seeds: list[str]) -> dict:
     return {
         "node_name": "entry-1",
         "ip": ip,
         "zone": "z",
         "port_range": [7700, 7703],
         "seeds": seeds,
-        "listen": {"front": f"{ip}:{FRONT}", "ready": f"{ip}:{READY}"},
+        "listen": {"front": f"{ip}:{FRONT_PORT}", "ready": f"{ip}:{READY_PORT}"},
         "bounds": {"grace_s": 3},
     }
 
@@ -38,9 +38,9 @@
     """Start an entry process; return it with its address and its settings file."""
     ip = next(ADDRESSES)
     path = tmp_path / "node.json"
-    path.write_text(json.dumps(settings_of(ip, ["127.0.0.1:1"])))
+    path.write_text(json.dumps(make_settings(ip, ["127.0.0.1:1"])))
     process = subprocess.Popen(
-        [sys.executable, "-c", STARTER, "entry", str(METRICS)],
+        [sys.executable, "-c", STARTER, "entry", str(METRICS_PORT)],
         env=os.environ | {"MERLINTHREAD_CONFIG": str(path)},
         stdout=subprocess.PIPE,
         cwd=ROOT,
@@ -71,16 +71,16 @@
 def test_entry_without_a_configuration_runs_but_is_not_ready(entry):
     process, ip, _ = entry
     read_log_until(process, "started")
-    assert status(f"http://{ip}:{READY}/readyz") == 503
-    assert status(f"http://{ip}:{FRONT}/any") == 503
-    text = urllib.request.urlopen(f"http://{ip}:{METRICS}/metrics", timeout=1).read()
+    assert status(f"http://{ip}:{READY_PORT}/readyz") == 503
+    assert status(f"http://{ip}:{FRONT_PORT}/any") == 503
+    text = urllib.request.urlopen(f"http://{ip}:{METRICS_PORT}/metrics", timeout=1).read()
     assert b"merlinthread_refusals_total" in text
 
 
 def test_changed_settings_are_reloaded_and_invalid_ones_refused(entry):
     process, ip, path = entry
     read_log_until(process, "started")
-    path.write_text(json.dumps(settings_of(ip, ["127.0.0.9:1"])))
+    path.write_text(json.dumps(make_settings(ip, ["127.0.0.9:1"])))
     assert read_log_until(process, "reloaded")[-1]["controls"] == ["127.0.0.9"]
     path.write_text("{")
     read_log_until(process, "reload_refused")
@@ -104,7 +104,7 @@
     read_log_until(process, "started")
     # Nothing reads the pipe from here on: it fills, and the entry must go on responding.
     for _ in range(1500):
-        assert status(f"http://{ip}:{FRONT}/any") == 503
+        assert status(f"http://{ip}:{FRONT_PORT}/any") == 503
     assert process.poll() is None
 
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -15,13 +15,13 @@
 from tests import fleet_nodes
 
 SOURCES = pathlib.Path(names.__file__).parent.parent
-PLATFORM_WORDS = (
+PLATFORM_NAMES = (
     [value for value in vars(names).values() if isinstance(value, bytes) and len(value) > 8]
     + [b"path_prefix", b"api_keys", b"traffic_split", b"target_latency_ms", b"sample_count"]
     + [b"cold_remaining_ms", b"heartbeat_url", b"MERLINTHREAD_CONFIG", b"port_range"]
 )
 # Names that other packages use with the same spelling, independently of the platform.
-COMMON = {b"last-event-id", b"content-encoding", b"/instances/"}
+SHARED_NAMES = {b"last-event-id", b"content-encoding", b"/instances/"}
 
 
 def test_platform_names_are_used_only_in_the_platform_package():
@@ -30,9 +30,9 @@
             continue
         text = path.read_bytes()
         # Header names are case-insensitive; other names are not.
-        for word in PLATFORM_WORDS:
-            found = word in (text.lower() if word.startswith(b"x-") else text)
-            assert word in COMMON or not found, f"{path} contains {word!r}"
+        for name in PLATFORM_NAMES:
+            found = name in (text.lower() if name.startswith(b"x-") else text)
+            assert name in SHARED_NAMES or not found, f"{path} contains {name!r}"
 
 
 def test_platform_package_is_not_imported_by_other_packages():
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -317,6 +317,7 @@
     lost_at = cluster.now
     cluster.crash(lost)
     cluster.run(3.0)
+    # Silence counted from the election would delay the removal of a lost member.
     progress = cluster.leader().raft.progress
     assert progress[lost].heard_at <= lost_at
 
--- a/tests/test_reload_schedule.py
+++ b/tests/test_reload_schedule.py
@@ -11,13 +11,13 @@
 RELOAD_S = 1.7
 
 
-def serving_shares(count: int, first_whole_s: float, last_whole_s: float) -> list[float]:
+def serving_shares(count: int, first_complete_s: float, last_complete_s: float) -> list[float]:
     """Return the share of serving engines in steps of 50 ms after a version is published."""
     rng = random.Random(1)
     engines = [(f"zone-{n % 5}", f"engine-{n}") for n in range(count)]
     out_of_service = []
     for _, name in engines:
-        complete_at = rng.uniform(first_whole_s, last_whole_s)
+        complete_at = rng.uniform(first_complete_s, last_complete_s)
         begins = reload_schedule.reload_time(
             reload_schedule.group_of(name, engines), complete_at, BOUND_S
         )
@@ -26,10 +26,10 @@
     shares = []
     for step in range(int(13 / 0.05)):
         now = step * 0.05
-        gone = sum(
+        unavailable = sum(
             begins <= now < ends or retire_at <= now < begins for begins, ends in out_of_service
         )
-        shares.append(1 - gone / count)
+        shares.append(1 - unavailable / count)
     return shares
 
 
--- a/tests/test_request_failures.py
+++ b/tests/test_request_failures.py
@@ -23,8 +23,10 @@
     fleet = make_fleet(shape)
     digest = fleet.publish("hint-1", 256 * 1024, 64 * 1024)
     operators.Operator(fleet).bring_in(fleets.simple_bundle(1, {"hint": (digest, 100)}))
-    processes.wait_for("4 engines", lambda: fleet.serving("hint").get(digest) == 4)
-    processes.wait_for("entries", lambda: all(entry_sees(fleet, vm, 2) for vm in fleet.entries()))
+    processes.wait_for("4 engines that serve", lambda: fleet.serving("hint").get(digest) == 4)
+    processes.wait_for(
+        "ready entries", lambda: all(entry_sees(fleet, vm, 2) for vm in fleet.entries())
+    )
     return fleet
 
 
@@ -82,15 +84,15 @@
                 "",
             )
 
-        return processes.wait_for("the answer to begin", find)
+        return processes.wait_for("the response to begin", find)
 
 
-@pytest.mark.parametrize("victim", ["-target", ""])
-def test_stream_is_resumed_after_its_engine_or_agent_is_killed(fleet, victim):
-    asked = BackgroundRequest(fleet.entries()[0].http, "r-kill")
-    engine = asked.engine(fleet)
-    fleet.processes[engine + victim].kill()
-    answer = asked.wait()
+@pytest.mark.parametrize("suffix", ["-target", ""])
+def test_stream_is_resumed_after_its_engine_or_agent_is_killed(fleet, suffix):
+    request = BackgroundRequest(fleet.entries()[0].http, "r-kill")
+    engine = request.engine(fleet)
+    fleet.processes[engine + suffix].kill()
+    answer = request.wait()
     assert answer.status == 200
     assert answer.is_whole(), answer.text
     entry = fleet.entries()[0].process
@@ -115,12 +117,12 @@
 
 
 def test_leaving_vm_gets_no_new_requests_and_finishes_running_ones(fleet):
-    asked = BackgroundRequest(fleet.entries()[0].http, "r-leave")
-    engine = asked.engine(fleet)
+    request = BackgroundRequest(fleet.entries()[0].http, "r-leave")
+    engine = request.engine(fleet)
     body = msgspec.json.encode({"name": engine, "state": "leaving"})
     fleet.http.request_ok("POST", f"{fleet.platform_url}/v1/vms", body)
     processes.wait_for(
-        "the entries to know",
+        "the entries to notice the leaving VM",
         lambda: all(vm.process.events("platform_leaving") for vm in fleet.entries()),
         5,
     )
@@ -132,23 +134,23 @@
     assert {answer.status for answer in found} == {200}
     new = {attempt: run for attempt, run in runs(fleet).items() if attempt not in before}
     assert new and all(run["engine"] != engine for run in new.values())
-    assert asked.wait().is_whole()
+    assert request.wait().is_whole()
 
 
 @pytest.mark.parametrize("role", ["agent", "entry"])
 def test_graceful_stop_interrupts_no_request(fleet, role):
     entry = fleet.entries()[0]
     # The response takes longer than the grace period in which a leaving VM notifies others.
-    asked = BackgroundRequest(entry.http, "r-stop", tokens=700)
-    engine = asked.engine(fleet)
+    request = BackgroundRequest(entry.http, "r-stop", tokens=700)
+    engine = request.engine(fleet)
     process = entry.process if role == "entry" else fleet.processes[engine]
     process.stop()
-    assert asked.wait().is_whole()
+    assert request.wait().is_whole()
     assert process.wait(20) == 0
     others = [vm for vm in fleet.entries() if vm.process is not process]
     assert all(calls.ask(vm.http).is_whole() for vm in others)
     broken = [e for vm in fleet.entries() for e in vm.process.events("stream_broken")]
-    assert broken == [], "a planned stop is no reason to resume"
+    assert broken == [], "a graceful stop must not break streams"
 
 
 def test_concurrent_calls_with_one_key_run_once(fleet):
@@ -244,7 +246,7 @@
         fleet.processes[f"{name}-target"].kill()
         fleet.processes[name].kill()
     entry = next(vm for vm in fleet.entries() if vm.settings["availability_zone"] == "zone-a")
-    processes.wait_for("an answer", lambda: calls.ask(entry.http).status == 200, 10)
+    processes.wait_for("a response", lambda: calls.ask(entry.http).status == 200, 10)
     for is_streamed in (True, False):
         answer = calls.ask(entry.http, is_streamed=is_streamed)
         assert answer.is_whole()
@@ -256,7 +258,7 @@
         fleet.processes[f"{name}-target"].freeze()
     entry = next(vm for vm in fleet.entries() if vm.settings["availability_zone"] == "zone-a")
     processes.wait_for(
-        "answers from the other zone",
+        "responses from the other zone",
         lambda: calls.ask(entry.http, **{"X-Deadline-Ms": "1000"}).status == 200,
         20,
     )
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -4,14 +4,14 @@
 
 from bench import soak
 
-# Regression seeds, each with the fault that it found.
-FAILED_ONCE: dict[int, str] = {
+# Seeds that failed before, each with the fault that it found.
+REGRESSION_SEEDS: dict[int, str] = {
     201: "a fault was interrupted before it was healed; requests still went to a silent back end",
     324: "a leader that stopped during its reply caused a valid configuration to be rejected",
 }
 
 
-@pytest.mark.parametrize("seed", [1, 2, *FAILED_ONCE])
+@pytest.mark.parametrize("seed", [1, 2, *REGRESSION_SEEDS])
 def test_no_promise_is_broken_under_random_faults(seed, tmp_path):
     result = soak.run_seed(seed, 4.0, tmp_path)
     assert result.broken == [], f"logs are in {tmp_path}"
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -96,14 +96,14 @@
 def test_partial_write_is_rolled_back_on_a_full_disk(tmp_path, monkeypatch):
     found = journal.Journal(tmp_path)
     found.save(None, [entry(1)])
-    real = os.pwrite
-    room = [10]
+    original_pwrite = os.pwrite
+    space_left = [10]
 
     def pwrite(handle: int, data: bytes, offset: int) -> int:
-        if room[0] <= 0:
+        if space_left[0] <= 0:
             raise OSError(errno.ENOSPC, "no space")
-        written = real(handle, data[: room[0]], offset)
-        room[0] -= written
+        written = original_pwrite(handle, data[: space_left[0]], offset)
+        space_left[0] -= written
         return written
 
     monkeypatch.setattr(os, "pwrite", pwrite)
--- a/tests/test_stream_connections.py
+++ b/tests/test_stream_connections.py
@@ -22,7 +22,7 @@
 
 
 async def raw_server(reply: bytes, reset: bool = False) -> str:
-    async def answer(reader, writer):
+    async def respond(reader, writer):
         await reader.readuntil(b"\r\n\r\n")
         writer.write(reply)
         await writer.drain()
@@ -34,7 +34,7 @@
         else:
             writer.close()
 
-    server = await asyncio.start_server(answer, "127.0.0.1", 0)
+    server = await asyncio.start_server(respond, "127.0.0.1", 0)
     return f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
 
 
@@ -49,17 +49,17 @@
 
 def test_response_is_complete_and_the_connection_is_reused():
     async def scenario():
-        peers = []
+        connections = []
 
         async def handler(exchange):
-            peers.append(id(exchange.connection))
+            connections.append(id(exchange.connection))
             await exchange.respond(http_messages.Response(200, [], b"hello"))
 
         _, address = await serve(handler)
         pool = stream_client.ConnectionPool(5.0, 1.0, 2.0)
         bodies = [(await pool.request(address, get(), 2.0)).body for _ in range(3)]
         assert bodies == [b"hello"] * 3
-        assert len(set(peers)) == 1
+        assert len(set(connections)) == 1
 
     asyncio.run(scenario())
 
@@ -205,9 +205,9 @@
             await asyncio.sleep(0)
         server.stop_accepting()
         release.set()
-        answer = await task
-        assert answer.body == b"late"
-        assert http_messages.get_header(answer.headers, b"connection") == b"close"
+        response = await task
+        assert response.body == b"late"
+        assert http_messages.get_header(response.headers, b"connection") == b"close"
 
     asyncio.run(scenario())
 
@@ -297,10 +297,10 @@
         self.connections = 0
 
     async def start(self) -> str:
-        server = await asyncio.start_server(self.answer, "127.0.0.1", 0)
+        server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
         return f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
 
-    async def answer(self, reader, writer) -> None:
+    async def serve(self, reader, writer) -> None:
         generation = self.generation
         self.connections += 1
         while await reader.readuntil(b"\r\n\r\n"):
@@ -319,8 +319,8 @@
         server.generation += 1
         with pytest.raises(errors.UnreachableError):
             await pool.request(address, get(), 0.05)
-        answers = await asyncio.gather(*(pool.request(address, get(), 5.0) for _ in range(3)))
-        assert [answer.body for answer in answers] == [b"ok"] * 3
+        responses = await asyncio.gather(*(pool.request(address, get(), 5.0) for _ in range(3)))
+        assert [response.body for response in responses] == [b"ok"] * 3
 
     asyncio.run(scenario())
 
@@ -328,13 +328,13 @@
 def test_half_closed_client_cancels_a_blocked_handler():
     async def scenario():
         cancelled = asyncio.Event()
-        stuck = asyncio.Event()
+        sending = asyncio.Event()
 
         async def handler(exchange):
             exchange.start_response(200, [])
             try:
                 while True:
-                    stuck.set()
+                    sending.set()
                     await exchange.send(bytes(1 << 20))
             except asyncio.CancelledError:
                 cancelled.set()
@@ -346,7 +346,7 @@
         sock.setblocking(False)
         await asyncio.get_running_loop().sock_connect(sock, (host, int(port)))
         await asyncio.get_running_loop().sock_sendall(sock, b"GET / HTTP/1.1\r\nhost: a\r\n\r\n")
-        await stuck.wait()
+        await sending.wait()
         sock.shutdown(socket.SHUT_WR)
         await asyncio.wait_for(cancelled.wait(), 5.0)
         sock.close()
@@ -376,8 +376,8 @@
 
         monkeypatch.setattr(stream_server.ServerConnection, "write", record_write)
         request = node_messages.PieceRequest("m", 1, b"\xff")
-        answer = await node_bus.RpcClient(codec).call(f"127.0.0.1:{port}", request, 5.0)
-        assert answer == reply
+        received = await node_bus.RpcClient(codec).call(f"127.0.0.1:{port}", request, 5.0)
+        assert received == reply
         assert max(size for _, size in sent) <= node_bus.SEND_CHUNK_BYTES
         began, total = sent[0][0], 0
         for at, size in sent:
@@ -444,8 +444,8 @@
 
     async def scenario():
         asyncio.get_running_loop().call_later(0.05, gate.set)
-        taken = await stream_client.connect_hedged("127.0.0.1:1", 0.01, 0.3, 2.0)
+        chosen = await stream_client.connect_hedged("127.0.0.1:1", 0.01, 0.3, 2.0)
         await fleet_nodes.until(lambda: len(closed) == 1)
-        assert taken not in closed
+        assert chosen not in closed
 
     asyncio.run(scenario())
--- a/tests/test_weights_failures.py
+++ b/tests/test_weights_failures.py
@@ -29,8 +29,8 @@
     found = set()
     for name, url in fleet.target_urls.items():
         if name.startswith("engine"):
-            shown = fleet.get(url, "/v1/runs") or {"runs": []}
-            found |= {(run["digest"], run["content"]) for run in shown["runs"]}
+            reply = fleet.get(url, "/v1/runs") or {"runs": []}
+            found |= {(run["digest"], run["content"]) for run in reply["runs"]}
     return found
 
 
@@ -48,7 +48,7 @@
     fleet: fleets.Fleet, digest: str, count: int, timeout_s: float = 30.0
 ) -> None:
     processes.wait_for(
-        f"{count} engines with {digest[:8]}",
+        f"{count} engines to serve {digest[:8]}",
         lambda: fleet.serving("hint").get(digest, 0) >= count,
         timeout_s,
     )
@@ -93,7 +93,7 @@
     operator.bring_in(fleets.simple_bundle(1, {"hint": (first_digest, 100)}))
     wait_until_serving(fleet, first_digest, 6)
     processes.wait_for(
-        "entries", lambda: all(fleet.get(v.http, "/readyz") for v in fleet.entries())
+        "ready entries", lambda: all(fleet.get(v.http, "/readyz") for v in fleet.entries())
     )
     with RequestLoad(fleet) as load:
         operator.bring_in(fleets.simple_bundle(2, {"hint": (second_digest, 100)}))
@@ -133,7 +133,7 @@
     wait_until_serving(fleet, first_digest, 6)
     inject_fault(fleet, fleet.origin_url, bytes_per_s=OBJECT_BYTES / 2)
     operator.bring_in(fleets.simple_bundle(2, {"hint": (second_digest, 100)}))
-    processes.wait_for("a first part", lambda: origin_read_ratio(fleet, "hint-2") > 0.2)
+    processes.wait_for("the first chunks", lambda: origin_read_ratio(fleet, "hint-2") > 0.2)
     path = fleet.folder / "origin" / "objects" / "hint-2"
     path.write_bytes(bytes(OBJECT_BYTES))
     inject_fault(fleet, fleet.origin_url, bytes_per_s=1e9)
@@ -169,7 +169,7 @@
     inject_fault(fleet, fleet.origin_url, bytes_per_s=OBJECT_BYTES / 3)
     names = [name for name in fleet.target_urls if name.startswith("engine")]
     operators.Operator(fleet).bring_in(fleets.simple_bundle(1, {"hint": (digest, 100)}))
-    processes.wait_for("a first part", lambda: origin_read_ratio(fleet, "hint-1") > 0.1)
+    processes.wait_for("the first chunks", lambda: origin_read_ratio(fleet, "hint-1") > 0.1)
     fleet.processes[names[0]].kill()
     fleet.processes[names[3]].freeze()
     joined = fleet.add_engine("zone-a", 3)
--- a/tests/test_weights_task.py
+++ b/tests/test_weights_task.py
@@ -124,7 +124,9 @@
 def test_all_engines_load_a_version_with_few_repeated_origin_reads():
     async def scenario(fleet):
         await fleet.wait_until_loaded(1)
-        assert len([given for given in fleet.origin.served_pieces if given[0] == 1]) <= PIECES * 1.5
+        assert (
+            len([served for served in fleet.origin.served_pieces if served[0] == 1]) <= PIECES * 1.5
+        )
 
     run(4, scenario)
 
@@ -152,7 +154,7 @@
         ]
         number = names.index(max(orders, key=len)[0])
         fleet.stop_agent(number)
-        others = [engine for place, engine in enumerate(fleet.engines) if place != number]
+        others = [engine for index, engine in enumerate(fleet.engines) if index != number]
         fleet.origin.manifests_served = 0
         fleet.publish(2)
         await fleet_nodes.until(lambda: all(engine.version == 2 for engine in others), 20)
@@ -276,15 +278,15 @@
         agent.on_datagram(node_messages.AttemptNotice("entry-1", 1, stage.SENT, 700.0))
         agent.on_datagram(node_messages.AttemptNotice("entry-1", 2, stage.SENT, 500.0))
         agent.on_datagram(node_messages.AttemptNotice("entry-1", 2, stage.READ))
-        for asker in ("entry-1", "entry-2"):
-            agent.on_datagram(node_messages.LoadQuery(asker, 7))
-        answers = {
+        for entry in ("entry-1", "entry-2"):
+            agent.on_datagram(node_messages.LoadQuery(entry, 7))
+        replies = {
             address: message
             for address, message in sent
             if isinstance(message, node_messages.LoadReply)
         }
-        assert answers["entry-1"] == node_messages.LoadReply(7, 0, 0, 0.0)
-        assert answers["entry-2"] == node_messages.LoadReply(7, 2, 1, 700.0)
+        assert replies["entry-1"] == node_messages.LoadReply(7, 0, 0, 0.0)
+        assert replies["entry-2"] == node_messages.LoadReply(7, 2, 1, 700.0)
         agent.on_datagram(node_messages.AttemptNotice("entry-1", 1, stage.ENDED))
         assert len(agent.ledger.open) == 1
         sent.clear()
@@ -328,6 +330,7 @@
             lambda: fleet_nodes.is_free(f"{fleet_nodes.NETWORK}.21", fleet.port)
         )
         fleet.engines[0].version = 0
+        # Pieces that were just found must not be read again for the check before the load.
         monkeypatch.setattr(engine_client.EngineClient, "staged", count_reads)
         await fleet.start_agent(0)
         fleet.publish(1)
@@ -492,8 +495,8 @@
         await fleet_nodes.until(lambda: agent.weights.load_crashes == crashes, 20)
         # The engine is back and all pieces are staged, so a load without a delay would start now.
         await fleet_nodes.until(lambda: agent.last_report is not None)
-        told_at = agent.last_sent_at
-        await fleet_nodes.until(lambda: agent.last_sent_at > told_at + 1.0)
+        sent_at = agent.last_sent_at
+        await fleet_nodes.until(lambda: agent.last_sent_at > sent_at + 1.0)
         assert len(engine.orders) == crashes
         # Another version is loaded without a delay.
         engine.execute_order = execute_order
@@ -507,17 +510,17 @@
 
 @pytest.mark.parametrize("has_manifest", [False, True])
 def test_origin_retry_after_is_respected(has_manifest):
-    rest_s = 1.0
+    retry_after_s = 1.0
 
     async def scenario(fleet):
         if has_manifest:
             fleet.origin.unavailable_pieces = {(1, index) for index in range(1, PIECES)}
             await fleet_nodes.until(lambda: fleet.origin.served_pieces)
-        fleet.origin.retry_after = str(rest_s)
+        fleet.origin.retry_after = str(retry_after_s)
         await fleet_nodes.until(lambda: fleet.origin.rejections)
         await fleet_nodes.until(lambda: len(fleet.origin.rejections) > 1)
         first, second = fleet.origin.rejections[:2]
-        assert second - first >= 0.95 * rest_s
+        assert second - first >= 0.95 * retry_after_s
         fleet.origin.retry_after, fleet.origin.unavailable_pieces = None, set()
         await fleet.wait_until_loaded(1)
 
