--- a/tests/test_bus.py
+++ b/tests/test_bus.py
@@ -1,4 +1,4 @@
-"""Tests of the pynng transport, including connections that stall while they are established."""
+"""The pynng transport, including connections that stall while they are established."""
 
 import socket
 import threading
--- a/tests/test_compare.py
+++ b/tests/test_compare.py
@@ -1,4 +1,4 @@
-"""Comparisons of ways on the same days: what differences tell, and what is refused at once."""
+"""Verdicts on paired differences, and refusal of invalid arguments, in `bench compare`."""
 
 import json
 import pathlib
--- a/tests/test_control_failures.py
+++ b/tests/test_control_failures.py
@@ -22,7 +22,7 @@
 )
 
 
-def bundle(version: int, note: str = "") -> dict:
+def make_bundle(version: int, note: str = "") -> dict:
     return fleets.simple_bundle(version, {"hint": ("a" * 64, 100)}, note=note)
 
 
@@ -86,8 +86,8 @@
         version = number + 1
         for step in ("propose", "sign", "roll"):
             result = {
-                "propose": lambda v=version: operator.propose(bundle(v)),
-                "sign": lambda v=version: operator.sign(bundle(v)),
+                "propose": lambda v=version: operator.propose(make_bundle(v)),
+                "sign": lambda v=version: operator.sign(make_bundle(v)),
                 "roll": lambda v=version: operator.roll(v),
             }[step]()
             generation = max(generation, result.generation)
@@ -119,8 +119,8 @@
     fleet = make_fleet(SMALL)
     operator = operators.Operator(fleet)
     request_id = uuid.uuid4().hex
-    operator.propose(bundle(1))
-    operator.sign(bundle(1))
+    operator.propose(make_bundle(1))
+    operator.sign(make_bundle(1))
     first = operator.roll(1, request_id=request_id)
     wait_for_leader(fleet).process.kill()
     processes.wait_for("a new leader", lambda: fleet.leader(), 10)
@@ -131,11 +131,11 @@
 def test_frozen_leader_can_neither_commit_nor_answer_after_it_resumes(make_fleet):
     fleet = make_fleet(SMALL)
     operator = operators.Operator(fleet)
-    operator.bring_in(bundle(1))
+    operator.bring_in(make_bundle(1))
     frozen = wait_for_leader(fleet)
     frozen.process.freeze()
     processes.wait_for("a new leader", lambda: fleet.leader(), 10)
-    result = operator.bring_in(bundle(2))
+    result = operator.bring_in(make_bundle(2))
     wait_for_generation(fleet, result.generation)
     frozen.process.thaw()
     stale = fleet.get(frozen.http, "/v1/status")
@@ -154,7 +154,7 @@
 def test_partitioned_zone_keeps_its_generation_and_catches_up(make_fleet, faults):
     fleet = make_fleet(SMALL)
     operator = operators.Operator(fleet)
-    first = operator.bring_in(bundle(1))
+    first = operator.bring_in(make_bundle(1))
     wait_for_generation(fleet, first.generation)
     leader = wait_for_leader(fleet)
     partitioned_entry = next(
@@ -182,7 +182,7 @@
         )
     outside = [vm.http for vm in fleet.controls() if vm.name not in inside]
     operator.controls.addresses = outside
-    result = operator.bring_in(bundle(2))
+    result = operator.bring_in(make_bundle(2))
     assert result.generation == 2
     generations = dict(
         zip([vm.name for vm in fleet.entries()], entry_generations(fleet), strict=True)
@@ -195,7 +195,7 @@
 def test_second_loss_is_survived_after_a_lost_disk_is_replaced(make_fleet):
     fleet = make_fleet(SMALL)
     operator = operators.Operator(fleet)
-    operator.bring_in(bundle(1))
+    operator.bring_in(make_bundle(1))
     processes.wait_for(
         "the recorded identities of the members",
         lambda: any(vm.process.events("members_change") for vm in fleet.controls()),
@@ -222,7 +222,7 @@
     operator = operators.Operator(fleet)
     processes.wait_for("a leader", lambda: fleet.leader(), 15)
     assert [record.version for record in operator.history().bundles] == [1]
-    result = operator.bring_in(bundle(2))
+    result = operator.bring_in(make_bundle(2))
     wait_for_generation(fleet, result.generation, 10)
 
 
@@ -234,7 +234,7 @@
     def race(number: int) -> str:
         operator = operators.Operator(fleet, f"op-{number}")
         try:
-            return operator.propose(bundle(5, note=f"by {number}")).digest
+            return operator.propose(make_bundle(5, note=f"by {number}")).digest
         except errors.MerlinthreadError as error:
             assert error.kind == errors.ErrorKind.VERSION_CONFLICT
             return "lost to " + error.message.split("digest ")[1].split(";")[0]
@@ -257,7 +257,7 @@
         )
     )
     operator = operators.Operator(fleet)
-    operator.bring_in(bundle(1))
+    operator.bring_in(make_bundle(1))
     for _ in range(999):
         last = operator.roll(1, is_back=True)
     assert last.generation == 1000
@@ -278,14 +278,14 @@
 def test_damaged_log_is_refused_and_the_other_members_continue(make_fleet):
     fleet = make_fleet(SMALL)
     operator = operators.Operator(fleet)
-    operator.bring_in(bundle(1))
+    operator.bring_in(make_bundle(1))
     damaged = next(vm for vm in fleet.controls() if vm.name != wait_for_leader(fleet).name)
     processes.wait_for(
         "the control VM to apply the roll",
         lambda: "applied_roll" in damaged.process.log.read_text(),
         15,
     )
-    operator.bring_in(bundle(2))
+    operator.bring_in(make_bundle(2))
     path = next((fleet.folder / "data" / damaged.name).glob("log-*.bin"))
     processes.wait_for(
         "a second record in the log file",
@@ -300,18 +300,18 @@
     fleet.restart(damaged.name)
     assert damaged.process.wait(15) == 13
     assert f"log_damaged: {path}" in damaged.process.log.read_text()
-    assert operator.bring_in(bundle(3)).generation == 3
+    assert operator.bring_in(make_bundle(3)).generation == 3
 
 
 def test_leader_with_a_full_disk_is_replaced_and_loses_nothing(make_fleet):
     fleet = make_fleet(SMALL)
     operator = operators.Operator(fleet)
-    operator.bring_in(bundle(1))
+    operator.bring_in(make_bundle(1))
     full = wait_for_leader(fleet)
     size = next((fleet.folder / "data" / full.name).glob("log-*.bin")).stat().st_size
     limit = (size, resource.RLIM_INFINITY)
     resource.prlimit(full.process.handle.pid, resource.RLIMIT_FSIZE, limit)
-    result = operator.bring_in(bundle(2))
+    result = operator.bring_in(make_bundle(2))
     assert result.generation == 2
     assert wait_for_leader(fleet).name != full.name
     assert full.process.is_running()
@@ -323,7 +323,7 @@
     )
     other.process.kill()
     processes.wait_for("a leader", lambda: fleet.leader(), 15)
-    assert operator.bring_in(bundle(3)).generation == 3
+    assert operator.bring_in(make_bundle(3)).generation == 3
 
 
 def test_a_second_process_on_one_data_folder_is_refused(make_fleet):
@@ -338,10 +338,10 @@
 def test_roll_without_a_majority_is_refused(make_fleet):
     fleet = make_fleet(SMALL)
     operator = operators.Operator(fleet, timeout_s=4.0)
-    operator.bring_in(bundle(1))
+    operator.bring_in(make_bundle(1))
     wait_for_generation(fleet, 1)
-    operator.propose(bundle(2))
-    operator.sign(bundle(2))
+    operator.propose(make_bundle(2))
+    operator.sign(make_bundle(2))
     for vm in fleet.controls()[1:]:
         vm.process.kill()
     with pytest.raises(errors.MerlinthreadError) as caught:
--- a/tests/test_fetch_claimed.py
+++ b/tests/test_fetch_claimed.py
@@ -16,18 +16,20 @@
 CHUNKS = 30
 
 
-def name(number: int) -> str:
+def vm_name(number: int) -> str:
     return f"10.{number % ZONES}.0.{number}:7000"
 
 
 def make_plan(number: int) -> fetch_claimed.Claimed:
     zone = number % ZONES
     peers = [
-        fetch.Peer(name(n), name(n), fetch.OTHER_REGION * (n % ZONES != zone), f"z{n % ZONES}")
+        fetch.Peer(
+            vm_name(n), vm_name(n), fetch.OTHER_REGION * (n % ZONES != zone), f"z{n % ZONES}"
+        )
         for n in range(VMS)
         if n != number
     ]
-    plan = fetch_claimed.Claimed(name(number), "m@2", CHUNKS, 0, 1, 0.0, random.Random(number))
+    plan = fetch_claimed.Claimed(vm_name(number), "m@2", CHUNKS, 0, 1, 0.0, random.Random(number))
     plan.readers_max = 6
     plan.set_peers(peers)
     return plan
--- a/tests/test_http_client.py
+++ b/tests/test_http_client.py
@@ -1,4 +1,4 @@
-"""Tests of the HTTP client's connection reuse."""
+"""Connection reuse by the HTTP client."""
 
 import socket
 import threading
--- a/tests/test_leader_duties.py
+++ b/tests/test_leader_duties.py
@@ -1,4 +1,4 @@
-"""Tests of the control leader's membership changes."""
+"""Membership changes by the leader of the control daemons."""
 
 import types
 
--- a/tests/test_manifest_finder.py
+++ b/tests/test_manifest_finder.py
@@ -72,7 +72,7 @@
         agents.is_origin_up = True
         await asyncio.gather(*tasks)
         assert agents.holders == set(agents.names)
-        # Most agents must get the manifest from peers, to leave the origin's link to pieces.
+        # Most agents must get the manifest from peers, to leave the origin's link to the pieces.
         assert agents.origin_reads <= AGENTS // 3
 
     asyncio.run(scenario())
--- a/tests/test_node_daemon.py
+++ b/tests/test_node_daemon.py
@@ -1,4 +1,4 @@
-"""Tests of node processes: settings, metrics, reload, graceful stop, blocked log readers."""
+"""Node processes: settings, metrics, reload, graceful stop, blocked log readers."""
 
 import json
 import os
@@ -14,7 +14,6 @@
 ROOT = pathlib.Path(__file__).parent.parent
 STARTER = "import sys; from merlinthread.platform import main; sys.exit(main.main(sys.argv[1:]))"
 
-
 # Each process gets its own address, on which nothing else listens.
 NETWORK = f"127.{64 + os.getpid() // 250 % 128}.{os.getpid() % 250}"
 ADDRESSES = (f"{NETWORK}.{number}" for number in range(100, 250))
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -254,9 +254,9 @@
     cluster.crash(second)
     cluster.run(4.0)
     assert data in cluster.members["n0"].applied
-    more = cluster.propose()
+    second_data = cluster.propose()
     cluster.run(1.0)
-    assert more in cluster.members["n0"].applied
+    assert second_data in cluster.members["n0"].applied
 
 
 def test_too_many_uncommitted_commands_are_refused():
--- a/tests/test_request_failures.py
+++ b/tests/test_request_failures.py
@@ -1,4 +1,4 @@
-"""Requests during failures: complete, run at most once, refused correctly, unharmed by restarts."""
+"""Requests under failures and restarts are completed, run at most once, or refused correctly."""
 
 import concurrent.futures
 import threading
@@ -35,7 +35,7 @@
     return calls.ask(vm.http, tokens=1).status == 200 and bool(fleet.get(vm.http, "/readyz"))
 
 
-def runs(fleet: fleets.Fleet) -> dict[str, dict]:
+def engine_runs(fleet: fleets.Fleet) -> dict[str, dict]:
     """Return every run of every engine that still answers, by attempt."""
     found = {}
     for name, url in fleet.target_urls.items():
@@ -78,7 +78,7 @@
             return next(
                 (
                     run["engine"]
-                    for run in runs(fleet).values()
+                    for run in engine_runs(fleet).values()
                     if run["request_id"] == self.request_id and 5 < run["tokens"]
                 ),
                 "",
@@ -110,10 +110,10 @@
     stream.close()
     processes.wait_for(
         "the run to be cancelled",
-        lambda: [r["outcome"] for r in runs(fleet).values() if r["tokens"] > 0][-1:]
-        and all(r["outcome"] != "running" for r in runs(fleet).values()),
+        lambda: [r["outcome"] for r in engine_runs(fleet).values() if r["tokens"] > 0][-1:]
+        and all(r["outcome"] != "running" for r in engine_runs(fleet).values()),
     )
-    assert any(run["outcome"] == "cancelled" for run in runs(fleet).values())
+    assert any(run["outcome"] == "cancelled" for run in engine_runs(fleet).values())
 
 
 def test_leaving_vm_gets_no_new_requests_and_finishes_running_ones(fleet):
@@ -126,13 +126,13 @@
         lambda: all(vm.process.events("platform_leaving") for vm in fleet.entries()),
         5,
     )
-    before = set(runs(fleet))
+    before = set(engine_runs(fleet))
     # Enough concurrent requests that even a busy engine would get some.
     addresses = [vm.http for vm in fleet.entries()] * 12
     with concurrent.futures.ThreadPoolExecutor(len(addresses)) as pool:
         found = list(pool.map(lambda address: calls.ask(address, tokens=30), addresses))
     assert {answer.status for answer in found} == {200}
-    new = {attempt: run for attempt, run in runs(fleet).items() if attempt not in before}
+    new = {attempt: run for attempt, run in engine_runs(fleet).items() if attempt not in before}
     assert new and all(run["engine"] != engine for run in new.values())
     assert request.wait().is_whole()
 
@@ -279,4 +279,4 @@
     }
     reply = fleet.http.request("POST", f"http://{agent.http}/target/v1/completions", body, headers)
     assert reply.status == 401
-    assert "forged" not in runs(fleet)
+    assert "forged" not in engine_runs(fleet)
--- a/tests/test_stream_connections.py
+++ b/tests/test_stream_connections.py
@@ -1,4 +1,4 @@
-"""Tests of the asyncio HTTP client and server, and of calls between nodes."""
+"""The asyncio HTTP client and server, and calls between nodes, on broken or slow connections."""
 
 import asyncio
 import random
