--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -12,9 +12,9 @@
 def test_every_entry_returns_complete_responses(rolled_fleet):
     for vm in rolled_fleet.entries():
         for is_streamed in (True, False):
-            answer = calls.ask(vm.http, is_streamed=is_streamed)
-            assert answer.status == 200, answer.body
-            assert answer.is_whole(), answer.text
+            response = calls.ask(vm.http, is_streamed=is_streamed)
+            assert response.status == 200, response.body
+            assert response.is_whole(), response.text
 
 
 def test_routing_decision_is_logged_for_each_request(rolled_fleet):
@@ -27,12 +27,12 @@
 
 def test_call_repeated_with_one_key_runs_once(rolled_fleet):
     key = calls.new_key()
-    answers = [
+    responses = [
         calls.call(vm.http, "/draft", b'{"lamp": "once"}', Idempotency_Key=key)
         for vm in rolled_fleet.entries()
     ]
-    assert {answer.status for answer in answers} == {200}
-    assert len({answer.body for answer in answers}) == 1
+    assert {response.status for response in responses} == {200}
+    assert len({response.body for response in responses}) == 1
     runs = rolled_fleet.get(rolled_fleet.target_urls["tickets-0"], "/runs")["runs"]
     assert runs['{"lamp": "once"}'] == 1
 
@@ -47,9 +47,9 @@
     ],
 )
 def test_invalid_call_is_refused_with_its_error(rolled_fleet, headers, error):
-    answer = calls.call(rolled_fleet.entries()[0].http, "/draft", **headers)
-    assert answer.error()["error"] == error
-    assert answer.error()["ran"] == "no"
+    response = calls.call(rolled_fleet.entries()[0].http, "/draft", **headers)
+    assert response.error()["error"] == error
+    assert response.error()["ran"] == "no"
 
 
 def test_a_key_with_another_body_is_refused(rolled_fleet):
--- a/tests/test_input_validation.py
+++ b/tests/test_input_validation.py
@@ -154,20 +154,20 @@
 def test_mesh_keys_rotate_without_refused_messages():
     old, new = codec.Key(b"o" * 32), codec.Key(b"n" * 32)
     before, both, after = (messages.make_codec(keys) for keys in ([old], [old, new], [new]))
-    wanted = messages.ManifestRequest("abc")
-    assert both.decode(before.encode(wanted)) == wanted
+    message = messages.ManifestRequest("abc")
+    assert both.decode(before.encode(message)) == message
     both.set_keys([new, old])
-    assert after.decode(both.encode(wanted)) == wanted
-    assert both.decode(after.encode(wanted)) == wanted
+    assert after.decode(both.encode(message)) == message
+    assert both.decode(after.encode(message)) == message
 
 
 def test_every_error_kind_has_a_response_with_retry_after_if_temporary():
     assert set(error_responses.RESPONSES) == set(errors.ErrorKind)
-    for kind, answer in error_responses.RESPONSES.items():
+    for kind, response in error_responses.RESPONSES.items():
         body = error_responses.error_body(errors.MerlinthreadError("x", kind=kind))
-        if answer.retry_after_s is not None:
-            assert int(error_responses.error_headers(body)["Retry-After"]) >= answer.retry_after_s
-        assert answer.exit_code != 0
+        if response.retry_after_s is not None:
+            assert int(error_responses.error_headers(body)["Retry-After"]) >= response.retry_after_s
+        assert response.exit_code != 0
 
 
 def run_module(*arguments: str) -> subprocess.CompletedProcess:
--- a/tests/test_request_failures.py
+++ b/tests/test_request_failures.py
@@ -36,7 +36,7 @@
 
 
 def engine_runs(fleet: fleets.Fleet) -> dict[str, dict]:
-    """Return every run of every engine that still answers, by attempt."""
+    """Return the runs of all engines that still respond, by attempt."""
     found = {}
     for name, url in fleet.target_urls.items():
         if name.startswith("engine"):
@@ -59,17 +59,17 @@
     def __init__(self, address: str, request_id: str, tokens: int = TOKENS) -> None:
         self.request_id = request_id
         self.tokens = tokens
-        self.answer: calls.Answer | None = None
+        self.response: calls.Answer | None = None
         self.thread = threading.Thread(target=self.run, args=(address,))
         self.thread.start()
 
     def run(self, address: str) -> None:
-        self.answer = calls.ask(address, tokens=self.tokens, **{"X-Request-Id": self.request_id})
+        self.response = calls.ask(address, tokens=self.tokens, **{"X-Request-Id": self.request_id})
 
     def wait(self) -> calls.Answer:
         self.thread.join(40)
-        assert self.answer is not None
-        return self.answer
+        assert self.response is not None
+        return self.response
 
     def engine(self, fleet: fleets.Fleet) -> str:
         """Wait until an engine has begun the response; return its name."""
@@ -92,9 +92,9 @@
     request = BackgroundRequest(fleet.entries()[0].http, "r-kill")
     engine = request.engine(fleet)
     fleet.processes[engine + suffix].kill()
-    answer = request.wait()
-    assert answer.status == 200
-    assert answer.is_whole(), answer.text
+    response = request.wait()
+    assert response.status == 200
+    assert response.is_whole(), response.text
     entry = fleet.entries()[0].process
     assert [e["relayed"] > 0 for e in entry.events("stream_broken")] == [True]
 
@@ -131,7 +131,7 @@
     addresses = [vm.http for vm in fleet.entries()] * 12
     with concurrent.futures.ThreadPoolExecutor(len(addresses)) as pool:
         found = list(pool.map(lambda address: calls.ask(address, tokens=30), addresses))
-    assert {answer.status for answer in found} == {200}
+    assert {response.status for response in found} == {200}
     new = {attempt: run for attempt, run in engine_runs(fleet).items() if attempt not in before}
     assert new and all(run["engine"] != engine for run in new.values())
     assert request.wait().is_whole()
@@ -162,9 +162,9 @@
         return calls.call(entries[number % len(entries)].http, "/draft", body, Idempotency_Key=key)
 
     with concurrent.futures.ThreadPoolExecutor(12) as pool:
-        answers = list(pool.map(draft, range(12)))
-    assert {answer.status for answer in answers} == {200}
-    assert len({answer.body for answer in answers}) == 1
+        responses = list(pool.map(draft, range(12)))
+    assert {response.status for response in responses} == {200}
+    assert len({response.body for response in responses}) == 1
     assert service_runs(fleet, body.decode()) == 1
 
 
@@ -189,9 +189,9 @@
         first = pool.submit(calls.call, entry.http, "/draft", body, Idempotency_Key=key)
         processes.wait_for("the run", lambda: service_runs(fleet, body.decode()) == 1)
         fleet.processes["slow-target"].kill()
-        answer = first.result()
-    assert answer.error()["error"] == "outcome_unknown"
-    assert answer.error()["ran"] == "unknown"
+        response = first.result()
+    assert response.error()["error"] == "outcome_unknown"
+    assert response.error()["ran"] == "unknown"
     second = calls.call(fleet.entries()[1].http, "/draft", body, Idempotency_Key=key)
     assert second.error()["error"] == "outcome_unknown"
 
@@ -206,11 +206,11 @@
     key = calls.new_key()
     entry = fleet.entries()[0]
     started = time.monotonic()
-    answer = calls.call(entry.http, "/draft", body, Idempotency_Key=key)
+    response = calls.call(entry.http, "/draft", body, Idempotency_Key=key)
     assert time.monotonic() - started < 6
-    assert answer.error()["error"] == "not_run"
-    assert answer.error()["ran"] == "no"
-    assert int(answer.headers["retry-after"]) >= 1
+    assert response.error()["error"] == "not_run"
+    assert response.error()["ran"] == "no"
+    assert int(response.headers["retry-after"]) >= 1
     assert service_runs(fleet, body.decode()) == 0
     assert calls.call(entry.http, "/lookup").status == 200
     assert calls.ask(entry.http).is_whole()
@@ -236,8 +236,8 @@
         processes.wait_for("the run", lambda: service_runs(fleet, body.decode()) == 1)
         first.process.kill()
         waiting.exception(10)
-    answer = calls.call(second.http, "/draft", body, Idempotency_Key=key, X_Deadline_Ms="1500")
-    assert answer.status == 200 or answer.error()["error"] == "outcome_unknown"
+    response = calls.call(second.http, "/draft", body, Idempotency_Key=key, X_Deadline_Ms="1500")
+    assert response.status == 200 or response.error()["error"] == "outcome_unknown"
     assert service_runs(fleet, body.decode()) == 1
 
 
@@ -248,8 +248,8 @@
     entry = next(vm for vm in fleet.entries() if vm.settings["availability_zone"] == "zone-a")
     processes.wait_for("a response", lambda: calls.ask(entry.http).status == 200, 10)
     for is_streamed in (True, False):
-        answer = calls.ask(entry.http, is_streamed=is_streamed)
-        assert answer.is_whole()
+        response = calls.ask(entry.http, is_streamed=is_streamed)
+        assert response.is_whole()
     assert any(e["target"].startswith("entry-zone-b") for e in entry.process.events("routed"))
 
 
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -116,10 +116,10 @@
 
 
 def test_data_folder_in_use_is_refused(tmp_path):
-    held = folder.DataFolder(tmp_path)
+    locked = folder.DataFolder(tmp_path)
     with pytest.raises(errors.FolderInUseError, match=str(tmp_path)):
         folder.DataFolder(tmp_path)
-    held.release()
+    locked.release()
     folder.DataFolder(tmp_path).release()
 
 
--- a/tests/test_stream_connections.py
+++ b/tests/test_stream_connections.py
@@ -84,11 +84,11 @@
 
 def test_response_until_close_is_complete_only_without_a_reset():
     async def scenario():
-        whole = await raw_server(b"HTTP/1.1 200 OK\r\n\r\nall of it")
-        assert (await call(whole)).body == b"all of it"
-        reset = await raw_server(b"HTTP/1.1 200 OK\r\n\r\nall of it", reset=True)
+        closed = await raw_server(b"HTTP/1.1 200 OK\r\n\r\nall of it")
+        assert (await call(closed)).body == b"all of it"
+        aborted = await raw_server(b"HTTP/1.1 200 OK\r\n\r\nall of it", reset=True)
         with pytest.raises(errors.UnreachableError):
-            await call(reset)
+            await call(aborted)
 
     asyncio.run(scenario())
 
--- a/tests/test_weights_failures.py
+++ b/tests/test_weights_failures.py
@@ -78,9 +78,9 @@
 
     def run(self, address: str) -> None:
         while not self.stopping.is_set():
-            answer = calls.ask(address)
-            if answer.status != 200 or not answer.is_whole():
-                self.failures.append(f"{answer.status} {answer.body[:300]!r}")
+            response = calls.ask(address)
+            if response.status != 200 or not response.is_whole():
+                self.failures.append(f"{response.status} {response.body[:300]!r}")
             else:
                 self.succeeded += 1
 
@@ -140,8 +140,8 @@
     paused = processes.wait_for("a pause", lambda: fleet.status().get("paused"), 20)
     assert "origin_changed" in paused
     assert fleet.serving("hint") == {first_digest: 6}
-    answer = calls.ask(fleet.entries()[0].http)
-    assert answer.is_whole() and answer.digest == first_digest
+    response = calls.ask(fleet.entries()[0].http)
+    assert response.is_whole() and response.digest == first_digest
     done = fleet.command("bundle", "rollback", "1", "-o", "ana", "--wait")
     assert done.returncode == 0, done.stderr
     assert not fleet.status()["paused"]
