--- a/bench/transfer.py
+++ b/bench/transfer.py
@@ -154,7 +154,7 @@
                 ]
             )
             readers = min(shape.agents, agent.plan.readers_max)
-            agent.plan.spare_every_s = readers * shape.piece_bytes / shape.origin_rate
+            agent.plan.extra_read_interval_s = readers * shape.piece_bytes / shape.origin_rate
 
     def distance(self, one: Agent, other: Agent) -> int:
         """Return the distance between two agents."""
@@ -333,7 +333,7 @@
         wanted = fetch.bit_positions(action.wanted & peer.plan.held)
         told = peer.plan.held
         free_in_s = peer.outgoing.wait_s(self.now) if wanted else 0.0
-        if not wanted or free_in_s > piece_server.UPLOAD_WAIT_S_MAX:
+        if not wanted or free_in_s > piece_server.UPLOAD_WAIT_MAX_S:
             left = peer.link_out.carry(ANSWER_BYTES, self.now)
             self.at(left + delay, lambda: self.nothing(agent, action, told, free_in_s))
             return
--- a/src/merlinthread/coordination/agents.py
+++ b/src/merlinthread/coordination/agents.py
@@ -46,7 +46,7 @@
     """An agent's newest report and when it arrived, on the receiver's clock."""
 
     report: AgentReport
-    heard_at: float
+    received_at: float
 
 
 class AgentView:
@@ -72,21 +72,25 @@
     def update_load(
         self,
         name: str,
-        order: tuple[int, int],
+        sort_key: tuple[int, int],
         load: tuple[int, int, int],
         now: float,
     ) -> AgentReport | None:
         """Apply a report that differs from the last only in its load; return the full report.
 
-        `load` is running, queued and queued tokens. Return None if no report of that incarnation
-        is known.
+        `sort_key` is that of the report, `load` its `running`, `queued` and `queued_tokens`. Return
+        None if no report of that incarnation is known.
         """
         known = self.received.get(name)
-        if known is None or known.report.incarnation != order[0]:
+        if known is None or known.report.incarnation != sort_key[0]:
             return None
-        running, queued, tokens = load
+        running, queued, queued_tokens = load
         report = dataclasses.replace(
-            known.report, counter=order[1], running=running, queued=queued, queued_tokens=tokens
+            known.report,
+            counter=sort_key[1],
+            running=running,
+            queued=queued,
+            queued_tokens=queued_tokens,
         )
         self.update(report, now)
         return report
@@ -107,12 +111,12 @@
         found = [
             received.report
             for received in self.received.values()
-            if now - received.heard_at < self.lost_after_s
+            if now - received.received_at < self.lost_after_s
         ]
         return sorted(found, key=lambda report: report.name)
 
     def forget(self, now: float) -> None:
         """Drop agents without a report for `forget_after_s` seconds."""
         for name, received in list(self.received.items()):
-            if now - received.heard_at > self.forget_after_s:
+            if now - received.received_at > self.forget_after_s:
                 del self.received[name]
--- a/src/merlinthread/nodes/control_node.py
+++ b/src/merlinthread/nodes/control_node.py
@@ -54,6 +54,7 @@
         self.rpc_client = node_bus.RpcClient(codec)
         self.registry = instances.InstanceRegistry(settings.heartbeat_s)
         self.named_at: dict[str, float] = {}
+        # Identifies this process; nodes discard the positions that an earlier one has sent.
         self.feed = secrets.token_hex(8)
         self.changed = asyncio.Event()
         self.outgoing_heartbeats: list[fleet.Heartbeat] = []
@@ -64,8 +65,8 @@
         self.crashes = crash_registry.CrashRegistry(
             settings, clock, self.rpc_client, self.member, self.submit, self.notify_watchers
         )
-        self.listener = node_bus.RpcServer(codec, self.on_message)
-        self.datagrams = node_bus.DatagramEndpoint(codec, self.on_datagram)
+        self.rpc_server = node_bus.RpcServer(codec, self.dispatch_request)
+        self.datagrams = node_bus.DatagramEndpoint(codec, self.dispatch_datagram)
         self.permits = permit_server.PermitServer(self.member, clock)
         limits = http_messages.Limits(body_bytes=BODY_BYTES_MAX, idle_timeout_s=60.0)
         self.api = control_api.ControlApi(
@@ -83,7 +84,7 @@
     async def start(self) -> None:
         """Start the servers and the background tasks."""
         self.on_restored()
-        await self.listener.listen(self.settings.ip, self.settings.control_port)
+        await self.rpc_server.listen(self.settings.ip, self.settings.control_port)
         await self.datagrams.listen(self.settings.ip, self.settings.control_port)
         host, port = node_settings.split_address(self.settings.control_address)
         await self.server.listen(host, port)
@@ -106,7 +107,7 @@
             if not self.server.count_active_requests():
                 break
             await asyncio.sleep(0.05)
-        await self.member.members.resign()
+        await self.member.member_changes.resign()
         self.member.close()
 
     # Replicated log
@@ -121,7 +122,7 @@
             self.named_at[command.model] = self.clock() - age_s
             self.registry.advance()
         elif isinstance(command, fleet_state.PlaceHold | fleet_state.ReleaseHold):
-            self.crashes.on_applied()
+            self.crashes.apply_holds()
         name = self.member.command_names[type(command)]
         logs.event("applied", command=name, **log_fields(command))
         self.notify_watchers()
@@ -132,7 +133,7 @@
             self.mark_departed(instance, state)
         for model in self.member.state.named:
             self.named_at.setdefault(model, self.clock() - log_member.UNKNOWN_AGE_S)
-        self.crashes.on_applied()
+        self.crashes.apply_holds()
         self.notify_watchers()
 
     def mark_departed(self, instance: str, state: str) -> None:
@@ -159,10 +160,10 @@
             loop = asyncio.get_running_loop()
             commit = loop.create_task(self.commit(encoded))
             self.pending_commits[encoded] = commit
-            commit.add_done_callback(lambda done: self.on_commit_done(encoded, done))
+            commit.add_done_callback(lambda done: self.remove_commit(encoded, done))
         return await asyncio.shield(commit)
 
-    def on_commit_done(self, encoded: bytes, done: asyncio.Future) -> None:
+    def remove_commit(self, encoded: bytes, done: asyncio.Future) -> None:
         """Remove a finished commit, and retrieve its exception so that asyncio logs none."""
         self.pending_commits.pop(encoded, None)
         if not done.cancelled():
@@ -184,27 +185,27 @@
 
     # Requests of nodes
 
-    def on_datagram(self, message: Any) -> None:
+    def dispatch_datagram(self, message: Any) -> None:
         """Reply to an entry's request for a permit."""
         if isinstance(message, node_messages.LoadQuery) and message.permit is not None:
-            permit = self.permits.answer(message)
+            permit = self.permits.reply_to(message)
             reply = node_messages.LoadReply(message.number, 0, 0, 0.0, permit=permit)
             self.datagrams.send(message.address, reply)
 
-    async def on_message(self, message: Any) -> Any:
+    async def dispatch_request(self, message: Any) -> Any:
         """Handle one RPC of another node; raise ProtocolError for an unsupported message."""
         if isinstance(message, node_messages.RaftFrames):
             self.member.receive(message.frames)
             return node_messages.Acknowledgement(levels.NEWEST)
         if isinstance(message, node_messages.WatchRequest):
-            return await self.on_watch(message)
+            return await self.reply_to_watch(message)
         if isinstance(message, node_messages.HeartbeatBatch):
             for heartbeat in message.heartbeats:
                 self.record_heartbeat(heartbeat)
             self.limits.merge(message.limits)
             return node_messages.Acknowledgement(levels.NEWEST)
         if isinstance(message, node_messages.CrashReport):
-            self.crashes.on_report(message)
+            self.crashes.merge_report(message)
             self.limits.merge_from_entry(message.limits)
             return node_messages.Acknowledgement(levels.NEWEST)
         if isinstance(message, node_messages.CommandRequest):
@@ -214,12 +215,12 @@
         if isinstance(message, node_messages.ConfigurationRequest):
             return self.api.read_local_configuration()
         if isinstance(message, node_messages.JoinRequest):
-            return await self.member.members.on_join(message)
+            return await self.member.member_changes.reply_to_join(message)
         if isinstance(message, node_messages.LeaveRequest):
-            return await self.member.members.on_leave(message)
+            return await self.member.member_changes.reply_to_leave(message)
         raise errors.ProtocolError(f"a control VM does not handle {type(message).__name__}")
 
-    async def on_watch(self, watch: node_messages.WatchRequest) -> node_messages.WatchReply:
+    async def reply_to_watch(self, watch: node_messages.WatchRequest) -> node_messages.WatchReply:
         """Reply with the changes that the node lacks; wait for some until the request times out."""
         deadline = self.clock() + min(watch.wait_s, WATCH_WAIT_MAX_S)
         while not self.has_changes_for(watch):
@@ -235,7 +236,7 @@
         """Return whether anything changed since the positions in a watch request."""
         if watch.feed != self.feed or watch.position < self.registry.position:
             return True
-        if 0 <= watch.suspicions < self.crashes.ledger.reported_revision:
+        if 0 <= watch.suspicions < self.crashes.tracker.reported_revision:
             return True
         if 0 <= watch.limits < self.limits.table.revision:
             return True
@@ -250,7 +251,7 @@
         is_newer = state.version > watch.configuration
         suspicions_from = watch.suspicions if watch.feed == self.feed else min(0, watch.suspicions)
         suspicions = (
-            self.crashes.ledger.changes_since(suspicions_from, now) if suspicions_from >= 0 else []
+            self.crashes.tracker.changes_since(suspicions_from, now) if suspicions_from >= 0 else []
         )
         limits_from = watch.limits if watch.feed == self.feed else min(0, watch.limits)
         return node_messages.WatchReply(
@@ -268,7 +269,7 @@
             self.member.member_addresses(),
             self.member.staleness_s(now),
             suspicions,
-            self.crashes.ledger.reported_revision,
+            self.crashes.tracker.reported_revision,
             self.limits.changes_since(limits_from),
             self.limits.table.revision,
         )
@@ -339,7 +340,9 @@
 
 
 @node_roles.NODES.add("control")
-def make(settings: node_settings.NodeSettings, dialect: dialects.Dialect) -> ControlNode:
+def make_control_node(
+    settings: node_settings.NodeSettings, dialect: dialects.Dialect
+) -> ControlNode:
     """Create a control VM that uses the system clock."""
     codec = codecs.Codec([raft_messages.MESSAGES, node_messages.MESSAGES], [])
     return ControlNode(settings, dialect, codec, clocks.now)
--- a/src/merlinthread/nodes/crash_registry.py
+++ b/src/merlinthread/nodes/crash_registry.py
@@ -2,7 +2,7 @@
 
 Crash reports of entries are not persisted: any control VM accepts one and forwards it to the
 others. Holds are committed to the replicated log, so that they survive a power loss of all VMs;
-without that, a request could crash several more processes after each one.
+otherwise a request could crash several more processes after each such loss.
 """
 
 import asyncio
@@ -46,7 +46,7 @@
         self.member = member
         self.submit = submit
         self.notify = notify
-        self.ledger = crash_tracker.CrashTracker()
+        self.tracker = crash_tracker.CrashTracker()
         self.held_since: dict[str, float] = {}
         self.changed_event = asyncio.Event()
         self.send_tasks: set[asyncio.Task[None]] = set()
@@ -55,13 +55,13 @@
 
     # Reports
 
-    def on_report(self, report: node_messages.CrashReport) -> None:
+    def merge_report(self, report: node_messages.CrashReport) -> None:
         """Merge a crash report, and forward it to the other control VMs unless it was forwarded."""
         now = self.clock()
-        revision_before = self.ledger.revision
+        revision_before = self.tracker.revision
         for suspicion in report.suspicions:
-            self.ledger.merge(suspicion, now)
-        if self.ledger.revision == revision_before:
+            self.tracker.merge(suspicion, now)
+        if self.tracker.revision == revision_before:
             return
         self.changed_event.set()
         self.notify()
@@ -100,26 +100,26 @@
     def send_undelivered(self) -> None:
         """Send undelivered reports again.
 
-        Otherwise three control VMs might know of one crash each, and none of them of all three.
+        Otherwise each of three control VMs might know of one crash, and none of all three.
         """
         undelivered, self.undelivered = self.undelivered, {}
         now = self.clock()
         for address in self.other_addresses():
-            records = [self.ledger.records.get(name) for name in undelivered.get(address, {})]
+            records = [self.tracker.records.get(name) for name in undelivered.get(address, {})]
             reports = [
-                self.ledger.report_of(record, now) for record in records if record is not None
+                self.tracker.report_of(record, now) for record in records if record is not None
             ]
             if reports:
                 self.schedule_send(address, reports)
 
     # Replicated log
 
-    def on_applied(self) -> None:
-        """Update the ledger and the metric from the holds in the replicated state."""
+    def apply_holds(self) -> None:
+        """Update the crash records and the metric from the holds in the replicated state."""
         now = self.clock()
         held = self.member.state.held
         for fingerprint, request in held.items():
-            if not self.ledger.set_hold(
+            if not self.tracker.set_hold(
                 fingerprint, request.label, request.hold, now, request.account
             ):
                 continue
@@ -146,11 +146,11 @@
             self.changed_event.clear()
             self.send_undelivered()
             self.probe_levels()
-            self.ledger.expire(self.clock())
+            self.tracker.expire(self.clock())
             # Followers propose only what the leader did not, in case it lacks the reports.
             patience_s = 0.0 if self.member.raft.is_leader() else DECISION_INTERVAL_S
             now = self.clock()
-            for command in due_commands(self.ledger, self.held_since, now, patience_s):
+            for command in commands_to_propose(self.tracker, self.held_since, now, patience_s):
                 await self.commit(command)
 
     async def commit(self, command: fleet_state.Command) -> None:
@@ -170,16 +170,16 @@
             self.schedule_send(address, [])
 
 
-def due_commands(
-    ledger: crash_tracker.CrashTracker, held_since: dict[str, float], now: float, patience_s: float
+def commands_to_propose(
+    tracker: crash_tracker.CrashTracker, held_since: dict[str, float], now: float, patience_s: float
 ) -> list[fleet_state.PlaceHold | fleet_state.ReleaseHold]:
     """Return the commands for holds and releases that are not in the log yet.
 
-    Those due for less than `patience_s` are left out. `held_since` has the time at which the hold
-    of each request last changed in the log, by fingerprint.
+    Those that became due less than `patience_s` ago are omitted. `held_since` has the time at which
+    the hold of each request last changed in the log, by fingerprint.
     """
     commands: list[fleet_state.PlaceHold | fleet_state.ReleaseHold] = []
-    for record in ledger.held():
+    for record in tracker.held():
         if now - record.changed_at < patience_s:
             continue
         hold = record.hold
--- a/src/merlinthread/nodes/engine_client.py
+++ b/src/merlinthread/nodes/engine_client.py
@@ -15,7 +15,7 @@
 MANIFEST_TIMEOUT_S = 2.0
 PIECE_TIMEOUT_S = 3.0
 # Upper bound for Retry-After of the origin, the only source of new weights.
-ORIGIN_RETRY_DELAY_S_MAX = 30.0
+ORIGIN_RETRY_DELAY_MAX_S = 30.0
 
 STATUS_ACCEPTED = 202
 STATUS_GONE = 410
@@ -34,14 +34,14 @@
         self.engine = engine
         self.pool = stream_client.ConnectionPool(KEEP_ALIVE_S, CONNECT_TIMEOUT_S, USER_TIMEOUT_S)
 
-    async def report(self) -> fleet.EngineReport:
+    async def fetch_report(self) -> fleet.EngineReport:
         """Return the engine's status report."""
         request = self.dialect.report_request(self.engine)
         response = await self.pool.request(self.engine, request, LOCAL_TIMEOUT_S)
-        return self.dialect.report(require_success(response).body)
+        return self.dialect.parse_report(require_success(response).body)
 
-    async def manifest(self, origin: str, model: str, version: int) -> fleet.Manifest:
-        """Return the manifest of a version, 0 for the newest announced.
+    async def fetch_manifest(self, origin: str, model: str, version: int) -> fleet.Manifest:
+        """Return the manifest of a version; version 0 is the newest published one.
 
         Raises WeightsError if the origin no longer has the version.
         """
@@ -52,16 +52,16 @@
                 f"{model} version {version} is no longer at the origin",
                 kind=errors.ErrorKind.ORIGIN_CHANGED,
             )
-        return self.dialect.manifest(require_success(response).body)
+        return self.dialect.parse_manifest(require_success(response).body)
 
     def close_idle_origin_connections(self, origin: str) -> None:
-        """Close idle connections to the origin, which accepts only a few.
+        """Close idle connections to the origin, which limits the number of its connections.
 
-        It counts connections of VMs that have failed, too.
+        Connections of VMs that have failed count as well.
         """
         self.pool.close_idle(origin)
 
-    async def piece(self, origin: str, manifest: fleet.Manifest, index: int) -> bytes:
+    async def fetch_piece(self, origin: str, manifest: fleet.Manifest, index: int) -> bytes:
         """Return a piece from the origin.
 
         Raises WeightsError if its digest is wrong or the origin no longer has the version.
@@ -78,12 +78,12 @@
             raise errors.WeightsError(f"piece {index} from the origin has a wrong digest")
         return body
 
-    async def stage(self, model: str, index: int, data: bytes) -> None:
+    async def stage_piece(self, model: str, index: int, data: bytes) -> None:
         """Upload a piece to the engine's staging area."""
         request = self.dialect.stage_request(self.engine, model, index, data)
         require_success(await self.pool.request(self.engine, request, LOCAL_TIMEOUT_S))
 
-    async def staged(self, manifest: fleet.Manifest, index: int) -> bytes | None:
+    async def read_staged_piece(self, manifest: fleet.Manifest, index: int) -> bytes | None:
         """Return a piece from the engine's staging area, or None if it is missing or corrupt."""
         request = self.dialect.staged_request(self.engine, manifest.model, index)
         response = await self.pool.request(self.engine, request, LOCAL_TIMEOUT_S)
@@ -91,9 +91,9 @@
             return None
         return response.body
 
-    async def load(self, model: str, version: int, cuts_streams: bool) -> int:
+    async def load_staged_weights(self, model: str, version: int, truncates_streams: bool) -> int:
         """Make the engine load the staged weights; return the HTTP status of its response."""
-        request = self.dialect.load_request(self.engine, model, version, cuts_streams)
+        request = self.dialect.load_request(self.engine, model, version, truncates_streams)
         response = await self.pool.request(self.engine, request, LOCAL_TIMEOUT_S)
         return response.status
 
@@ -101,7 +101,7 @@
 def require_success(response: http_messages.Response) -> http_messages.Response:
     """Return `response` if it is a success; raise ProtocolError otherwise.
 
-    The error has the retry delay that the server asks for, if any.
+    The error has the retry delay from the response, if any.
     """
     if 200 <= response.status < 300:
         return response
@@ -113,4 +113,4 @@
 
 def origin_retry_delay_s(error: errors.MerlinthreadError) -> float:
     """Return the retry delay that the origin asked for, from the error of a call to it."""
-    return min(ORIGIN_RETRY_DELAY_S_MAX, error.retry_after_s or 0.0)
+    return min(ORIGIN_RETRY_DELAY_MAX_S, error.retry_after_s or 0.0)
--- a/src/merlinthread/nodes/entry_node.py
+++ b/src/merlinthread/nodes/entry_node.py
@@ -43,22 +43,28 @@
         self.settings = settings
         self.dialect = dialect
         self.clock = clock
-        self.caller = node_bus.RpcClient(codec)
-        suspect_ledger = crash_tracker.CrashTracker()
+        self.rpc_client = node_bus.RpcClient(codec)
+        suspect_tracker = crash_tracker.CrashTracker()
         signals = backend_availability.AvailabilityTable()
         self.watcher = fleet_watcher.FleetWatcher(
-            settings, dialect, self.caller, clock, self.on_update, suspect_ledger, signals
+            settings,
+            dialect,
+            self.rpc_client,
+            clock,
+            self.apply_fleet_update,
+            suspect_tracker,
+            signals,
         )
         self.crashes = crash_detector.CrashDetector(
-            settings.name, self.watcher, suspect_ledger, self.caller, clock
+            settings.name, self.watcher, suspect_tracker, self.rpc_client, clock
         )
         self.address = f"{settings.ip}:{settings.entry_port}"
-        self.datagrams = node_bus.DatagramEndpoint(codec, self.on_datagram)
+        self.datagrams = node_bus.DatagramEndpoint(codec, self.dispatch_datagram)
         self.prober = load_prober.LoadProber(self.address, self.datagrams.send)
         self.permits = permits.PermitClient(
             self.address, self.watcher, self.datagrams.send, clock, rng
         )
-        self.reporter = limit_reporter.LimitReporter(settings.name, self.watcher, self.caller)
+        self.reporter = limit_reporter.LimitReporter(settings.name, self.watcher, self.rpc_client)
         self.pool = backend_pool.BackendPool(
             settings,
             self.watcher,
@@ -96,7 +102,7 @@
         """Subscribe to the load reports of one agent."""
         self.datagrams.send(agent, node_messages.LoadSubscription(self.address))
 
-    def on_datagram(self, message: Any) -> None:
+    def dispatch_datagram(self, message: Any) -> None:
         """Dispatch a load report, or a reply to a query of this entry."""
         if isinstance(message, node_messages.LoadUpdate):
             self.pool.apply_load_update(message)
@@ -105,10 +111,10 @@
         elif isinstance(message, node_messages.LoadReply):
             self.prober.receive(message)
 
-    def on_update(self) -> None:
+    def apply_fleet_update(self) -> None:
         """Apply an update of the fleet state."""
         self.pool.update()
-        self.crashes.on_update()
+        self.crashes.apply_fleet_update()
         table = self.watcher.table
         if table is not None:
             limits = table.limits
@@ -156,7 +162,7 @@
 
 
 @node_roles.NODES.add("entry")
-def make(settings: node_settings.NodeSettings, dialect: dialects.Dialect) -> EntryNode:
+def make_entry_node(settings: node_settings.NodeSettings, dialect: dialects.Dialect) -> EntryNode:
     """Create an entry node that uses the clock of this process."""
     codec = codecs.Codec([node_messages.MESSAGES], [])
     return EntryNode(settings, dialect, codec, clocks.now, random.Random())
--- a/src/merlinthread/nodes/fleet_watcher.py
+++ b/src/merlinthread/nodes/fleet_watcher.py
@@ -1,9 +1,8 @@
 """A local copy of the fleet state for entries and agents: configuration, back ends and versions.
 
-A watcher keeps a long poll open at one control VM, and moves to another one if it does not answer
-or has lost contact with the majority. Updates are monotonic: versions only increase, and an
-instance that has left never returns. While no control VM answers, the last known state remains in
-use.
+A watcher polls one control VM (long polling), and switches to another one if it does not reply or
+has lost contact with a majority. Updates are monotonic: versions only increase, and an instance
+that is gone never returns. While no control VM replies, the last known state remains in use.
 """
 
 import asyncio
@@ -28,14 +27,14 @@
 
 WATCH_WAIT_S = 0.6
 WATCH_TIMEOUT_S = 1.1
-# Shorter wait while the control VM is cut off from the majority, to notice its recovery.
+# Shorter wait while the control VM has no contact with a majority, to notice its recovery sooner.
 STALE_WAIT_S = 0.2
 SEARCH_TIMEOUT_S = 0.4
 RETRY_DELAY_S = 0.1
 # Time between searches while no control VM in contact with a majority is known.
 SEARCH_INTERVAL_S = 0.4
 STALE_AFTER_S = 1.6
-MISSING_HEARTBEATS = 4
+MISSING_GRACE_HEARTBEATS = 4
 # Smaller differences between reported ages may be due to latency, up to WATCH_TIMEOUT_S.
 AGE_TOLERANCE_S = 2.0
 
@@ -54,25 +53,25 @@
     """Watches the fleet state through the control VMs.
 
     `on_update` is called after each update. Reports of suspect requests are merged into
-    `suspect_ledger` and those of rate limits into `signals`, if given.
+    `suspect_tracker` and those of rate limits into `signals`, if given.
     """
 
     def __init__(
         self,
         settings: node_settings.NodeSettings,
         dialect: dialects.Dialect,
-        caller: node_bus.RpcClient,
+        rpc_client: node_bus.RpcClient,
         clock: Callable[[], float],
         on_update: Callable[[], None],
-        suspect_ledger: crash_tracker.CrashTracker | None = None,
+        suspect_tracker: crash_tracker.CrashTracker | None = None,
         signals: backend_availability.AvailabilityTable | None = None,
     ) -> None:
         self.settings = settings
         self.dialect = dialect
-        self.caller = caller
+        self.rpc_client = rpc_client
         self.clock = clock
         self.on_update = on_update
-        self.suspect_ledger = suspect_ledger
+        self.suspect_tracker = suspect_tracker
         self.signals = signals
         self.table: route_table.RouteTable | None = None
         self.version = 0
@@ -85,41 +84,43 @@
         self.named: dict[str, int] = {}
         self.named_at: dict[str, dict[int, float]] = {}
         self.controls: list[str] = settings.control_rpc_addresses()
-        self.current = ""
+        self.current_control_vm = ""
         self.positions: dict[str, FeedPosition] = {}
         self.next_search_at = float("-inf")
         self.confirmed_at = float("-inf")
         self.is_fresh = False
 
     async def run(self) -> None:
-        """Watch until cancelled."""
+        """Watch the fleet state until cancelled."""
         while True:
-            if not self.current or (not self.is_fresh and self.clock() >= self.next_search_at):
+            if not self.current_control_vm or (
+                not self.is_fresh and self.clock() >= self.next_search_at
+            ):
                 await self.select_control_vm()
-            if not self.current:
+            if not self.current_control_vm:
                 await asyncio.sleep(RETRY_DELAY_S)
                 continue
             await self.poll()
 
     async def select_control_vm(self) -> None:
-        """Select a control VM in contact with a majority, or any that answers if there is none."""
+        """Select a control VM in contact with a majority, or any that replies if there is none."""
         found = await self.find_control_vm()
         self.next_search_at = self.clock() + SEARCH_INTERVAL_S
         if self.is_fresh:
-            self.current = found
+            self.current_control_vm = found
             # Any other control VM must send its full state if it is selected later.
             self.positions = {found: self.positions.get(found, FeedPosition())}
-        self.current = self.current or found
+        self.current_control_vm = self.current_control_vm or found
 
     async def find_control_vm(self) -> str:
-        """Return the first control VM that answers and is in contact with a majority.
+        """Return the first control VM that replies and is in contact with a majority.
 
-        If there is none, return any that answers, or an empty string. All are queried at once, so
+        If there is none, return any that replies, or an empty string. All are queried at once, so
         that the nearest one is preferred.
         """
         addresses_by_task = {
             asyncio.get_running_loop().create_task(
-                self.ask(address, 0.0, SEARCH_TIMEOUT_S)
+                self.request_changes(address, 0.0, SEARCH_TIMEOUT_S)
             ): address
             for address in self.other_control_vms()
         }
@@ -142,14 +143,14 @@
     def other_control_vms(self) -> list[str]:
         """Return the addresses of the control VMs other than the current one."""
         known = dict.fromkeys([*self.controls, *self.settings.control_rpc_addresses()])
-        return [address for address in known if address != self.current]
+        return [address for address in known if address != self.current_control_vm]
 
-    async def ask(
+    async def request_changes(
         self, address: str, wait_s: float, timeout_s: float
     ) -> node_messages.WatchReply | None:
-        """Query a control VM for changes; return None if it does not answer."""
+        """Query a control VM for changes; return None if it does not reply."""
         position = self.positions.get(address, FeedPosition())
-        suspicions = position.suspicions if self.suspect_ledger is not None else -1
+        suspicions = position.suspicions if self.suspect_tracker is not None else -1
         limits = position.limits if self.signals is not None else -1
         watch = node_messages.WatchRequest(
             self.settings.name,
@@ -161,7 +162,7 @@
             limits,
         )
         try:
-            return await self.caller.call(address, watch, timeout_s)
+            return await self.rpc_client.call(address, watch, timeout_s)
         except errors.MerlinthreadError as error:
             logs.debug("control_silent", control=address, reason=error.message)
             return None
@@ -169,13 +170,13 @@
     async def poll(self) -> None:
         """Poll the current control VM once and apply its reply."""
         wait_s = WATCH_WAIT_S if self.is_fresh else STALE_WAIT_S
-        reply = await self.ask(self.current, wait_s, WATCH_TIMEOUT_S)
+        reply = await self.request_changes(self.current_control_vm, wait_s, WATCH_TIMEOUT_S)
         if reply is None:
-            self.disconnect("no answer")
+            self.disconnect("no reply")
             return
-        self.apply(reply, self.current)
+        self.apply(reply, self.current_control_vm)
         if reply.leader_age_s > STALE_AFTER_S:
-            self.mark_stale("cut off from the majority")
+            self.mark_stale("no contact with a majority")
             await asyncio.sleep(RETRY_DELAY_S)
 
     def is_current(self) -> bool:
@@ -188,23 +189,23 @@
     def mark_stale(self, reason: str) -> None:
         """Record that the current control VM may lack changes that a majority has.
 
-        It stays in use until a better one is found. Right after a restart of all control VMs none
-        is better, and repeated requests for the full state would delay the election of a leader.
+        It stays in use until one in contact with a majority is found. After a restart of all
+        control VMs there is none, and requests for the full state would delay the election.
         """
         if self.is_fresh:
-            logs.event("control_lost", control=self.current, reason=reason)
+            logs.event("control_lost", control=self.current_control_vm, reason=reason)
             self.next_search_at = self.clock()
         self.is_fresh = False
 
     def disconnect(self, reason: str) -> None:
         """Stop using the current control VM; the next one must send its full state."""
         self.mark_stale(reason)
-        self.current = ""
+        self.current_control_vm = ""
         self.positions = {}
 
     def feed(self) -> str:
         """Return the feed of the current control VM, or an empty string."""
-        return self.positions.get(self.current, FeedPosition()).feed
+        return self.positions.get(self.current_control_vm, FeedPosition()).feed
 
     # Updates
 
@@ -226,9 +227,9 @@
         self.apply_configuration(reply)
         self.apply_versions(reply, now)
         self.apply_instances(reply, address, now)
-        if self.suspect_ledger is not None:
+        if self.suspect_tracker is not None:
             for suspicion in reply.suspicions:
-                self.suspect_ledger.merge(suspicion, now)
+                self.suspect_tracker.merge(suspicion, now)
         if self.signals is not None:
             for limit in reply.limits:
                 self.signals.merge_reported_limit(limit, now)
@@ -240,8 +241,8 @@
         metrics.configuration_version.set(self.version)
         metrics.control_age_seconds.set(self.clock() - self.confirmed_at)
         for state in (fleet.READY, fleet.DRAINING):
-            number = sum(1 for known in self.instances.values() if known.state == state)
-            metrics.backends.labels(state).set(number)
+            count = sum(1 for known in self.instances.values() if known.state == state)
+            metrics.backends.labels(state).set(count)
 
     def apply_configuration(self, reply: node_messages.WatchReply) -> None:
         """Apply the configuration if it is newer; keep the old one if it is invalid."""
@@ -249,7 +250,7 @@
             return
         try:
             body = zlib.decompress(reply.configuration)
-            self.table = route_table.RouteTable(self.dialect.configuration(body))
+            self.table = route_table.RouteTable(self.dialect.parse_configuration(body))
         except (errors.MerlinthreadError, zlib.error) as error:
             logs.warning("configuration_unreadable", reason=str(error))
             return
@@ -259,7 +260,7 @@
         )
 
     def apply_versions(self, reply: node_messages.WatchReply, now: float) -> None:
-        """Apply announced weights versions, with the earliest time of their acknowledgement.
+        """Apply published weights versions, with the earliest possible time of their publication.
 
         A control VM that was disconnected may report too high an age, which is corrected by a lower
         one from another control VM.
@@ -274,22 +275,24 @@
             named_at[named.version] = now - named.age_s
             logs.event("weights_named", model=named.model, version=named.version, age_s=named.age_s)
 
-    def version_due(self, model: str, now: float, bound_s: float) -> int:
-        """Return the newest version of a model announced at least `bound_s` seconds ago, or 0.
+    def newest_version_with_age(self, model: str, now: float, min_age_s: float) -> int:
+        """Return the newest version of a model published at least `min_age_s` seconds ago, or 0.
 
-        A newer announcement does not postpone the time at which an earlier version is required.
+        A later publication does not postpone the time at which an earlier version is required.
         """
         named_at = self.named_at.get(model, {})
-        return max((version for version, at in named_at.items() if now - at >= bound_s), default=0)
+        return max(
+            (version for version, at in named_at.items() if now - at >= min_age_s), default=0
+        )
 
-    def usable_until(self, model: str, version: int, bound_s: float) -> float:
+    def usable_until(self, model: str, version: int, validity_s: float) -> float:
         """Return until when a request may begin on a version of a model's weights.
 
-        This is `bound_s` seconds after the first newer version was announced.
+        This is `validity_s` seconds after the first newer version was published.
         """
         named_at = self.named_at.get(model, {})
         newer = [at for named, at in named_at.items() if named > version]
-        return min(newer, default=float("inf")) + bound_s
+        return min(newer, default=float("inf")) + validity_s
 
     def apply_instances(self, reply: node_messages.WatchReply, address: str, now: float) -> None:
         """Apply changes of back ends; a full reply also shows which ones are missing."""
@@ -304,8 +307,8 @@
             for instance in absent:
                 self.missing.setdefault(instance, now)
             if absent:
-                # A control VM that has just started may not know them yet. Others would not send
-                # them again without a reset of their positions.
+                # A control VM that has just started may not know them yet. The others send them
+                # again only if their positions are reset.
                 self.positions = {address: self.positions[address]}
         self.remove_missing(now)
 
@@ -358,7 +361,7 @@
 
     def remove_missing(self, now: float) -> None:
         """Remove back ends that have been missing for several heartbeats; they may return."""
-        grace_s = MISSING_HEARTBEATS * self.settings.heartbeat_s
+        grace_s = MISSING_GRACE_HEARTBEATS * self.settings.heartbeat_s
         for instance, since in list(self.missing.items()):
             if now - since > grace_s:
                 del self.missing[instance]
--- a/src/merlinthread/nodes/permits.py
+++ b/src/merlinthread/nodes/permits.py
@@ -1,6 +1,6 @@
 """Permits for requests to back ends with a rate limit that all VMs share.
 
-The leader of the control VMs grants them. While it does not answer, entries use time slots instead
+The leader of the control VMs grants them. While it does not reply, entries use time slots instead
 (`coordination.permit_slots`).
 """
 
@@ -17,34 +17,34 @@
 from merlinthread.protocol import node_messages
 
 # Timeout of a query, several network round trips; the query is sent again in case it was lost.
-ANSWER_TIMEOUT_S = 0.06
+REPLY_TIMEOUT_S = 0.06
 RETRANSMIT_AFTER_S = 0.02
 # Time between searches for the leader; requests use time slots meanwhile.
-SEARCH_BACKOFF_S = 0.25
+SEARCH_INTERVAL_S = 0.25
 # Bounds the size of a query, which must fit into one datagram.
 LIMITS_PER_QUERY_MAX = 8
 # Leaves time to connect to the back end.
 PERMIT_VALIDITY_S = 0.5
 
-FIRST_NUMBER_MAX = 2**30
+FIRST_QUERY_NUMBER_MAX = 2**30
 
 Send = Callable[[str, Any], None]
 
 
 @dataclasses.dataclass(slots=True)
 class Permit:
-    """Permission to send one request to a back end until `until`.
+    """Permission to send one request to a back end until `expires_at`.
 
     `source` is the address of the leader that granted it, or describes the time slot, for the log.
     """
 
     instance: str
-    until: float
+    expires_at: float
     source: str
 
     def is_valid(self, instance: str, now: float) -> bool:
         """Return whether a request may be sent to `instance` now."""
-        return self.instance == instance and now <= self.until
+        return self.instance == instance and now <= self.expires_at
 
 
 @dataclasses.dataclass(slots=True)
@@ -72,12 +72,12 @@
         self.clock = clock
         self.rng = rng
         # Random, so that replies to an earlier process of this entry are not accepted.
-        self.numbers = itertools.count(rng.randrange(FIRST_NUMBER_MAX))
-        self.waiting: dict[int, asyncio.Future[node_messages.PermitReply]] = {}
-        # The control VM that grants permits, empty if none answers.
+        self.query_numbers = itertools.count(rng.randrange(FIRST_QUERY_NUMBER_MAX))
+        self.pending_queries: dict[int, asyncio.Future[node_messages.PermitReply]] = {}
+        # The control VM that grants permits, empty if none replies.
         self.leader = ""
         # When a query of the leader last failed, and when the next search may start.
-        self.unanswered_at = float("-inf")
+        self.query_failed_at = float("-inf")
         self.search_not_before = float("-inf")
         # Set when the current search ends; None if there is none.
         self.search_done: asyncio.Event | None = None
@@ -118,8 +118,8 @@
     ) -> rate_limits.Decision:
         """Decide by this entry's time slots.
 
-        Permits are recorded as unavailable only until the next search: a leader may then grant one
-        before the next slot.
+        A permit is recorded as unavailable only until the next search: a leader may then grant one
+        before this entry's next slot.
         """
         decision = self.slots.decide(request, now)
         search_in_s = max(0.0, self.search_not_before - now)
@@ -127,7 +127,7 @@
         return decision
 
     async def query_leader(self, request: rate_limits.PermitRequest) -> rate_limits.Decision | None:
-        """Return the leader's decision, or None if no leader answers."""
+        """Return the leader's decision, or None if no leader replies."""
         while not self.leader:
             if self.clock() < self.search_not_before:
                 return None
@@ -144,12 +144,12 @@
     async def find_leader(self, request: rate_limits.PermitRequest) -> rate_limits.Decision | None:
         """Search for the leader; return its decision, or None if none is found.
 
-        If the leader was lost recently, other requests use time slots during the search. If not,
-        there may be a new leader that already grants permits. Slots in addition to those would
-        exceed the limit, so other requests wait for the search.
+        If the leader was lost recently, other requests use time slots during the search. Otherwise
+        a new leader may already grant permits, and slots in addition to these would exceed the
+        limit, so other requests wait for the search.
         """
         self.search_not_before = min(
-            self.clock() + SEARCH_BACKOFF_S, self.unanswered_at + rate_limits.LEADER_DISCOVERY_S
+            self.clock() + SEARCH_INTERVAL_S, self.query_failed_at + rate_limits.LEADER_DISCOVERY_S
         )
         self.search_done = asyncio.Event()
         try:
@@ -181,25 +181,25 @@
         A search queries all of them at once. Queried in turn, failed ones would delay it while a
         new leader already grants permits to other entries.
         """
-        known = dict.fromkeys([*self.watcher.controls, self.watcher.current])
+        known = dict.fromkeys([*self.watcher.controls, self.watcher.current_control_vm])
         return [address for address in known if address]
 
     def set_leader(self, address: str, reply: node_messages.PermitReply) -> None:
-        """Record the leader, and the time slots to use if it stops answering."""
+        """Record the leader, and the time slots to use if it stops replying."""
         if self.leader != address:
             logs.event("permits_from", control=address, before=self.leader, entries=reply.entries)
         self.leader = address
-        ahead_s = reply.at - self.clock()
-        self.slots.update(max(1, reply.entries), reply.rank, ahead_s)
+        clock_offset_s = reply.at - self.clock()
+        self.slots.update(max(1, reply.entries), reply.rank, clock_offset_s)
 
     def mark_leader_lost(self) -> None:
-        """Record that no leader answers, and delay the next search."""
+        """Record that no leader replies, and delay the next search."""
         if self.leader:
             logs.event("permits_by_turns", lost=self.leader, entries=self.slots.entries)
-            self.slots.begin(self.clock())
+            self.slots.start(self.clock())
         self.leader = ""
-        self.unanswered_at = self.clock()
-        self.search_not_before = self.unanswered_at + SEARCH_BACKOFF_S
+        self.query_failed_at = self.clock()
+        self.search_not_before = self.query_failed_at + SEARCH_INTERVAL_S
 
     async def query_any(
         self, addresses: list[str], request: rate_limits.PermitRequest
@@ -230,12 +230,12 @@
         self, address: str, request: rate_limits.PermitRequest
     ) -> node_messages.PermitReply | None:
         """Query a control VM, with one retransmission; return its reply, or None on a timeout."""
-        number = next(self.numbers)
+        number = next(self.query_numbers)
         future = asyncio.get_running_loop().create_future()
-        self.waiting[number] = future
+        self.pending_queries[number] = future
         query = node_messages.LoadQuery(self.address, number, request)
         try:
-            for wait_s in (RETRANSMIT_AFTER_S, ANSWER_TIMEOUT_S - RETRANSMIT_AFTER_S):
+            for wait_s in (RETRANSMIT_AFTER_S, REPLY_TIMEOUT_S - RETRANSMIT_AFTER_S):
                 self.send(address, query)
                 done, _ = await asyncio.wait([future], timeout=wait_s)
                 if done:
@@ -245,11 +245,11 @@
             logs.debug("permit_query_not_sent", control=address, reason=str(error))
             return None
         finally:
-            del self.waiting[number]
+            del self.pending_queries[number]
 
     def receive(self, number: int, reply: node_messages.PermitReply) -> None:
         """Accept a reply, or drop it with its permit if the query has timed out."""
-        future = self.waiting.get(number)
+        future = self.pending_queries.get(number)
         if future is not None and not future.done():
             future.set_result(reply)
 
@@ -259,5 +259,5 @@
     availability = backend.availability
     assert availability.limit_per_s is not None
     return rate_limits.AdvertisedLimit(
-        backend.instance, availability.limit_per_s, max(0.0, now - availability.limit_heard_at)
+        backend.instance, availability.limit_per_s, max(0.0, now - availability.limit_received_at)
     )
--- a/src/merlinthread/nodes/route_finder.py
+++ b/src/merlinthread/nodes/route_finder.py
@@ -17,12 +17,12 @@
     """Return a request's route and account; raise RequestError if it is refused.
 
     `startup_wait_s` is the retry delay sent while no configuration is known. Unless `is_current`, a
-    newer configuration may allow the request, so the refusal is a temporary one that says that the
+    newer configuration may allow the request, so the error is a temporary one, which says that the
     request has not run.
     """
     if table is None:
         raise errors.RequestError(
-            "no configuration is known here yet",
+            "no configuration has been received yet",
             kind=errors.ErrorKind.NO_TARGET,
             retry_after_s=startup_wait_s,
         )
@@ -30,7 +30,7 @@
     route = table.find(call.host, path)
     if route is None:
         raise refusal(f"no route for {call.host}{path}", errors.ErrorKind.UNKNOWN_ROUTE, is_current)
-    account = table.account_of(call.key) if call.key else None
+    account = table.account_of(call.api_key) if call.api_key else None
     if table.has_accounts and not route.is_public and account is None:
         logs.debug("key_unknown", request=call.request_id)
         raise refusal("the key is unknown", errors.ErrorKind.UNAUTHORISED, is_current)
--- a/tests/permit_net.py
+++ b/tests/permit_net.py
@@ -41,7 +41,7 @@
     """The control VMs known to an entry."""
 
     controls: list[str]
-    current: str
+    current_control_vm: str
 
 
 @dataclasses.dataclass
@@ -89,7 +89,7 @@
             self.rng,
         )
         availability = backend_availability.Availability(
-            limit_per_s=self.limit_per_s, limit_heard_at=clock()
+            limit_per_s=self.limit_per_s, limit_received_at=clock()
         )
         return Entry(
             client, backend_record.Backend("i", "s", "a:1", "zone", 0, 8, availability=availability)
@@ -103,7 +103,7 @@
     def receive_query(self, entry: str, control: str, query: node_messages.LoadQuery) -> None:
         """Let a control VM answer a query, if it is alive."""
         if control in self.alive:
-            answer = self.offices[control].answer(query)
+            answer = self.offices[control].reply_to(query)
             self.send_datagram(self.entries[entry].permits.receive, query.number, answer)
 
     def lose_leader(self) -> None:
--- a/tests/test_chunk_announcements.py
+++ b/tests/test_chunk_announcements.py
@@ -102,7 +102,7 @@
         plan.readers_max = 8
         plan.on_participants_changed()
         plan.is_late = True
-        plan.spare_every_s = 0.1
+        plan.extra_read_interval_s = 0.1
     assert sum(plan.is_reader for plan in plans) == 8
     owned = 0
     for plan in plans:
--- a/tests/test_control_replacement.py
+++ b/tests/test_control_replacement.py
@@ -130,7 +130,7 @@
         await controls.start(REPLACEMENT)
         controls.ips = seeds
         new = controls.nodes[REPLACEMENT].member
-        await fleet_nodes.until(lambda: new.name in new.raft.log.voters.voters)
+        await fleet_nodes.until(lambda: new.name in new.raft.log.membership.voters)
 
     run(tmp_path, scenario)
 
@@ -141,11 +141,11 @@
         leader = controls.leader()
         await controls.start(REPLACEMENT)
         new = controls.nodes[REPLACEMENT].member
-        await fleet_nodes.until(lambda: new.name in new.raft.log.voters.voters)
+        await fleet_nodes.until(lambda: new.name in new.raft.log.membership.voters)
         await controls.nodes[leader].stop()
         fleet_nodes.end_tasks(controls.nodes.pop(leader))
         # A further failure right away: of three remaining voters, two are a majority.
-        assert len(new.raft.log.voters.voters) == 3
+        assert len(new.raft.log.membership.voters) == 3
         controls.kill(next(ip for ip in controls.nodes if ip != REPLACEMENT))
         await put_configuration(controls, 2)
 
@@ -159,7 +159,7 @@
         leader = controls.leader()
         await controls.start(REPLACEMENT)
         new = controls.nodes[REPLACEMENT].member
-        await fleet_nodes.until(lambda: new.name in new.raft.log.voters.voters)
+        await fleet_nodes.until(lambda: new.name in new.raft.log.membership.voters)
         member = controls.nodes[leader].member
         await fleet_nodes.until(
             lambda: not member.raft.log.has_membership_change_after(member.raft.commit)
@@ -188,8 +188,8 @@
         await put_configuration(controls, 2)
         await controls.start(leader)
         assert await read_version(controls) == 2
-        voters = controls.nodes[leader].member.raft.log.voters
-        assert sorted(voters.voters) == sorted(f"{ip}:{controls.port}" for ip in controls.ips)
+        membership = controls.nodes[leader].member.raft.log.membership
+        assert sorted(membership.voters) == sorted(f"{ip}:{controls.port}" for ip in controls.ips)
 
     run(tmp_path, scenario)
 
@@ -209,7 +209,7 @@
         member = log_member.LogMember(
             settings, fleet_nodes.make_codec(), Recorder(), lambda: 50.0, None, None
         )
-        member.members.request_join(50.0)
+        member.member_changes.request_join(50.0)
         await fleet_nodes.until(lambda: sent)
         assert sent == [("127.0.0.11:7000", member.name)]
         member.close()
@@ -222,11 +222,11 @@
         await put_configuration(controls, 1)
         member = controls.nodes[controls.leader()].member
         # Until it commits an entry of its own term, a leader may not know the last commits.
-        member.raft.term_start = member.raft.commit + 1
+        member.raft.term_start_index = member.raft.commit + 1
         member.current_at = float("-inf")
         member.update_current_at()
         assert member.staleness_s(time.monotonic()) == log_member.UNKNOWN_AGE_S
-        member.raft.term_start = member.raft.commit
+        member.raft.term_start_index = member.raft.commit
         member.update_current_at()
         assert member.staleness_s(time.monotonic()) < fleet_watcher.STALE_AFTER_S
 
--- a/tests/test_entry_node.py
+++ b/tests/test_entry_node.py
@@ -274,7 +274,11 @@
     entry = fleet_nodes.Entry()
     watcher = entry.node.watcher
     watcher.named_at = {"m": {2: 100.0, 3: 102.0}}
-    assert [watcher.version_due("m", now, 7.0) for now in (106.0, 107.5, 109.5)] == [0, 2, 3]
+    assert [watcher.newest_version_with_age("m", now, 7.0) for now in (106.0, 107.5, 109.5)] == [
+        0,
+        2,
+        3,
+    ]
 
 
 def test_an_attempt_that_has_not_begun_at_the_bound_of_its_old_version_goes_elsewhere(monkeypatch):
@@ -292,7 +296,7 @@
             nothing = load_tracker.EngineLoad(load_tracker.Outstanding())
             return {agent: nothing for agent in agents}
 
-        entry.node.prober.ask = answer_at_once
+        entry.node.prober.query = answer_at_once
         old.behaviour.never_responds = True
         new.version = 2
         watcher, pool = entry.node.watcher, entry.node.pool
@@ -432,11 +436,13 @@
             known = load_tracker.EngineLoad(others)
             return {agent: known if agent == heard.instance else None for agent in agents}
 
-        entry.node.prober.ask = answers_of_the_heard_one
-        choice = await pool.choose(dispatch.Demand("model", "m", 1), 0.2)
+        entry.node.prober.query = answers_of_the_heard_one
+        choice = await pool.choose(dispatch.Requirements("model", "m", 1), 0.2)
         assert choice.backend is heard, "nothing is known of the other one"
         pool.subscribed = {"model": []}
-        choice = await pool.choose(dispatch.Demand("model", "m", 1, tried={heard.instance}), 0.2)
+        choice = await pool.choose(
+            dispatch.Requirements("model", "m", 1, tried={heard.instance}), 0.2
+        )
         assert choice.backend is silent
 
     asyncio.run(scenario())
--- a/tests/test_fleet_coordination.py
+++ b/tests/test_fleet_coordination.py
@@ -155,7 +155,11 @@
     for backend in (busy, idle):
         backend.weights = [fleet.Weights("m", 1, 16)]
     choice = dispatch.choose(
-        [busy, idle], dispatch.Demand("s", "m", prompt_tokens=900.0), ENGINE, 0.0, random.Random(1)
+        [busy, idle],
+        dispatch.Requirements("s", "m", prompt_tokens=900.0),
+        ENGINE,
+        0.0,
+        random.Random(1),
     )
     assert choice.backend is idle
 
@@ -168,7 +172,7 @@
         "new": [fleet.Weights("m", 2, 16)],
     }
     backends = [make_backend(name, weights=weights) for name, weights in held.items()]
-    demand = dispatch.Demand("s", "m", 2)
+    demand = dispatch.Requirements("s", "m", 2)
     eligible = [b.instance for b in backends if dispatch.is_eligible(b, demand, ENGINE, 0.0)]
     assert eligible == ["new"]
 
@@ -180,7 +184,7 @@
         dispatch.record_failure(backend, 100.0)
         ejections_s.append(backend.ejected_until - 100.0)
     assert ejections_s == sorted(set(ejections_s))
-    demand = dispatch.Demand("s")
+    demand = dispatch.Requirements("s")
     assert not dispatch.is_eligible(backend, demand, None, 100.0)
     assert dispatch.is_eligible(backend, demand, None, 110.0)
     dispatch.record_success(backend, 0.1)
@@ -189,7 +193,7 @@
 
 def test_last_ejected_back_end_gets_one_request_at_a_time():
     # Two of three back ends were removed, and one connection attempt to the last one failed.
-    demand = dispatch.Demand("s")
+    demand = dispatch.Requirements("s")
     only, draining = make_backend("only"), make_backend("taken away")
     draining.is_draining = True
     dispatch.record_failure(only, 10.0)
@@ -217,7 +221,7 @@
     silent, heard = make_backend("silent"), make_backend("heard", in_flight=8)
     for backend, at in ((silent, 0.0), (heard, 9.5)):
         backend.apply_report(fleet.EngineReport(weights=[fleet.Weights("m", 1, 16)]), at)
-    demand = dispatch.Demand("s", "m", prompt_tokens=900.0)
+    demand = dispatch.Requirements("s", "m", prompt_tokens=900.0)
     choice = dispatch.choose([silent, heard], demand, ENGINE, 10.0, random.Random(1))
     assert choice.backend is heard
     assert dispatch.choose([silent], demand, ENGINE, 10.0, random.Random(1)).backend is silent
@@ -314,7 +318,7 @@
         backend.apply_probe_reply(
             load_tracker.EngineLoad(load_tracker.Outstanding(3, 2, tokens)), 10.0
         )
-    demand = dispatch.Demand("s", "m", prompt_tokens=1000.0)
+    demand = dispatch.Requirements("s", "m", prompt_tokens=1000.0)
     choices = [dispatch.evaluate(backend, demand, ENGINE, 10.0) for backend in (busy, idle)]
     expected = 5000.0 / ENGINE.read_tokens_per_s
     assert choices[0].first_byte_s - choices[1].first_byte_s == pytest.approx(expected)
@@ -329,7 +333,7 @@
         backend.in_flight = load
         found.append(dispatch.expected_first_byte_s(backend, ENGINE, 0.0, 10.0))
     steps = [after - before for before, after in zip(found, found[1:], strict=False)]
-    slot_wait_s = ENGINE.usual_answer * ENGINE.step_s / backend.slots
+    slot_wait_s = ENGINE.usual_response_tokens * ENGINE.step_s / backend.slots
     assert steps[0] < slot_wait_s < 2 * slot_wait_s < steps[1] == pytest.approx(steps[2])
 
 
@@ -339,7 +343,7 @@
         report = fleet.EngineReport(weights=[fleet.Weights("m", 1, 16)], pace=pace)
         backend.apply_report(report, 9.95)
     silent.apply_probe_reply(None, 10.0)
-    demand = dispatch.Demand("s", "m", prompt_tokens=1000.0)
+    demand = dispatch.Requirements("s", "m", prompt_tokens=1000.0)
     shortlisted = dispatch.shortlist(
         [slow, silent, prompt], demand, ENGINE, 10.0, random.Random(1), 3
     )
@@ -349,7 +353,7 @@
 def test_spare_origin_bandwidth_is_used_for_chunks_missing_in_the_zone():
     plan = make_zoned("a", {"b": fetch.SAME_ZONE, "far": fetch.OTHER_REGION})
     plan.held = plan.owned
-    plan.spare_every_s = 0.5
+    plan.extra_read_interval_s = 0.5
     plan.on_peer_report("b", plan.all_chunks & ~plan.owned & ~(1 << 7 | 1 << 9), 0.0)
     plan.postpone_requests("b", 9.0)
     found = []
@@ -390,7 +394,9 @@
         "silent", in_flight=3, response_time=backend_record.ResponseTime(0.005, responses=1000)
     )
     idle = make_backend("idle", response_time=backend_record.ResponseTime(0.1, responses=1000))
-    choice = dispatch.choose([silent, idle], dispatch.Demand("s"), None, 0.0, random.Random(1))
+    choice = dispatch.choose(
+        [silent, idle], dispatch.Requirements("s"), None, 0.0, random.Random(1)
+    )
     assert choice.backend is idle
 
 
@@ -409,7 +415,7 @@
     silent.apply_probe_reply(None, 9.99)
     probed_before.apply_probe_reply(no_load, 9.9)
     backends = [prompt, slow, silent, probed_before]
-    demand = dispatch.Demand("s", "m", version_soon=2)
+    demand = dispatch.Requirements("s", "m", version_soon=2)
     shortlisted = dispatch.shortlist(backends, demand, ENGINE, 10.0, random.Random(1), 4)
     assert len(shortlisted) == 4, "each may be probed"
     for backend in backends:
--- a/tests/test_membership_repair.py
+++ b/tests/test_membership_repair.py
@@ -1,4 +1,4 @@
-"""Membership repair: single decisions, and repeated failures in a simulated cluster."""
+"""Voters repair: single decisions, and repeated failures in a simulated cluster."""
 
 import random
 
@@ -14,7 +14,7 @@
 
 def make_policy(losses_max: int = 1) -> membership_repair.RepairPolicy:
     return membership_repair.RepairPolicy(
-        losses_max, member_changes.SURPLUS_SILENCE_FRACTION * CATCH_UP_S, 2 * CATCH_UP_S
+        losses_max, member_changes.SURPLUS_SILENCE_FACTOR * CATCH_UP_S, 2 * CATCH_UP_S
     )
 
 
@@ -118,7 +118,7 @@
                 continue
             progress = member.raft.progress
             status = membership_repair.GroupStatus(
-                member.raft.log.voters,
+                member.raft.log.membership,
                 member.name,
                 member.raft.commit,
                 {name: known.match for name, known in progress.items()},
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -174,7 +174,7 @@
     for number in range(limit_table.RECORDS_MAX + 50):
         ledger.merge(limit_table.LimitReport(f"i-{number}", 1.0, 0.0), number)
     assert len(ledger.records) == limit_table.RECORDS_MAX
-    assert len(ledger.since(ledger.revision - 3, 0.0)) == 3
+    assert len(ledger.changes_since(ledger.revision - 3, 0.0)) == 3
     ledger.merge(limit_table.LimitReport("over", None, 0.0), 10_000.0)
     ledger.merge(limit_table.LimitReport("i-4000", None, 0.0), 10_000.0)
     ledger.merge(limit_table.LimitReport("i-4001", 2.0, 0.0), 10_100.0)
@@ -184,9 +184,9 @@
 def test_a_limit_that_another_vm_heard_before_does_not_undo_what_was_heard_since():
     availability = backend_availability.Availability()
     availability.record_limit(2.0, sent_at=0.0, now=5.0)
-    availability.merge_limit(None, heard_at=4.0)
+    availability.merge_limit(None, received_at=4.0)
     assert availability.limit_per_s == 2.0
-    availability.merge_limit(None, heard_at=6.0)
+    availability.merge_limit(None, received_at=6.0)
     assert not availability.is_limited()
 
 
--- a/tests/test_weights_task.py
+++ b/tests/test_weights_task.py
@@ -96,8 +96,8 @@
         agent = self.agents.pop(number)
         for task in agent.tasks:
             task.cancel()
-        agent.listener.server.listener.close()
-        for connection in list(agent.listener.server.connections):
+        agent.rpc_server.server.listener.close()
+        for connection in list(agent.rpc_server.server.connections):
             connection.abort()
         agent.datagrams.transport.close()
 
@@ -275,11 +275,11 @@
         sent = []
         agent.datagrams.send = lambda address, message: sent.append((address, message))
         stage = node_messages.AttemptStage
-        agent.on_datagram(node_messages.AttemptNotice("entry-1", 1, stage.SENT, 700.0))
-        agent.on_datagram(node_messages.AttemptNotice("entry-1", 2, stage.SENT, 500.0))
-        agent.on_datagram(node_messages.AttemptNotice("entry-1", 2, stage.READ))
+        agent.dispatch_datagram(node_messages.AttemptNotice("entry-1", 1, stage.SENT, 700.0))
+        agent.dispatch_datagram(node_messages.AttemptNotice("entry-1", 2, stage.SENT, 500.0))
+        agent.dispatch_datagram(node_messages.AttemptNotice("entry-1", 2, stage.READ))
         for entry in ("entry-1", "entry-2"):
-            agent.on_datagram(node_messages.LoadQuery(entry, 7))
+            agent.dispatch_datagram(node_messages.LoadQuery(entry, 7))
         replies = {
             address: message
             for address, message in sent
@@ -287,11 +287,11 @@
         }
         assert replies["entry-1"] == node_messages.LoadReply(7, 0, 0, 0.0)
         assert replies["entry-2"] == node_messages.LoadReply(7, 2, 1, 700.0)
-        agent.on_datagram(node_messages.AttemptNotice("entry-1", 1, stage.ENDED))
-        assert len(agent.ledger.open) == 1
+        agent.dispatch_datagram(node_messages.AttemptNotice("entry-1", 1, stage.ENDED))
+        assert len(agent.load_tracker.open) == 1
         sent.clear()
         agent.last_report = None
-        agent.on_datagram(node_messages.LoadQuery("entry-2", 8))
+        agent.dispatch_datagram(node_messages.LoadQuery("entry-2", 8))
         assert not sent, "an agent without its engine must not reply"
 
     run(1, scenario)
@@ -317,7 +317,7 @@
     monkeypatch,
 ):
     read_indexes = []
-    staged = engine_client.EngineClient.staged
+    staged = engine_client.EngineClient.read_staged_piece
 
     async def count_reads(self, manifest, index):
         read_indexes.append(index)
@@ -331,7 +331,7 @@
         )
         fleet.engines[0].version = 0
         # Pieces that were just found must not be read again for the check before the load.
-        monkeypatch.setattr(engine_client.EngineClient, "staged", count_reads)
+        monkeypatch.setattr(engine_client.EngineClient, "read_staged_piece", count_reads)
         await fleet.start_agent(0)
         fleet.publish(1)
         await fleet.wait_until_loaded(1)
@@ -458,7 +458,7 @@
         address = await origin.start()
         client = engine_client.EngineClient(dialect.PlatformDialect(), "127.0.0.1:1")
         try:
-            await client.manifest(address, "m", 1)
+            await client.fetch_manifest(address, "m", 1)
         except engine_client.errors.WeightsError as error:
             assert error.kind is engine_client.errors.ErrorKind.ORIGIN_CHANGED
             return
