--- a/tests/test_coordination.py
+++ b/tests/test_coordination.py
@@ -157,7 +157,7 @@
     assert placement.plan(bundle, outside, first.changes).changes == {}
 
 
-# Switch
+# Reconciliation
 
 
 def test_next_step_loads_complete_weights_base_first_and_unloads_last():
@@ -177,17 +177,6 @@
         wanted, {"m": B, "x": C, "old": A}, {B, C}, False
     ) == reconciliation.Unload("old")
     wanted = [item, adapter]
-    assert reconciliation.next_step(wanted, {"m": A, "old": A}, set(), False) is None
-    assert reconciliation.next_step(wanted, {"m": A}, {C}, False) is None
-    assert reconciliation.next_step(
-        wanted, {"m": A, "old": A}, {B, C}, False
-    ) == reconciliation.Load(item)
-    assert reconciliation.next_step(
-        wanted, {"m": B, "old": A}, {B, C}, False
-    ) == reconciliation.Load(adapter)
-    assert reconciliation.next_step(
-        wanted, {"m": B, "x": C, "old": A}, {B, C}, False
-    ) == reconciliation.Unload("old")
     assert reconciliation.next_step(wanted, {"m": B, "x": C}, {B, C}, False) is None
     assert reconciliation.next_step(wanted, {"m": A}, {B, C}, True) is None
 
