--- a/tests/test_coordination.py
+++ b/tests/test_coordination.py
@@ -176,7 +176,6 @@
     assert reconciliation.next_step(
         wanted, {"m": B, "x": C, "old": A}, {B, C}, False
     ) == reconciliation.Unload("old")
-    wanted = [item, adapter]
     assert reconciliation.next_step(wanted, {"m": B, "x": C}, {B, C}, False) is None
     assert reconciliation.next_step(wanted, {"m": A}, {B, C}, True) is None
 
