--- a/tests/test_request_failures.py
+++ b/tests/test_request_failures.py
@@ -1,4 +1,4 @@
-"""Requests during failures: complete, run at most once, refused correctly, unharmed by restarts."""
+"""Requests under failures and restarts are completed, run at most once, or refused correctly."""
 
 import concurrent.futures
 import threading
@@ -23,8 +23,10 @@
     fleet = make_fleet(shape)
     digest = fleet.publish("hint-1", 256 * 1024, 64 * 1024)
     operators.Operator(fleet).bring_in(fleets.simple_bundle(1, {"hint": (digest, 100)}))
-    processes.wait_for("4 engines", lambda: fleet.serving("hint").get(digest) == 4)
-    processes.wait_for("entries", lambda: all(entry_sees(fleet, vm, 2) for vm in fleet.entries()))
+    processes.wait_for("4 engines that serve", lambda: fleet.serving("hint").get(digest) == 4)
+    processes.wait_for(
+        "ready entries", lambda: all(entry_sees(fleet, vm, 2) for vm in fleet.entries())
+    )
     return fleet
 
 
@@ -33,8 +35,8 @@
     return calls.ask(vm.http, tokens=1).status == 200 and bool(fleet.get(vm.http, "/readyz"))
 
 
-def runs(fleet: fleets.Fleet) -> dict[str, dict]:
-    """Return every run of every engine that still answers, by attempt."""
+def engine_runs(fleet: fleets.Fleet) -> dict[str, dict]:
+    """Return the runs of all engines that still respond, by attempt."""
     found = {}
     for name, url in fleet.target_urls.items():
         if name.startswith("engine"):
@@ -57,17 +59,17 @@
     def __init__(self, address: str, request_id: str, tokens: int = TOKENS) -> None:
         self.request_id = request_id
         self.tokens = tokens
-        self.answer: calls.Answer | None = None
+        self.response: calls.Answer | None = None
         self.thread = threading.Thread(target=self.run, args=(address,))
         self.thread.start()
 
     def run(self, address: str) -> None:
-        self.answer = calls.ask(address, tokens=self.tokens, **{"X-Request-Id": self.request_id})
+        self.response = calls.ask(address, tokens=self.tokens, **{"X-Request-Id": self.request_id})
 
     def wait(self) -> calls.Answer:
         self.thread.join(40)
-        assert self.answer is not None
-        return self.answer
+        assert self.response is not None
+        return self.response
 
     def engine(self, fleet: fleets.Fleet) -> str:
         """Wait until an engine has begun the response; return its name."""
@@ -76,28 +78,28 @@
             return next(
                 (
                     run["engine"]
-                    for run in runs(fleet).values()
+                    for run in engine_runs(fleet).values()
                     if run["request_id"] == self.request_id and 5 < run["tokens"]
                 ),
                 "",
             )
 
-        return processes.wait_for("the answer to begin", find)
+        return processes.wait_for("the response to begin", find)
 
 
-@pytest.mark.parametrize("victim", ["-target", ""])
-def test_an_answer_whose_engine_or_agent_is_killed_is_resumed_whole(fleet, victim):
-    asked = BackgroundRequest(fleet.entries()[0].http, "r-kill")
-    engine = asked.engine(fleet)
-    fleet.processes[engine + victim].kill()
-    answer = asked.wait()
-    assert answer.status == 200
-    assert answer.is_whole(), answer.text
+@pytest.mark.parametrize("suffix", ["-target", ""])
+def test_stream_is_resumed_after_its_engine_or_agent_is_killed(fleet, suffix):
+    request = BackgroundRequest(fleet.entries()[0].http, "r-kill")
+    engine = request.engine(fleet)
+    fleet.processes[engine + suffix].kill()
+    response = request.wait()
+    assert response.status == 200
+    assert response.is_whole(), response.text
     entry = fleet.entries()[0].process
     assert [e["relayed"] > 0 for e in entry.events("stream_broken")] == [True]
 
 
-def test_a_caller_that_leaves_frees_the_engine_s_place(fleet):
+def test_client_disconnect_cancels_the_run(fleet):
     body = msgspec.json.encode(
         {"model": "hint", "prompt": "gone", "max_tokens": 5000, "stream": True}
     )
@@ -108,50 +110,50 @@
     stream.close()
     processes.wait_for(
         "the run to be cancelled",
-        lambda: [r["outcome"] for r in runs(fleet).values() if r["tokens"] > 0][-1:]
-        and all(r["outcome"] != "running" for r in runs(fleet).values()),
+        lambda: [r["outcome"] for r in engine_runs(fleet).values() if r["tokens"] > 0][-1:]
+        and all(r["outcome"] != "running" for r in engine_runs(fleet).values()),
     )
-    assert any(run["outcome"] == "cancelled" for run in runs(fleet).values())
+    assert any(run["outcome"] == "cancelled" for run in engine_runs(fleet).values())
 
 
-def test_a_leaving_vm_gets_no_new_work_and_finishes_what_it_has(fleet):
-    asked = BackgroundRequest(fleet.entries()[0].http, "r-leave")
-    engine = asked.engine(fleet)
+def test_leaving_vm_gets_no_new_requests_and_finishes_running_ones(fleet):
+    request = BackgroundRequest(fleet.entries()[0].http, "r-leave")
+    engine = request.engine(fleet)
     body = msgspec.json.encode({"name": engine, "state": "leaving"})
     fleet.http.request_ok("POST", f"{fleet.platform_url}/v1/vms", body)
     processes.wait_for(
-        "the entries to know",
+        "the entries to notice the leaving VM",
         lambda: all(vm.process.events("platform_leaving") for vm in fleet.entries()),
         5,
     )
-    before = set(runs(fleet))
+    before = set(engine_runs(fleet))
     # Enough concurrent requests that even a busy engine would get some.
     addresses = [vm.http for vm in fleet.entries()] * 12
     with concurrent.futures.ThreadPoolExecutor(len(addresses)) as pool:
         found = list(pool.map(lambda address: calls.ask(address, tokens=30), addresses))
-    assert {answer.status for answer in found} == {200}
-    new = {attempt: run for attempt, run in runs(fleet).items() if attempt not in before}
+    assert {response.status for response in found} == {200}
+    new = {attempt: run for attempt, run in engine_runs(fleet).items() if attempt not in before}
     assert new and all(run["engine"] != engine for run in new.values())
-    assert asked.wait().is_whole()
+    assert request.wait().is_whole()
 
 
 @pytest.mark.parametrize("role", ["agent", "entry"])
-def test_a_planned_stop_cuts_no_request_off(fleet, role):
+def test_graceful_stop_interrupts_no_request(fleet, role):
     entry = fleet.entries()[0]
     # The response takes longer than the grace period in which a leaving VM notifies others.
-    asked = BackgroundRequest(entry.http, "r-stop", tokens=700)
-    engine = asked.engine(fleet)
+    request = BackgroundRequest(entry.http, "r-stop", tokens=700)
+    engine = request.engine(fleet)
     process = entry.process if role == "entry" else fleet.processes[engine]
     process.stop()
-    assert asked.wait().is_whole()
+    assert request.wait().is_whole()
     assert process.wait(20) == 0
     others = [vm for vm in fleet.entries() if vm.process is not process]
     assert all(calls.ask(vm.http).is_whole() for vm in others)
     broken = [e for vm in fleet.entries() for e in vm.process.events("stream_broken")]
-    assert broken == [], "a planned stop is no reason to resume"
+    assert broken == [], "a graceful stop must not break streams"
 
 
-def test_one_key_at_all_entries_at_once_runs_once(fleet):
+def test_concurrent_calls_with_one_key_run_once(fleet):
     key = calls.new_key()
     body = b'{"lamp": "race"}'
 
@@ -160,13 +162,13 @@
         return calls.call(entries[number % len(entries)].http, "/draft", body, Idempotency_Key=key)
 
     with concurrent.futures.ThreadPoolExecutor(12) as pool:
-        answers = list(pool.map(draft, range(12)))
-    assert {answer.status for answer in answers} == {200}
-    assert len({answer.body for answer in answers}) == 1
+        responses = list(pool.map(draft, range(12)))
+    assert {response.status for response in responses} == {200}
+    assert len({response.body for response in responses}) == 1
     assert service_runs(fleet, body.decode()) == 1
 
 
-def test_a_call_whose_target_dies_on_it_is_unknown_and_stays_so(fleet):
+def test_call_whose_target_is_killed_stays_outcome_unknown(fleet):
     key = calls.new_key()
     body = b'{"lamp": "dies"}'
     slow = fleet.add_stand_in("service", "slow-target", "--delay-s", "5")
@@ -187,14 +189,14 @@
         first = pool.submit(calls.call, entry.http, "/draft", body, Idempotency_Key=key)
         processes.wait_for("the run", lambda: service_runs(fleet, body.decode()) == 1)
         fleet.processes["slow-target"].kill()
-        answer = first.result()
-    assert answer.error()["error"] == "outcome_unknown"
-    assert answer.error()["ran"] == "unknown"
+        response = first.result()
+    assert response.error()["error"] == "outcome_unknown"
+    assert response.error()["ran"] == "unknown"
     second = calls.call(fleet.entries()[1].http, "/draft", body, Idempotency_Key=key)
     assert second.error()["error"] == "outcome_unknown"
 
 
-def test_without_a_majority_a_call_is_refused_at_once_and_truly_did_not_run(fleet):
+def test_call_without_a_majority_is_refused_as_not_run(fleet):
     # The leader stays up: it appends the claim to its log but can't commit it.
     leader = processes.wait_for("a leader", fleet.leader)
     others = [vm for vm in fleet.controls() if vm is not leader]
@@ -204,11 +206,11 @@
     key = calls.new_key()
     entry = fleet.entries()[0]
     started = time.monotonic()
-    answer = calls.call(entry.http, "/draft", body, Idempotency_Key=key)
+    response = calls.call(entry.http, "/draft", body, Idempotency_Key=key)
     assert time.monotonic() - started < 6
-    assert answer.error()["error"] == "not_run"
-    assert answer.error()["ran"] == "no"
-    assert int(answer.headers["retry-after"]) >= 1
+    assert response.error()["error"] == "not_run"
+    assert response.error()["ran"] == "no"
+    assert int(response.headers["retry-after"]) >= 1
     assert service_runs(fleet, body.decode()) == 0
     assert calls.call(entry.http, "/lookup").status == 200
     assert calls.ask(entry.http).is_whole()
@@ -225,7 +227,7 @@
     assert service_runs(fleet, body.decode()) == 1
 
 
-def test_a_killed_entry_leaves_one_run_and_an_honest_answer_elsewhere(fleet):
+def test_call_whose_entry_is_killed_runs_once(fleet):
     key = calls.new_key()
     body = b'{"lamp": "entry dies"}'
     first, second = fleet.entries()
@@ -234,8 +236,8 @@
         processes.wait_for("the run", lambda: service_runs(fleet, body.decode()) == 1)
         first.process.kill()
         waiting.exception(10)
-    answer = calls.call(second.http, "/draft", body, Idempotency_Key=key, X_Deadline_Ms="1500")
-    assert answer.status == 200 or answer.error()["error"] == "outcome_unknown"
+    response = calls.call(second.http, "/draft", body, Idempotency_Key=key, X_Deadline_Ms="1500")
+    assert response.status == 200 or response.error()["error"] == "outcome_unknown"
     assert service_runs(fleet, body.decode()) == 1
 
 
@@ -244,19 +246,19 @@
         fleet.processes[f"{name}-target"].kill()
         fleet.processes[name].kill()
     entry = next(vm for vm in fleet.entries() if vm.settings["availability_zone"] == "zone-a")
-    processes.wait_for("an answer", lambda: calls.ask(entry.http).status == 200, 10)
+    processes.wait_for("a response", lambda: calls.ask(entry.http).status == 200, 10)
     for is_streamed in (True, False):
-        answer = calls.ask(entry.http, is_streamed=is_streamed)
-        assert answer.is_whole()
+        response = calls.ask(entry.http, is_streamed=is_streamed)
+        assert response.is_whole()
     assert any(e["target"].startswith("entry-zone-b") for e in entry.process.events("routed"))
 
 
-def test_a_frozen_engine_does_not_hold_its_callers_beyond_their_deadline(fleet):
+def test_frozen_engines_are_bypassed_within_the_deadline(fleet):
     for name in ("engine-zone-a-0", "engine-zone-a-1"):
         fleet.processes[f"{name}-target"].freeze()
     entry = next(vm for vm in fleet.entries() if vm.settings["availability_zone"] == "zone-a")
     processes.wait_for(
-        "answers from the other zone",
+        "responses from the other zone",
         lambda: calls.ask(entry.http, **{"X-Deadline-Ms": "1000"}).status == 200,
         20,
     )
@@ -265,7 +267,7 @@
         fleet.processes[f"{name}-target"].thaw()
 
 
-def test_an_attempt_for_an_earlier_incarnation_or_from_a_stranger_is_not_run(fleet):
+def test_unauthenticated_attempt_is_not_run(fleet):
     agent = next(vm for vm in fleet.agents() if vm.name.startswith("engine"))
     body = msgspec.json.encode({"model": "hint", "prompt": "x"})
     headers = {
@@ -277,4 +279,4 @@
     }
     reply = fleet.http.request("POST", f"http://{agent.http}/target/v1/completions", body, headers)
     assert reply.status == 401
-    assert "forged" not in runs(fleet)
+    assert "forged" not in engine_runs(fleet)
