--- a/src/merlinthread/metrics.py
+++ b/src/merlinthread/metrics.py
@@ -3,28 +3,31 @@
 import prometheus_client
 
 requests_total = prometheus_client.Counter(
-    "merlinthread_requests_total", "Requests answered by this entry.", ["kind", "outcome"]
+    "merlinthread_requests_total",
+    "Requests that this entry finished, by kind and outcome.",
+    ["kind", "outcome"],
 )
 request_seconds = prometheus_client.Histogram(
     "merlinthread_request_seconds",
-    "Time from a request's arrival to the last byte of its answer.",
+    "Time from a request's arrival to the last byte of its response.",
     ["kind"],
 )
 first_token_seconds = prometheus_client.Histogram(
     "merlinthread_first_token_seconds",
-    "Time from a request's arrival to the first byte of its answer.",
+    "Time from a request's arrival to the first byte of its response.",
 )
 attempts_total = prometheus_client.Counter(
-    "merlinthread_attempts_total", "Attempts on targets by outcome.", ["outcome"]
+    "merlinthread_attempts_total", "Failed attempts on targets, by outcome.", ["outcome"]
 )
 late_answers_total = prometheus_client.Counter(
-    "merlinthread_late_answers_total", "Answers that belonged to no waiting attempt; dropped."
+    "merlinthread_late_answers_total",
+    "Responses and tokens dropped because they did not match the attempt.",
 )
 in_flight = prometheus_client.Gauge(
-    "merlinthread_requests_in_flight", "Requests that this process is working on."
+    "merlinthread_requests_in_flight", "Requests in progress in this process."
 )
 queue_length = prometheus_client.Gauge(
-    "merlinthread_queue_length", "Requests that wait in this agent's fair queue."
+    "merlinthread_queue_length", "Requests waiting in this agent's fair queue."
 )
 generation = prometheus_client.Gauge(
     "merlinthread_generation", "Generation of the bundle that this process enforces."
@@ -33,27 +36,27 @@
     "merlinthread_revision", "Log index of the control state that this process enforces."
 )
 is_leader = prometheus_client.Gauge(
-    "merlinthread_control_is_leader", "1 if this control VM leads, else 0."
+    "merlinthread_control_is_leader", "1 if this control VM is the leader, else 0."
 )
 commands_total = prometheus_client.Counter(
     "merlinthread_control_commands_total", "Commands applied, by kind.", ["kind"]
 )
 data_folder_bytes = prometheus_client.Gauge(
-    "merlinthread_control_data_folder_bytes", "Bytes of the live files in the data folder."
+    "merlinthread_control_data_folder_bytes", "Bytes of the snapshot and log in the data folder."
 )
 bus_bytes_total = prometheus_client.Counter(
     "merlinthread_bus_bytes_total",
-    "Bytes of messages between our own processes, chunks among them.",
+    "Bytes of messages between processes of the deployment, including chunks.",
     ["direction"],
 )
 chunk_bytes_total = prometheus_client.Counter(
     "merlinthread_chunk_bytes_total", "Bytes of chunks received, by source.", ["source"]
 )
 chunk_failures_total = prometheus_client.Counter(
-    "merlinthread_chunk_failures_total", "Chunks that were wrong or did not come.", ["reason"]
+    "merlinthread_chunk_failures_total", "Failed chunk downloads, by reason.", ["reason"]
 )
 chunk_bytes_sent_total = prometheus_client.Counter(
-    "merlinthread_chunk_bytes_sent_total", "Bytes of chunks given to other agents."
+    "merlinthread_chunk_bytes_sent_total", "Bytes of chunks sent to other agents."
 )
 orders_total = prometheus_client.Counter(
     "merlinthread_orders_total",
@@ -71,76 +74,78 @@
     "merlinthread_configuration_version", "Version of the configuration that this node holds."
 )
 backends = prometheus_client.Gauge(
-    "merlinthread_backends", "Back ends that this node knows, by state.", ["state"]
+    "merlinthread_backends", "Back ends known to this node, by state.", ["state"]
 )
 backends_closed = prometheus_client.Gauge(
     "merlinthread_backends_closed",
-    "Back ends that take no requests from this entry, by what they said; those that left count on.",
+    "Back ends that asked for no further requests, by reason; includes those that have left.",
     ["reason"],
 )
 backends_limited = prometheus_client.Gauge(
     "merlinthread_backends_limited",
-    "Back ends that take only so many requests a second, as this entry has heard.",
+    "Back ends whose rate limit is known to this entry.",
 )
 control_age_seconds = prometheus_client.Gauge(
     "merlinthread_control_age_seconds",
-    "How long ago this node heard a control VM that was joined to a majority.",
+    "Seconds since a control VM with a majority last confirmed the state of this node.",
 )
 log_index = prometheus_client.Gauge(
-    "merlinthread_log_index", "Index of the last entry that this control VM has applied."
+    "merlinthread_log_index", "Index of the last log entry that this control VM has applied."
 )
 log_level = prometheus_client.Gauge(
     "merlinthread_log_level",
-    "The highest level of any entry that this control VM has applied; builds that read less can't "
-    "take part any more.",
+    "Highest format level of the log entries that this control VM has applied; builds that support "
+    "only lower levels can no longer be members.",
 )
 log_blocked = prometheus_client.Gauge(
     "merlinthread_log_blocked",
-    "1 if this control VM's build can't read an entry of the log: it votes and does not lead.",
+    "1 if this control VM's build can't read an entry of the log; it then votes but does not lead.",
 )
 losses_bearable = prometheus_client.Gauge(
     "merlinthread_log_losses_bearable",
-    "How many more members of the replicated log may be lost before no majority is left; set by "
-    "the leader at each change of members.",
+    "Number of further member failures that the replicated log tolerates; set by the leader at "
+    "each membership change.",
 )
 leader_changes_total = prometheus_client.Counter(
-    "merlinthread_leader_changes_total", "Changes of leader that this control VM has seen."
+    "merlinthread_leader_changes_total", "Leader changes that this control VM has observed."
 )
 pieces_total = prometheus_client.Counter(
-    "merlinthread_pieces_total", "Pieces of weights that this agent got, by source.", ["source"]
+    "merlinthread_pieces_total",
+    "Pieces of weights that this agent downloaded, by source.",
+    ["source"],
 )
 refusals_total = prometheus_client.Counter(
-    "merlinthread_refusals_total", "Requests that this entry refused, by kind.", ["kind"]
+    "merlinthread_refusals_total", "Requests that this entry rejected, by kind of error.", ["kind"]
 )
 breaks_total = prometheus_client.Counter(
     "merlinthread_breaks_total",
-    "Attempts that got no whole answer, by whether their back end's process had ended.",
+    "Attempts without a complete response, by whether the back end's process had ended.",
     ["proof"],
 )
 held_requests = prometheus_client.Gauge(
     "merlinthread_held_requests",
-    "Requests that are held back here, because processes ended under them.",
+    "Requests held back because back-end processes crashed while running them.",
 )
 unreadable_words_total = prometheus_client.Counter(
     "merlinthread_unreadable_words_total",
-    "Words of back ends and other writers that could not be used, by field.",
+    "Invalid values received from back ends and other external systems, by field.",
     ["field"],
 )
 unread_words = prometheus_client.Gauge(
     "merlinthread_unread_words",
-    "Names of headers in answers of back ends that nobody here reads.",
+    "Number of distinct unsupported header names in responses of back ends.",
 )
 permits_total = prometheus_client.Counter(
     "merlinthread_permits_total",
-    "Permits for back ends that named limits, given and denied by this control VM.",
+    "Decisions of this control VM on permits for back ends with rate limits, by outcome.",
     ["outcome"],
 )
 permits_asked_total = prometheus_client.Counter(
     "merlinthread_permits_asked_total",
-    "Permits that this entry asked for, by outcome and by who decided.",
+    "Permits that this entry requested, by outcome and by whether the leader or a turn decided.",
     ["outcome", "by"],
 )
 limited_per_second = prometheus_client.Gauge(
     "merlinthread_limited_per_second",
-    "Requests a second that the back ends with limits take together, as this control VM knows.",
+    "Sum of the rate limits of back ends known to this control VM, in requests per second.",
 )
