--- a/src/merlinthread/daemon.py
+++ b/src/merlinthread/daemon.py
@@ -12,7 +12,7 @@
 from merlinthread.transport import http_server
 
 POLL_INTERVAL_S = 0.5
-# Time for others to learn of a shutdown before new requests are rejected.
+# Time in which other processes learn of a shutdown, before new requests are rejected.
 SHUTDOWN_NOTICE_S = 1.5
 # Importing these modules registers their roles.
 BUILT_IN_ROLES = (agent, control, entry)
--- a/src/merlinthread/logs.py
+++ b/src/merlinthread/logs.py
@@ -73,9 +73,9 @@
 class NonBlockingHandler(standard_logging.Handler):
     """Write lines to a file descriptor without blocking on its reader.
 
-    A token bucket limits lines below warning level to `lines_per_s` per second. Lines over the
-    limit, or that the descriptor does not accept, are dropped and counted; the next event that is
-    written reports their number.
+    A token bucket limits lines below warning level to `lines_per_s` per second. Lines over this
+    limit are dropped and counted, and so are lines for which the descriptor has no space. The next
+    event that is written reports the count.
     """
 
     def __init__(
@@ -106,7 +106,7 @@
         self.write(self.format(record).encode("utf-8", "replace") + b"\n")
 
     def write(self, line: bytes) -> None:
-        """Write a line or drop it; the rest of a partial write precedes the next line."""
+        """Write a line or drop it; the remainder of a partial write precedes the next line."""
         try:
             data = self.pending + line
             written = os.write(self.descriptor, data)
--- a/src/merlinthread/registry.py
+++ b/src/merlinthread/registry.py
@@ -30,7 +30,9 @@
     def get(self, name: str) -> T:
         """Return the object registered as `name`; raise KeyError listing the known names."""
         if name not in self.entries:
-            raise KeyError(f"no {self.kind} {name!r}; there is {', '.join(sorted(self.entries))}")
+            raise KeyError(
+                f"unknown {self.kind} {name!r}; known: {', '.join(sorted(self.entries))}"
+            )
         return self.entries[name]
 
     def __iter__(self) -> Iterator[str]:
--- a/src/merlinthread/settings.py
+++ b/src/merlinthread/settings.py
@@ -120,7 +120,7 @@
     election_max_s: Seconds = 1.2
     """Maximum election timeout."""
     commit_timeout_s: Seconds = 5.0
-    """Time limit for committing a command; after it, the outcome is reported as unknown."""
+    """Time limit for committing a command, after which its outcome is reported as unknown."""
     compact_after_entries: Count = 500
     """Number of log entries after which the log is compacted into a snapshot."""
     place_every_s: Seconds = 0.5
@@ -128,7 +128,7 @@
     agent_lost_after_s: Seconds = 5.0
     """Time without reports from an entry after which agents that only it reports count as lost."""
     claims_kept_s: Seconds = 86400.0
-    """Time for which responses to calls with an idempotency key are kept."""
+    """Retention time of responses to calls with an idempotency key."""
 
 
 class Entry(Section):
