--- a/src/merlinthread/cli/bundle_commands.py
+++ b/src/merlinthread/cli/bundle_commands.py
@@ -144,9 +144,9 @@
             self.request_id(), self.operator_name(), self.bundle_version(), self.is_rollback
         )
         exit_code = self.send_command("/v1/rolls", call)
-        return self.wait_for_rollout() if self.option("wait") else exit_code
+        return self.wait_for_roll() if self.option("wait") else exit_code
 
-    def wait_for_rollout(self) -> int:
+    def wait_for_roll(self) -> int:
         """Show the progress of the roll until it is complete on all live VMs.
 
         Raises ControlError if the roll is paused or takes longer than `--wait-s`.
@@ -185,17 +185,15 @@
 
 
 def count_updated_vms(status: operator_calls.Status) -> tuple[int, int]:
-    """Return the number of live engine VMs that are up to date, and of all of them.
+    """Return how many live engine VMs are up to date, and how many there are.
 
     A VM is up to date if it enforces the current generation and serves the models assigned to it.
     """
-    assigned_agents = [agent for agent in status.agents if agent.kind == bundles.GENERATE]
+    engine_agents = [agent for agent in status.agents if agent.kind == bundles.GENERATE]
     updated_agents = [
-        agent
-        for agent in assigned_agents
-        if agent.is_done and agent.generation == status.generation
+        agent for agent in engine_agents if agent.is_done and agent.generation == status.generation
     ]
-    return len(updated_agents), len(assigned_agents)
+    return len(updated_agents), len(engine_agents)
 
 
 class Rollback(Roll):
--- a/src/merlinthread/cli/losses.py
+++ b/src/merlinthread/cli/losses.py
@@ -149,8 +149,8 @@
 ) -> list[tuple[float, collections.Counter[str]]]:
     """Count the requests per time window and cause.
 
-    Each window is given by its start, in seconds after the first request; windows without requests
-    are omitted.
+    A window is identified by its start, in seconds after the first request. Windows without
+    requests are omitted.
     """
     windows: dict[int, collections.Counter[str]] = {}
     for outcome in outcomes:
--- a/src/merlinthread/roles/agent.py
+++ b/src/merlinthread/roles/agent.py
@@ -19,7 +19,7 @@
 from merlinthread.transport import bus, http_server
 
 RPC_TIMEOUT_S = 0.5
-SWITCH_INTERVAL_S = 0.1
+RECONCILE_INTERVAL_S = 0.1
 STATUS_INTERVAL_S = 0.25
 FAILED_STEP_RETRY_S = 1.0
 
@@ -46,7 +46,7 @@
         self.orders_allowed_at = float("-inf")
         self.is_replaced = False
         self.trouble = ""
-        self.last_attempt_at = float("-inf")
+        self.last_order_at = float("-inf")
         folder = pathlib.Path(config.store_folder) if config.store_folder else None
         self.weights = weights.WeightManager(
             context, config, chunks.ChunkStore(folder, config.store_bytes)
@@ -66,7 +66,7 @@
         self.heartbeat_tasks = [self.make_heartbeat_task(address) for address in self.entries]
         self.tasks = [
             base.PeriodicTask("status", STATUS_INTERVAL_S, self.target.refresh_status),
-            base.PeriodicTask("switch", SWITCH_INTERVAL_S, self.run_next_step),
+            base.PeriodicTask("switch", RECONCILE_INTERVAL_S, self.run_next_step),
         ]
         context.http.routes.add("GET", "/weights/", self.serve_weights)
         for method in ("GET", "POST"):
@@ -202,8 +202,8 @@
     def adopt_directive(self, directive: control_state.Directive | None, source: str) -> None:
         """Apply a directive if its revision is newer.
 
-        A generation lower than that of the current directive or of the target's last order before
-        the start is rejected.
+        A directive is rejected if its generation is lower than that of the current directive, or
+        than that of the last order that the target accepted before this agent started.
         """
         with self.lock:
             if directive is None or directive.revision <= self.directive.revision:
@@ -274,7 +274,7 @@
         now = self.context.clock()
         if now < self.orders_allowed_at or now >= self.lease_expires_at or self.is_replaced:
             return
-        if self.trouble and now < self.last_attempt_at + FAILED_STEP_RETRY_S:
+        if self.trouble and now < self.last_order_at + FAILED_STEP_RETRY_S:
             return
         directive = self.directive
         wanted = reconciliation.wanted_models(directive, self.context.settings.name)
@@ -283,7 +283,7 @@
         )
         if step is None or directive.bundle is None:
             return
-        self.last_attempt_at = now
+        self.last_order_at = now
         self.execute_step(step, directive)
 
     def execute_step(self, step: reconciliation.Step, directive: control_state.Directive) -> None:
--- a/src/merlinthread/roles/chunk_server.py
+++ b/src/merlinthread/roles/chunk_server.py
@@ -1,4 +1,4 @@
-"""Uploads of weights: single chunks to other agents, whole manifests to the engine."""
+"""Uploads of weights: single chunks to other agents, all chunks of a manifest to the engine."""
 
 import typing
 from collections.abc import Iterator
@@ -91,6 +91,6 @@
             data = self.weights.store.read(chunk)
             if data is None:
                 raise errors.WeightsError(
-                    f"chunk {chunk} is no longer stored; it was there when the engine began to read"
+                    f"chunk {chunk} was removed from the store while the engine read the weights"
                 )
             yield data
--- a/src/merlinthread/roles/control.py
+++ b/src/merlinthread/roles/control.py
@@ -46,7 +46,7 @@
             self.join_task.start()
 
     def send_join_request(self) -> None:
-        """Ask all members to add this one, until the member that it replaces is removed."""
+        """Ask all members to add this one, until it has replaced the lost member."""
         membership = self.task.raft.log.membership
         if self.own_peer.name in membership.voters and self.config.replaces in membership.retired:
             return
@@ -112,8 +112,8 @@
             return item.answer.result(self.config.commit_timeout_s)
         except futures.TimeoutError:
             raise errors.ControlError(
-                f"no majority confirmed it within {self.config.commit_timeout_s} s; send it again "
-                "with the same request id to learn the outcome",
+                f"not confirmed by a majority within {self.config.commit_timeout_s} s; send it "
+                "again with the same request id to learn the outcome",
                 kind=errors.ErrorKind.OUTCOME_UNKNOWN,
             )
 
--- a/src/merlinthread/roles/forwarding.py
+++ b/src/merlinthread/roles/forwarding.py
@@ -18,7 +18,7 @@
 
 
 class Forwarder:
-    """Handles attempts of other entries with the API of an agent, and forwards them to an agent."""
+    """Serves the API of an agent to other entries, and forwards their attempts to agents."""
 
     def __init__(self, handler: "request_handler.RequestHandler") -> None:
         self.handler = handler
--- a/src/merlinthread/roles/leader_duties.py
+++ b/src/merlinthread/roles/leader_duties.py
@@ -13,8 +13,8 @@
 JOIN_REQUEST_EXPIRY_S = 3.0
 # Time for entries to report their agents to a new leader.
 PLACEMENT_DELAY_S = 5.0
-# Silence after which a member that is to be replaced is removed. Longer than an election timeout;
-# until then a group of three that has added the new member tolerates no further failure.
+# Time without messages after which a member that is being replaced is removed. Longer than an
+# election timeout, but short: four voters of which one is lost tolerate no further failure.
 LOST_MEMBER_SILENCE_S = 2.0
 
 
@@ -43,8 +43,8 @@
             return
         matches = {name: progress.match for name, progress in self.task.raft.progress.items()}
         status = raft_members.ReplicationStatus(self.task.name, self.task.raft.commit, matches)
-        for name, (join, heard_at) in list(self.join_requests.items()):
-            if now - heard_at > JOIN_REQUEST_EXPIRY_S:
+        for name, (join, received_at) in list(self.join_requests.items()):
+            if now - received_at > JOIN_REQUEST_EXPIRY_S:
                 del self.join_requests[name]
                 continue
             address = raft_messages.Address(join.log_bus, join.bus)
@@ -73,7 +73,7 @@
         )
 
     def update_placement(self, now: float) -> None:
-        """Propose placement changes; if there are none, pause the roll on an agent's trouble."""
+        """Propose placement changes; if there are none, pause the roll if an agent has trouble."""
         bundle = self.task.state.active_bundle()
         if bundle is None or self.task.raft.log.last_index() > self.task.applied_index:
             return
--- a/src/merlinthread/roles/log_task.py
+++ b/src/merlinthread/roles/log_task.py
@@ -217,7 +217,7 @@
     def process_ready(self, now: float) -> None:
         """Save entries, send messages and apply committed entries until none are left.
 
-        Then compact the log if it is due.
+        Then compact the log if it is long enough.
         """
         while not (ready := self.raft.ready()).is_empty():
             try:
@@ -306,7 +306,7 @@
     # Leadership
 
     def update_leadership(self) -> None:
-        """Record that this member became or ceased to be the leader; then fail pending commands."""
+        """Record a change of leadership; fail the pending commands if this member stepped down."""
         leads = self.raft.is_leader()
         if leads == self.was_leader:
             return
--- a/src/merlinthread/roles/weights.py
+++ b/src/merlinthread/roles/weights.py
@@ -188,7 +188,7 @@
             if action is not None:
                 download.plan.on_action_started(action)
                 return download, action
-        # Changes of the state reset this.
+        # Reset when a download changes, so that new jobs start at once.
         self.idle_until = now + IDLE_POLL_S
         return None
 
