--- a/src/merlinthread/roles/control.py
+++ b/src/merlinthread/roles/control.py
@@ -28,7 +28,7 @@
         )
         if own_peer is None:
             raise errors.SettingsError(
-                f"control.members: {context.settings.name!r} (name) is not among them; add it",
+                f"control.members: {context.settings.name!r}, this VM's name, is missing; add it",
                 field="control.members",
             )
         self.receiver = bus.Receiver(own_peer.log_bus, context.codec, self.task.inbox.put)
--- a/src/merlinthread/roles/entry.py
+++ b/src/merlinthread/roles/entry.py
@@ -369,12 +369,14 @@
         """Update the set of leaving VMs from the platform's list."""
         assert self.config.platform_url is not None
         try:
-            reply = self.client.request("GET", f"{self.config.platform_url}/v1/vms", timeout_s=2.0)
-            listed = msgspec.json.decode(reply.body, type=PlatformVmList)
+            response = self.client.request(
+                "GET", f"{self.config.platform_url}/v1/vms", timeout_s=2.0
+            )
+            vm_list = msgspec.json.decode(response.body, type=PlatformVmList)
         except (errors.MerlinthreadError, msgspec.DecodeError) as error:
             logs.debug("platform_unreached", reason=str(error))
             return
-        leaving = frozenset(vm.name for vm in listed.vms if vm.state == "leaving")
+        leaving = frozenset(vm.name for vm in vm_list.vms if vm.state == "leaving")
         if leaving != self.zone.leaving:
             logs.event("platform_leaving", names=sorted(leaving))
             self.zone.set_leaving(leaving)
--- a/src/merlinthread/roles/forwarding.py
+++ b/src/merlinthread/roles/forwarding.py
@@ -39,8 +39,10 @@
         headers = {
             name: stream.headers[name] for name in FORWARDED_HEADERS if name in stream.headers
         }
-        kind = stream.headers.get("content-type", "application/json")
-        return http_server.Response(stream.status, self.relay(stream, report), headers, kind)
+        content_type = stream.headers.get("content-type", "application/json")
+        return http_server.Response(
+            stream.status, self.relay(stream, report), headers, content_type
+        )
 
     def choose(self, request: http_server.Request, attempt: attempts.Attempt) -> agents.AgentReport:
         """Choose a target among those that report to this entry."""
--- a/src/merlinthread/roles/log_task.py
+++ b/src/merlinthread/roles/log_task.py
@@ -257,10 +257,10 @@
 
     def is_due_for_compaction(self) -> bool:
         """Return whether the log is long enough, in entries or bytes, to be compacted."""
-        grown = self.applied_index - self.journal.snapshot.index
-        if grown >= self.config.compact_after_entries:
+        new_entries = self.applied_index - self.journal.snapshot.index
+        if new_entries >= self.config.compact_after_entries:
             return True
-        return grown > 0 and self.journal.file.length > COMPACT_LOG_BYTES
+        return new_entries > 0 and self.journal.file.length > COMPACT_LOG_BYTES
 
     def compact(self, now: float) -> None:
         """Replace the applied entries in the log by a snapshot."""
@@ -376,7 +376,9 @@
         seen_at = self.raft.heard_leader_at
         if self.raft.is_leader():
             seen_at = self.raft.lease_until() - self.raft.timing.election_min_s
-        controls = {name: a.bus for name, a in self.raft.log.membership.addresses.items()}
+        controls = {
+            name: address.bus for name, address in self.raft.log.membership.addresses.items()
+        }
         self.published = PublishedState(directive, self.raft.leader, seen_at, controls)
 
     def stop(self) -> None:
--- a/src/merlinthread/roles/operators_api.py
+++ b/src/merlinthread/roles/operators_api.py
@@ -29,16 +29,20 @@
     def sign(self, request: http_server.Request) -> http_server.Response:
         """Add an operator's signature to a bundle; raise BundleError if it is not valid."""
         call = decode_body(request, operator_calls.SignRequest)
-        known = {operator.name: operator.public_key for operator in self.role.config.operators}
-        if call.operator not in known:
+        public_keys = {
+            operator.name: operator.public_key for operator in self.role.config.operators
+        }
+        if call.operator not in public_keys:
             raise errors.BundleError(
                 f"operator: {call.operator!r} is not in control.operators of this control VM",
                 kind=errors.ErrorKind.BAD_SIGNATURE,
                 field="operator",
             )
-        if not signatures.is_valid(known[call.operator], call.signature, call.version, call.digest):
+        if not signatures.is_valid(
+            public_keys[call.operator], call.signature, call.version, call.digest
+        ):
             raise errors.BundleError(
-                f"signature: it is not {call.operator!r}'s for version {call.version} with digest "
+                f"signature: not that of {call.operator!r} for version {call.version} with digest "
                 f"{call.digest}; sign again with the right key",
                 kind=errors.ErrorKind.BAD_SIGNATURE,
                 field="signature",
@@ -213,13 +217,13 @@
     state: control_state.ControlState, role: "control.ControlRole"
 ) -> operator_calls.History:
     """Return all bundles and the last 100 rolls, newest first."""
-    lines = [summarize_bundle(state, record, role) for record in state.records.values()]
-    lines.sort(key=lambda line: -line.version)
+    summaries = [summarize_bundle(state, record, role) for record in state.records.values()]
+    summaries.sort(key=lambda summary: -summary.version)
     rolls = [
         operator_calls.RollSummary(r.generation, r.version, r.operator, r.at, r.is_back)
         for r in reversed(state.rolls[-100:])
     ]
-    return operator_calls.History(lines, rolls)
+    return operator_calls.History(summaries, rolls)
 
 
 def add_routes(routes: http_server.Routes, role: "control.ControlRole") -> None:
--- a/src/merlinthread/roles/request_handler.py
+++ b/src/merlinthread/roles/request_handler.py
@@ -231,13 +231,13 @@
         """Handle a completion request."""
         self.context.in_flight.enter()
         try:
-            answer = completion.Completion(self, request).run()
+            response = completion.Completion(self, request).run()
         except BaseException as error:
             self.context.in_flight.leave()
             kind = error.kind if isinstance(error, errors.MerlinthreadError) else "internal"
             metrics.requests_total.labels("generate", str(kind)).inc()
             raise
-        return answer
+        return response
 
     # Services
 
--- a/src/merlinthread/roles/service_call.py
+++ b/src/merlinthread/roles/service_call.py
@@ -89,7 +89,7 @@
     def run(self) -> http_server.Response:
         """Run the call and return the service's response."""
         if self.may_repeat:
-            return self.to_response(self.try_targets())
+            return self.to_client_response(self.try_targets())
         return self.run_claimed()
 
     def try_targets(self) -> http_client.Response:
@@ -155,11 +155,11 @@
         finally:
             self.handler.in_flight_by_target.add(report.name, -1)
 
-    def to_response(self, reply: http_client.Response) -> http_server.Response:
-        """Return the response to the client."""
-        kind = reply.headers.get("content-type", "application/json")
+    def to_client_response(self, response: http_client.Response) -> http_server.Response:
+        """Return the response for the client, from that of the service."""
+        content_type = response.headers.get("content-type", "application/json")
         return http_server.Response(
-            reply.status, reply.body, {"X-Request-Id": self.admitted.request_id}, kind
+            response.status, response.body, {"X-Request-Id": self.admitted.request_id}, content_type
         )
 
     # At most once
@@ -174,21 +174,21 @@
         attempt = uuid.uuid4().hex
         digest = blake3.blake3(self.service_path.encode() + b"\n" + self.request.body).hexdigest()
         claim = commands.Claim(key, digest, attempt, issued_at)
-        granted = self.acquire_claim(claim)
-        if granted.status == "done":
-            return self.replay_response(granted)
+        claim_result = self.acquire_claim(claim)
+        if claim_result.status == "done":
+            return self.replay_response(claim_result)
         complete = commands.Complete(key, attempt, 0, b"")
         try:
-            reply = self.try_targets()
+            response = self.try_targets()
         except errors.MerlinthreadError as error:
             self.record_failure(complete, error)
             raise
-        complete.status = reply.status
-        complete.body = reply.body if len(reply.body) <= STORED_RESPONSE_BYTES_MAX else b""
-        if complete.body != reply.body:
+        complete.status = response.status
+        complete.body = response.body if len(response.body) <= STORED_RESPONSE_BYTES_MAX else b""
+        if complete.body != response.body:
             complete.status = error_responses.RESPONSES[errors.ErrorKind.OUTCOME_UNKNOWN].status
         self.record_outcome(complete)
-        return self.to_response(reply)
+        return self.to_client_response(response)
 
     def parse_idempotency_key(self) -> tuple[str, float]:
         """Return the account and key as one string, and the time in the key.
@@ -210,7 +210,7 @@
         issued_at = (key.int >> 80) / 1000
         if issued_at > self.handler.context.wall_clock() + KEY_CLOCK_SKEW_MAX_S:
             raise errors.RequestError(
-                f"header Idempotency-Key: {text!r} is from the future; correct the client's clock",
+                f"header Idempotency-Key: {text!r} is in the future; correct the client's clock",
                 kind=errors.ErrorKind.KEY_REQUIRED,
                 field="Idempotency-Key",
             )
--- a/src/merlinthread/roles/target.py
+++ b/src/merlinthread/roles/target.py
@@ -132,10 +132,10 @@
             self.refresh_service_status()
             return
         try:
-            reply = self.client.request_ok(
+            response = self.client.request_ok(
                 "GET", f"{self.config.target_url}/v1/status", timeout_s=STATUS_TIMEOUT_S
             )
-            status = msgspec.json.decode(reply.body, type=engine_calls.EngineStatus)
+            status = msgspec.json.decode(response.body, type=engine_calls.EngineStatus)
         except (errors.MerlinthreadError, msgspec.DecodeError) as error:
             self.mark_unreachable(str(error))
             return
@@ -169,27 +169,27 @@
         """Send the engine the order for a step and wait until it is done.
 
         Raises MerlinthreadError (fenced) if the engine has accepted a newer order, other errors
-        that the engine returns, and WeightsError if its reply is invalid or has another digest.
+        that the engine returns, and WeightsError if its response is invalid or has another digest.
         """
         order = self.make_order(step, generation, layout)
         outcome = "refused"
         try:
-            reply = self.client.request_ok(
+            response = self.client.request_ok(
                 "POST",
                 f"{self.config.target_url}/v1/orders",
                 msgspec.json.encode(order),
                 {"Content-Type": "application/json"},
                 ORDER_TIMEOUT_S,
             )
-            answer = msgspec.json.decode(reply.body, type=engine_calls.OrderReply)
-            if answer.digest != order.manifest:
+            order_reply = msgspec.json.decode(response.body, type=engine_calls.OrderReply)
+            if order_reply.digest != order.manifest:
                 raise errors.WeightsError(
-                    f"the engine reports digest {answer.digest} for {order.name}, ordered was "
+                    f"the engine reports digest {order_reply.digest} for {order.name} instead of "
                     f"{order.manifest}"
                 )
             outcome = "done"
         except msgspec.DecodeError as error:
-            raise errors.WeightsError(f"the engine's reply can't be decoded: {error}")
+            raise errors.WeightsError(f"the engine's response can't be decoded: {error}")
         finally:
             metrics.orders_total.labels(order.action, outcome).inc()
             logs.event(
@@ -208,7 +208,7 @@
         """Return the order for a step, with this agent's fencing token."""
         if isinstance(step, reconciliation.Unload):
             return engine_calls.Order(engine_calls.UNLOAD, step.name, generation, self.incarnation)
-        own = self.context.settings.http
+        http_settings = self.context.settings.http
         return engine_calls.Order(
             engine_calls.LOAD,
             step.item.name,
@@ -217,7 +217,7 @@
             step.item.version,
             step.item.manifest,
             step.item.base,
-            f"http://{own.address}:{own.port}/weights/{step.item.manifest}",
+            f"http://{http_settings.address}:{http_settings.port}/weights/{step.item.manifest}",
             layout,
         )
 
@@ -357,18 +357,18 @@
             self.request_queue.finish(queued.id)
             self.context.in_flight.leave()
 
-    def cancel_on_engine(self, attempt: str) -> None:
+    def cancel_on_engine(self, attempt_id: str) -> None:
         """Cancel an attempt on the engine to free its slot; errors are logged."""
         try:
             self.client.request(
                 "POST",
                 f"{self.config.target_url}/v1/cancel",
-                msgspec.json.encode({"request_id": attempt}),
+                msgspec.json.encode({"request_id": attempt_id}),
                 {"Content-Type": "application/json"},
                 STATUS_TIMEOUT_S,
             )
         except errors.MerlinthreadError as error:
-            logs.debug("cancel_failed", attempt=attempt, reason=error.message)
+            logs.debug("cancel_failed", attempt=attempt_id, reason=error.message)
 
     def call_service(self, request: http_server.Request) -> http_server.Response:
         """Run a call on a plain service and return the complete response."""
@@ -379,12 +379,14 @@
         )
         self.request_queue.wait_for_slot(queued, deadline)
         try:
-            reply = self.send_to_service(request, attempt, deadline)
+            response = self.send_to_service(request, attempt, deadline)
         finally:
             self.request_queue.finish(queued.id)
             self.context.in_flight.leave()
-        kind = reply.headers.get("content-type", "application/json")
-        return http_server.Response(reply.status, reply.body, {attempts.ATTEMPT: attempt.id}, kind)
+        content_type = response.headers.get("content-type", "application/json")
+        return http_server.Response(
+            response.status, response.body, {attempts.ATTEMPT: attempt.id}, content_type
+        )
 
     def send_to_service(
         self, request: http_server.Request, attempt: attempts.Attempt, deadline: float
--- a/src/merlinthread/roles/weights.py
+++ b/src/merlinthread/roles/weights.py
@@ -290,13 +290,13 @@
         try:
             if self.config.origin_url is None:
                 raise errors.WeightsError("agent.origin_url is not set")
-            reply = self.client.request_ok(
+            response = self.client.request_ok(
                 "GET",
                 f"{self.config.origin_url}/objects/{name}",
                 headers={"Range": f"bytes={offset}-{offset + size - 1}"},
                 timeout_s=ORIGIN_TIMEOUT_S,
             )
-            data = reply.body
+            data = response.body
         except errors.MerlinthreadError as error:
             metrics.chunk_failures_total.labels("origin").inc()
             logs.warning("origin_failed", manifest=download.digest, reason=error.message)
