--- a/src/merlinthread/roles/chunk_server.py
+++ b/src/merlinthread/roles/chunk_server.py
@@ -25,10 +25,10 @@
         if isinstance(message, messages.ManifestRequest):
             return messages.ManifestReply(self.weights.store.read(message.digest) or b"")
         if isinstance(message, messages.ChunkRequest):
-            return self.on_chunk_request(message)
+            return self.handle_chunk_request(message)
         raise errors.ProtocolError(f"agents don't handle {type(message).__name__} messages")
 
-    def on_chunk_request(self, request: messages.ChunkRequest) -> messages.ChunkReply:
+    def handle_chunk_request(self, request: messages.ChunkRequest) -> messages.ChunkReply:
         """Return one of the requested chunks, if any is stored here and an upload slot is free.
 
         Blocks until the transfer conforms to the link rate.
--- a/src/merlinthread/roles/control.py
+++ b/src/merlinthread/roles/control.py
@@ -63,7 +63,7 @@
     def handle(self, message: Any) -> Any:
         """Return the reply to a request of an entry."""
         if isinstance(message, messages.PollRequest):
-            return self.on_poll(message)
+            return self.handle_poll(message)
         if isinstance(message, messages.AgentChanges):
             return self.call_log_task(log_task.ReportUpdate(message, futures.Future()))
         if isinstance(message, messages.CommandRequest):
@@ -72,7 +72,7 @@
             return messages.CommandReply(self.submit(command))
         raise errors.ProtocolError(f"control VMs don't handle {type(message).__name__} messages")
 
-    def on_poll(self, poll: messages.PollRequest) -> messages.PollReply:
+    def handle_poll(self, poll: messages.PollRequest) -> messages.PollReply:
         """Return the leader, and the directive if it is newer than the entry's."""
         published = self.task.published
         directive = published.directive
@@ -109,7 +109,7 @@
         """
         self.task.inbox.put(item)
         try:
-            return item.answer.result(self.config.commit_timeout_s)
+            return item.future.result(self.config.commit_timeout_s)
         except futures.TimeoutError:
             raise errors.ControlError(
                 f"not confirmed by a majority within {self.config.commit_timeout_s} s; send it "
--- a/src/merlinthread/roles/entry.py
+++ b/src/merlinthread/roles/entry.py
@@ -46,7 +46,7 @@
         self.lock = threading.Lock()
         self.view = agents.AgentView(config.agent_lost_after_s)
         self.others = summaries.SummaryTable(self.name, config.summary_lost_after_s)
-        self.homes: dict[str, bool] = {}
+        self.is_home_by_agent: dict[str, bool] = {}
         self.incarnation = int(context.wall_clock() * 1000)
         self.counter = 0
         self.directive = control_state.Directive()
@@ -100,7 +100,7 @@
 
     def home_reports(self) -> list[agents.AgentReport]:
         """Return the reports of agents for which this entry is the home entry."""
-        return [report for report in self.snapshot.live if self.homes.get(report.name)]
+        return [report for report in self.snapshot.live if self.is_home_by_agent.get(report.name)]
 
     def summaries(self) -> list[summaries.Summary]:
         """Return a new summary of this entry and those received from others.
@@ -128,24 +128,24 @@
     def handle(self, message: Any) -> Any:
         """Return the reply to a request of an agent or another entry."""
         if isinstance(message, messages.Heartbeat):
-            return self.on_heartbeat(message)
+            return self.handle_heartbeat(message)
         if isinstance(message, messages.LoadHeartbeat):
-            return self.on_load_heartbeat(message)
+            return self.handle_load_heartbeat(message)
         if isinstance(message, messages.ExchangeRequest):
-            return self.on_exchange(message)
+            return self.handle_exchange(message)
         raise errors.ProtocolError(f"entries don't handle {type(message).__name__} messages")
 
-    def on_heartbeat(self, heartbeat: messages.Heartbeat) -> messages.HeartbeatReply:
+    def handle_heartbeat(self, heartbeat: messages.Heartbeat) -> messages.HeartbeatReply:
         """Store an agent's report; raise MerlinthreadError (fenced) if the agent was replaced."""
         report = heartbeat.report
         with self.lock:
             self.view.check_incarnation(report.name, report.incarnation)
             self.view.update(report, self.context.clock())
-            self.homes[report.name] = heartbeat.is_home
+            self.is_home_by_agent[report.name] = heartbeat.is_home
             self.publish()
         return self.reply_to(report)
 
-    def on_load_heartbeat(self, heartbeat: messages.LoadHeartbeat) -> messages.HeartbeatReply:
+    def handle_load_heartbeat(self, heartbeat: messages.LoadHeartbeat) -> messages.HeartbeatReply:
         """Update an agent's load; ask for a full report if none of this incarnation is known."""
         order = (heartbeat.incarnation, heartbeat.counter)
         load = (heartbeat.running, heartbeat.queued, heartbeat.queued_tokens)
@@ -154,7 +154,7 @@
             report = self.view.update_load(heartbeat.name, order, load, self.context.clock())
             if report is None:
                 return messages.HeartbeatReply(self.name, 0.0, None, wants_full=True)
-            self.homes[heartbeat.name] = heartbeat.is_home
+            self.is_home_by_agent[heartbeat.name] = heartbeat.is_home
             self.publish()
         return self.reply_to(report)
 
@@ -167,7 +167,7 @@
             directive if directive.revision > report.revision else None,
         )
 
-    def on_exchange(self, exchange: messages.ExchangeRequest) -> messages.ExchangeReply:
+    def handle_exchange(self, exchange: messages.ExchangeRequest) -> messages.ExchangeReply:
         """Store the summaries of another entry and return this entry's."""
         self.merge_summaries(exchange.summaries)
         directive = self.directive
@@ -238,7 +238,7 @@
 
     def send_to_leader(self, changes: messages.AgentChanges) -> messages.AgentChangesReply | None:
         """Try the control VMs until one accepts the changes; return its reply, or None."""
-        for address in self.addresses():
+        for address in self.leader_first_addresses():
             try:
                 reply = self.report_clients.call(address, changes, RPC_TIMEOUT_S)
             except errors.MerlinthreadError as error:
@@ -252,7 +252,7 @@
         """Return the addresses of control VMs: configured ones, then those that joined later."""
         return list(dict.fromkeys([*self.config.controls, *self.joined_controls.values()]))
 
-    def addresses(self) -> list[str]:
+    def leader_first_addresses(self) -> list[str]:
         """Return the control VMs' addresses, that of the presumed leader first."""
         first = (
             self.control_addresses.get(self.leader)
@@ -287,7 +287,7 @@
         if not hasattr(self.local, "rpc_clients"):
             self.local.rpc_clients = bus.RpcClients(self.context.codec)
         may_have_committed = False
-        for address in self.control_client.addresses():
+        for address in self.control_client.leader_first_addresses():
             remaining = deadline - self.context.clock()
             if remaining <= 0:
                 break
--- a/src/merlinthread/roles/log_task.py
+++ b/src/merlinthread/roles/log_task.py
@@ -33,7 +33,7 @@
     """A command to be committed, and the future of its result."""
 
     command: commands.Command
-    answer: futures.Future
+    future: futures.Future
 
 
 @dataclasses.dataclass(slots=True)
@@ -41,7 +41,7 @@
     """An entry's changes among its agents, and the future of the reply."""
 
     changes: messages.AgentChanges
-    answer: futures.Future
+    future: futures.Future
 
 
 @dataclasses.dataclass(slots=True)
@@ -52,7 +52,7 @@
     """
 
     query: Any
-    answer: futures.Future
+    future: futures.Future
 
 
 @dataclasses.dataclass(slots=True)
@@ -96,7 +96,7 @@
         self.state = control_state.ControlState()
         self.applied_index = 0
         self.restore_snapshot(self.journal.snapshot)
-        self.pending_answers: dict[int, tuple[int, futures.Future]] = {}
+        self.pending_futures: dict[int, tuple[int, futures.Future]] = {}
         self.report_receiver = sessions.ReportReceiver(config.agent_lost_after_s)
         self.senders = {
             peer.name: bus.Sender(peer.log_bus, context.codec)
@@ -165,24 +165,24 @@
     def handle_item(self, item: Any, now: float) -> None:
         """Handle one item of the inbox."""
         if isinstance(item, Proposal):
-            self.run_or_reject(item.answer, lambda: self.propose(item.command, item.answer, now))
+            self.run_or_reject(item.future, lambda: self.propose(item.command, item.future, now))
         elif isinstance(item, messages.JoinRequest):
             self.duties.join_requests[item.name] = (item, now)
         elif isinstance(item, ReadRequest):
-            self.run_or_reject(item.answer, lambda: self.read(item, now))
+            self.run_or_reject(item.future, lambda: self.read(item, now))
         elif isinstance(item, ReportUpdate):
-            self.run_or_reject(item.answer, lambda: self.apply_agent_changes(item, now))
+            self.run_or_reject(item.future, lambda: self.apply_agent_changes(item, now))
         elif isinstance(item, raft_messages.Message):
             self.raft.step(item, now)
 
-    def run_or_reject(self, answer: futures.Future, function: Any) -> None:
+    def run_or_reject(self, future: futures.Future, function: Any) -> None:
         """Call `function`; set a MerlinthreadError that it raises on the future."""
         try:
             function()
         except errors.MerlinthreadError as error:
-            answer.set_exception(error)
+            future.set_exception(error)
 
-    def propose(self, command: commands.Command, answer: futures.Future, now: float) -> None:
+    def propose(self, command: commands.Command, future: futures.Future, now: float) -> None:
         """Append a command to the log; its future is set when it is applied.
 
         Raises DiskFullError for 1 s after a failed write, NotLeaderError, and ControlError if too
@@ -194,7 +194,7 @@
             )
         name = self.context.codec.names[type(command)]
         index = self.raft.propose(msgspec.msgpack.encode((name, command)), now)
-        self.pending_answers[index] = (self.raft.hard_state.term, answer)
+        self.pending_futures[index] = (self.raft.hard_state.term, future)
 
     def apply_agent_changes(self, update: ReportUpdate, now: float) -> None:
         """Apply an entry's changes; raise NotLeaderError if this member does not lead."""
@@ -204,13 +204,13 @@
             changes.entry, changes.changed, changes.gone, changes.is_full, now
         )
         listener = f"{self.name} {self.raft.hard_state.term}"
-        update.answer.set_result(messages.AgentChangesReply(listener, not is_accepted))
+        update.future.set_result(messages.AgentChangesReply(listener, not is_accepted))
 
     def read(self, request: ReadRequest, now: float) -> None:
         """Answer a read; raise NotLeaderError unless this member holds the leader's lease."""
         if not self.raft.holds_lease(now):
             raise errors.NotLeaderError(f"{self.name} is not the leader", self.raft.leader)
-        request.answer.set_result(request.query(self))
+        request.future.set_result(request.query(self))
 
     # Durability
 
@@ -223,7 +223,7 @@
             try:
                 self.save(ready)
             except errors.DiskFullError as error:
-                self.on_full_disk(error, now)
+                self.handle_full_disk(error, now)
                 return
             for receiver, message in ready.messages:
                 if receiver in self.senders:
@@ -245,15 +245,15 @@
         if ready.hard_state is not None or ready.entries:
             self.journal.save(ready.hard_state, ready.entries, self.raft.commit)
 
-    def on_full_disk(self, error: errors.DiskFullError, now: float) -> None:
+    def handle_full_disk(self, error: errors.DiskFullError, now: float) -> None:
         """Step down, discard unsaved entries, fail their commands, and reject new ones for 1 s."""
         logs.warning("disk_full", message=error.message)
         self.disk_full_until = now + 1.0
         self.raft.discard_unsaved(now)
-        for index, (_, answer) in list(self.pending_answers.items()):
+        for index, (_, future) in list(self.pending_futures.items()):
             if index > self.raft.log.saved_index:
-                self.pending_answers.pop(index)
-                answer.set_exception(error)
+                self.pending_futures.pop(index)
+                future.set_exception(error)
 
     def is_due_for_compaction(self) -> bool:
         """Return whether the log is long enough, in entries or bytes, to be compacted."""
@@ -295,13 +295,13 @@
             metrics.commands_total.labels(name).inc()
             log_applied(name, command, result, entry.index)
         self.applied_index = entry.index
-        term, answer = self.pending_answers.pop(entry.index, (0, None))
-        if answer is None:
+        term, future = self.pending_futures.pop(entry.index, (0, None))
+        if future is None:
             return
         if term == entry.term:
-            answer.set_result(result)
+            future.set_result(result)
         else:
-            answer.set_exception(leadership_lost_error())
+            future.set_exception(leadership_lost_error())
 
     # Leadership
 
@@ -317,9 +317,9 @@
         self.duties.on_leadership_change(self.context.clock())
         if leads:
             return
-        for index, (_, answer) in list(self.pending_answers.items()):
-            self.pending_answers.pop(index)
-            answer.set_exception(leadership_lost_error())
+        for index, (_, future) in list(self.pending_futures.items()):
+            self.pending_futures.pop(index)
+            future.set_exception(leadership_lost_error())
 
     def run_leader_tasks(self, now: float) -> None:
         """Run the leader's periodic tasks, if they are due and this member holds the lease."""
@@ -402,7 +402,7 @@
     )
 
 
-def log_applied(name: str, command: commands.Command, answer: commands.Answer, index: int) -> None:
+def log_applied(name: str, command: commands.Command, result: commands.Answer, index: int) -> None:
     """Log an applied command; the frequent commands about claims are omitted."""
     if name in ("claim", "complete", "expire"):
         return
@@ -410,7 +410,7 @@
         f"applied_{name}",
         index=index,
         request_id=getattr(command, "request_id", ""),
-        generation=answer.generation,
-        version=answer.version,
-        error=answer.error,
+        generation=result.generation,
+        version=result.version,
+        error=result.error,
     )
--- a/src/merlinthread/roles/request_handler.py
+++ b/src/merlinthread/roles/request_handler.py
@@ -75,9 +75,9 @@
 
     def add_routes(self, routes: http_server.Routes) -> None:
         """Add the routes of the clients' API."""
-        routes.add("POST", "/v1/completions", self.on_completion)
+        routes.add("POST", "/v1/completions", self.handle_completion)
         for method in ("GET", "POST"):
-            routes.add(method, "/v1/services/", self.on_service)
+            routes.add(method, "/v1/services/", self.handle_service_call)
 
     # Common to all requests
 
@@ -227,7 +227,7 @@
 
     # Completions
 
-    def on_completion(self, request: http_server.Request) -> http_server.Response:
+    def handle_completion(self, request: http_server.Request) -> http_server.Response:
         """Handle a completion request."""
         self.context.in_flight.enter()
         try:
@@ -241,7 +241,7 @@
 
     # Services
 
-    def on_service(self, request: http_server.Request) -> http_server.Response:
+    def handle_service_call(self, request: http_server.Request) -> http_server.Response:
         """Handle a call of a plain service."""
         self.context.in_flight.enter()
         outcome = "internal"
--- a/src/merlinthread/roles/target.py
+++ b/src/merlinthread/roles/target.py
@@ -50,7 +50,7 @@
         with self.lock:
             self.queue.add(queued)
             self.start_events[queued.id] = started
-            self.start_due()
+            self.start_next_requests()
         if started.wait(max(0.0, deadline - self.clock())):
             return
         with self.lock:
@@ -64,7 +64,7 @@
                 retry_after_s=estimate,
             )
 
-    def start_due(self) -> None:
+    def start_next_requests(self) -> None:
         """Start requests while slots are free; the caller holds the lock."""
         while (queued := self.queue.start_next()) is not None:
             self.start_events.pop(queued.id).set()
@@ -91,7 +91,7 @@
         """Release the slot of a request and start the next ones."""
         with self.lock:
             self.queue.finish(attempt_id)
-            self.start_due()
+            self.start_next_requests()
 
     def set_weights(self, weights: dict[str, float]) -> None:
         """Set the accounts' weights in the fair queue."""
@@ -257,7 +257,7 @@
         """Run a completion on the engine and return the streamed response."""
         attempt = self.verify_attempt(request, request.path)
         call = msgspec.json.decode(request.body, type=CompletionBody)
-        self.check_digest(call, attempt)
+        self.check_served(call, attempt)
         deadline = self.context.clock() + attempt.deadline_ms / 1000
         queued = fair_queue.QueuedRequest(
             attempt.id,
@@ -283,7 +283,7 @@
             "text/event-stream",
         )
 
-    def check_digest(self, call: CompletionBody, attempt: attempts.Attempt) -> None:
+    def check_served(self, call: CompletionBody, attempt: attempts.Attempt) -> None:
         """Raise RequestError (not_run) if the model or the required weights are not served here."""
         served = self.serving.get(call.model)
         if served is None:
--- a/src/merlinthread/roles/weights.py
+++ b/src/merlinthread/roles/weights.py
@@ -157,7 +157,7 @@
                     break
                 job = self.next_job()
                 if job is None:
-                    self.lock.wait(IDLE_POLL_S if self.has_incomplete() else 1.0)
+                    self.lock.wait(IDLE_POLL_S if self.has_incomplete_downloads() else 1.0)
                     continue
             try:
                 self.run_job(job, rpc_clients)
@@ -166,7 +166,7 @@
                 time.sleep(IDLE_POLL_S)
         rpc_clients.close()
 
-    def has_incomplete(self) -> bool:
+    def has_incomplete_downloads(self) -> bool:
         """Return whether a download is incomplete; the caller holds the lock."""
         return any(d.plan is None or not d.plan.is_complete() for d in self.downloads.values())
 
@@ -313,9 +313,9 @@
             )
         )
         if not self.store_chunk(download, action.index, data, from_origin=True):
-            self.on_origin_mismatch(download, action.index, data)
+            self.record_origin_mismatch(download, action.index, data)
 
-    def on_origin_mismatch(self, download: Download, index: int, data: bytes) -> None:
+    def record_origin_mismatch(self, download: Download, index: int, data: bytes) -> None:
         """Stop the download if the origin returned the same wrong data repeatedly.
 
         Data that was corrupted in transfer differs between attempts; equal data means that the
@@ -358,14 +358,14 @@
             with self.lock:
                 plan.on_peer_failed(peer.name, self.context.clock())
             return
-        self.on_chunk_reply(download, plan, peer, reply, count)
+        self.handle_chunk_reply(download, plan, peer, reply, count)
 
     def peer_timeout_s(self, manifest: manifests.Manifest) -> float:
         """Return the timeout of a chunk request, with allowance for the peer's other uploads."""
         chunk_s = manifest.chunk_bytes / self.config.link_bytes_per_s
         return PEER_TIMEOUT_S + 2 * self.config.upload_slots * chunk_s
 
-    def on_chunk_reply(
+    def handle_chunk_reply(
         self,
         download: Download,
         plan: fetch.FetchPlan,
