--- a/src/merlinthread/roles/agent.py
+++ b/src/merlinthread/roles/agent.py
@@ -70,7 +70,7 @@
         ]
         context.http.routes.add("GET", "/weights/", self.serve_weights)
         for method in ("GET", "POST"):
-            context.http.routes.add(method, "/target/", self.target.on_request)
+            context.http.routes.add(method, "/target/", self.target.handle_request)
 
     def select_entries(self) -> list[str]:
         """Return the `heartbeat_entries` entries to report to, selected by rendezvous hash.
--- a/src/merlinthread/roles/forwarding.py
+++ b/src/merlinthread/roles/forwarding.py
@@ -23,7 +23,7 @@
     def __init__(self, handler: "request_handler.RequestHandler") -> None:
         self.handler = handler
 
-    def on_request(self, request: http_server.Request) -> http_server.Response:
+    def handle_request(self, request: http_server.Request) -> http_server.Response:
         """Verify an attempt, forward it and return the streamed response."""
         attempt = attempts.parse_attempt(request.headers)
         attempts.verify_tag(
--- a/src/merlinthread/roles/target.py
+++ b/src/merlinthread/roles/target.py
@@ -242,7 +242,7 @@
             )
         return attempt
 
-    def on_request(self, request: http_server.Request) -> http_server.Response:
+    def handle_request(self, request: http_server.Request) -> http_server.Response:
         """Handle an attempt of an entry."""
         self.context.in_flight.enter()
         try:
