--- a/src/merlinthread/roles/leader_duties.py
+++ b/src/merlinthread/roles/leader_duties.py
@@ -26,7 +26,7 @@
         self.join_requests: dict[str, tuple[messages.JoinRequest, float]] = {}
         self.placement_allowed_at = float("-inf")
 
-    def on_leadership_change(self, now: float) -> None:
+    def delay_placement(self, now: float) -> None:
         """Delay placement until entries have reported their agents."""
         self.placement_allowed_at = now + PLACEMENT_DELAY_S
 
--- a/src/merlinthread/roles/log_task.py
+++ b/src/merlinthread/roles/log_task.py
@@ -314,7 +314,7 @@
         metrics.is_leader.set(1 if leads else 0)
         logs.event("leading" if leads else "following", term=self.raft.hard_state.term)
         self.report_receiver.clear()
-        self.duties.on_leadership_change(self.context.clock())
+        self.duties.delay_placement(self.context.clock())
         if leads:
             return
         for index, (_, future) in list(self.pending_futures.items()):
