--- a/src/merlinthread/roles/entry.py
+++ b/src/merlinthread/roles/entry.py
@@ -336,7 +336,7 @@
         self.handler.add_routes(context.http.routes)
         self.forwarder = forwarding.Forwarder(self.handler)
         for method in ("GET", "POST"):
-            context.http.routes.add(method, forwarding.PREFIX, self.forwarder.handle_request)
+            context.http.routes.add(method, forwarding.PATH_PREFIX, self.forwarder.handle_request)
         self.tasks.append(
             base.PeriodicTask(
                 "settle", OUTCOME_RETRY_INTERVAL_S, self.handler.outcome_retrier.retry_pending
--- a/src/merlinthread/roles/forwarding.py
+++ b/src/merlinthread/roles/forwarding.py
@@ -14,7 +14,7 @@
 if typing.TYPE_CHECKING:
     from merlinthread.roles import request_handler
 
-PREFIX = "/target/"
+PATH_PREFIX = "/target/"
 
 
 class Forwarder:
