--- a/src/merlinthread/roles/completion.py
+++ b/src/merlinthread/roles/completion.py
@@ -84,7 +84,7 @@
         while self.attempt_count < self.handler.config.attempts_max:
             self.attempt_count += 1
             try:
-                report = self.handler.choose(
+                report = self.handler.choose_target(
                     self.admitted.request_id, self.requirements, frozenset(self.admitted.tried)
                 )
             except errors.MerlinthreadError as error:
--- a/src/merlinthread/roles/forwarding.py
+++ b/src/merlinthread/roles/forwarding.py
@@ -31,7 +31,7 @@
         )
         self.handler.context.in_flight.enter()
         try:
-            report = self.choose(request, attempt)
+            report = self.choose_target(request, attempt)
             stream = self.open_at_target(report, request, attempt)
         except BaseException:
             self.handler.context.in_flight.leave()
@@ -44,7 +44,9 @@
             stream.status, self.relay(stream, report), headers, content_type
         )
 
-    def choose(self, request: http_server.Request, attempt: attempts.Attempt) -> agents.AgentReport:
+    def choose_target(
+        self, request: http_server.Request, attempt: attempts.Attempt
+    ) -> agents.AgentReport:
         """Choose a target among those that report to this entry."""
         if request.subpath == "v1/completions":
             body = msgspec.json.decode(request.body, type=completion.CompletionBody)
@@ -52,7 +54,7 @@
         else:
             service = request.headers.get(attempts.SERVICE, "")
             requirements = routing.Requirements(bundles.SERVICE, service)
-        return self.handler.choose(attempt.id, requirements, frozenset(), is_local=True)
+        return self.handler.choose_target(attempt.id, requirements, frozenset(), is_local=True)
 
     def open_at_target(
         self, report: agents.AgentReport, request: http_server.Request, attempt: attempts.Attempt
--- a/src/merlinthread/roles/request_handler.py
+++ b/src/merlinthread/roles/request_handler.py
@@ -122,7 +122,7 @@
             )
         return bundle
 
-    def choose(
+    def choose_target(
         self,
         request_id: str,
         requirements: routing.Requirements,
--- a/src/merlinthread/roles/service_call.py
+++ b/src/merlinthread/roles/service_call.py
@@ -100,7 +100,7 @@
         failure: errors.MerlinthreadError | None = None
         for _ in range(self.handler.config.attempts_max):
             try:
-                report = self.handler.choose(
+                report = self.handler.choose_target(
                     self.admitted.request_id, self.requirements, frozenset(self.admitted.tried)
                 )
             except errors.MerlinthreadError as error:
