--- a/src/merlinthread/roles/entry.py
+++ b/src/merlinthread/roles/entry.py
@@ -28,7 +28,7 @@
 
     directive: control_state.Directive
     live: list[agents.AgentReport]
-    others: list[summaries.Summary] = dataclasses.field(default_factory=list)
+    other_summaries: list[summaries.Summary] = dataclasses.field(default_factory=list)
     leaving: frozenset[str] = frozenset()
 
 
@@ -44,8 +44,8 @@
         self.name = context.settings.name
         self.zone = context.settings.availability_zone
         self.lock = threading.Lock()
-        self.view = agents.AgentView(config.agent_lost_after_s)
-        self.others = summaries.SummaryTable(self.name, config.summary_lost_after_s)
+        self.agent_view = agents.AgentView(config.agent_lost_after_s)
+        self.other_entries = summaries.SummaryTable(self.name, config.summary_lost_after_s)
         self.is_home_by_agent: dict[str, bool] = {}
         self.incarnation = int(context.wall_clock() * 1000)
         self.counter = 0
@@ -77,7 +77,7 @@
         with self.lock:
             for summary in received:
                 if summary.entry != self.name:
-                    self.others.add(summary, now)
+                    self.other_entries.add(summary, now)
             self.publish()
 
     def set_leaving(self, names: frozenset[str]) -> None:
@@ -95,7 +95,7 @@
         """Replace the snapshot; the caller holds the lock."""
         now = self.context.clock()
         self.snapshot = ZoneSnapshot(
-            self.directive, self.view.live(now), self.others.live(now), self.leaving
+            self.directive, self.agent_view.live(now), self.other_entries.live(now), self.leaving
         )
 
     def home_reports(self) -> list[agents.AgentReport]:
@@ -123,7 +123,7 @@
         if not self.context.in_flight.is_draining:
             live = [report for report in snapshot.live if report.name not in snapshot.leaving]
             summaries.add_reports(summary, live)
-        return [summary, *snapshot.others]
+        return [summary, *snapshot.other_summaries]
 
     def handle(self, message: Any) -> Any:
         """Return the reply to a request of an agent or another entry."""
@@ -139,8 +139,8 @@
         """Store an agent's report; raise MerlinthreadError (fenced) if the agent was replaced."""
         report = heartbeat.report
         with self.lock:
-            self.view.check_incarnation(report.name, report.incarnation)
-            self.view.update(report, self.context.clock())
+            self.agent_view.check_incarnation(report.name, report.incarnation)
+            self.agent_view.update(report, self.context.clock())
             self.is_home_by_agent[report.name] = heartbeat.is_home
             self.publish()
         return self.reply_to(report)
@@ -150,8 +150,8 @@
         order = (heartbeat.incarnation, heartbeat.counter)
         load = (heartbeat.running, heartbeat.queued, heartbeat.queued_tokens)
         with self.lock:
-            self.view.check_incarnation(heartbeat.name, heartbeat.incarnation)
-            report = self.view.update_load(heartbeat.name, order, load, self.context.clock())
+            self.agent_view.check_incarnation(heartbeat.name, heartbeat.incarnation)
+            report = self.agent_view.update_load(heartbeat.name, order, load, self.context.clock())
             if report is None:
                 return messages.HeartbeatReply(self.name, 0.0, None, wants_full=True)
             self.is_home_by_agent[heartbeat.name] = heartbeat.is_home
--- a/src/merlinthread/roles/request_handler.py
+++ b/src/merlinthread/roles/request_handler.py
@@ -137,7 +137,7 @@
         requirements = dataclasses.replace(requirements, excluded=snapshot.leaving | tried)
         reports = list(snapshot.live)
         if not is_local:
-            reports += self.entries_as_targets(snapshot.others, requirements)
+            reports += self.entries_as_targets(snapshot.other_summaries, requirements)
         candidates = [
             routing.Candidate(report, self.in_flight_by_target.get(report.name))
             for report in reports
@@ -163,12 +163,12 @@
         return choice.report
 
     def entries_as_targets(
-        self, others: list[summaries.Summary], requirements: routing.Requirements
+        self, other_summaries: list[summaries.Summary], requirements: routing.Requirements
     ) -> list[agents.AgentReport]:
         """Return reports for the entries that reach a suitable target."""
         reports = [
-            summaries.as_target(other, requirements.kind, requirements.name, requirements.adapter)
-            for other in others
+            summaries.as_target(summary, requirements.kind, requirements.name, requirements.adapter)
+            for summary in other_summaries
         ]
         return [report for report in reports if report is not None]
 
