--- a/bench/swarm.py
+++ b/bench/swarm.py
@@ -29,9 +29,9 @@
 
     corrupt_share = 0.0
 
-    def handle(self, message: object) -> object:
+    def handle_message(self, message: object) -> object:
         """Answer another agent, sometimes with a damaged chunk."""
-        answer = super().handle(message)
+        answer = super().handle_message(message)
         if isinstance(answer, messages.ChunkReply) and answer.data:
             if random.random() < self.corrupt_share:
                 answer.data = bytes([answer.data[0] ^ 1]) + answer.data[1:]
@@ -56,7 +56,7 @@
         self.giver = CorruptingGiver(self.weights)
         self.giver.corrupt_share = config.get("corrupt_share", 0.0)
         self.responder = bus.RpcServer(
-            checked.bus, context.codec, self.giver.handle, workers=RESPONDERS
+            checked.bus, context.codec, self.giver.handle_message, workers=RESPONDERS
         )
         self.responder.start()
         self.weights.start()
--- a/src/merlinthread/roles/agent.py
+++ b/src/merlinthread/roles/agent.py
@@ -56,7 +56,7 @@
         self.rpc_server = bus.RpcServer(
             context.settings.bus,
             context.codec,
-            self.chunk_server.handle,
+            self.chunk_server.handle_message,
             workers=config.upload_slots + 2,
         )
         self.entries = self.select_entries()
--- a/src/merlinthread/roles/chunk_server.py
+++ b/src/merlinthread/roles/chunk_server.py
@@ -20,7 +20,7 @@
         self.slots = uploads.UploadSlots(weights.config.upload_slots)
         self.upload_pacer = pacing.Pacer(weights.config.link_bytes_per_s)
 
-    def handle(self, message: object) -> object:
+    def handle_message(self, message: object) -> object:
         """Return the reply to a request of another agent."""
         if isinstance(message, messages.ManifestRequest):
             return messages.ManifestReply(self.weights.store.read(message.digest) or b"")
--- a/src/merlinthread/roles/control.py
+++ b/src/merlinthread/roles/control.py
@@ -32,7 +32,7 @@
                 field="control.members",
             )
         self.receiver = bus.Receiver(own_peer.log_bus, context.codec, self.task.inbox.put)
-        self.rpc_server = bus.RpcServer(own_peer.bus, context.codec, self.handle, workers=8)
+        self.rpc_server = bus.RpcServer(own_peer.bus, context.codec, self.handle_message, workers=8)
         self.join_task = base.PeriodicTask("join", JOIN_INTERVAL_S, self.send_join_request)
         self.own_peer = own_peer
         operators_api.add_routes(context.http.routes, self)
@@ -60,7 +60,7 @@
         for sender in list(self.task.senders.values()):
             sender.send(join)
 
-    def handle(self, message: Any) -> Any:
+    def handle_message(self, message: Any) -> Any:
         """Return the reply to a request of an entry."""
         if isinstance(message, messages.PollRequest):
             return self.handle_poll(message)
--- a/src/merlinthread/roles/entry.py
+++ b/src/merlinthread/roles/entry.py
@@ -125,7 +125,7 @@
             summaries.add_reports(summary, live)
         return [summary, *snapshot.other_summaries]
 
-    def handle(self, message: Any) -> Any:
+    def handle_message(self, message: Any) -> Any:
         """Return the reply to a request of an agent or another entry."""
         if isinstance(message, messages.Heartbeat):
             return self.handle_heartbeat(message)
@@ -315,7 +315,7 @@
         self.zone = ZoneState(context, config)
         self.control_client = ControlClient(context, config, self.zone)
         self.rpc_server = bus.RpcServer(
-            context.settings.bus, context.codec, self.zone.handle, workers=4
+            context.settings.bus, context.codec, self.zone.handle_message, workers=4
         )
         self.exchange_clients = bus.RpcClients(context.codec)
         self.rng = random.Random()
