--- a/src/merlinthread/roles/agent.py
+++ b/src/merlinthread/roles/agent.py
@@ -105,7 +105,7 @@
 
     # Heartbeats
 
-    def report(self) -> agents.AgentReport:
+    def make_report(self) -> agents.AgentReport:
         """Return a new report with the next counter value."""
         queue = self.target.request_queue.queue
         with self.lock:
@@ -141,7 +141,7 @@
     def send_heartbeat(self, address: str) -> None:
         """Send a heartbeat to one entry and apply its reply."""
         sent_at = self.context.clock()
-        report = self.report()
+        report = self.make_report()
         try:
             reply = self.send_report(address, report)
         except errors.MerlinthreadError as error:
