--- a/stand_ins/common.py
+++ b/stand_ins/common.py
@@ -7,7 +7,7 @@
 from merlinthread.transport import http_server
 
 
-def parser(description: str) -> argparse.ArgumentParser:
+def make_parser(description: str) -> argparse.ArgumentParser:
     """Return an argument parser with the options common to all stand-ins."""
     arguments = argparse.ArgumentParser(description=description)
     arguments.add_argument("--address", default="127.0.0.1")
--- a/stand_ins/engine.py
+++ b/stand_ins/engine.py
@@ -371,7 +371,7 @@
 
 def main() -> None:
     """Parse the command line and serve."""
-    parser = common.parser(__doc__ or "")
+    parser = common.make_parser(__doc__ or "")
     parser.add_argument("--step-s", type=float, default=STEP_S)
     parser.add_argument("--batch", type=int, default=16)
     parser.add_argument("--load-s", type=float, default=0.1)
--- a/stand_ins/origin.py
+++ b/stand_ins/origin.py
@@ -112,7 +112,7 @@
 
 def main() -> None:
     """Parse the command line and serve."""
-    parser = common.parser(__doc__ or "")
+    parser = common.make_parser(__doc__ or "")
     parser.add_argument("--folder", type=pathlib.Path, required=True)
     parser.add_argument("--bytes-per-s", type=float, default=1e9)
     options = parser.parse_args()
--- a/stand_ins/platform.py
+++ b/stand_ins/platform.py
@@ -40,7 +40,7 @@
 
 def main() -> None:
     """Parse the command line and serve."""
-    parser = common.parser(__doc__ or "")
+    parser = common.make_parser(__doc__ or "")
     parser.add_argument("--lag-s", type=float, default=0.5)
     options = parser.parse_args()
     common.serve(options, Platform(options.lag_s).add_routes)
--- a/stand_ins/service.py
+++ b/stand_ins/service.py
@@ -48,7 +48,7 @@
 
 def main() -> None:
     """Parse the command line and serve."""
-    parser = common.parser(__doc__ or "")
+    parser = common.make_parser(__doc__ or "")
     parser.add_argument("--delay-s", type=float, default=0.01)
     options = parser.parse_args()
     common.serve(options, Service(options.delay_s).add_routes)
