--- a/bench/soak_faults.py
+++ b/bench/soak_faults.py
@@ -190,7 +190,7 @@
         worker = self.rng.choice(list(self.fleet.workers))
         faults = [
             {"is_full": True},
-            {"closes_without_answer": True},
+            {"closes_without_response": True},
             {"never_responds": True},
             {"wrong_request_id": True},
             {"is_unsigned": True},
--- a/stand_ins/fleet_worker.py
+++ b/stand_ins/fleet_worker.py
@@ -25,7 +25,7 @@
     status: int = 200
     is_full: bool = False
     cut_after_events: int | None = None
-    closes_without_answer: bool = False
+    closes_without_response: bool = False
     wrong_request_id: bool = False
     is_unsigned: bool = False
     ignores_last_event_id: bool = False
@@ -158,7 +158,7 @@
         if self.behaviour.never_responds:
             await asyncio.Event().wait()
         await asyncio.sleep(self.behaviour.work_s)
-        if self.behaviour.closes_without_answer:
+        if self.behaviour.closes_without_response:
             exchange.abort()
             return
         echoed_id = "0000" if self.behaviour.wrong_request_id else request_id
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -142,11 +142,11 @@
 def test_a_reset_connection_is_not_an_end(tmp_path):
     async def scenario(fleet):
         for worker in fleet.workers:
-            worker.behaviour.closes_without_answer = True
+            worker.behaviour.closes_without_response = True
         for _ in range(6):
             await fleet.ask(0, b"same")
         for worker in fleet.workers:
-            worker.behaviour.closes_without_answer = False
+            worker.behaviour.closes_without_response = False
         crashes = fleet.entries[0].node.crashes
         await fleet_nodes.until(lambda: not crashes.checks)
         assert not crashes.tracker.records
--- a/tests/test_entry_node.py
+++ b/tests/test_entry_node.py
@@ -49,7 +49,7 @@
     async def scenario():
         entry, workers, _ = await make_entry("unsafe", 2)
         for worker in workers:
-            worker.behaviour.closes_without_answer = True
+            worker.behaviour.closes_without_response = True
         answer = await entry.ask("/unsafe/", "id-1")
         assert (answer.status, count_runs(workers)) == (502, 1)
 
@@ -59,7 +59,7 @@
 def test_a_repeatable_request_is_sent_to_another_worker_after_a_lost_answer():
     async def scenario():
         entry, workers, _ = await make_entry("safe", 2)
-        workers[0].behaviour.closes_without_answer = True
+        workers[0].behaviour.closes_without_response = True
         for number in range(4):
             assert (await entry.ask("/safe/", f"id-{number}")).status == 200
 
@@ -82,7 +82,7 @@
 def test_a_refusal_is_no_promise_once_an_attempt_may_have_run():
     async def scenario():
         entry, workers, _ = await make_entry("unsafe", 1)
-        workers[0].behaviour.closes_without_answer = True
+        workers[0].behaviour.closes_without_response = True
         answer = await entry.ask("/unsafe/", "id-1")
         assert answer.status not in (408, 421, 429, 503)
 
@@ -138,7 +138,7 @@
         monkeypatch.setattr(logs, "event", lambda name, **fields: lines.append((name, fields)))
         entry, workers, _ = await make_entry("safe", 2)
         assert (await entry.ask("/safe/", "id-1")).status == 200
-        workers[0].behaviour.closes_without_answer = True
+        workers[0].behaviour.closes_without_response = True
         workers[1].behaviour.is_full = True
         await entry.ask("/safe/", "id-2")
         told = [fields["sent"] for name, fields in lines if name == "request"]
@@ -351,7 +351,7 @@
 def test_a_repeatable_request_that_may_have_run_is_not_told_that_it_has_not():
     async def scenario():
         entry, (lost, full), _ = await make_entry("safe", 2)
-        lost.behaviour.closes_without_answer = True
+        lost.behaviour.closes_without_response = True
         full.behaviour.is_full = True
         orders = set()
         for number in range(20):
