--- a/stand_ins/crashing_worker.py
+++ b/stand_ins/crashing_worker.py
@@ -42,7 +42,7 @@
         self.sequence = 0
         self.crash_task: asyncio.Task[None] | None = None
 
-    async def answer(
+    async def respond(
         self, exchange: stream_server.Exchange, headers: dict[str, str], request_id: str
     ) -> None:
         """Send a response, or crash before one is sent if the body is `crash_body`."""
@@ -50,7 +50,7 @@
             self.crash_request_times.append(asyncio.get_running_loop().time())
             self.schedule_crash()
             await asyncio.Event().wait()
-        await super().answer(exchange, headers, request_id)
+        await super().respond(exchange, headers, request_id)
 
     def schedule_crash(self) -> None:
         """Schedule a crash unless one is already pending."""
--- a/stand_ins/fleet_worker.py
+++ b/stand_ins/fleet_worker.py
@@ -144,14 +144,14 @@
         self.runs.append(run)
         self.running += 1
         try:
-            await self.answer(exchange, headers, request_id)
+            await self.respond(exchange, headers, request_id)
         except asyncio.CancelledError:
             self.cancelled.append(request_id)
             raise
         finally:
             self.running -= 1
 
-    async def answer(
+    async def respond(
         self, exchange: stream_server.Exchange, headers: dict[str, str], request_id: str
     ) -> None:
         """Send the response, with the faults of the current behaviour."""
