--- a/stand_ins/engine.py
+++ b/stand_ins/engine.py
@@ -67,7 +67,7 @@
     priority: int
     weights: LoadedWeights
     digest: str
-    prefill_left: int
+    prefill_tokens_remaining: int
     next_index: int
     out: queue.SimpleQueue
     is_cancelled: bool = False
@@ -102,7 +102,7 @@
         self.event_number = 0
         self.kv: dict[str, dict] = {}
         self.is_leaving = False
-        self.refuse_loads = ""
+        self.load_error = ""
         self.orders: list[dict] = []
         self.client = http_client.Client()
         self.reported_load = (0, 0)
@@ -130,8 +130,8 @@
         for job in list(self.running):
             if job.is_cancelled:
                 self.finish_job(job, "cancelled")
-            elif job.prefill_left > 0:
-                job.prefill_left -= PREFILL_TOKENS_PER_STEP
+            elif job.prefill_tokens_remaining > 0:
+                job.prefill_tokens_remaining -= PREFILL_TOKENS_PER_STEP
             else:
                 self.generate_token(job)
 
@@ -248,8 +248,8 @@
         self.check_fencing_token(order)
         if order.action == engine_calls.UNLOAD:
             return self.unload(order)
-        if self.refuse_loads:
-            raise errors.WeightsError(self.refuse_loads)
+        if self.load_error:
+            raise errors.WeightsError(self.load_error)
         loaded = self.read_weights(order)
         time.sleep(self.options.load_s)
         self.check_fencing_token(order)
@@ -259,12 +259,10 @@
         return http_server.json_response(engine_calls.OrderReply(order.name, loaded.digest))
 
     def check_fencing_token(self, order: engine_calls.Order) -> None:
-        """Reject an order with a stale fencing token, and store the token otherwise.
+        """Store the fencing token of an order, or reject the order if the token is stale.
 
-        With `--check-fences no` every order is accepted.
-
-        Raises:
-            MerlinthreadError: of kind FENCED, if the generation or the epoch is too low.
+        Raises MerlinthreadError (fenced) if the generation or the epoch is too low. With
+        `--check-fences no` every order is accepted.
         """
         with self.lock:
             is_stale = order.generation < self.fence.generation or order.epoch < self.fence.epoch
@@ -352,7 +350,7 @@
     def set_faults(self, request: http_server.Request) -> http_server.Response:
         """Set the faults that tests inject."""
         requested = msgspec.json.decode(request.body)
-        self.refuse_loads = requested.get("refuse_loads", self.refuse_loads)
+        self.load_error = requested.get("refuse_loads", self.load_error)
         self.is_leaving = requested.get("leaving", self.is_leaving)
         return http_server.json_response({"ok": True})
 
--- a/stand_ins/fleet_worker.py
+++ b/stand_ins/fleet_worker.py
@@ -125,18 +125,18 @@
         headers = {k.decode().lower(): v.decode() for k, v in exchange.request.headers}
         request_id = headers.get("x-merlinthread-request-id", "")
         if headers.get("x-merlinthread-expect-instance", self.instance) != self.instance:
-            await self.refuse(exchange, 421)
+            await self.reject(exchange, 421)
             return
         expected_version = headers.get("x-merlinthread-expect-version", str(self.version))
         if self.model and expected_version != str(self.version):
-            await self.refuse(exchange, 421)
+            await self.reject(exchange, 421)
             return
         if self.behaviour.is_full:
             now = asyncio.get_running_loop().time()
             self.rejections.append(
                 Rejection(request_id, now, parse_retry_after_s(self.behaviour.retry_after))
             )
-            await self.refuse(exchange, 503)
+            await self.reject(exchange, 503)
             return
         target = exchange.request.target.decode()
         now = asyncio.get_running_loop().time()
@@ -162,32 +162,34 @@
             exchange.abort()
             return
         echoed_id = "0000" if self.behaviour.wrong_request_id else request_id
-        answer_headers = [
+        response_headers = [
             *self.common_headers(),
             (b"X-Merlinthread-Request-Id", echoed_id.encode()),
         ]
         if not self.behaviour.is_unsigned:
             stamp = f"{self.instance}.{request_id}".encode()
-            answer_headers.append((b"X-Merlinthread-Response-Stamp", stamp))
+            response_headers.append((b"X-Merlinthread-Response-Stamp", stamp))
         if "x-merlinthread-model" in headers and self.behaviour.status == 200:
-            await self.stream(exchange, answer_headers, headers)
+            await self.stream(exchange, response_headers, headers)
             return
         body = f"answer of {self.instance} to {request_id}".encode()
-        await exchange.respond(http_messages.Response(self.behaviour.status, answer_headers, body))
+        await exchange.respond(
+            http_messages.Response(self.behaviour.status, response_headers, body)
+        )
 
     async def stream(
         self,
         exchange: stream_server.Exchange,
-        answer_headers: http_messages.Headers,
+        response_headers: http_messages.Headers,
         headers: dict[str, str],
     ) -> None:
         """Send numbered events, starting after the client's Last-Event-ID."""
         first = int(headers.get("last-event-id", "0")) + 1
         if self.behaviour.ignores_last_event_id:
             first = 1
-        exchange.start_response(200, [*answer_headers, (b"Content-Type", b"text/event-stream")])
-        for given, number in enumerate(range(first, self.behaviour.events + 1)):
-            if given == self.behaviour.cut_after_events:
+        exchange.start_response(200, [*response_headers, (b"Content-Type", b"text/event-stream")])
+        for sent_count, number in enumerate(range(first, self.behaviour.events + 1)):
+            if sent_count == self.behaviour.cut_after_events:
                 exchange.connection.write_raw(b"10\r\nid: 9")
                 exchange.abort()
                 return
@@ -202,7 +204,7 @@
             headers.append((b"Server-Limit", self.behaviour.limit.encode()))
         return [*headers, *self.behaviour.extra_headers]
 
-    async def refuse(self, exchange: stream_server.Exchange, status: int) -> None:
+    async def reject(self, exchange: stream_server.Exchange, status: int) -> None:
         """Reject a request, marked as not run."""
         headers = [(b"X-Merlinthread-Not-Run", b"1"), *self.common_headers()]
         if self.behaviour.echoes_request_id:
@@ -259,10 +261,10 @@
         self.layers = (order.get("from", 0), order.get("target_version", LAYERS))
 
 
-def parse_retry_after_s(rest: str | None) -> float:
+def parse_retry_after_s(value: str | None) -> float:
     """Return the number of seconds in a Retry-After value, 0 if it is not a number."""
     try:
-        return float(rest or 0)
+        return float(value or 0)
     except ValueError:
         return 0.0
 
@@ -275,10 +277,11 @@
         self.served_pieces: list[tuple[int, int]] = []
         self.manifests_served = 0
         self.corrupt: set[int] = set()
-        # Version and index of the pieces that get a 503 response.
+        # Versions and indices of the pieces that get a 503 response.
         self.unavailable_pieces: set[tuple[int, int]] = set()
-        # If set, every request is rejected with this Retry-After value; event loop times of those.
+        # The Retry-After value with which every request is rejected, or None to serve them.
         self.retry_after: str | None = None
+        # Event loop times of the rejected requests.
         self.rejections: list[float] = []
         self.server = stream_server.Server(self.serve)
         self.address = ""
--- a/stand_ins/origin.py
+++ b/stand_ins/origin.py
@@ -25,11 +25,11 @@
         self.sent_bytes = 0
         self.sent_by_object: dict[str, int] = {}
         self.corrupt_next = 0
-        self.is_refusing = False
+        self.is_rejecting = False
 
     def serve_object(self, request: http_server.Request) -> http_server.Response:
         """Return the requested byte range of an object."""
-        if self.is_refusing:
+        if self.is_rejecting:
             raise errors.MerlinthreadError(
                 "origin is set to reject requests", kind=errors.ErrorKind.OVERLOADED
             )
@@ -83,7 +83,7 @@
         requested = msgspec.json.decode(request.body)
         with self.lock:
             self.corrupt_next = requested.get("corrupt_next", self.corrupt_next)
-            self.is_refusing = requested.get("refusing", self.is_refusing)
+            self.is_rejecting = requested.get("refusing", self.is_rejecting)
             self.pacer.bytes_per_s = requested.get("bytes_per_s", self.pacer.bytes_per_s)
         return http_server.json_response({"ok": True})
 
--- a/stand_ins/proxy.py
+++ b/stand_ins/proxy.py
@@ -39,7 +39,7 @@
     def __init__(self, listen: tuple[str, int], upstream_address: tuple[str, int]) -> None:
         self.upstream_address = upstream_address
         self.faults = Faults()
-        self.pairs: set[tuple[socket.socket, socket.socket]] = set()
+        self.socket_pairs: set[tuple[socket.socket, socket.socket]] = set()
         self.lock = threading.Lock()
         self.rng = random.Random(0)
         self.bytes_forwarded = 0
@@ -76,7 +76,7 @@
             return
         pair = (client, upstream)
         with self.lock:
-            self.pairs.add(pair)
+            self.socket_pairs.add(pair)
         relays = [
             threading.Thread(target=self.relay, args=(client, upstream, True), daemon=True),
             threading.Thread(target=self.relay, args=(upstream, client, False), daemon=True),
@@ -86,7 +86,7 @@
         for relay_thread in relays:
             relay_thread.join()
         with self.lock:
-            self.pairs.discard(pair)
+            self.socket_pairs.discard(pair)
         client.close()
         upstream.close()
 
@@ -135,7 +135,7 @@
     def reset_all(self) -> None:
         """Reset every connection of the link."""
         with self.lock:
-            pairs = list(self.pairs)
+            pairs = list(self.socket_pairs)
         for client, upstream in pairs:
             reset(client)
             reset(upstream)
--- a/stand_ins/service.py
+++ b/stand_ins/service.py
@@ -10,7 +10,7 @@
 
 
 class Service:
-    """Answers requests on any path and counts them by body."""
+    """Responds to requests on any path and counts them by body."""
 
     def __init__(self, delay_s: float) -> None:
         self.delay_s = delay_s
