--- a/src/merlinthread/settings.py
+++ b/src/merlinthread/settings.py
@@ -178,7 +178,7 @@
     weight_store_url: Url | None = None
     """URL of the weight store, which holds the manifests."""
     store_folder: str | None = None
-    """Folder for chunks; if it is left out, they are kept in memory."""
+    """Folder for chunks; if it is not set, they are kept in memory."""
     store_bytes: Bytes = 4 * 1024**3
     """Maximum total size of the stored chunks."""
     slots: Annotated[int, pydantic.Field(ge=1, le=4096)] = 16
