--- a/src/merlinthread/nodes/log_member.py
+++ b/src/merlinthread/nodes/log_member.py
@@ -27,9 +27,10 @@
 # The commit index is saved once nothing was saved for this long, so that a burst of changes shares
 # one sync.
 COMMIT_SAVE_DELAY_S = 0.2
-# A follower that is no staler than this is caught up: what it applies was committed just now.
+# A follower with at most this staleness has caught up; the entries that it applies were committed
+# just now.
 CAUGHT_UP_S = 2 * TIMING.heartbeat_s
-# Reported if an age is not known; finite, so that it can be encoded and compared.
+# Reported in place of an unknown age; finite, so that it can be encoded and compared.
 UNKNOWN_AGE_S = 1e6
 # How often a member without a known leader logs a warning.
 NO_LEADER_LOG_INTERVAL_S = 2.0
@@ -76,7 +77,7 @@
         self.wakeup = asyncio.Event()
         self.levels = levels.MemberLevels()
         self.sender = log_sender.LogSender(codec, rpc_client, self.levels)
-        self.members = member_changes.MemberChanges(
+        self.member_changes = member_changes.MemberChanges(
             settings,
             rpc_client,
             clock,
@@ -158,11 +159,13 @@
         while True:
             now = self.clock()
             self.process(now)
-            self.members.request_join(now)
+            self.member_changes.request_join(now)
             self.wakeup.clear()
             if not self.inbox:
-                due = min(self.raft.next_tick_at(), self.maintenance_at, self.members.next_join_at)
-                await self.wait_for_message(max(0.001, due - self.clock()))
+                wakeup_at = min(
+                    self.raft.next_tick_at(), self.maintenance_at, self.member_changes.next_join_at
+                )
+                await self.wait_for_message(max(0.001, wakeup_at - self.clock()))
 
     async def wait_for_message(self, timeout_s: float) -> None:
         """Wait for a message or another wakeup, for at most `timeout_s`."""
@@ -179,7 +182,7 @@
         self.raft.flush(now)
         self.process_ready(now)
         if self.blocked_at and not self.raft.is_resigned:
-            # Its state is outdated, so it must not lead; it goes on as a voter.
+            # Its state is outdated, so it must not lead; it remains a voter.
             self.raft.resign(now)
         self.update_leadership()
         self.update_current_at()
@@ -188,7 +191,7 @@
             self.save_commit_index(now)
             self.write_gate.update(self.other_addresses(), now)
             self.log_missing_leader(now)
-            self.members.repair(now)
+            self.member_changes.repair(now)
 
     def receive(self, frames: list[bytes]) -> None:
         """Queue encoded messages of another member."""
@@ -204,7 +207,7 @@
             try:
                 self.save(ready)
             except errors.DiskFullError as error:
-                self.on_full_disk(error, now)
+                self.handle_full_disk(error, now)
                 return
             for receiver, message in ready.messages:
                 self.sender.send(receiver, message)
@@ -244,7 +247,7 @@
             self.disk_retry_at = now + DISK_RETRY_DELAY_S
             logs.warning("disk_full", message=error.message)
 
-    def on_full_disk(self, error: errors.DiskFullError, now: float) -> None:
+    def handle_full_disk(self, error: errors.DiskFullError, now: float) -> None:
         """Step down, fail the commands that could not be saved, and retry the disk later."""
         if now >= self.disk_retry_at:
             logs.warning("disk_full", message=error.message)
@@ -321,9 +324,9 @@
     def block(self, index: int, reason: str) -> None:
         """Stop applying entries at `index`, which a newer build wrote and this one can't read.
 
-        Skipping it would make the state diverge from the others', and exiting would only repeat at
-        each start. The member goes on saving and voting, and reports its staleness, until it runs a
-        newer build.
+        Skipping the entry would make the state diverge from that of the other members, and after an
+        exit the next start would fail again. Until it runs a newer build, the member continues to
+        save entries and to vote, and reports its staleness.
         """
         self.blocked_at = index
         metrics.log_blocked.set(1)
@@ -332,7 +335,7 @@
             index=index,
             reason=reason,
             level=int(levels.NEWEST),
-            remedy="run a build here that reads it; this one votes and does not lead meanwhile",
+            remedy="run a newer build on this VM; until then, this member votes but does not lead",
         )
 
     def decode_command(self, data: bytes) -> fleet_state.Command:
@@ -360,7 +363,7 @@
         if reason:
             raise errors.ControlError(reason)
         if now < self.disk_retry_at:
-            raise errors.DiskFullError(f"{self.folder}: no room on the disk; free some space")
+            raise errors.DiskFullError(f"{self.folder}: the disk is full; free some space")
         index = self.raft.propose(command, now)
         future = asyncio.get_running_loop().create_future()
         self.pending[index] = (self.raft.hard_state.term, future)
@@ -380,8 +383,8 @@
 
         A leader is up to date while a majority replies to it, once it has committed an entry of its
         term. A follower is up to date when it has applied all entries that its leader reported as
-        committed: not before it has heard from a leader, while it catches up, or while its disk is
-        full.
+        committed. It is outdated until it has heard from a leader, while it catches up, and while
+        its disk is full.
         """
         if self.raft.is_leader():
             if self.raft.commit >= self.raft.term_start_index:
@@ -412,8 +415,8 @@
             return levels.level_of(type(self.decode_command(command)))
         except (KeyError, msgspec.DecodeError) as error:
             raise errors.ControlError(
-                f"this build, of level {levels.NEWEST}, can't read the command: {error!r}; "
-                "send it to a newer one"
+                f"this build reads up to level {levels.NEWEST} and can't read the command: "
+                f"{error!r}; send it to a newer one"
             )
 
     def check_leader_reads(self, command: bytes, leader: str) -> None:
@@ -436,7 +439,7 @@
         if is_leader == self.was_leader:
             return
         self.was_leader = is_leader
-        self.members.clear_requests()
+        self.member_changes.clear_requests()
         if not is_leader:
             self.fail_pending("the leader changed")
 
