--- a/tests/test_log_repair.py
+++ b/tests/test_control_replacement.py
@@ -29,7 +29,7 @@
     await fleet_nodes.until(lambda: time.monotonic() >= ready_at)
 
 
-def test_a_loss_once_a_replacement_has_had_its_time_leaves_a_majority(tmp_path):
+def test_majority_survives_a_loss_after_a_replacement_caught_up(tmp_path):
     async def scenario(controls):
         set_catch_up(controls)
         await put_configuration(controls, 1)
@@ -42,25 +42,23 @@
     run(tmp_path, scenario)
 
 
-def test_a_control_vm_that_has_just_started_is_not_told_as_joined_to_a_majority(tmp_path):
+def test_control_vm_restarted_alone_reports_itself_stale(tmp_path):
     async def scenario(controls):
         await put_configuration(controls, 4)
         for ip in controls.ips:
             controls.kill(ip)
         await controls.start(controls.ips[0])
-        alone = controls.nodes[controls.ips[0]]
-        assert alone.changes_for(WATCH).leader_age_s > fleet_watcher.STALE_AFTER_S
+        restarted = controls.nodes[controls.ips[0]]
+        assert restarted.changes_for(WATCH).leader_age_s > fleet_watcher.STALE_AFTER_S
         await controls.start(controls.ips[1])
         await fleet_nodes.until(
-            lambda: alone.changes_for(WATCH).leader_age_s < fleet_watcher.STALE_AFTER_S
+            lambda: restarted.changes_for(WATCH).leader_age_s < fleet_watcher.STALE_AFTER_S
         )
 
     run(tmp_path, scenario)
 
 
-def test_a_control_vm_that_can_not_follow_the_log_is_not_told_as_joined_to_a_majority(
-    tmp_path, monkeypatch
-):
+def test_control_vm_that_cannot_save_the_log_reports_itself_stale(tmp_path, monkeypatch):
     async def scenario(controls):
         await put_configuration(controls, 1)
         follower = next(ip for ip in controls.ips if ip != controls.leader())
@@ -69,10 +67,10 @@
             lambda: node.changes_for(WATCH).leader_age_s < fleet_watcher.STALE_AFTER_S
         )
 
-        def full(hard_state, entries, commit):
+        def raise_disk_full(hard_state, entries, commit):
             raise errors.DiskFullError("no room")
 
-        monkeypatch.setattr(node.member.journal, "save", full)
+        monkeypatch.setattr(node.member.journal, "save", raise_disk_full)
         await put_configuration(controls, 2)
         await fleet_nodes.until(
             lambda: node.changes_for(WATCH).leader_age_s > fleet_watcher.STALE_AFTER_S
@@ -87,7 +85,7 @@
     run(tmp_path, scenario)
 
 
-def test_a_member_that_starts_alone_tells_the_last_change_that_was_acknowledged(tmp_path):
+def test_member_restarted_alone_returns_the_last_acknowledged_change(tmp_path):
     async def scenario(controls):
         await put_configuration(controls, 4)
         await put_configuration(controls, 7)
@@ -96,13 +94,13 @@
         for ip in controls.ips:
             controls.kill(ip)
         await controls.start(controls.ips[0])
-        alone = controls.nodes[controls.ips[0]]
-        await fleet_nodes.until(lambda: alone.changes_for(WATCH).configuration_version == 7)
+        restarted = controls.nodes[controls.ips[0]]
+        await fleet_nodes.until(lambda: restarted.changes_for(WATCH).configuration_version == 7)
 
     run(tmp_path, scenario)
 
 
-def test_a_watcher_prefers_a_control_vm_that_hears_a_leader_to_one_that_answers_first(tmp_path):
+def test_watcher_prefers_a_control_vm_that_hears_a_leader(tmp_path):
     async def scenario(controls):
         await put_configuration(controls, 1)
         for ip in controls.ips:
@@ -124,7 +122,7 @@
     run(tmp_path, scenario)
 
 
-def test_a_joiner_that_knows_only_a_follower_is_taken_in(tmp_path):
+def test_new_member_can_join_through_a_follower(tmp_path):
     async def scenario(controls):
         await put_configuration(controls, 1)
         follower = next(ip for ip in controls.ips if ip != controls.leader())
@@ -137,7 +135,7 @@
     run(tmp_path, scenario)
 
 
-def test_a_voter_that_ends_as_planned_beside_its_successor_leaves_the_group_first(tmp_path):
+def test_replaced_voter_leaves_the_group_before_it_stops(tmp_path):
     async def scenario(controls):
         await put_configuration(controls, 1)
         leader = controls.leader()
@@ -154,7 +152,7 @@
     run(tmp_path, scenario)
 
 
-def test_a_leader_that_ends_as_planned_first_finishes_the_change_of_members_under_way(tmp_path):
+def test_stopping_leader_finishes_a_membership_change_first(tmp_path):
     async def scenario(controls):
         set_catch_up(controls)
         await put_configuration(controls, 1)
@@ -166,11 +164,13 @@
         await fleet_nodes.until(
             lambda: not member.raft.log.has_membership_change_after(member.raft.commit)
         )
-        gone = next(ip for ip in controls.nodes if ip not in (leader, REPLACEMENT))
-        lost = controls.nodes[gone].member.name
-        controls.kill(gone)
+        failed_ip = next(ip for ip in controls.nodes if ip not in (leader, REPLACEMENT))
+        failed_name = controls.nodes[failed_ip].member.name
+        controls.kill(failed_ip)
         # The removal is in the leader's log and not replicated yet.
-        member.raft.change_membership(raft_members.MembershipChange(remove=lost), time.monotonic())
+        member.raft.change_membership(
+            raft_members.MembershipChange(remove=failed_name), time.monotonic()
+        )
         assert member.raft.log.has_membership_change_after(member.raft.commit)
         await controls.nodes[leader].stop()
         fleet_nodes.end_tasks(controls.nodes.pop(leader))
@@ -179,7 +179,7 @@
     run(tmp_path, scenario)
 
 
-def test_a_voter_that_is_needed_ends_without_leaving_the_group(tmp_path):
+def test_needed_voter_stops_without_leaving_the_group(tmp_path):
     async def scenario(controls):
         await put_configuration(controls, 1)
         leader = controls.leader()
@@ -194,13 +194,13 @@
     run(tmp_path, scenario)
 
 
-def test_an_empty_control_vm_asks_to_join_with_its_first_turn(tmp_path):
+def test_empty_control_vm_requests_to_join_at_once(tmp_path):
     async def scenario():
-        asked = []
+        sent = []
 
         class Recorder:
             async def call(self, address, message, timeout_s):
-                asked.append((address, message.name))
+                sent.append((address, message.name))
                 return node_messages.JoinReply(False)
 
         settings = fleet_nodes.make_settings(
@@ -210,17 +210,18 @@
             settings, fleet_nodes.make_codec(), Recorder(), lambda: 50.0, None, None
         )
         member.member_changes.request_join(50.0)
-        await fleet_nodes.until(lambda: asked)
-        assert asked == [("127.0.0.11:7000", member.name)]
+        await fleet_nodes.until(lambda: sent)
+        assert sent == [("127.0.0.11:7000", member.name)]
         member.close()
 
     asyncio.run(scenario())
 
 
-def test_a_new_leader_is_not_sure_before_it_has_committed_an_entry_of_its_term(tmp_path):
+def test_new_leader_reports_unknown_staleness_until_it_commits(tmp_path):
     async def scenario(controls):
         await put_configuration(controls, 1)
         member = controls.nodes[controls.leader()].member
+        # Until it commits an entry of its own term, a leader may not know the last commits.
         member.raft.term_start_index = member.raft.commit + 1
         member.current_at = float("-inf")
         member.update_current_at()
--- a/tests/test_node_daemon.py
+++ b/tests/test_node_daemon.py
@@ -1,4 +1,4 @@
-"""Tests of node processes: settings, metrics, reload, graceful stop, blocked log readers."""
+"""Node processes: settings, metrics, reload, graceful stop, blocked log readers."""
 
 import json
 import os
@@ -14,21 +14,20 @@
 ROOT = pathlib.Path(__file__).parent.parent
 STARTER = "import sys; from merlinthread.platform import main; sys.exit(main.main(sys.argv[1:]))"
 
-
 # Each process gets its own address, on which nothing else listens.
 NETWORK = f"127.{64 + os.getpid() // 250 % 128}.{os.getpid() % 250}"
 ADDRESSES = (f"{NETWORK}.{number}" for number in range(100, 250))
-FRONT, READY, METRICS = 8005, 8002, 9464
+FRONT_PORT, READY_PORT, METRICS_PORT = 8005, 8002, 9464
 
 
-def settings_of(ip: str, seeds: list[str]) -> dict:
+def make_settings(ip: str, seeds: list[str]) -> dict:
     return {
         "node_name": "entry-1",
         "ip": ip,
         "zone": "z",
         "port_range": [7700, 7703],
         "seeds": seeds,
-        "listen": {"front": f"{ip}:{FRONT}", "ready": f"{ip}:{READY}"},
+        "listen": {"front": f"{ip}:{FRONT_PORT}", "ready": f"{ip}:{READY_PORT}"},
         "bounds": {"grace_s": 3},
     }
 
@@ -38,9 +37,9 @@
     """Start an entry process; return it with its address and its settings file."""
     ip = next(ADDRESSES)
     path = tmp_path / "node.json"
-    path.write_text(json.dumps(settings_of(ip, ["127.0.0.1:1"])))
+    path.write_text(json.dumps(make_settings(ip, ["127.0.0.1:1"])))
     process = subprocess.Popen(
-        [sys.executable, "-c", STARTER, "entry", str(METRICS)],
+        [sys.executable, "-c", STARTER, "entry", str(METRICS_PORT)],
         env=os.environ | {"MERLINTHREAD_CONFIG": str(path)},
         stdout=subprocess.PIPE,
         cwd=ROOT,
@@ -68,19 +67,19 @@
     raise AssertionError(f"{event} was never logged")
 
 
-def test_an_entry_without_a_configuration_runs_and_says_that_it_is_not_ready(entry):
+def test_entry_without_a_configuration_runs_but_is_not_ready(entry):
     process, ip, _ = entry
     read_log_until(process, "started")
-    assert status(f"http://{ip}:{READY}/readyz") == 503
-    assert status(f"http://{ip}:{FRONT}/any") == 503
-    text = urllib.request.urlopen(f"http://{ip}:{METRICS}/metrics", timeout=1).read()
+    assert status(f"http://{ip}:{READY_PORT}/readyz") == 503
+    assert status(f"http://{ip}:{FRONT_PORT}/any") == 503
+    text = urllib.request.urlopen(f"http://{ip}:{METRICS_PORT}/metrics", timeout=1).read()
     assert b"merlinthread_refusals_total" in text
 
 
-def test_changed_settings_are_taken_over_without_a_signal_and_bad_ones_refused(entry):
+def test_changed_settings_are_reloaded_and_invalid_ones_refused(entry):
     process, ip, path = entry
     read_log_until(process, "started")
-    path.write_text(json.dumps(settings_of(ip, ["127.0.0.9:1"])))
+    path.write_text(json.dumps(make_settings(ip, ["127.0.0.9:1"])))
     assert read_log_until(process, "reloaded")[-1]["controls"] == ["127.0.0.9"]
     path.write_text("{")
     read_log_until(process, "reload_refused")
@@ -89,7 +88,7 @@
     assert process.poll() is None
 
 
-def test_a_planned_stop_ends_within_its_grace(entry):
+def test_graceful_stop_ends_within_grace_s(entry):
     process, _, _ = entry
     read_log_until(process, "started")
     started_at = time.monotonic()
@@ -99,23 +98,23 @@
     assert time.monotonic() - started_at < 3.5
 
 
-def test_nobody_who_reads_the_log_costs_no_request(entry):
+def test_blocked_log_reader_does_not_block_requests(entry):
     process, ip, _ = entry
     read_log_until(process, "started")
     # Nothing reads the pipe from here on: it fills, and the entry must go on responding.
     for _ in range(1500):
-        assert status(f"http://{ip}:{FRONT}/any") == 503
+        assert status(f"http://{ip}:{FRONT_PORT}/any") == 503
     assert process.poll() is None
 
 
-def test_unusable_arguments_are_told():
+def test_invalid_arguments_print_the_usage():
     completed = subprocess.run(
         [sys.executable, "-c", STARTER, "nothing"], capture_output=True, text=True, cwd=ROOT
     )
     assert completed.returncode == 2 and "usage" in completed.stderr
 
 
-def test_a_missing_settings_file_is_told(tmp_path):
+def test_missing_settings_file_is_reported(tmp_path):
     completed = subprocess.run(
         [sys.executable, "-c", STARTER, "entry"],
         env=os.environ | {"MERLINTHREAD_CONFIG": str(tmp_path / "none.json")},
@@ -126,7 +125,7 @@
     assert completed.returncode == 2 and "none.json" in completed.stderr
 
 
-def test_the_deploy_file_names_what_is_there():
+def test_deploy_file_refers_to_existing_files():
     text = (ROOT / "deploy" / "system.toml").read_text()
     for name in ("deploy/build.sh", "deploy/node.py"):
         assert name in text and (ROOT / name).exists()
--- a/tests/test_stream_connections.py
+++ b/tests/test_stream_connections.py
@@ -1,4 +1,4 @@
-"""Tests of the asyncio HTTP client and server, and of calls between nodes."""
+"""The asyncio HTTP client and server, and calls between nodes, on broken or slow connections."""
 
 import asyncio
 import random
@@ -22,7 +22,7 @@
 
 
 async def raw_server(reply: bytes, reset: bool = False) -> str:
-    async def answer(reader, writer):
+    async def respond(reader, writer):
         await reader.readuntil(b"\r\n\r\n")
         writer.write(reply)
         await writer.drain()
@@ -34,7 +34,7 @@
         else:
             writer.close()
 
-    server = await asyncio.start_server(answer, "127.0.0.1", 0)
+    server = await asyncio.start_server(respond, "127.0.0.1", 0)
     return f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
 
 
@@ -47,19 +47,19 @@
     return await pool.request(address, get(), 2.0)
 
 
-def test_an_answer_comes_back_whole_and_the_connection_is_used_again():
+def test_response_is_complete_and_the_connection_is_reused():
     async def scenario():
-        peers = []
+        connections = []
 
         async def handler(exchange):
-            peers.append(id(exchange.connection))
+            connections.append(id(exchange.connection))
             await exchange.respond(http_messages.Response(200, [], b"hello"))
 
         _, address = await serve(handler)
         pool = stream_client.ConnectionPool(5.0, 1.0, 2.0)
         bodies = [(await pool.request(address, get(), 2.0)).body for _ in range(3)]
         assert bodies == [b"hello"] * 3
-        assert len(set(peers)) == 1
+        assert len(set(connections)) == 1
 
     asyncio.run(scenario())
 
@@ -73,7 +73,7 @@
         b"HTTP/1.1 200 OK\r\ncontent-le",
     ],
 )
-def test_an_answer_that_ends_early_is_never_whole(reply):
+def test_truncated_response_raises_an_error(reply):
     async def scenario():
         address = await raw_server(reply)
         with pytest.raises((errors.ProtocolError, errors.UnreachableError)):
@@ -82,18 +82,18 @@
     asyncio.run(scenario())
 
 
-def test_an_answer_until_close_is_whole_only_without_a_reset():
+def test_response_until_close_is_complete_only_without_a_reset():
     async def scenario():
-        whole = await raw_server(b"HTTP/1.1 200 OK\r\n\r\nall of it")
-        assert (await call(whole)).body == b"all of it"
-        reset = await raw_server(b"HTTP/1.1 200 OK\r\n\r\nall of it", reset=True)
+        closed = await raw_server(b"HTTP/1.1 200 OK\r\n\r\nall of it")
+        assert (await call(closed)).body == b"all of it"
+        aborted = await raw_server(b"HTTP/1.1 200 OK\r\n\r\nall of it", reset=True)
         with pytest.raises(errors.UnreachableError):
-            await call(reset)
+            await call(aborted)
 
     asyncio.run(scenario())
 
 
-def test_bytes_after_an_answer_spoil_the_connection():
+def test_connection_with_extra_bytes_is_not_reused():
     async def scenario():
         reply = b"HTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\naHTTP/1.1 200 OK\r\n"
         address = await raw_server(reply)
@@ -105,7 +105,7 @@
     asyncio.run(scenario())
 
 
-def test_a_client_that_leaves_cancels_the_work_for_it():
+def test_client_disconnect_cancels_the_handler():
     async def scenario():
         began, cancelled = asyncio.Event(), asyncio.Event()
 
@@ -159,7 +159,7 @@
     asyncio.run(scenario())
 
 
-def test_a_head_that_comes_byte_by_byte_gets_408_when_its_time_is_over():
+def test_incomplete_request_head_gets_408_after_the_timeout():
     async def scenario():
         _, address = await serve(unexpected_call, http_messages.Limits(header_timeout_s=0.2))
         reply = await send_raw(address, b"GET / HTTP/1.1\r\nho")
@@ -177,7 +177,7 @@
     asyncio.run(scenario())
 
 
-def test_a_broken_off_answer_does_not_look_complete():
+def test_aborted_response_is_not_taken_as_complete():
     async def scenario():
         async def handler(exchange):
             exchange.start_response(200, [])
@@ -191,7 +191,7 @@
     asyncio.run(scenario())
 
 
-def test_a_leaving_server_finishes_answers_and_asks_clients_to_go():
+def test_stopping_server_finishes_responses_and_sends_connection_close():
     async def scenario():
         release = asyncio.Event()
 
@@ -205,14 +205,14 @@
             await asyncio.sleep(0)
         server.stop_accepting()
         release.set()
-        answer = await task
-        assert answer.body == b"late"
-        assert http_messages.get_header(answer.headers, b"connection") == b"close"
+        response = await task
+        assert response.body == b"late"
+        assert http_messages.get_header(response.headers, b"connection") == b"close"
 
     asyncio.run(scenario())
 
 
-def test_a_leaving_server_still_answers_a_request_that_is_half_read():
+def test_stopping_server_answers_a_partially_read_request():
     async def scenario():
         async def handler(exchange):
             await exchange.respond(http_messages.Response(200, [], exchange.request.body))
@@ -232,7 +232,7 @@
     asyncio.run(scenario())
 
 
-def test_a_stream_that_began_before_the_stop_is_the_last_answer_on_its_connection():
+def test_connection_closes_after_a_stream_begun_before_the_stop():
     async def scenario():
         release = asyncio.Event()
 
@@ -256,7 +256,7 @@
     asyncio.run(scenario())
 
 
-def test_a_node_that_ends_while_it_answers_is_unreachable_not_a_bad_request():
+def test_node_that_closes_without_a_reply_is_unreachable():
     async def scenario():
         address = await raw_server(b"")
         client = node_bus.RpcClient(fleet_nodes.make_codec())
@@ -267,7 +267,7 @@
     asyncio.run(scenario())
 
 
-def test_what_has_not_arrived_when_a_client_gives_up_never_arrives():
+def test_closing_a_connection_discards_unsent_bytes():
     async def scenario():
         loop = asyncio.get_running_loop()
         listener = socket.create_server(("127.0.0.1", 0))
@@ -297,10 +297,10 @@
         self.connections = 0
 
     async def start(self) -> str:
-        server = await asyncio.start_server(self.answer, "127.0.0.1", 0)
+        server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
         return f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
 
-    async def answer(self, reader, writer) -> None:
+    async def serve(self, reader, writer) -> None:
         generation = self.generation
         self.connections += 1
         while await reader.readuntil(b"\r\n\r\n"):
@@ -309,7 +309,7 @@
             writer.write(b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok")
 
 
-def test_of_connections_that_fell_silent_only_the_first_one_used_costs_its_time_limit():
+def test_one_timeout_discards_all_frozen_idle_connections():
     async def scenario():
         server = FreezableServer()
         address = await server.start()
@@ -319,22 +319,22 @@
         server.generation += 1
         with pytest.raises(errors.UnreachableError):
             await pool.request(address, get(), 0.05)
-        answers = await asyncio.gather(*(pool.request(address, get(), 5.0) for _ in range(3)))
-        assert [answer.body for answer in answers] == [b"ok"] * 3
+        responses = await asyncio.gather(*(pool.request(address, get(), 5.0) for _ in range(3)))
+        assert [response.body for response in responses] == [b"ok"] * 3
 
     asyncio.run(scenario())
 
 
-def test_a_client_that_ends_its_side_while_it_reads_nothing_is_left_at_once():
+def test_half_closed_client_cancels_a_blocked_handler():
     async def scenario():
         cancelled = asyncio.Event()
-        stuck = asyncio.Event()
+        sending = asyncio.Event()
 
         async def handler(exchange):
             exchange.start_response(200, [])
             try:
                 while True:
-                    stuck.set()
+                    sending.set()
                     await exchange.send(bytes(1 << 20))
             except asyncio.CancelledError:
                 cancelled.set()
@@ -346,7 +346,7 @@
         sock.setblocking(False)
         await asyncio.get_running_loop().sock_connect(sock, (host, int(port)))
         await asyncio.get_running_loop().sock_sendall(sock, b"GET / HTTP/1.1\r\nhost: a\r\n\r\n")
-        await stuck.wait()
+        await sending.wait()
         sock.shutdown(socket.SHUT_WR)
         await asyncio.wait_for(cancelled.wait(), 5.0)
         sock.close()
@@ -354,7 +354,7 @@
     asyncio.run(scenario())
 
 
-def test_a_long_answer_of_a_node_leaves_in_even_parts_and_arrives_whole(monkeypatch):
+def test_long_reply_is_sent_in_paced_chunks(monkeypatch):
     async def scenario():
         # Random bytes, since a compressible payload would fit into one chunk.
         reply = node_messages.PieceReply(3, random.Random(1).randbytes(24_576), b"")
@@ -376,8 +376,8 @@
 
         monkeypatch.setattr(stream_server.ServerConnection, "write", record_write)
         request = node_messages.PieceRequest("m", 1, b"\xff")
-        answer = await node_bus.RpcClient(codec).call(f"127.0.0.1:{port}", request, 5.0)
-        assert answer == reply
+        received = await node_bus.RpcClient(codec).call(f"127.0.0.1:{port}", request, 5.0)
+        assert received == reply
         assert max(size for _, size in sent) <= node_bus.SEND_CHUNK_BYTES
         began, total = sent[0][0], 0
         for at, size in sent:
@@ -414,7 +414,7 @@
     "plan, made, cancelled",
     [(["lost", "made"], 1, 1), (["made"], 1, 0), (["lost", "refused"], 0, 1)],
 )
-def test_a_second_opening_packet_follows_one_that_is_lost(monkeypatch, plan, made, cancelled):
+def test_lost_connection_attempt_is_hedged_by_a_second(monkeypatch, plan, made, cancelled):
     connector = FakeConnector(list(plan))
     monkeypatch.setattr(stream_client, "connect", connector.connect)
 
@@ -431,7 +431,7 @@
     assert connector.cancelled == cancelled
 
 
-def test_of_two_connections_made_at_once_one_is_closed(monkeypatch):
+def test_surplus_hedged_connection_is_closed(monkeypatch):
     closed = []
     monkeypatch.setattr(stream_client.ClientConnection, "close", lambda self: closed.append(self))
     gate = asyncio.Event()
@@ -444,8 +444,8 @@
 
     async def scenario():
         asyncio.get_running_loop().call_later(0.05, gate.set)
-        taken = await stream_client.connect_hedged("127.0.0.1:1", 0.01, 0.3, 2.0)
+        chosen = await stream_client.connect_hedged("127.0.0.1:1", 0.01, 0.3, 2.0)
         await fleet_nodes.until(lambda: len(closed) == 1)
-        assert taken not in closed
+        assert chosen not in closed
 
     asyncio.run(scenario())
