--- a/src/merlinthread/roles/control.py
+++ b/src/merlinthread/roles/control.py
@@ -28,11 +28,11 @@
         )
         if own_peer is None:
             raise errors.SettingsError(
-                f"control.members: {context.settings.name!r} (name) is not among them; add it",
+                f"control.members: {context.settings.name!r}, this VM's name, is missing; add it",
                 field="control.members",
             )
         self.receiver = bus.Receiver(own_peer.log_bus, context.codec, self.task.inbox.put)
-        self.rpc_server = bus.RpcServer(own_peer.bus, context.codec, self.handle, workers=8)
+        self.rpc_server = bus.RpcServer(own_peer.bus, context.codec, self.handle_message, workers=8)
         self.join_task = base.PeriodicTask("join", JOIN_INTERVAL_S, self.send_join_request)
         self.own_peer = own_peer
         operators_api.add_routes(context.http.routes, self)
@@ -46,7 +46,7 @@
             self.join_task.start()
 
     def send_join_request(self) -> None:
-        """Ask all members to add this one, until the member that it replaces is removed."""
+        """Ask all members to add this one, until it has replaced the lost member."""
         membership = self.task.raft.log.membership
         if self.own_peer.name in membership.voters and self.config.replaces in membership.retired:
             return
@@ -60,10 +60,10 @@
         for sender in list(self.task.senders.values()):
             sender.send(join)
 
-    def handle(self, message: Any) -> Any:
+    def handle_message(self, message: Any) -> Any:
         """Return the reply to a request of an entry."""
         if isinstance(message, messages.PollRequest):
-            return self.on_poll(message)
+            return self.handle_poll(message)
         if isinstance(message, messages.AgentChanges):
             return self.call_log_task(log_task.ReportUpdate(message, futures.Future()))
         if isinstance(message, messages.CommandRequest):
@@ -72,7 +72,7 @@
             return messages.CommandReply(self.submit(command))
         raise errors.ProtocolError(f"control VMs don't handle {type(message).__name__} messages")
 
-    def on_poll(self, poll: messages.PollRequest) -> messages.PollReply:
+    def handle_poll(self, poll: messages.PollRequest) -> messages.PollReply:
         """Return the leader, and the directive if it is newer than the entry's."""
         published = self.task.published
         directive = published.directive
@@ -109,11 +109,11 @@
         """
         self.task.inbox.put(item)
         try:
-            return item.answer.result(self.config.commit_timeout_s)
+            return item.future.result(self.config.commit_timeout_s)
         except futures.TimeoutError:
             raise errors.ControlError(
-                f"no majority confirmed it within {self.config.commit_timeout_s} s; send it again "
-                "with the same request id to learn the outcome",
+                f"not confirmed by a majority within {self.config.commit_timeout_s} s; send it "
+                "again with the same request id to learn the outcome",
                 kind=errors.ErrorKind.OUTCOME_UNKNOWN,
             )
 
