--- a/bench/soak_faults.py
+++ b/bench/soak_faults.py
@@ -194,7 +194,7 @@
         worker = self.rng.choice(list(self.fleet.workers))
         faults = [
             {"is_full": True},
-            {"closes_without_answer": True},
+            {"closes_without_response": True},
             {"never_responds": True},
             {"wrong_request_id": True},
             {"is_unsigned": True},
--- a/bench/swarm.py
+++ b/bench/swarm.py
@@ -29,9 +29,9 @@
 
     corrupt_share = 0.0
 
-    def handle(self, message: object) -> object:
+    def handle_message(self, message: object) -> object:
         """Handle a message of another agent, and corrupt the reply by chance."""
-        reply = super().handle(message)
+        reply = super().handle_message(message)
         if isinstance(reply, messages.ChunkReply) and reply.data:
             if random.random() < self.corrupt_share:
                 reply.data = bytes([reply.data[0] ^ 1]) + reply.data[1:]
@@ -56,7 +56,7 @@
         self.chunk_server = CorruptingChunkServer(self.weights)
         self.chunk_server.corrupt_share = config.get("corrupt_share", 0.0)
         self.rpc_server = bus.RpcServer(
-            checked.bus, context.codec, self.chunk_server.handle, workers=RPC_WORKERS
+            checked.bus, context.codec, self.chunk_server.handle_message, workers=RPC_WORKERS
         )
         self.rpc_server.start()
         self.weights.start()
--- a/src/merlinthread/roles/entry.py
+++ b/src/merlinthread/roles/entry.py
@@ -28,7 +28,7 @@
 
     directive: control_state.Directive
     live: list[agents.AgentReport]
-    others: list[summaries.Summary] = dataclasses.field(default_factory=list)
+    other_summaries: list[summaries.Summary] = dataclasses.field(default_factory=list)
     leaving: frozenset[str] = frozenset()
 
 
@@ -44,9 +44,9 @@
         self.name = context.settings.name
         self.zone = context.settings.availability_zone
         self.lock = threading.Lock()
-        self.view = agents.AgentView(config.agent_lost_after_s)
-        self.others = summaries.SummaryTable(self.name, config.summary_lost_after_s)
-        self.homes: dict[str, bool] = {}
+        self.agent_view = agents.AgentView(config.agent_lost_after_s)
+        self.other_entries = summaries.SummaryTable(self.name, config.summary_lost_after_s)
+        self.is_home_by_agent: dict[str, bool] = {}
         self.incarnation = int(context.wall_clock() * 1000)
         self.counter = 0
         self.directive = control_state.Directive()
@@ -77,7 +77,7 @@
         with self.lock:
             for summary in received:
                 if summary.entry != self.name:
-                    self.others.add(summary, now)
+                    self.other_entries.add(summary, now)
             self.publish()
 
     def set_leaving(self, names: frozenset[str]) -> None:
@@ -95,12 +95,12 @@
         """Replace the snapshot; the caller holds the lock."""
         now = self.context.clock()
         self.snapshot = ZoneSnapshot(
-            self.directive, self.view.live(now), self.others.live(now), self.leaving
+            self.directive, self.agent_view.live(now), self.other_entries.live(now), self.leaving
         )
 
     def home_reports(self) -> list[agents.AgentReport]:
         """Return the reports of agents for which this entry is the home entry."""
-        return [report for report in self.snapshot.live if self.homes.get(report.name)]
+        return [report for report in self.snapshot.live if self.is_home_by_agent.get(report.name)]
 
     def summaries(self) -> list[summaries.Summary]:
         """Return a new summary of this entry and those received from others.
@@ -123,38 +123,38 @@
         if not self.context.in_flight.is_draining:
             live = [report for report in snapshot.live if report.name not in snapshot.leaving]
             summaries.add_reports(summary, live)
-        return [summary, *snapshot.others]
+        return [summary, *snapshot.other_summaries]
 
-    def handle(self, message: Any) -> Any:
+    def handle_message(self, message: Any) -> Any:
         """Return the reply to a request of an agent or another entry."""
         if isinstance(message, messages.Heartbeat):
-            return self.on_heartbeat(message)
+            return self.handle_heartbeat(message)
         if isinstance(message, messages.LoadHeartbeat):
-            return self.on_load_heartbeat(message)
+            return self.handle_load_heartbeat(message)
         if isinstance(message, messages.ExchangeRequest):
-            return self.on_exchange(message)
+            return self.handle_exchange(message)
         raise errors.ProtocolError(f"entries don't handle {type(message).__name__} messages")
 
-    def on_heartbeat(self, heartbeat: messages.Heartbeat) -> messages.HeartbeatReply:
+    def handle_heartbeat(self, heartbeat: messages.Heartbeat) -> messages.HeartbeatReply:
         """Store an agent's report; raise MerlinthreadError (fenced) if the agent was replaced."""
         report = heartbeat.report
         with self.lock:
-            self.view.check_incarnation(report.name, report.incarnation)
-            self.view.update(report, self.context.clock())
-            self.homes[report.name] = heartbeat.is_home
+            self.agent_view.check_incarnation(report.name, report.incarnation)
+            self.agent_view.update(report, self.context.clock())
+            self.is_home_by_agent[report.name] = heartbeat.is_home
             self.publish()
         return self.reply_to(report)
 
-    def on_load_heartbeat(self, heartbeat: messages.LoadHeartbeat) -> messages.HeartbeatReply:
+    def handle_load_heartbeat(self, heartbeat: messages.LoadHeartbeat) -> messages.HeartbeatReply:
         """Update an agent's load; ask for a full report if none of this incarnation is known."""
         order = (heartbeat.incarnation, heartbeat.counter)
         load = (heartbeat.running, heartbeat.queued, heartbeat.queued_tokens)
         with self.lock:
-            self.view.check_incarnation(heartbeat.name, heartbeat.incarnation)
-            report = self.view.update_load(heartbeat.name, order, load, self.context.clock())
+            self.agent_view.check_incarnation(heartbeat.name, heartbeat.incarnation)
+            report = self.agent_view.update_load(heartbeat.name, order, load, self.context.clock())
             if report is None:
                 return messages.HeartbeatReply(self.name, 0.0, None, wants_full=True)
-            self.homes[heartbeat.name] = heartbeat.is_home
+            self.is_home_by_agent[heartbeat.name] = heartbeat.is_home
             self.publish()
         return self.reply_to(report)
 
@@ -167,7 +167,7 @@
             directive if directive.revision > report.revision else None,
         )
 
-    def on_exchange(self, exchange: messages.ExchangeRequest) -> messages.ExchangeReply:
+    def handle_exchange(self, exchange: messages.ExchangeRequest) -> messages.ExchangeReply:
         """Store the summaries of another entry and return this entry's."""
         self.merge_summaries(exchange.summaries)
         directive = self.directive
@@ -238,7 +238,7 @@
 
     def send_to_leader(self, changes: messages.AgentChanges) -> messages.AgentChangesReply | None:
         """Try the control VMs until one accepts the changes; return its reply, or None."""
-        for address in self.addresses():
+        for address in self.leader_first_addresses():
             try:
                 reply = self.report_clients.call(address, changes, RPC_TIMEOUT_S)
             except errors.MerlinthreadError as error:
@@ -252,7 +252,7 @@
         """Return the addresses of control VMs: configured ones, then those that joined later."""
         return list(dict.fromkeys([*self.config.controls, *self.joined_controls.values()]))
 
-    def addresses(self) -> list[str]:
+    def leader_first_addresses(self) -> list[str]:
         """Return the control VMs' addresses, that of the presumed leader first."""
         first = (
             self.control_addresses.get(self.leader)
@@ -287,7 +287,7 @@
         if not hasattr(self.local, "rpc_clients"):
             self.local.rpc_clients = bus.RpcClients(self.context.codec)
         may_have_committed = False
-        for address in self.control_client.addresses():
+        for address in self.control_client.leader_first_addresses():
             remaining = deadline - self.context.clock()
             if remaining <= 0:
                 break
@@ -315,7 +315,7 @@
         self.zone = ZoneState(context, config)
         self.control_client = ControlClient(context, config, self.zone)
         self.rpc_server = bus.RpcServer(
-            context.settings.bus, context.codec, self.zone.handle, workers=4
+            context.settings.bus, context.codec, self.zone.handle_message, workers=4
         )
         self.exchange_clients = bus.RpcClients(context.codec)
         self.rng = random.Random()
@@ -336,7 +336,7 @@
         self.handler.add_routes(context.http.routes)
         self.forwarder = forwarding.Forwarder(self.handler)
         for method in ("GET", "POST"):
-            context.http.routes.add(method, forwarding.PREFIX, self.forwarder.on_request)
+            context.http.routes.add(method, forwarding.PATH_PREFIX, self.forwarder.handle_request)
         self.tasks.append(
             base.PeriodicTask(
                 "settle", OUTCOME_RETRY_INTERVAL_S, self.handler.outcome_retrier.retry_pending
@@ -369,12 +369,14 @@
         """Update the set of leaving VMs from the platform's list."""
         assert self.config.platform_url is not None
         try:
-            reply = self.client.request("GET", f"{self.config.platform_url}/v1/vms", timeout_s=2.0)
-            listed = msgspec.json.decode(reply.body, type=PlatformVmList)
+            response = self.client.request(
+                "GET", f"{self.config.platform_url}/v1/vms", timeout_s=2.0
+            )
+            vm_list = msgspec.json.decode(response.body, type=PlatformVmList)
         except (errors.MerlinthreadError, msgspec.DecodeError) as error:
             logs.debug("platform_unreached", reason=str(error))
             return
-        leaving = frozenset(vm.name for vm in listed.vms if vm.state == "leaving")
+        leaving = frozenset(vm.name for vm in vm_list.vms if vm.state == "leaving")
         if leaving != self.zone.leaving:
             logs.event("platform_leaving", names=sorted(leaving))
             self.zone.set_leaving(leaving)
