--- a/tests/calls.py
+++ b/tests/calls.py
@@ -30,7 +30,7 @@
         return bool(self.digest) and self.text == self.expected
 
 
-def ask(
+def request_completion(
     address: str,
     model: str = "hint",
     account: str = "a1",
--- a/tests/test_request_failures.py
+++ b/tests/test_request_failures.py
@@ -30,7 +30,9 @@
 
 def entry_sees(fleet: fleets.Fleet, vm: fleets.Vm, engines: int) -> bool:
     """Return whether an entry is ready and serves a request."""
-    return calls.ask(vm.http, tokens=1).status == 200 and bool(fleet.get(vm.http, "/readyz"))
+    return calls.request_completion(vm.http, tokens=1).status == 200 and bool(
+        fleet.get(vm.http, "/readyz")
+    )
 
 
 def runs(fleet: fleets.Fleet) -> dict[str, dict]:
@@ -62,7 +64,9 @@
         self.thread.start()
 
     def run(self, address: str) -> None:
-        self.answer = calls.ask(address, tokens=self.tokens, **{"X-Request-Id": self.request_id})
+        self.answer = calls.request_completion(
+            address, tokens=self.tokens, **{"X-Request-Id": self.request_id}
+        )
 
     def wait(self) -> calls.Answer:
         self.thread.join(40)
@@ -128,7 +132,9 @@
     # Enough concurrent requests that even a busy engine would get some.
     addresses = [vm.http for vm in fleet.entries()] * 12
     with concurrent.futures.ThreadPoolExecutor(len(addresses)) as pool:
-        found = list(pool.map(lambda address: calls.ask(address, tokens=30), addresses))
+        found = list(
+            pool.map(lambda address: calls.request_completion(address, tokens=30), addresses)
+        )
     assert {answer.status for answer in found} == {200}
     new = {attempt: run for attempt, run in runs(fleet).items() if attempt not in before}
     assert new and all(run["engine"] != engine for run in new.values())
@@ -146,7 +152,7 @@
     assert asked.wait().is_whole()
     assert process.wait(20) == 0
     others = [vm for vm in fleet.entries() if vm.process is not process]
-    assert all(calls.ask(vm.http).is_whole() for vm in others)
+    assert all(calls.request_completion(vm.http).is_whole() for vm in others)
     broken = [e for vm in fleet.entries() for e in vm.process.events("stream_broken")]
     assert broken == [], "a planned stop is no reason to resume"
 
@@ -211,7 +217,7 @@
     assert int(answer.headers["retry-after"]) >= 1
     assert service_runs(fleet, body.decode()) == 0
     assert calls.call(entry.http, "/lookup").status == 200
-    assert calls.ask(entry.http).is_whole()
+    assert calls.request_completion(entry.http).is_whole()
     for vm in others:
         fleet.restart(vm.name)
     processes.wait_for("a leader", lambda: fleet.leader())
@@ -244,9 +250,9 @@
         fleet.processes[f"{name}-target"].kill()
         fleet.processes[name].kill()
     entry = next(vm for vm in fleet.entries() if vm.settings["availability_zone"] == "zone-a")
-    processes.wait_for("an answer", lambda: calls.ask(entry.http).status == 200, 10)
+    processes.wait_for("an answer", lambda: calls.request_completion(entry.http).status == 200, 10)
     for is_streamed in (True, False):
-        answer = calls.ask(entry.http, is_streamed=is_streamed)
+        answer = calls.request_completion(entry.http, is_streamed=is_streamed)
         assert answer.is_whole()
     assert any(e["target"].startswith("entry-zone-b") for e in entry.process.events("routed"))
 
@@ -257,10 +263,10 @@
     entry = next(vm for vm in fleet.entries() if vm.settings["availability_zone"] == "zone-a")
     processes.wait_for(
         "answers from the other zone",
-        lambda: calls.ask(entry.http, **{"X-Deadline-Ms": "1000"}).status == 200,
+        lambda: calls.request_completion(entry.http, **{"X-Deadline-Ms": "1000"}).status == 200,
         20,
     )
-    assert calls.ask(entry.http).is_whole()
+    assert calls.request_completion(entry.http).is_whole()
     for name in ("engine-zone-a-0", "engine-zone-a-1"):
         fleet.processes[f"{name}-target"].thaw()
 
--- a/tests/test_weights_failures.py
+++ b/tests/test_weights_failures.py
@@ -78,7 +78,7 @@
 
     def run(self, address: str) -> None:
         while not self.stopping.is_set():
-            answer = calls.ask(address)
+            answer = calls.request_completion(address)
             if answer.status != 200 or not answer.is_whole():
                 self.failures.append(f"{answer.status} {answer.body[:300]!r}")
             else:
@@ -120,7 +120,7 @@
     operators.Operator(fleet).bring_in(fleets.simple_bundle(1, {"hint": (digest, 100)}))
     wait_until_serving(fleet, digest, 6)
     assert 1.0 < origin_read_ratio(fleet, "hint-1") <= 1.0 + 6 * CHUNK_BYTES / OBJECT_BYTES
-    calls.ask(fleet.entries()[0].http)
+    calls.request_completion(fleet.entries()[0].http)
     assert served_versions(fleet) <= {(digest, object_hash(fleet, "hint-1"))}
 
 
@@ -140,7 +140,7 @@
     paused = processes.wait_for("a pause", lambda: fleet.status().get("paused"), 20)
     assert "origin_changed" in paused
     assert fleet.serving("hint") == {first_digest: 6}
-    answer = calls.ask(fleet.entries()[0].http)
+    answer = calls.request_completion(fleet.entries()[0].http)
     assert answer.is_whole() and answer.digest == first_digest
     done = fleet.command("bundle", "rollback", "1", "-o", "ana", "--wait")
     assert done.returncode == 0, done.stderr
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -12,14 +12,14 @@
 def test_every_entry_streams_whole_answers(rolled_fleet):
     for vm in rolled_fleet.entries():
         for is_streamed in (True, False):
-            answer = calls.ask(vm.http, is_streamed=is_streamed)
+            answer = calls.request_completion(vm.http, is_streamed=is_streamed)
             assert answer.status == 200, answer.body
             assert answer.is_whole(), answer.text
 
 
 def test_a_decision_is_logged_for_each_request(rolled_fleet):
     entry = rolled_fleet.entries()[0]
-    calls.ask(entry.http, **{"X-Request-Id": "logged-1"})
+    calls.request_completion(entry.http, **{"X-Request-Id": "logged-1"})
     routed = [e for e in entry.process.events("routed") if e["request_id"] == "logged-1"]
     assert len(routed) == 1
     assert routed[0]["target"] and routed[0]["reason"] and routed[0]["candidates"] >= 1
