--- a/tests/calls.py
+++ b/tests/calls.py
@@ -55,7 +55,7 @@
     return answer
 
 
-def call(
+def call_service(
     address: str, path: str, body: bytes = b"{}", method: str = "POST", **headers: str
 ) -> Answer:
     """Call a plain service."""
--- a/tests/test_request_failures.py
+++ b/tests/test_request_failures.py
@@ -163,7 +163,9 @@
 
     def draft(number: int) -> calls.Answer:
         entries = fleet.entries()
-        return calls.call(entries[number % len(entries)].http, "/draft", body, Idempotency_Key=key)
+        return calls.call_service(
+            entries[number % len(entries)].http, "/draft", body, Idempotency_Key=key
+        )
 
     with concurrent.futures.ThreadPoolExecutor(12) as pool:
         answers = list(pool.map(draft, range(12)))
@@ -196,7 +198,7 @@
         answer = first.result()
     assert answer.error()["error"] == "outcome_unknown"
     assert answer.error()["ran"] == "unknown"
-    second = calls.call(fleet.entries()[1].http, "/draft", body, Idempotency_Key=key)
+    second = calls.call_service(fleet.entries()[1].http, "/draft", body, Idempotency_Key=key)
     assert second.error()["error"] == "outcome_unknown"
 
 
@@ -210,20 +212,21 @@
     key = calls.new_key()
     entry = fleet.entries()[0]
     started = time.monotonic()
-    answer = calls.call(entry.http, "/draft", body, Idempotency_Key=key)
+    answer = calls.call_service(entry.http, "/draft", body, Idempotency_Key=key)
     assert time.monotonic() - started < 6
     assert answer.error()["error"] == "not_run"
     assert answer.error()["ran"] == "no"
     assert int(answer.headers["retry-after"]) >= 1
     assert service_runs(fleet, body.decode()) == 0
-    assert calls.call(entry.http, "/lookup").status == 200
+    assert calls.call_service(entry.http, "/lookup").status == 200
     assert calls.request_completion(entry.http).is_whole()
     for vm in others:
         fleet.restart(vm.name)
     processes.wait_for("a leader", lambda: fleet.leader())
     again = processes.wait_for(
         "the key to be free again",
-        lambda: (got := calls.call(entry.http, "/draft", body, Idempotency_Key=key)).status == 200
+        lambda: (got := calls.call_service(entry.http, "/draft", body, Idempotency_Key=key)).status
+        == 200
         and got,
         20,
     )
@@ -240,7 +243,9 @@
         processes.wait_for("the run", lambda: service_runs(fleet, body.decode()) == 1)
         first.process.kill()
         waiting.exception(10)
-    answer = calls.call(second.http, "/draft", body, Idempotency_Key=key, X_Deadline_Ms="1500")
+    answer = calls.call_service(
+        second.http, "/draft", body, Idempotency_Key=key, X_Deadline_Ms="1500"
+    )
     assert answer.status == 200 or answer.error()["error"] == "outcome_unknown"
     assert service_runs(fleet, body.decode()) == 1
 
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -28,7 +28,7 @@
 def test_a_call_under_one_key_runs_once_at_any_entry(rolled_fleet):
     key = calls.new_key()
     answers = [
-        calls.call(vm.http, "/draft", b'{"lamp": "once"}', Idempotency_Key=key)
+        calls.call_service(vm.http, "/draft", b'{"lamp": "once"}', Idempotency_Key=key)
         for vm in rolled_fleet.entries()
     ]
     assert {answer.status for answer in answers} == {200}
@@ -47,7 +47,7 @@
     ],
 )
 def test_refusals_say_what_to_do(rolled_fleet, headers, error):
-    answer = calls.call(rolled_fleet.entries()[0].http, "/draft", **headers)
+    answer = calls.call_service(rolled_fleet.entries()[0].http, "/draft", **headers)
     assert answer.error()["error"] == error
     assert answer.error()["ran"] == "no"
 
@@ -55,8 +55,8 @@
 def test_a_key_with_another_body_is_refused(rolled_fleet):
     key = calls.new_key()
     entry = rolled_fleet.entries()[0].http
-    assert calls.call(entry, "/draft", b'{"lamp": 1}', Idempotency_Key=key).status == 200
-    second = calls.call(entry, "/draft", b'{"lamp": 2}', Idempotency_Key=key)
+    assert calls.call_service(entry, "/draft", b'{"lamp": 1}', Idempotency_Key=key).status == 200
+    second = calls.call_service(entry, "/draft", b'{"lamp": 2}', Idempotency_Key=key)
     assert second.error()["error"] == "key_conflict"
 
 
