--- a/tests/calls.py
+++ b/tests/calls.py
@@ -13,7 +13,7 @@
 
 
 @dataclasses.dataclass
-class Answer:
+class Response:
     """A response; for completions, also the text received and the expected one."""
 
     status: int
@@ -38,7 +38,7 @@
     is_streamed: bool = True,
     prompt: str = "",
     **headers: str,
-) -> Answer:
+) -> Response:
     """Request a completion and return the response with the expected text."""
     prompt = prompt or f"explain {uuid.uuid4().hex}"
     body = msgspec.json.encode(
@@ -47,24 +47,24 @@
     all_headers = {"X-Account": account, "Content-Type": "application/json", **headers}
     stream = CLIENT.open("POST", f"http://{address}/v1/completions", body, all_headers, 30)
     data = stream.read(1 << 24)
-    answer = Answer(stream.status, stream.headers, data)
+    response = Response(stream.status, stream.headers, data)
     if stream.status == 200:
         read = demo.read_stream if is_streamed else demo.read_whole
-        answer.text, answer.digest = read(data)
-        answer.expected = engine.completion_text(answer.digest, prompt, tokens)
-    return answer
+        response.text, response.digest = read(data)
+        response.expected = engine.completion_text(response.digest, prompt, tokens)
+    return response
 
 
 def call_service(
     address: str, path: str, body: bytes = b"{}", method: str = "POST", **headers: str
-) -> Answer:
+) -> Response:
     """Call a plain service."""
     all_headers = {"X-Account": "a1", "Content-Type": "application/json"}
     all_headers |= {name.replace("_", "-"): value for name, value in headers.items()}
-    reply = CLIENT.request(
+    response = CLIENT.request(
         method, f"http://{address}/v1/services/tickets{path}", body, all_headers, 30
     )
-    return Answer(reply.status, reply.headers, reply.body)
+    return Response(response.status, response.headers, response.body)
 
 
 def new_key() -> str:
--- a/tests/test_request_failures.py
+++ b/tests/test_request_failures.py
@@ -59,7 +59,7 @@
     def __init__(self, address: str, request_id: str, tokens: int = TOKENS) -> None:
         self.request_id = request_id
         self.tokens = tokens
-        self.answer: calls.Answer | None = None
+        self.answer: calls.Response | None = None
         self.thread = threading.Thread(target=self.run, args=(address,))
         self.thread.start()
 
@@ -68,7 +68,7 @@
             address, tokens=self.tokens, **{"X-Request-Id": self.request_id}
         )
 
-    def wait(self) -> calls.Answer:
+    def wait(self) -> calls.Response:
         self.thread.join(40)
         assert self.answer is not None
         return self.answer
@@ -161,7 +161,7 @@
     key = calls.new_key()
     body = b'{"lamp": "race"}'
 
-    def draft(number: int) -> calls.Answer:
+    def draft(number: int) -> calls.Response:
         entries = fleet.entries()
         return calls.call_service(
             entries[number % len(entries)].http, "/draft", body, Idempotency_Key=key
