--- a/tests/calls.py
+++ b/tests/calls.py
@@ -26,7 +26,7 @@
     def error(self) -> dict:
         return msgspec.json.decode(self.body)
 
-    def is_whole(self) -> bool:
+    def is_complete(self) -> bool:
         return bool(self.digest) and self.text == self.expected
 
 
--- a/tests/test_request_failures.py
+++ b/tests/test_request_failures.py
@@ -96,7 +96,7 @@
     fleet.processes[engine + victim].kill()
     answer = asked.wait()
     assert answer.status == 200
-    assert answer.is_whole(), answer.text
+    assert answer.is_complete(), answer.text
     entry = fleet.entries()[0].process
     assert [e["relayed"] > 0 for e in entry.events("stream_broken")] == [True]
 
@@ -138,7 +138,7 @@
     assert {answer.status for answer in found} == {200}
     new = {attempt: run for attempt, run in runs(fleet).items() if attempt not in before}
     assert new and all(run["engine"] != engine for run in new.values())
-    assert asked.wait().is_whole()
+    assert asked.wait().is_complete()
 
 
 @pytest.mark.parametrize("role", ["agent", "entry"])
@@ -149,10 +149,10 @@
     engine = asked.engine(fleet)
     process = entry.process if role == "entry" else fleet.processes[engine]
     process.stop()
-    assert asked.wait().is_whole()
+    assert asked.wait().is_complete()
     assert process.wait(20) == 0
     others = [vm for vm in fleet.entries() if vm.process is not process]
-    assert all(calls.request_completion(vm.http).is_whole() for vm in others)
+    assert all(calls.request_completion(vm.http).is_complete() for vm in others)
     broken = [e for vm in fleet.entries() for e in vm.process.events("stream_broken")]
     assert broken == [], "a planned stop is no reason to resume"
 
@@ -219,7 +219,7 @@
     assert int(answer.headers["retry-after"]) >= 1
     assert service_runs(fleet, body.decode()) == 0
     assert calls.call_service(entry.http, "/lookup").status == 200
-    assert calls.request_completion(entry.http).is_whole()
+    assert calls.request_completion(entry.http).is_complete()
     for vm in others:
         fleet.restart(vm.name)
     processes.wait_for("a leader", lambda: fleet.leader())
@@ -258,7 +258,7 @@
     processes.wait_for("an answer", lambda: calls.request_completion(entry.http).status == 200, 10)
     for is_streamed in (True, False):
         answer = calls.request_completion(entry.http, is_streamed=is_streamed)
-        assert answer.is_whole()
+        assert answer.is_complete()
     assert any(e["target"].startswith("entry-zone-b") for e in entry.process.events("routed"))
 
 
@@ -271,7 +271,7 @@
         lambda: calls.request_completion(entry.http, **{"X-Deadline-Ms": "1000"}).status == 200,
         20,
     )
-    assert calls.request_completion(entry.http).is_whole()
+    assert calls.request_completion(entry.http).is_complete()
     for name in ("engine-zone-a-0", "engine-zone-a-1"):
         fleet.processes[f"{name}-target"].thaw()
 
--- a/tests/test_weights_failures.py
+++ b/tests/test_weights_failures.py
@@ -79,7 +79,7 @@
     def run(self, address: str) -> None:
         while not self.stopping.is_set():
             answer = calls.request_completion(address)
-            if answer.status != 200 or not answer.is_whole():
+            if answer.status != 200 or not answer.is_complete():
                 self.failures.append(f"{answer.status} {answer.body[:300]!r}")
             else:
                 self.succeeded += 1
@@ -141,7 +141,7 @@
     assert "origin_changed" in paused
     assert fleet.serving("hint") == {first_digest: 6}
     answer = calls.request_completion(fleet.entries()[0].http)
-    assert answer.is_whole() and answer.digest == first_digest
+    assert answer.is_complete() and answer.digest == first_digest
     done = fleet.command("bundle", "rollback", "1", "-o", "ana", "--wait")
     assert done.returncode == 0, done.stderr
     assert not fleet.status()["paused"]
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -14,7 +14,7 @@
         for is_streamed in (True, False):
             answer = calls.request_completion(vm.http, is_streamed=is_streamed)
             assert answer.status == 200, answer.body
-            assert answer.is_whole(), answer.text
+            assert answer.is_complete(), answer.text
 
 
 def test_a_decision_is_logged_for_each_request(rolled_fleet):
