--- a/tests/crashing_fleet.py
+++ b/tests/crashing_fleet.py
@@ -96,7 +96,9 @@
         self.request_count += 1
         headers = {"X_Merlinthread_Model": self.model} if self.model else {}
         target = path or f"/{self.service}/x"
-        return await self.entries[entry].ask(target, f"id-{self.request_count}", body, **headers)
+        return await self.entries[entry].request(
+            target, f"id-{self.request_count}", body, **headers
+        )
 
     def crash_times(self) -> list[float]:
         """Return the times of worker crashes, in order."""
--- a/tests/fed_fleet.py
+++ b/tests/fed_fleet.py
@@ -37,7 +37,7 @@
         """Send a client request; return its response."""
         self.request_count += 1
         headers = STREAM if self.model else {}
-        return await self.entry.ask(f"/{self.service}/x", f"id-{self.request_count}", **headers)
+        return await self.entry.request(f"/{self.service}/x", f"id-{self.request_count}", **headers)
 
     def now(self) -> float:
         """Return the time on the entry's clock."""
--- a/tests/fleet_nodes.py
+++ b/tests/fleet_nodes.py
@@ -281,7 +281,7 @@
         )
         self.node.watcher.apply(news)
 
-    async def ask(
+    async def request(
         self, path: str, request_id: str, body: bytes = b"", **headers
     ) -> http_messages.Response:
         """Send a client request and return its response."""
--- a/tests/limited_fleet.py
+++ b/tests/limited_fleet.py
@@ -52,7 +52,7 @@
         headers["Api_Key"] = key
         try:
             target = self.entries[entry]
-            answer = await target.ask(
+            answer = await target.request(
                 f"/{self.service}/x", f"id-{self.request_count}", b"", **headers
             )
         except Exception:
--- a/tests/test_entry_node.py
+++ b/tests/test_entry_node.py
@@ -33,7 +33,9 @@
 def test_a_request_reaches_a_worker_unchanged_but_for_what_the_system_sets():
     async def scenario():
         entry, (worker,), _ = await make_entry("safe", 1)
-        answer = await entry.ask("/safe/x?q=1", "id-1", X_Other="kept", X_Merlinthread_Tenant="me")
+        answer = await entry.request(
+            "/safe/x?q=1", "id-1", X_Other="kept", X_Merlinthread_Tenant="me"
+        )
         assert (answer.status, answer.body) == (200, b"answer of i-0 to id-1")
         run = worker.runs[0]
         assert (run.target, run.headers["x-other"]) == ("/safe/x?q=1", "kept")
@@ -50,7 +52,7 @@
         entry, workers, _ = await make_entry("unsafe", 2)
         for worker in workers:
             worker.behaviour.closes_without_answer = True
-        answer = await entry.ask("/unsafe/", "id-1")
+        answer = await entry.request("/unsafe/", "id-1")
         assert (answer.status, count_runs(workers)) == (502, 1)
 
     asyncio.run(scenario())
@@ -61,7 +63,7 @@
         entry, workers, _ = await make_entry("safe", 2)
         workers[0].behaviour.closes_without_answer = True
         for number in range(4):
-            assert (await entry.ask("/safe/", f"id-{number}")).status == 200
+            assert (await entry.request("/safe/", f"id-{number}")).status == 200
 
     asyncio.run(scenario())
 
@@ -72,7 +74,7 @@
         entry, workers, _ = await make_entry(service, 2)
         for worker in workers:
             worker.behaviour.is_full = True
-        answer = await entry.ask(f"/{service}/", "id-1")
+        answer = await entry.request(f"/{service}/", "id-1")
         assert (answer.status, count_runs(workers)) == (503, 0)
         assert float(http_messages.get_header(answer.headers, b"retry-after")) > 0
 
@@ -83,7 +85,7 @@
     async def scenario():
         entry, workers, _ = await make_entry("unsafe", 1)
         workers[0].behaviour.closes_without_answer = True
-        answer = await entry.ask("/unsafe/", "id-1")
+        answer = await entry.request("/unsafe/", "id-1")
         assert answer.status not in (408, 421, 429, 503)
 
     asyncio.run(scenario())
@@ -94,7 +96,7 @@
         for field in ("wrong_request_id", "is_unsigned"):
             entry, workers, _ = await make_entry("unsafe", 1)
             setattr(workers[0].behaviour, field, True)
-            assert (await entry.ask("/unsafe/", "id-1")).status == 502
+            assert (await entry.request("/unsafe/", "id-1")).status == 502
 
     asyncio.run(scenario())
 
@@ -103,7 +105,7 @@
     async def scenario():
         entry, workers, _ = await make_entry("unsafe", 1)
         workers[0].behaviour.status = 500
-        answer = await entry.ask("/unsafe/", "id-1")
+        answer = await entry.request("/unsafe/", "id-1")
         assert answer.status == 500
         assert http_messages.get_header(answer.headers, b"x-merlinthread-response-stamp")
 
@@ -121,13 +123,13 @@
         for number in range(8):
             backend.apply_report(report, entry.node.clock())
             backend.unread_tokens = unread
-            answer = await entry.ask("/model/", f"id-{number}", **STREAM)
+            answer = await entry.request("/model/", f"id-{number}", **STREAM)
             assert (answer.status, count_runs([worker])) == (503, 0)
             waits.append(float(http_messages.get_header(answer.headers, b"retry-after")))
         assert min(waits) >= 0.4 and max(waits) <= 2.5 / 3 and len(set(waits)) > 1
         backend.apply_report(report, entry.node.clock())
         late = STREAM | {"X_Merlinthread_Deadline_Ms": "2000"}
-        assert (await entry.ask("/model/", "id-late", **late)).status == 200
+        assert (await entry.request("/model/", "id-late", **late)).status == 200
 
     asyncio.run(scenario())
 
@@ -137,10 +139,10 @@
         lines = []
         monkeypatch.setattr(logs, "event", lambda name, **fields: lines.append((name, fields)))
         entry, workers, _ = await make_entry("safe", 2)
-        assert (await entry.ask("/safe/", "id-1")).status == 200
+        assert (await entry.request("/safe/", "id-1")).status == 200
         workers[0].behaviour.closes_without_answer = True
         workers[1].behaviour.is_full = True
-        await entry.ask("/safe/", "id-2")
+        await entry.request("/safe/", "id-2")
         told = [fields["sent"] for name, fields in lines if name == "request"]
         assert told[0] == 1 and told[1] == 2
 
@@ -154,13 +156,13 @@
         body = fleet_nodes.configuration(1, ["safe"])
         entry.feed(body, {}, leader_age_s=100.0)
         for path, key in (("/nowhere/", "key-1"), ("/safe/", "wrong")):
-            answer = await entry.ask(path, "id-1", Api_Key=key)
+            answer = await entry.request(path, "id-1", Api_Key=key)
             assert answer.status == 503
             assert float(http_messages.get_header(answer.headers, b"retry-after")) > 0
         entry.feed(body, {})
-        assert (await entry.ask("/nowhere/", "id-2")).status == 404
+        assert (await entry.request("/nowhere/", "id-2")).status == 404
         entry.node.watcher.disconnect("its control VM is silent")
-        assert (await entry.ask("/nowhere/", "id-3")).status == 503
+        assert (await entry.request("/nowhere/", "id-3")).status == 503
 
     asyncio.run(scenario())
 
@@ -168,8 +170,8 @@
 def test_unknown_keys_and_routes_are_refused():
     async def scenario():
         entry, workers, _ = await make_entry("safe", 1)
-        assert (await entry.ask("/safe/", "id-1", Api_Key="wrong")).status == 401
-        assert (await entry.ask("/nowhere/", "id-2")).status == 404
+        assert (await entry.request("/safe/", "id-1", Api_Key="wrong")).status == 401
+        assert (await entry.request("/nowhere/", "id-2")).status == 404
         assert count_runs(workers) == 0
 
     asyncio.run(scenario())
@@ -179,7 +181,7 @@
     async def scenario():
         entry = fleet_nodes.Entry()
         await entry.start()
-        answer = await entry.ask("/safe/", "id-1")
+        answer = await entry.request("/safe/", "id-1")
         assert answer.status == 503
         told = float(http_messages.get_header(answer.headers, b"retry-after"))
         assert told > entry.node.settings.heartbeat_s, "back ends are known by their heartbeats"
@@ -217,7 +219,7 @@
         entry, workers, _ = await make_entry("model", 1, "m")
         workers[0].behaviour.cut_after_events = 2
         with pytest.raises((errors.ProtocolError, errors.UnreachableError)):
-            await entry.ask("/model/", "id-1", **STREAM)
+            await entry.request("/model/", "id-1", **STREAM)
 
     asyncio.run(scenario())
 
@@ -254,7 +256,7 @@
         entry, workers, body = await make_entry("safe", 2)
         entry.feed(body, {}, gone=["i-0"])
         for number in range(6):
-            await entry.ask("/safe/", f"id-{number}")
+            await entry.request("/safe/", f"id-{number}")
         assert (len(workers[0].runs), len(workers[1].runs)) == (0, 6)
 
     asyncio.run(scenario())
@@ -264,7 +266,7 @@
     async def scenario():
         entry, (worker,), _ = await make_entry("unsafe", 1)
         worker.instance = "i-other"
-        answer = await entry.ask("/unsafe/", "id-1")
+        answer = await entry.request("/unsafe/", "id-1")
         assert (answer.status, count_runs([worker])) == (503, 0)
 
     asyncio.run(scenario())
@@ -324,7 +326,7 @@
         pool.backends[engine.instance].apply_report(report, now)
         watcher.named, watcher.named_at = {"m": 3}, {"m": {2: now - 60.0, 3: now}}
         assert pool.required_version("m", now) == 2
-        answer = await entry.ask("/model/", "id-1", **STREAM)
+        answer = await entry.request("/model/", "id-1", **STREAM)
         assert (answer.status, count_runs([engine])) == (200, 1)
 
     asyncio.run(scenario())
@@ -355,7 +357,7 @@
         full.behaviour.is_full = True
         orders = set()
         for number in range(20):
-            answer = await entry.ask("/safe/", f"id-{number}")
+            answer = await entry.request("/safe/", f"id-{number}")
             if count_runs([lost]):
                 assert answer.status not in (408, 421, 429, 503)
             orders.add(count_runs([lost]))
@@ -373,7 +375,7 @@
         entry, (worker,), _ = await make_entry("safe", 1)
         backend = next(iter(entry.node.pool.backends.values()))
         dispatch.record_failure(backend, entry.node.clock())
-        assert (await entry.ask("/safe/", "id-1")).status == 200
+        assert (await entry.request("/safe/", "id-1")).status == 200
         assert count_runs([worker]) == 1
 
     asyncio.run(scenario())
@@ -382,13 +384,13 @@
 def test_a_kept_connection_that_fell_silent_takes_the_others_to_its_back_end_with_it(monkeypatch):
     async def scenario():
         entry, workers, _ = await make_entry("model", 1, "m")
-        await asyncio.gather(*(entry.ask("/model/", f"id-{n}", **STREAM) for n in range(3)))
+        await asyncio.gather(*(entry.request("/model/", f"id-{n}", **STREAM) for n in range(3)))
         pool = entry.node.pool.connections.pool
         assert len(pool.idle["i-0"]) == 3
         workers[0].behaviour.never_responds = True
         monkeypatch.setattr(attempts, "FIRST_EVENT_MIN_S", 0.05)
         monkeypatch.setattr(attempts, "FIRST_EVENT_OBJECTIVE_FACTOR", 0.0)
-        task = asyncio.ensure_future(entry.ask("/model/", "id-9", **STREAM))
+        task = asyncio.ensure_future(entry.request("/model/", "id-9", **STREAM))
         await fleet_nodes.until(lambda: count_runs(workers) == 4)
         await fleet_nodes.until(lambda: not pool.idle.get("i-0"), 3.0)
         task.cancel()
@@ -406,11 +408,11 @@
         # As after connection timeouts: the time for admission is over.
         monkeypatch.setattr(request_task, "ADMISSION_SHARE", -1.0)
         backend.apply_report(report, entry.node.clock())
-        assert (await entry.ask("/model/", "id-1", **STREAM)).status == 200
+        assert (await entry.request("/model/", "id-1", **STREAM)).status == 200
         # Without room, a late request would also delay the queued ones.
         report.running = backend.slots
         backend.apply_report(report, entry.node.clock())
-        answer = await entry.ask("/model/", "id-2", **STREAM)
+        answer = await entry.request("/model/", "id-2", **STREAM)
         assert (answer.status, count_runs([worker])) == (503, 1)
 
     asyncio.run(scenario())
@@ -472,7 +474,7 @@
         body = fleet_nodes.configuration(1, [], "model")
         entry.feed(body, {worker: "model" for worker in workers})
         for number in range(64):
-            answer = await entry.ask("/model/x", f"id-{number}", **STREAM)
+            answer = await entry.request("/model/x", f"id-{number}", **STREAM)
             assert answer.status == 200
         assert max(len(worker.runs) for worker in workers) <= 24
 
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -70,9 +70,9 @@
     async def scenario():
         clock = fleet_nodes.JumpingClock()
         entry, _ = await start_entry(clock)
-        assert (await entry.ask("/added-later/", "id-1")).status == 404
+        assert (await entry.request("/added-later/", "id-1")).status == 404
         clock.suspended_s = 5.0
-        assert (await entry.ask("/added-later/", "id-2")).status == 503
+        assert (await entry.request("/added-later/", "id-2")).status == 503
 
     asyncio.run(scenario())
 
@@ -89,7 +89,7 @@
             return await choose(demand, left_s)
 
         pool.choose = choose_over_a_suspension
-        answer = await entry.ask("/safe/", "id-1")
+        answer = await entry.request("/safe/", "id-1")
         assert (answer.status, worker.runs) == (504, [])
 
     asyncio.run(scenario())
