--- a/tests/fed_fleet.py
+++ b/tests/fed_fleet.py
@@ -31,7 +31,7 @@
         """Announce to the entry that some workers are ready."""
         services = [] if self.model else [self.service]
         body = fleet_nodes.configuration(1, services, self.service if self.model else "")
-        self.entry.feed(body, {worker: self.service for worker in workers})
+        self.entry.apply_update(body, {worker: self.service for worker in workers})
 
     async def ask(self) -> http_messages.Response:
         """Send a client request; return its response."""
--- a/tests/fleet_nodes.py
+++ b/tests/fleet_nodes.py
@@ -243,7 +243,7 @@
         port = self.node.server.listener.sockets[0].getsockname()[1]
         self.address = f"127.0.0.1:{port}"
 
-    def feed(
+    def apply_update(
         self, body: dict, workers: dict[fleet_worker.Worker, str], gone=(), leader_age_s=0.0
     ) -> None:
         """Send the entry a configuration and its workers, as a control VM would."""
--- a/tests/test_control_nodes.py
+++ b/tests/test_control_nodes.py
@@ -221,8 +221,8 @@
     )
     entry = fleet_nodes.Entry()
     entry.node.watcher = watcher
-    entry.feed(fleet_nodes.configuration(5, ["safe"]), {})
-    entry.feed(fleet_nodes.configuration(4, ["safe"]), {})
+    entry.apply_update(fleet_nodes.configuration(5, ["safe"]), {})
+    entry.apply_update(fleet_nodes.configuration(4, ["safe"]), {})
     assert watcher.version == 5
 
 
--- a/tests/test_entry_node.py
+++ b/tests/test_entry_node.py
@@ -22,7 +22,7 @@
         await worker.start()
     services = [] if model else [service]
     body = fleet_nodes.configuration(1, services, service if model else "")
-    entry.feed(body, {worker: service for worker in workers})
+    entry.apply_update(body, {worker: service for worker in workers})
     return entry, workers, body
 
 
@@ -154,12 +154,12 @@
         entry = fleet_nodes.Entry()
         await entry.start()
         body = fleet_nodes.configuration(1, ["safe"])
-        entry.feed(body, {}, leader_age_s=100.0)
+        entry.apply_update(body, {}, leader_age_s=100.0)
         for path, key in (("/nowhere/", "key-1"), ("/safe/", "wrong")):
             answer = await entry.request(path, "id-1", Api_Key=key)
             assert answer.status == 503
             assert float(http_messages.get_header(answer.headers, b"retry-after")) > 0
-        entry.feed(body, {})
+        entry.apply_update(body, {})
         assert (await entry.request("/nowhere/", "id-2")).status == 404
         entry.node.watcher.disconnect("its control VM is silent")
         assert (await entry.request("/nowhere/", "id-3")).status == 503
@@ -254,7 +254,7 @@
 def test_a_draining_worker_gets_nothing_new():
     async def scenario():
         entry, workers, body = await make_entry("safe", 2)
-        entry.feed(body, {}, gone=["i-0"])
+        entry.apply_update(body, {}, gone=["i-0"])
         for number in range(6):
             await entry.request("/safe/", f"id-{number}")
         assert (len(workers[0].runs), len(workers[1].runs)) == (0, 6)
@@ -472,7 +472,7 @@
         for worker in workers:
             await worker.start()
         body = fleet_nodes.configuration(1, [], "model")
-        entry.feed(body, {worker: "model" for worker in workers})
+        entry.apply_update(body, {worker: "model" for worker in workers})
         for number in range(64):
             answer = await entry.request("/model/x", f"id-{number}", **STREAM)
             assert answer.status == 200
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -62,7 +62,7 @@
     await entry.start()
     worker = fleet_worker.Worker("i-0")
     await worker.start()
-    entry.feed(fleet_nodes.configuration(1, ["safe"]), {worker: "safe"})
+    entry.apply_update(fleet_nodes.configuration(1, ["safe"]), {worker: "safe"})
     return entry, worker
 
 
--- a/tests/test_weights_task.py
+++ b/tests/test_weights_task.py
@@ -74,7 +74,7 @@
             entry = fleet_nodes.Entry()
             entry.node.watcher = agent.watcher
             entry.sequence = self.sequence
-            entry.feed(body, {})
+            entry.apply_update(body, {})
             for number, engine in enumerate(self.engines):
                 # Agents derive the addresses of their peers from those of the engines.
                 heartbeat = {
