--- a/tests/fleet_nodes.py
+++ b/tests/fleet_nodes.py
@@ -23,7 +23,7 @@
 NETWORK = soak_nodes.NETWORK
 
 
-class JumpingClock:
+class SuspendableClock:
     """The clock of a VM that was suspended for `suspended_s` while its timers were stopped."""
 
     def __init__(self) -> None:
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -37,7 +37,7 @@
 
 def test_a_leader_that_wakes_up_does_not_answer_from_its_old_lease(tmp_path):
     async def scenario():
-        clock = fleet_nodes.JumpingClock()
+        clock = fleet_nodes.SuspendableClock()
         controls = fleet_nodes.Controls(tmp_path, clock=clock)
         await controls.start_all()
         await fleet_nodes.until(controls.leader)
@@ -55,7 +55,7 @@
 
 
 async def start_entry(
-    clock: fleet_nodes.JumpingClock,
+    clock: fleet_nodes.SuspendableClock,
 ) -> tuple[fleet_nodes.Entry, fleet_worker.Worker]:
     """Start an entry with one back end of the service "safe"."""
     entry = fleet_nodes.Entry(clock=clock)
@@ -68,7 +68,7 @@
 
 def test_an_entry_that_wakes_up_does_not_take_its_configuration_as_the_newest():
     async def scenario():
-        clock = fleet_nodes.JumpingClock()
+        clock = fleet_nodes.SuspendableClock()
         entry, _ = await start_entry(clock)
         assert (await entry.request("/added-later/", "id-1")).status == 404
         clock.suspended_s = 5.0
@@ -79,7 +79,7 @@
 
 def test_a_request_whose_time_ran_out_during_the_suspension_is_not_sent():
     async def scenario():
-        clock = fleet_nodes.JumpingClock()
+        clock = fleet_nodes.SuspendableClock()
         entry, worker = await start_entry(clock)
         pool = entry.node.pool
         choose = pool.choose
@@ -97,7 +97,7 @@
 
 def test_weights_fall_due_budgets_refill_and_reports_grow_old_over_a_suspension():
     async def scenario():
-        clock = fleet_nodes.JumpingClock()
+        clock = fleet_nodes.SuspendableClock()
         entry, _ = await start_entry(clock)
         watcher, pool = entry.node.watcher, entry.node.pool
         published = [node_messages.NamedVersion("m", 2, 0.0)]
@@ -117,7 +117,7 @@
 
 
 def test_heartbeats_and_suspicions_grow_old_over_a_suspension(tmp_path):
-    clock = fleet_nodes.JumpingClock()
+    clock = fleet_nodes.SuspendableClock()
     registry = instances.InstanceRegistry(1.2)
     heartbeat = fleet_nodes.dialect.bodies.parse_heartbeat(
         "i",
