--- a/tests/fleet_nodes.py
+++ b/tests/fleet_nodes.py
@@ -120,7 +120,7 @@
     def kill(self, ip: str) -> None:
         """Stop a control VM abruptly, like a killed process; its files stay."""
         node = self.nodes.pop(ip)
-        end_tasks(node)
+        abort_control_node(node)
         node.member.close()
 
     def leader(self) -> str:
@@ -156,7 +156,7 @@
         raise AssertionError(f"{method} {path} was never acknowledged")
 
 
-def end_tasks(node: control_node.ControlNode) -> None:
+def abort_control_node(node: control_node.ControlNode) -> None:
     """Cancel the tasks and abort the connections of a control VM, as if its process ended."""
     for task in node.tasks + node.member.sender.tasks():
         task.cancel()
--- a/tests/test_log_repair.py
+++ b/tests/test_log_repair.py
@@ -145,7 +145,7 @@
         new = controls.nodes[REPLACEMENT].member
         await fleet_nodes.until(lambda: new.name in new.raft.log.voters.voters)
         await controls.nodes[leader].stop()
-        fleet_nodes.end_tasks(controls.nodes.pop(leader))
+        fleet_nodes.abort_control_node(controls.nodes.pop(leader))
         # A further failure right away: of three remaining voters, two are a majority.
         assert len(new.raft.log.voters.voters) == 3
         controls.kill(next(ip for ip in controls.nodes if ip != REPLACEMENT))
@@ -173,7 +173,7 @@
         member.raft.change_membership(raft_members.MembershipChange(remove=lost), time.monotonic())
         assert member.raft.log.has_membership_change_after(member.raft.commit)
         await controls.nodes[leader].stop()
-        fleet_nodes.end_tasks(controls.nodes.pop(leader))
+        fleet_nodes.abort_control_node(controls.nodes.pop(leader))
         await put_configuration(controls, 2)
 
     run(tmp_path, scenario)
@@ -184,7 +184,7 @@
         await put_configuration(controls, 1)
         leader = controls.leader()
         await controls.nodes[leader].stop()
-        fleet_nodes.end_tasks(controls.nodes.pop(leader))
+        fleet_nodes.abort_control_node(controls.nodes.pop(leader))
         await put_configuration(controls, 2)
         await controls.start(leader)
         assert await read_version(controls) == 2
