--- a/tests/fed_fleet.py
+++ b/tests/single_entry_fleet.py
@@ -7,7 +7,7 @@
 STREAM = {"X_Merlinthread_Model": "m", "X_Merlinthread_Token_Usage": "100,20"}
 
 
-class FedFleet:
+class SingleEntryFleet:
     """An entry and its workers; the service "model" streams its responses, others do not."""
 
     def __init__(self, service: str = "safe", count: int = 2, work_s: float = 0.0) -> None:
@@ -19,7 +19,7 @@
             worker.behaviour.work_s = work_s
         self.request_count = 0
 
-    async def start(self) -> "FedFleet":
+    async def start(self) -> "SingleEntryFleet":
         """Start the entry and the workers, and announce all workers to the entry."""
         await self.entry.start()
         for worker in self.workers:
--- a/tests/test_leaving_answers.py
+++ b/tests/test_leaving_answers.py
@@ -9,12 +9,12 @@
 
 from merlinthread.coordination import fleet, instances
 from stand_ins import fleet_worker
-from tests import crashing_fleet, fed_fleet, fleet_nodes
+from tests import crashing_fleet, fleet_nodes, single_entry_fleet
 
 REQUESTS = 12
 
 
-class LeavingFleet(fed_fleet.FedFleet):
+class LeavingFleet(single_entry_fleet.SingleEntryFleet):
     """A fleet in which one worker signals that it is leaving."""
 
     async def hear_that_it_leaves(self) -> fleet_worker.Worker:
--- a/tests/test_new_back_ends.py
+++ b/tests/test_new_back_ends.py
@@ -11,14 +11,14 @@
 
 from merlinthread.coordination import backend_record, dispatch
 from stand_ins import fleet_worker
-from tests import fed_fleet
+from tests import single_entry_fleet
 
 WORK_S = 0.03
 RATE_PER_S = 100
 MIN_SHARE_OF_MEAN = 0.25
 
 
-async def send_requests(fleet: fed_fleet.FedFleet, seconds: float) -> None:
+async def send_requests(fleet: single_entry_fleet.SingleEntryFleet, seconds: float) -> None:
     tasks = []
     started_at = fleet.now()
     for number in range(round(RATE_PER_S * seconds)):
@@ -29,7 +29,7 @@
 
 def test_a_back_end_that_has_just_started_takes_its_part():
     async def scenario():
-        fleet = await fed_fleet.FedFleet("safe", 8, WORK_S).start()
+        fleet = await single_entry_fleet.SingleEntryFleet("safe", 8, WORK_S).start()
         await send_requests(fleet, 2.0)
         added = fleet_worker.Worker("i-new")
         added.behaviour.work_s = WORK_S
--- a/tests/test_rest.py
+++ b/tests/test_rest.py
@@ -12,7 +12,7 @@
 from merlinthread.coordination import dispatch, instances
 from merlinthread.transport import http_messages
 from stand_ins import fleet_worker
-from tests import fed_fleet, fleet_nodes
+from tests import fleet_nodes, single_entry_fleet
 
 REST_S = 0.6
 # The platform allows two requests between half a second after a refusal and the end of the rest.
@@ -20,7 +20,7 @@
 MANY = 12
 
 
-class Fleet(fed_fleet.FedFleet):
+class Fleet(single_entry_fleet.SingleEntryFleet):
     """A fleet whose workers can refuse requests."""
 
     def __init__(self, service: str, count: int) -> None:
--- a/tests/test_unread_words.py
+++ b/tests/test_unread_words.py
@@ -10,7 +10,7 @@
 from merlinthread import logs, metrics
 from merlinthread.nodes import signal_recorder
 from merlinthread.platform import dialect, names
-from tests import fed_fleet
+from tests import single_entry_fleet
 
 
 def unread_headers(headers) -> frozenset[str]:
@@ -34,7 +34,7 @@
     monkeypatch.setattr(logs, "event", lambda name, **fields: events.append((name, fields)))
 
     async def scenario():
-        fleet = await fed_fleet.FedFleet("safe", 2, work_s=0.0).start()
+        fleet = await single_entry_fleet.SingleEntryFleet("safe", 2, work_s=0.0).start()
         for worker in fleet.workers:
             worker.behaviour.extra_headers = [(b"Server-Mood", b"3")]
         for _ in range(6):
