--- a/tests/single_entry_fleet.py
+++ b/tests/single_entry_fleet.py
@@ -33,7 +33,7 @@
         body = fleet_nodes.configuration(1, services, self.service if self.model else "")
         self.entry.apply_update(body, {worker: self.service for worker in workers})
 
-    async def ask(self) -> http_messages.Response:
+    async def request(self) -> http_messages.Response:
         """Send a client request; return its response."""
         self.request_count += 1
         headers = STREAM if self.model else {}
--- a/tests/test_leaving_answers.py
+++ b/tests/test_leaving_answers.py
@@ -23,14 +23,14 @@
         leaver.behaviour.is_leaving = True
         async with asyncio.timeout(5.0):
             while not leaver.runs:
-                assert (await self.ask()).status == 200
+                assert (await self.request()).status == 200
         return leaver
 
     async def arrivals(self, worker: fleet_worker.Worker, count: int = REQUESTS) -> int:
         """Return how many of `count` more requests reach a worker; all must be served."""
         before = len(worker.runs)
         for _ in range(count):
-            assert (await self.ask()).status == 200
+            assert (await self.request()).status == 200
         return len(worker.runs) - before
 
     async def is_used(self, worker: fleet_worker.Worker) -> bool:
@@ -73,13 +73,13 @@
         fleet_ = await LeavingFleet(count=1).start()
         leaver = fleet_.workers[0]
         leaver.behaviour.is_leaving, leaver.behaviour.work_s = True, 0.1
-        asked = asyncio.create_task(fleet_.ask())
+        asked = asyncio.create_task(fleet_.request())
         await fleet_nodes.until(lambda: leaver.runs)
         del fleet_.entry.node.watcher.instances[leaver.instance]
         fleet_.entry.node.on_update()
         fleet_.feed(fleet_.workers)
         assert (await asked).status == 200
-        assert (await fleet_.ask()).status == 503
+        assert (await fleet_.request()).status == 503
         assert len(leaver.runs) == 1
 
     asyncio.run(scenario())
@@ -119,7 +119,7 @@
         liar.behaviour.is_leaving = liar.behaviour.wrong_request_id = True
         async with asyncio.timeout(5.0):
             while not liar.runs:
-                await fleet_.ask()
+                await fleet_.request()
         liar.behaviour.is_leaving = liar.behaviour.wrong_request_id = False
         pool = fleet_.entry.node.pool
         await fleet_nodes.until(lambda: not pool.backends[liar.instance].is_ejected(pool.clock()))
@@ -135,10 +135,10 @@
             worker.behaviour.is_leaving = True
         async with asyncio.timeout(5.0):
             while not all(worker.runs for worker in fleet_.workers):
-                await fleet_.ask()
+                await fleet_.request()
         before = sum(len(worker.runs) for worker in fleet_.workers)
         for _ in range(REQUESTS):
-            assert (await fleet_.ask()).status == 503
+            assert (await fleet_.request()).status == 503
         assert sum(len(worker.runs) for worker in fleet_.workers) == before
 
     asyncio.run(scenario())
--- a/tests/test_new_back_ends.py
+++ b/tests/test_new_back_ends.py
@@ -23,7 +23,7 @@
     started_at = fleet.now()
     for number in range(round(RATE_PER_S * seconds)):
         await asyncio.sleep(started_at + number / RATE_PER_S - fleet.now())
-        tasks.append(asyncio.create_task(fleet.ask()))
+        tasks.append(asyncio.create_task(fleet.request()))
     assert {answer.status for answer in await asyncio.gather(*tasks)} == {200}
 
 
--- a/tests/test_rest.py
+++ b/tests/test_rest.py
@@ -39,7 +39,7 @@
         first = 0.0
         async with asyncio.timeout(5.0):
             while not all(worker.rejection_count for worker in workers):
-                await asyncio.gather(*[self.ask() for _ in self.workers])
+                await asyncio.gather(*[self.request() for _ in self.workers])
                 if not first and any(worker.rejection_count for worker in workers):
                     first = self.now()
         return first
@@ -58,7 +58,7 @@
         so_far = refused(resting)
         tasks = []
         while fleet.now() < first + 0.8 * REST_S:
-            tasks.append(asyncio.create_task(fleet.ask()))
+            tasks.append(asyncio.create_task(fleet.request()))
             await asyncio.sleep(0.01)
         # The other workers have capacity and serve all requests during the rest.
         answers = await asyncio.gather(*tasks)
@@ -81,14 +81,14 @@
             before = worker.rejection_count
             async with asyncio.timeout(5.0):
                 while worker.rejection_count == before:
-                    await fleet.ask()
+                    await fleet.request()
             assert availability.is_resting(fleet.now())
             for _ in range(MANY):
-                assert (await fleet.ask()).status == 503
+                assert (await fleet.request()).status == 503
             assert worker.rejection_count == before + 1
             await fleet_nodes.until(lambda: not availability.is_resting(fleet.now()))
         worker.behaviour.is_full = False
-        answers = await asyncio.gather(*[fleet.ask() for _ in range(MANY)])
+        answers = await asyncio.gather(*[fleet.request() for _ in range(MANY)])
         assert {answer.status for answer in answers} == {200}
 
     asyncio.run(scenario())
@@ -105,7 +105,7 @@
         before = refused(fleet.workers)
         for _ in range(MANY):
             asked_at = fleet.now()
-            answer = await fleet.ask()
+            answer = await fleet.request()
             assert answer.status == 503
             # A request that queued would wait up to 0.05 s for capacity.
             assert fleet.now() - asked_at < 0.04
@@ -125,7 +125,7 @@
         await fleet.until_refused([worker])
         worker.behaviour.is_full = False
         await asyncio.sleep(dispatch.FULL_BACKOFF_S)
-        assert (await fleet.ask()).status == 200, value
+        assert (await fleet.request()).status == 200, value
 
     for value in ("nan", "-5", "1e400", "", "3, 4", "123456789012345678901", "x", "0"):
         asyncio.run(scenario(value))
@@ -141,15 +141,15 @@
         watcher = fleet.entry.node.watcher
         known = watcher.instances.pop(worker.instance)
         watcher.on_update()
-        assert (await fleet.ask()).status == 503
+        assert (await fleet.request()).status == 503
         fleet.feed(fleet.workers)
-        assert (await fleet.ask()).status == 503
+        assert (await fleet.request()).status == 503
         assert worker.rejection_count == before
         later = dataclasses.replace(known, instance=f"{worker.instance}@1767000000001")
         watcher.apply_instance(instances.Instance(later), watcher.clock())
         watcher.on_update()
         worker.behaviour.is_full = False
-        assert (await fleet.ask()).status == 200
+        assert (await fleet.request()).status == 200
 
     asyncio.run(scenario())
 
@@ -162,7 +162,7 @@
         fleet = await Fleet("safe", 1).start()
         fleet.let_rest(fleet.workers, "30")
         await fleet.until_refused(fleet.workers)
-        await fleet.ask()
+        await fleet.request()
 
     asyncio.run(scenario())
     rests = [fields for name, fields in lines if name == "backend_rests"]
--- a/tests/test_unread_words.py
+++ b/tests/test_unread_words.py
@@ -38,7 +38,7 @@
         for worker in fleet.workers:
             worker.behaviour.extra_headers = [(b"Server-Mood", b"3")]
         for _ in range(6):
-            assert (await fleet.ask()).status == 200
+            assert (await fleet.request()).status == 200
 
     asyncio.run(scenario())
     logged = [fields for name, fields in events if name == "answer_word_unread"]
