--- a/tests/single_entry_fleet.py
+++ b/tests/single_entry_fleet.py
@@ -24,10 +24,10 @@
         await self.entry.start()
         for worker in self.workers:
             await worker.start()
-        self.feed(self.workers)
+        self.announce(self.workers)
         return self
 
-    def feed(self, workers: list[fleet_worker.Worker]) -> None:
+    def announce(self, workers: list[fleet_worker.Worker]) -> None:
         """Announce to the entry that some workers are ready."""
         services = [] if self.model else [self.service]
         body = fleet_nodes.configuration(1, services, self.service if self.model else "")
--- a/tests/test_leaving_answers.py
+++ b/tests/test_leaving_answers.py
@@ -55,13 +55,13 @@
         fleet_ = await LeavingFleet().start()
         leaver = await fleet_.hear_that_it_leaves()
         # Its heartbeats still say that it is ready.
-        fleet_.feed(fleet_.workers)
+        fleet_.announce(fleet_.workers)
         assert await fleet_.arrivals(leaver) == 0
         # It disappears from the fleet state for a moment.
         del fleet_.entry.node.watcher.instances[leaver.instance]
-        fleet_.feed(fleet_.workers[1:])
+        fleet_.announce(fleet_.workers[1:])
         assert leaver.instance not in fleet_.entry.node.pool.backends
-        fleet_.feed(fleet_.workers)
+        fleet_.announce(fleet_.workers)
         assert leaver.instance in fleet_.entry.node.pool.backends
         assert await fleet_.arrivals(leaver) == 0
 
@@ -77,7 +77,7 @@
         await fleet_nodes.until(lambda: leaver.runs)
         del fleet_.entry.node.watcher.instances[leaver.instance]
         fleet_.entry.node.on_update()
-        fleet_.feed(fleet_.workers)
+        fleet_.announce(fleet_.workers)
         assert (await asked).status == 200
         assert (await fleet_.request()).status == 503
         assert len(leaver.runs) == 1
@@ -90,7 +90,7 @@
         fleet_ = await LeavingFleet().start()
         leaver = await fleet_.hear_that_it_leaves()
         leaver.instance, leaver.behaviour.is_leaving = "i-9", False
-        fleet_.feed(fleet_.workers)
+        fleet_.announce(fleet_.workers)
         assert await fleet_.is_used(leaver)
 
     asyncio.run(scenario())
--- a/tests/test_new_back_ends.py
+++ b/tests/test_new_back_ends.py
@@ -36,7 +36,7 @@
         await added.start()
         before = [len(worker.runs) for worker in fleet.workers]
         fleet.workers.append(added)
-        fleet.feed(fleet.workers)
+        fleet.announce(fleet.workers)
         await send_requests(fleet, 2.0)
         request_counts = [
             len(worker.runs) - count for worker, count in zip(fleet.workers, before, strict=False)
--- a/tests/test_rest.py
+++ b/tests/test_rest.py
@@ -142,7 +142,7 @@
         known = watcher.instances.pop(worker.instance)
         watcher.on_update()
         assert (await fleet.request()).status == 503
-        fleet.feed(fleet.workers)
+        fleet.announce(fleet.workers)
         assert (await fleet.request()).status == 503
         assert worker.rejection_count == before
         later = dataclasses.replace(known, instance=f"{worker.instance}@1767000000001")
