--- a/tests/crashing_fleet.py
+++ b/tests/crashing_fleet.py
@@ -91,7 +91,7 @@
         ip = next(iter(self.controls.nodes))
         await self.controls.call(ip, "PUT", f"/instances/{worker.instance}", body)
 
-    async def ask(self, entry: int, body: bytes, path: str = "") -> http_messages.Response:
+    async def request(self, entry: int, body: bytes, path: str = "") -> http_messages.Response:
         """Send a request with a new id to one entry and return the response."""
         self.request_count += 1
         headers = {"X_Merlinthread_Model": self.model} if self.model else {}
@@ -123,27 +123,27 @@
         loop = asyncio.get_running_loop()
         tasks = []
         # The first request must crash a worker, or there would be nothing to wait for.
-        await self.ask_or_none(0, DEADLY)
+        await self.request_or_none(0, DEADLY)
         await fleet_nodes.until(self.crash_times)
         while len(self.crash_times()) < 3 or loop.time() < self.crash_times()[2] + seconds:
             entry = len(tasks) % len(self.entries)
-            tasks.append(loop.create_task(self.ask_or_none(entry, DEADLY)))
+            tasks.append(loop.create_task(self.request_or_none(entry, DEADLY)))
             await asyncio.sleep(0.05)
         for number in range(repeats):
-            await self.ask_or_none(number % len(self.entries), DEADLY)
+            await self.request_or_none(number % len(self.entries), DEADLY)
         return [answer for answer in await asyncio.gather(*tasks) if answer is not None]
 
-    async def ask_or_none(self, entry: int, body: bytes) -> http_messages.Response | None:
+    async def request_or_none(self, entry: int, body: bytes) -> http_messages.Response | None:
         """Send a request; return the response, or None if the connection broke."""
         with contextlib.suppress(Exception):
-            return await self.ask(entry, body)
+            return await self.request(entry, body)
         return None
 
     async def until_held(self) -> None:
         """Send the deadly request repeatedly until the control VMs have committed a hold."""
         async with asyncio.timeout(10.0):
             while not any(node.member.state.held for node in self.controls.nodes.values()):
-                await self.ask_or_none(0, DEADLY)
+                await self.request_or_none(0, DEADLY)
 
     async def until_known(self) -> None:
         """Wait until all workers are running and each entry knows their current incarnations."""
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -56,25 +56,25 @@
         for entry in range(2):
             held = fleet.entries[entry].node.crashes.ledger.held
             await fleet_nodes.until(held)
-            answer = await fleet.ask(entry, crashing_fleet.DEADLY)
+            answer = await fleet.request(entry, crashing_fleet.DEADLY)
             assert answer.status == 503
             assert float(http_messages.get_header(answer.headers, b"retry-after")) >= 60
         assert len(fleet.crash_times()) == ends
         await fleet.until_known()
         # Requests with another body or path are served.
-        assert (await fleet.ask(0, b"other")).status == 200
-        assert (await fleet.ask(1, b"", "/safe/y")).status == 200
+        assert (await fleet.request(0, b"other")).status == 200
+        assert (await fleet.request(1, b"", "/safe/y")).status == 200
 
     run(tmp_path, scenario)
 
 
 def test_the_answer_to_an_attempt_that_ended_a_worker_does_not_say_that_it_was_not_run(tmp_path):
     async def scenario(fleet):
-        answer = await fleet.ask(0, crashing_fleet.DEADLY)
+        answer = await fleet.request(0, crashing_fleet.DEADLY)
         assert (answer.status, len(fleet.crash_times())) == (502, 2)
         await fleet_nodes.until(lambda: fleet.entries[1].node.crashes.ledger.records)
         # The third crash is known before a second attempt, which is therefore not made.
-        answer = await fleet.ask(1, crashing_fleet.DEADLY)
+        answer = await fleet.request(1, crashing_fleet.DEADLY)
         assert (answer.status, len(fleet.crash_times())) == (502, 3)
 
     run(tmp_path, scenario)
@@ -86,7 +86,7 @@
         ends = len(fleet.crash_times())
         await fleet.lose_power()
         for _ in range(4):
-            assert (await fleet.ask(0, crashing_fleet.DEADLY)).status == 503
+            assert (await fleet.request(0, crashing_fleet.DEADLY)).status == 503
         assert len(fleet.crash_times()) == ends
 
     run(tmp_path, scenario)
@@ -94,7 +94,7 @@
 
 def test_control_vms_that_all_start_again_learn_from_entries_what_was_not_decided_yet(tmp_path):
     async def scenario(fleet):
-        await fleet.ask(0, crashing_fleet.DEADLY)
+        await fleet.request(0, crashing_fleet.DEADLY)
         assert len(fleet.crash_times()) == 2
         for ip in fleet.controls.ips:
             fleet.controls.kill(ip)
@@ -103,7 +103,7 @@
         await fleet_nodes.until(lambda: any(node.crashes.ledger.records for node in nodes))
         other = fleet.entries[1].node.crashes.ledger
         await fleet_nodes.until(lambda: other.records)
-        await fleet.ask(1, crashing_fleet.DEADLY)
+        await fleet.request(1, crashing_fleet.DEADLY)
         assert len(fleet.crash_times()) == 3
 
     run(tmp_path, scenario)
@@ -113,7 +113,7 @@
     async def scenario(fleet):
         away = next(ip for ip in fleet.controls.ips if ip != fleet.controls.leader())
         fleet.controls.kill(away)
-        await fleet.ask(0, crashing_fleet.DEADLY)
+        await fleet.request(0, crashing_fleet.DEADLY)
         nodes = list(fleet.controls.nodes.values())
         await fleet_nodes.until(lambda: any(node.crashes.undelivered for node in nodes))
         for node in nodes:
@@ -132,7 +132,7 @@
         watcher = fleet.entries[0].node.watcher
         await fleet_nodes.until(lambda: not watcher.current)
         for _ in range(4):
-            await fleet.ask_or_none(0, crashing_fleet.DEADLY)
+            await fleet.request_or_none(0, crashing_fleet.DEADLY)
         assert len(fleet.crash_times()) == 3
         assert not any(task.done() for task in fleet.entries[0].node.tasks)
 
@@ -144,13 +144,13 @@
         for worker in fleet.workers:
             worker.behaviour.closes_without_answer = True
         for _ in range(6):
-            await fleet.ask(0, b"same")
+            await fleet.request(0, b"same")
         for worker in fleet.workers:
             worker.behaviour.closes_without_answer = False
         crashes = fleet.entries[0].node.crashes
         await fleet_nodes.until(lambda: not crashes.checks)
         assert not crashes.ledger.records
-        assert (await fleet.ask(0, b"same")).status == 200
+        assert (await fleet.request(0, b"same")).status == 200
 
     run(tmp_path, scenario)
 
@@ -162,7 +162,7 @@
         for other in fleet.workers[1:]:
             other.behaviour.is_full = True
         worker.behaviour.never_responds = True
-        task = asyncio.get_running_loop().create_task(fleet.ask_or_none(0, b"silent"))
+        task = asyncio.get_running_loop().create_task(fleet.request_or_none(0, b"silent"))
         await fleet_nodes.until(lambda: worker.runs)
         # The VM fails: nothing answers, and the attempt times out.
         worker.is_down = True
@@ -182,7 +182,7 @@
         crashes = fleet.entries[0].node.crashes
         (worker,) = fleet.workers
         worker.behaviour.never_responds = True
-        task = asyncio.get_running_loop().create_task(fleet.ask_or_none(0, b"silent"))
+        task = asyncio.get_running_loop().create_task(fleet.request_or_none(0, b"silent"))
         await fleet_nodes.until(lambda: worker.runs)
         # The VM has failed, and another process is at its address under another id.
         worker.instance = "i-next"
@@ -206,7 +206,7 @@
 
         async def ask_popular(entry: int) -> None:
             while not is_over.is_set():
-                answer = await fleet.ask_or_none(entry, b"popular")
+                answer = await fleet.request_or_none(entry, b"popular")
                 statuses.append(answer.status if answer is not None else 0)
 
         loop = asyncio.get_running_loop()
@@ -233,7 +233,7 @@
             for _ in range(3):
                 await fleet.until_known()
                 with contextlib.suppress(Exception):
-                    await fleet.ask(number % 2, body, f"/safe/deadly-{number}")
+                    await fleet.request(number % 2, body, f"/safe/deadly-{number}")
             if number == crash_tracker.ACCOUNT_HELD_THRESHOLD - 1:
                 before = len(fleet.crash_times())
                 for entry in fleet.entries:
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -109,7 +109,7 @@
         pool = fleet_.entries[0].node.pool
         (before,) = pool.backends
         worker.behaviour.work_s = 0.3
-        under_way = asyncio.get_running_loop().create_task(fleet_.ask_or_none(0, b"slow"))
+        under_way = asyncio.get_running_loop().create_task(fleet_.request_or_none(0, b"slow"))
         await fleet_nodes.until(lambda: worker.running)
         worker.crash_now()
         await worker.restart()
@@ -117,7 +117,7 @@
         (after,) = pool.backends.values()
         assert after.in_flight == 0 and after.failures == 0
         worker.behaviour.work_s = 0.0
-        assert (await fleet_.ask(0, b"next")).status == 200
+        assert (await fleet_.request(0, b"next")).status == 200
         assert worker.runs[-1].headers["x-merlinthread-expect-instance"] == worker.name
         await under_way
 
--- a/tests/test_leaving_answers.py
+++ b/tests/test_leaving_answers.py
@@ -207,7 +207,7 @@
         await fleet_nodes.until(lambda: watcher.current and not watcher.current.startswith(former))
         before = len(leaver.runs)
         for _ in range(REQUESTS):
-            assert (await fleet_.ask(0, b"")).status == 200
+            assert (await fleet_.request(0, b"")).status == 200
         assert len(leaver.runs) == before
         assert leaver.instance in watcher.gone
 
