--- a/tests/crashing_fleet.py
+++ b/tests/crashing_fleet.py
@@ -11,11 +11,11 @@
 
 CONTACT_S = 1.0
 HEARTBEAT_INTERVAL_S = 0.1
-DEADLY = b"deadly"
+CRASH_BODY = b"deadly"
 
 
 class CrashingFleet:
-    """Three control VMs, entries, and workers that crash when they run a deadly request."""
+    """Three control VMs, entries, and workers that crash when they run a certain request."""
 
     def __init__(self, folder: pathlib.Path, service: str = "safe", model: str = "") -> None:
         self.controls = fleet_nodes.Controls(folder)
@@ -105,32 +105,32 @@
         return sorted(at for worker in self.workers for at in worker.crash_times)
 
     def crash_request_times(self) -> list[float]:
-        """Return the times at which deadly requests reached workers, in order."""
+        """Return the times at which crashing requests reached workers, in order."""
         return sorted(at for worker in self.workers for at in worker.crash_request_times)
 
-    def late_arrivals(self) -> int:
-        """Return how many deadly requests arrived later than `CONTACT_S` after the third crash."""
+    def count_late_requests(self) -> int:
+        """Return how many crashing requests came later than `CONTACT_S` after the third crash."""
         bound = self.crash_times()[2] + CONTACT_S
         return sum(at > bound for at in self.crash_request_times())
 
-    async def send_deadly_requests(
+    async def send_crashing_requests(
         self, seconds: float, repeats: int
     ) -> list[http_messages.Response]:
-        """Send the deadly request to each entry in turn; return the responses.
+        """Send the crashing request to each entry in turn; return the responses.
 
         It is sent every 50 ms until `seconds` after the third crash, then `repeats` more times.
         """
         loop = asyncio.get_running_loop()
         tasks = []
         # The first request must crash a worker, or there would be nothing to wait for.
-        await self.request_or_none(0, DEADLY)
+        await self.request_or_none(0, CRASH_BODY)
         await fleet_nodes.until(self.crash_times)
         while len(self.crash_times()) < 3 or loop.time() < self.crash_times()[2] + seconds:
             entry = len(tasks) % len(self.entries)
-            tasks.append(loop.create_task(self.request_or_none(entry, DEADLY)))
+            tasks.append(loop.create_task(self.request_or_none(entry, CRASH_BODY)))
             await asyncio.sleep(0.05)
         for number in range(repeats):
-            await self.request_or_none(number % len(self.entries), DEADLY)
+            await self.request_or_none(number % len(self.entries), CRASH_BODY)
         return [answer for answer in await asyncio.gather(*tasks) if answer is not None]
 
     async def request_or_none(self, entry: int, body: bytes) -> http_messages.Response | None:
@@ -140,10 +140,10 @@
         return None
 
     async def until_held(self) -> None:
-        """Send the deadly request repeatedly until the control VMs have committed a hold."""
+        """Send the crashing request repeatedly until the control VMs have committed a hold."""
         async with asyncio.timeout(10.0):
             while not any(node.member.state.held for node in self.controls.nodes.values()):
-                await self.request_or_none(0, DEADLY)
+                await self.request_or_none(0, CRASH_BODY)
 
     async def until_known(self) -> None:
         """Wait until all workers are running and each entry knows their current incarnations."""
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -40,8 +40,8 @@
     tmp_path, service, model, keeps_id, sends_born_ms
 ):
     async def scenario(fleet):
-        await fleet.send_deadly_requests(crashing_fleet.CONTACT_S, repeats=16)
-        late = fleet.late_arrivals()
+        await fleet.send_crashing_requests(crashing_fleet.CONTACT_S, repeats=16)
+        late = fleet.count_late_requests()
         assert late <= LATE_MAX, f"{late} later ones; {len(fleet.crash_times())} workers ended"
 
     run(tmp_path, scenario, service, model, keeps_id=keeps_id, sends_born_ms=sends_born_ms)
@@ -56,7 +56,7 @@
         for entry in range(2):
             held = fleet.entries[entry].node.crashes.ledger.held
             await fleet_nodes.until(held)
-            answer = await fleet.request(entry, crashing_fleet.DEADLY)
+            answer = await fleet.request(entry, crashing_fleet.CRASH_BODY)
             assert answer.status == 503
             assert float(http_messages.get_header(answer.headers, b"retry-after")) >= 60
         assert len(fleet.crash_times()) == ends
@@ -70,11 +70,11 @@
 
 def test_the_answer_to_an_attempt_that_ended_a_worker_does_not_say_that_it_was_not_run(tmp_path):
     async def scenario(fleet):
-        answer = await fleet.request(0, crashing_fleet.DEADLY)
+        answer = await fleet.request(0, crashing_fleet.CRASH_BODY)
         assert (answer.status, len(fleet.crash_times())) == (502, 2)
         await fleet_nodes.until(lambda: fleet.entries[1].node.crashes.ledger.records)
         # The third crash is known before a second attempt, which is therefore not made.
-        answer = await fleet.request(1, crashing_fleet.DEADLY)
+        answer = await fleet.request(1, crashing_fleet.CRASH_BODY)
         assert (answer.status, len(fleet.crash_times())) == (502, 3)
 
     run(tmp_path, scenario)
@@ -86,7 +86,7 @@
         ends = len(fleet.crash_times())
         await fleet.lose_power()
         for _ in range(4):
-            assert (await fleet.request(0, crashing_fleet.DEADLY)).status == 503
+            assert (await fleet.request(0, crashing_fleet.CRASH_BODY)).status == 503
         assert len(fleet.crash_times()) == ends
 
     run(tmp_path, scenario)
@@ -94,7 +94,7 @@
 
 def test_control_vms_that_all_start_again_learn_from_entries_what_was_not_decided_yet(tmp_path):
     async def scenario(fleet):
-        await fleet.request(0, crashing_fleet.DEADLY)
+        await fleet.request(0, crashing_fleet.CRASH_BODY)
         assert len(fleet.crash_times()) == 2
         for ip in fleet.controls.ips:
             fleet.controls.kill(ip)
@@ -103,7 +103,7 @@
         await fleet_nodes.until(lambda: any(node.crashes.ledger.records for node in nodes))
         other = fleet.entries[1].node.crashes.ledger
         await fleet_nodes.until(lambda: other.records)
-        await fleet.request(1, crashing_fleet.DEADLY)
+        await fleet.request(1, crashing_fleet.CRASH_BODY)
         assert len(fleet.crash_times()) == 3
 
     run(tmp_path, scenario)
@@ -113,7 +113,7 @@
     async def scenario(fleet):
         away = next(ip for ip in fleet.controls.ips if ip != fleet.controls.leader())
         fleet.controls.kill(away)
-        await fleet.request(0, crashing_fleet.DEADLY)
+        await fleet.request(0, crashing_fleet.CRASH_BODY)
         nodes = list(fleet.controls.nodes.values())
         await fleet_nodes.until(lambda: any(node.crashes.undelivered for node in nodes))
         for node in nodes:
@@ -132,7 +132,7 @@
         watcher = fleet.entries[0].node.watcher
         await fleet_nodes.until(lambda: not watcher.current)
         for _ in range(4):
-            await fleet.request_or_none(0, crashing_fleet.DEADLY)
+            await fleet.request_or_none(0, crashing_fleet.CRASH_BODY)
         assert len(fleet.crash_times()) == 3
         assert not any(task.done() for task in fleet.entries[0].node.tasks)
 
