--- a/tests/crashing_fleet.py
+++ b/tests/crashing_fleet.py
@@ -155,7 +155,7 @@
 
         await fleet_nodes.until(is_known)
 
-    async def lose_power(self) -> None:
+    async def simulate_power_loss(self) -> None:
         """Kill all control VMs and entries at once and restart them from their files.
 
         The disk of the leader is lost.
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -84,7 +84,7 @@
     async def scenario(fleet):
         await fleet.until_held()
         ends = len(fleet.crash_times())
-        await fleet.lose_power()
+        await fleet.simulate_power_loss()
         for _ in range(4):
             assert (await fleet.request(0, crashing_fleet.CRASH_BODY)).status == 503
         assert len(fleet.crash_times()) == ends
