--- a/tests/limited_fleet.py
+++ b/tests/limited_fleet.py
@@ -12,22 +12,22 @@
 
 @dataclasses.dataclass
 class SentRequest:
-    """A client request that was sent at `at`; `answer` is None if the connection broke."""
+    """A client request that was sent at `at`; `response` is None if the connection broke."""
 
     at: float
     duration_s: float
-    answer: http_messages.Response | None
+    response: http_messages.Response | None
     key: str = ""
 
     def is_served(self) -> bool:
         """Return whether the response was a success."""
-        return self.answer is not None and self.answer.status == 200
+        return self.response is not None and self.response.status == 200
 
     def retry_after_s(self) -> float:
         """Return the retry delay in a refusal, in seconds."""
-        assert self.answer is not None
-        value = http_messages.get_header(self.answer.headers, b"retry-after")
-        assert value is not None, self.answer.status
+        assert self.response is not None
+        value = http_messages.get_header(self.response.headers, b"retry-after")
+        assert value is not None, self.response.status
         return float(value)
 
 
@@ -52,12 +52,12 @@
         headers["Api_Key"] = key
         try:
             target = self.entries[entry]
-            answer = await target.request(
+            response = await target.request(
                 f"/{self.service}/x", f"id-{self.request_count}", b"", **headers
             )
         except Exception:
-            answer = None
-        self.requests.append(SentRequest(began, self.now() - began, answer, key))
+            response = None
+        self.requests.append(SentRequest(began, self.now() - began, response, key))
 
     async def press(
         self, per_s: float, seconds: float, entries: list[int] | None = None, key: str = "key-1"
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -97,7 +97,7 @@
         check_utilisation(fleet, 6, since, until)
         not_served = [each for each in fleet.sent_between(since, until) if not each.is_served()]
         refused = [each for each in not_served if each.key != UNKNOWN_KEY]
-        assert {each.answer.status for each in refused} == {503}
+        assert {each.response.status for each in refused} == {503}
         baseline_s = p95_duration_s([each for each in not_served if each.key == UNKNOWN_KEY])
         assert p95_duration_s(refused) <= baseline_s + REFUSAL_DELAY_MAX_S, (
             p95_duration_s(refused),
