--- a/tests/limited_fleet.py
+++ b/tests/limited_fleet.py
@@ -59,7 +59,7 @@
             response = None
         self.requests.append(SentRequest(began, self.now() - began, response, key))
 
-    async def press(
+    async def send_at_rate(
         self, per_s: float, seconds: float, entries: list[int] | None = None, key: str = "key-1"
     ) -> float:
         """Send `per_s` requests per second to random entries; return the start time."""
@@ -77,7 +77,7 @@
         while self.pending:
             await asyncio.wait(list(self.pending))
 
-    def most_in(self, worker, seconds: float, since: float, until: float) -> int:
+    def max_started_in(self, worker, seconds: float, since: float, until: float) -> int:
         """Return the most requests that a worker started in any `seconds` between two times."""
         times = sorted(run.at for run in worker.runs if since <= run.at <= until)
         return max((sum(at <= t < at + seconds for t in times) for at in times), default=0)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -37,7 +37,7 @@
 
 
 def check_limit(fleet, worker, limit: float, since: float, until: float) -> None:
-    most = fleet.most_in(worker, WINDOW_S, since, until)
+    most = fleet.max_started_in(worker, WINDOW_S, since, until)
     assert most <= allowance(limit, WINDOW_S), (worker.instance, most, allowance(limit, WINDOW_S))
 
 
@@ -65,7 +65,7 @@
         fleet = await start_fleet(tmp_path, service)
         limited = fleet.workers[0]
         limited.behaviour.limit = "4"
-        began = await fleet.press(100, 5.0)
+        began = await fleet.send_at_rate(100, 5.0)
         await fleet.wait_for_responses()
         since, until = began + PROPAGATION_S, began + 5.0
         check_limit(fleet, limited, 4, since, until)
@@ -89,8 +89,8 @@
         fleet = await start_fleet(tmp_path)
         for worker in fleet.workers:
             worker.behaviour.limit = "6"
-        unknown = asyncio.create_task(fleet.press(20, 5.0, entries, UNKNOWN_KEY))
-        began = await fleet.press(60, 5.0, entries)
+        unknown = asyncio.create_task(fleet.send_at_rate(20, 5.0, entries, UNKNOWN_KEY))
+        began = await fleet.send_at_rate(60, 5.0, entries)
         await unknown
         await fleet.wait_for_responses()
         since, until = began + PROPAGATION_S, began + 5.0
@@ -115,13 +115,13 @@
         fleet = await start_fleet(tmp_path)
         for worker in fleet.workers:
             worker.behaviour.limit = "6"
-        await fleet.press(60, 2.0)
+        await fleet.send_at_rate(60, 2.0)
         for entry in fleet.entries[2:]:
             crashing_fleet.kill_entry(entry)
-        began = await fleet.press(60, 3.0, [0, 1])
+        began = await fleet.send_at_rate(60, 3.0, [0, 1])
         check_utilisation(fleet, 6, began + 1.0, fleet.now())
         await fleet.add_entry(f"{fleet_nodes.NETWORK}.39")
-        began = await fleet.press(60, 3.0, [0, 1, 4])
+        began = await fleet.send_at_rate(60, 3.0, [0, 1, 4])
         check_utilisation(fleet, 6, began + 1.0, fleet.now())
         await fleet.wait_for_responses()
         await fleet.stop()
@@ -135,14 +135,14 @@
         fleet = await start_fleet(tmp_path)
         for worker in fleet.workers:
             worker.behaviour.limit = "6"
-        await fleet.press(60, 2.0)
+        await fleet.send_at_rate(60, 2.0)
         began = fleet.now()
         fleet.controls.kill(fleet.controls.leader())
-        await fleet.press(60, 4.0)
+        await fleet.send_at_rate(60, 4.0)
         for worker in fleet.workers:
             check_limit(fleet, worker, 6, began, fleet.now())
         await fleet_nodes.until(fleet.controls.leader)
-        began = await fleet.press(60, 3.0)
+        began = await fleet.send_at_rate(60, 3.0)
         check_utilisation(fleet, 6, began + 1.0, fleet.now())
         await fleet.wait_for_responses()
         await fleet.stop()
@@ -156,10 +156,10 @@
         fleet = await start_fleet(tmp_path)
         for worker in fleet.workers:
             worker.behaviour.limit = "6"
-        await fleet.press(60, 1.0)
+        await fleet.send_at_rate(60, 1.0)
         began = fleet.now()
-        seldom = asyncio.create_task(fleet.press(4, 4.0, key="key-2"))
-        await fleet.press(60, 4.0)
+        seldom = asyncio.create_task(fleet.send_at_rate(4, 4.0, key="key-2"))
+        await fleet.send_at_rate(60, 4.0)
         await seldom
         await fleet.wait_for_responses()
         asked = [each for each in fleet.sent_between(began, fleet.now()) if each.key == "key-2"]
@@ -175,13 +175,13 @@
         fleet = await start_fleet(tmp_path, workers=2)
         limited = fleet.workers[0]
         limited.behaviour.limit = "3"
-        await fleet.press(40, 1.0, [0])
+        await fleet.send_at_rate(40, 1.0, [0])
         signals = [entry.node.pool.signals for entry in fleet.entries]
         await fleet_nodes.until(lambda: all(known.count_limited() == 1 for known in signals))
-        began = await fleet.press(100, 3.0, [1, 2, 3])
+        began = await fleet.send_at_rate(100, 3.0, [1, 2, 3])
         check_limit(fleet, limited, 3, began, fleet.now())
         limited.behaviour.limit = None
-        await fleet.press(40, 1.5, [0])
+        await fleet.send_at_rate(40, 1.5, [0])
         await fleet_nodes.until(lambda: not any(known.count_limited() for known in signals))
         await fleet.wait_for_responses()
         await fleet.stop()
@@ -196,10 +196,10 @@
         limited = fleet.workers[0]
         for limit in (8.0, 0.5, 6.0):
             limited.behaviour.limit = f"{limit:g}"
-            since = await fleet.press(100, 4.0) + PROPAGATION_S
+            since = await fleet.send_at_rate(100, 4.0) + PROPAGATION_S
             check_limit(fleet, limited, limit, since, fleet.now())
         limited.behaviour.limit = None
-        opened = await fleet.press(100, 4.0) + 2.0
+        opened = await fleet.send_at_rate(100, 4.0) + 2.0
         assert fleet.count_started(limited, opened, fleet.now()) >= 20
         await fleet.wait_for_responses()
         await fleet.stop()
@@ -212,7 +212,7 @@
     async def scenario():
         fleet = await start_fleet(tmp_path, workers=1, entries=1)
         fleet.workers[0].behaviour.limit = text
-        await fleet.press(50, 1.0)
+        await fleet.send_at_rate(50, 1.0)
         await fleet.wait_for_responses()
         assert all(each.is_served() for each in fleet.requests)
         await fleet.stop()
