--- a/tests/permit_net.py
+++ b/tests/permit_net.py
@@ -23,7 +23,7 @@
 class Member:
     """A fake log member; the network decides which one leads."""
 
-    def __init__(self, net: "PermitNet", address: str) -> None:
+    def __init__(self, net: "PermitNetwork", address: str) -> None:
         self.net = net
         self.address = address
 
@@ -33,7 +33,7 @@
 
     def leader_address(self) -> str:
         """Return the address of the leader, or of the last one after its loss."""
-        return self.net.leader_before
+        return self.net.last_leader
 
 
 @dataclasses.dataclass
@@ -52,7 +52,7 @@
     backend: backend_record.Backend
 
 
-class PermitNet:
+class PermitNetwork:
     """Entries that share one back end with a limit of `limit_per_s` requests a second."""
 
     def __init__(
@@ -62,13 +62,13 @@
         self.limit_per_s = limit_per_s
         self.loss = loss
         self.loop = asyncio.get_running_loop()
-        self.leader = self.leader_before = CONTROLS[0]
-        self.alive = set(CONTROLS)
-        self.offices = {
+        self.leader = self.last_leader = CONTROLS[0]
+        self.running = set(CONTROLS)
+        self.permit_servers = {
             address: permit_server.PermitServer(Member(self, address), self.random_clock())
             for address in CONTROLS
         }
-        self.entries = {f"e{number}": self.entry(f"e{number}") for number in range(entries)}
+        self.entries = {f"e{number}": self.make_entry(f"e{number}") for number in range(entries)}
         # When each permit was used.
         self.used: list[float] = []
         self.pending: set[asyncio.Task] = set()
@@ -78,7 +78,7 @@
         offset_s = self.rng.uniform(0.0, CLOCK_OFFSET_MAX_S)
         return lambda: self.loop.time() + offset_s
 
-    def entry(self, address: str) -> Entry:
+    def make_entry(self, address: str) -> Entry:
         """Return an entry that knows the limit."""
         clock = self.random_clock()
         client = permits.PermitClient(
@@ -101,42 +101,42 @@
             self.loop.call_later(self.rng.choice(DELAYS_S), deliver, *what)
 
     def receive_query(self, entry: str, control: str, query: node_messages.LoadQuery) -> None:
-        """Let a control VM answer a query, if it is alive."""
-        if control in self.alive:
-            answer = self.offices[control].answer(query)
+        """Let a control VM answer a query, if it is running."""
+        if control in self.running:
+            answer = self.permit_servers[control].answer(query)
             self.send_datagram(self.entries[entry].permits.receive, query.number, answer)
 
-    def lose_leader(self) -> None:
+    def stop_leader(self) -> None:
         """Stop the leader, leaving no leader."""
-        self.alive.discard(self.leader)
+        self.running.discard(self.leader)
         self.leader = ""
 
     def elect(self, address: str) -> None:
         """Make another VM the leader."""
-        self.leader = self.leader_before = address
+        self.leader = self.last_leader = address
 
-    async def ask(self, entry: Entry, account: str) -> None:
+    async def acquire_permit(self, entry: Entry, account: str) -> None:
         """Acquire a permit for one request and record its use."""
         found = await entry.permits.acquire("s", account, PATIENCE_S, [entry.backend])
         if isinstance(found, permits.Permit):
             self.used.append(self.loop.time())
 
-    async def press(self, per_s: float, until: float) -> None:
+    async def send_requests(self, per_s: float, until: float) -> None:
         """Send requests to random entries, skipping back ends known to lack a permit."""
         while self.loop.time() < until:
             await asyncio.sleep(self.rng.expovariate(per_s))
             entry = self.rng.choice(list(self.entries.values()))
             if not entry.backend.availability.lacks_permit(entry.permits.clock()):
-                task = asyncio.create_task(self.ask(entry, self.rng.choice("abc")))
+                task = asyncio.create_task(self.acquire_permit(entry, self.rng.choice("abc")))
                 self.pending.add(task)
                 task.add_done_callback(self.pending.discard)
         while self.pending:
             await asyncio.wait(list(self.pending))
 
-    def most_in(self, seconds: float) -> int:
+    def max_used_in(self, seconds: float) -> int:
         """Return the highest number of permits used in any window of `seconds`."""
         return max((sum(at <= t < at + seconds for t in self.used) for at in self.used), default=0)
 
-    def used_between(self, since: float, until: float) -> int:
+    def count_used(self, since: float, until: float) -> int:
         """Return the number of permits used between two times."""
         return sum(since <= at < until for at in self.used)
--- a/tests/test_permit_handover.py
+++ b/tests/test_permit_handover.py
@@ -25,21 +25,21 @@
 SEEDS = 100
 
 
-def check_windows(net: permit_net.PermitNet) -> None:
+def check_limit(net: permit_net.PermitNetwork) -> None:
     for seconds in WINDOWS_S:
         allowed = net.limit_per_s * seconds + SPARE
-        assert net.most_in(seconds) <= allowed, (seconds, net.most_in(seconds), allowed)
+        assert net.max_used_in(seconds) <= allowed, (seconds, net.max_used_in(seconds), allowed)
 
 
-def random_net(seed: int, entries: int, loss: float = 0.0) -> permit_net.PermitNet:
+def random_net(seed: int, entries: int, loss: float = 0.0) -> permit_net.PermitNetwork:
     rng = random.Random(seed)
-    return permit_net.PermitNet(rng, entries, rng.choice(LIMITS_PER_S), loss)
+    return permit_net.PermitNetwork(rng, entries, rng.choice(LIMITS_PER_S), loss)
 
 
-async def lose_and_elect(net: permit_net.PermitNet) -> float:
+async def change_leader(net: permit_net.PermitNetwork) -> float:
     """Stop the leader; return when the next one was elected."""
     await asyncio.sleep(LOST_AT_S + net.rng.random())
-    net.lose_leader()
+    net.stop_leader()
     await asyncio.sleep(net.rng.uniform(*ELECTION_S))
     net.elect(permit_net.CONTROLS[1])
     return net.loop.time()
@@ -50,10 +50,10 @@
 def test_no_window_exceeds_the_limit_while_the_vm_that_counts_changes(entries, loss):
     async def scenario(seed):
         net = random_net(seed, entries, loss)
-        changing = asyncio.create_task(lose_and_elect(net))
-        await net.press(OVERLOAD * net.limit_per_s, UNTIL_S)
+        changing = asyncio.create_task(change_leader(net))
+        await net.send_requests(OVERLOAD * net.limit_per_s, UNTIL_S)
         await changing
-        check_windows(net)
+        check_limit(net)
 
     for seed in range(SEEDS):
         virtual_loop.run(scenario(seed))
@@ -62,8 +62,8 @@
 def test_no_window_exceeds_the_limit_while_answers_are_lost():
     async def scenario(seed):
         net = random_net(seed, 4, loss=0.1)
-        await net.press(OVERLOAD * net.limit_per_s, UNTIL_S)
-        check_windows(net)
+        await net.send_requests(OVERLOAD * net.limit_per_s, UNTIL_S)
+        check_limit(net)
 
     for seed in range(SEEDS):
         virtual_loop.run(scenario(seed))
@@ -73,11 +73,11 @@
 def test_what_is_allowed_is_used_again_once_another_vm_counts(entries):
     async def scenario(seed):
         net = random_net(seed, entries)
-        changing = asyncio.create_task(lose_and_elect(net))
-        await net.press(HEAVY_OVERLOAD * net.limit_per_s, UNTIL_S)
+        changing = asyncio.create_task(change_leader(net))
+        await net.send_requests(HEAVY_OVERLOAD * net.limit_per_s, UNTIL_S)
         # Entries need up to a second to find it; the first permit falls due an interval later.
         since = await changing + 1.0 + 1.0 / net.limit_per_s
-        used = net.used_between(since, UNTIL_S)
+        used = net.count_used(since, UNTIL_S)
         return used, net.limit_per_s * (UNTIL_S - since)
 
     found = []
