--- a/tests/raft_cluster.py
+++ b/tests/raft_cluster.py
@@ -21,27 +21,29 @@
     entries: list[journal.Entry] = dataclasses.field(default_factory=list)
     commit: int = 0
 
-    def place(self, entry: journal.Entry) -> None:
-        keep = entry.index - self.snapshot.index - 1
-        assert 0 <= keep <= len(self.entries), "a gap in the saved entries"
-        del self.entries[keep:]
+    def write_entry(self, entry: journal.Entry) -> None:
+        kept = entry.index - self.snapshot.index - 1
+        assert 0 <= kept <= len(self.entries), "a gap in the saved entries"
+        del self.entries[kept:]
         self.entries.append(entry)
 
 
 class Member:
     """One member with its disk; `applied` holds the commands it has applied."""
 
-    def __init__(self, name: str, first: list[str], disk: Disk, now: float, seed: int) -> None:
+    def __init__(
+        self, name: str, first_voters: list[str], disk: Disk, now: float, seed: int
+    ) -> None:
         self.name = name
         self.disk = disk
-        self.first = first
+        self.first_voters = first_voters
         self.seed = seed
         self.start(now)
 
     def start(self, now: float) -> None:
         self.raft = raft.Raft(
             self.name,
-            self.first,
+            self.first_voters,
             self.disk,
             now,
             rng=random.Random(self.seed),
@@ -61,7 +63,7 @@
         if ready.hard_state is not None or ready.entries:
             self.disk.commit = max(self.disk.commit, self.raft.commit)
         for entry in ready.entries:
-            self.disk.place(entry)
+            self.disk.write_entry(entry)
 
 
 class Cluster:
@@ -79,7 +81,7 @@
         self.partitioned: set[str] = set()
         self.committed: dict[int, tuple[int, str, bytes]] = {}
         self.leaders: dict[int, str] = {}
-        self.number = 0
+        self.proposal_count = 0
 
     def up(self) -> list[Member]:
         return [member for member in self.members.values() if member.is_up]
@@ -168,8 +170,8 @@
         member = self.members.get(name) if name else self.leader()
         if member is None or not member.is_up or not member.raft.is_leader():
             return None
-        self.number += 1
-        data = f"command {self.number}".encode()
+        self.proposal_count += 1
+        data = f"command {self.proposal_count}".encode()
         try:
             member.raft.propose(data, self.now)
         except Exception:
