--- a/tests/fleet_nodes.py
+++ b/tests/fleet_nodes.py
@@ -41,7 +41,7 @@
         return sock.getsockname()[1]
 
 
-def is_free(ip: str, port: int) -> bool:
+def is_udp_port_free(ip: str, port: int) -> bool:
     """Return whether a UDP socket can be bound to an address."""
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
         try:
--- a/tests/test_weights_task.py
+++ b/tests/test_weights_task.py
@@ -254,7 +254,7 @@
         before = dict(fleet.engines[0].staged)
         fleet.stop_agent(0)
         await fleet_nodes.until(
-            lambda: fleet_nodes.is_free(f"{fleet_nodes.NETWORK}.21", fleet.port)
+            lambda: fleet_nodes.is_udp_port_free(f"{fleet_nodes.NETWORK}.21", fleet.port)
         )
         await fleet.start_agent(0)
         fleet.publish(1)
@@ -300,7 +300,7 @@
         await fleet.wait_until_loaded(1)
         fleet.stop_agent(0)
         await fleet_nodes.until(
-            lambda: fleet_nodes.is_free(f"{fleet_nodes.NETWORK}.21", fleet.port)
+            lambda: fleet_nodes.is_udp_port_free(f"{fleet_nodes.NETWORK}.21", fleet.port)
         )
         fleet.engines[0].version = 0
         fleet.origin.stop()
@@ -325,7 +325,7 @@
         await fleet.wait_until_loaded(1)
         fleet.stop_agent(0)
         await fleet_nodes.until(
-            lambda: fleet_nodes.is_free(f"{fleet_nodes.NETWORK}.21", fleet.port)
+            lambda: fleet_nodes.is_udp_port_free(f"{fleet_nodes.NETWORK}.21", fleet.port)
         )
         fleet.engines[0].version = 0
         monkeypatch.setattr(engine_client.EngineClient, "staged", count_reads)
@@ -365,7 +365,7 @@
         await fleet.wait_until_loaded(1)
         fleet.stop_agent(0)
         await fleet_nodes.until(
-            lambda: fleet_nodes.is_free(f"{fleet_nodes.NETWORK}.21", fleet.port)
+            lambda: fleet_nodes.is_udp_port_free(f"{fleet_nodes.NETWORK}.21", fleet.port)
         )
         engine = fleet.engines[0]
         port = int(engine.address.rpartition(":")[2])
