--- a/tests/crashing_fleet.py
+++ b/tests/crashing_fleet.py
@@ -131,7 +131,7 @@
             await asyncio.sleep(0.05)
         for number in range(repeats):
             await self.request_or_none(number % len(self.entries), CRASH_BODY)
-        return [answer for answer in await asyncio.gather(*tasks) if answer is not None]
+        return [response for response in await asyncio.gather(*tasks) if response is not None]
 
     async def request_or_none(self, entry: int, body: bytes) -> http_messages.Response | None:
         """Send a request; return the response, or None if the connection broke."""
--- a/tests/fleet_nodes.py
+++ b/tests/fleet_nodes.py
@@ -1,4 +1,4 @@
-"""Fixtures that run control VMs and entries on loopback, in the event loop of the test."""
+"""Helpers that run control VMs and entries on loopback, in the event loop of the test."""
 
 import asyncio
 import json
@@ -147,11 +147,11 @@
         for attempt in range(400):
             ips = list(self.nodes)
             try:
-                answer = await self.call(ips[attempt % len(ips)], method, path, body)
+                response = await self.call(ips[attempt % len(ips)], method, path, body)
             except Exception:
-                answer = None
-            if answer is not None and answer.status == 200:
-                return answer
+                response = None
+            if response is not None and response.status == 200:
+                return response
             await asyncio.sleep(0.02)
         raise AssertionError(f"{method} {path} was never acknowledged")
 
@@ -267,7 +267,7 @@
             )
             for worker, service in workers.items()
         ]
-        news = node_messages.WatchReply(
+        reply = node_messages.WatchReply(
             "feed",
             self.sequence,
             False,
@@ -279,7 +279,7 @@
             [],
             leader_age_s,
         )
-        self.node.watcher.apply(news)
+        self.node.watcher.apply(reply)
 
     async def request(
         self, path: str, request_id: str, body: bytes = b"", **headers
@@ -295,14 +295,14 @@
         self, path: str, request_id: str, body: bytes = b"", **headers
     ) -> stream_client.ClientConnection:
         """Send a client request and return its connection."""
-        sent = {
+        fields = {
             "Host": "h.example",
             "X-Merlinthread-Request-Id": request_id,
             "X-Merlinthread-Deadline-Ms": "2500",
             "Api-Key": "key-1",
         } | {name.replace("_", "-"): value for name, value in headers.items()}
-        raw = [(key.encode(), value.encode()) for key, value in sent.items()]
+        raw_headers = [(key.encode(), value.encode()) for key, value in fields.items()]
         connection = await stream_client.connect(self.address, 1.0, 2.0)
-        raw.append((b"content-length", b"%d" % len(body)))
-        connection.send(http_messages.Request(b"POST", path.encode(), raw, body))
+        raw_headers.append((b"content-length", b"%d" % len(body)))
+        connection.send(http_messages.Request(b"POST", path.encode(), raw_headers, body))
         return connection
--- a/tests/limited_fleet.py
+++ b/tests/limited_fleet.py
@@ -46,7 +46,7 @@
 
     async def send_one(self, entry: int, key: str = "key-1") -> None:
         """Send a request to one entry and record the result."""
-        began = self.now()
+        started_at = self.now()
         self.request_count += 1
         headers = {"X_Merlinthread_Model": self.model} if self.model else {}
         headers["Api_Key"] = key
@@ -57,23 +57,23 @@
             )
         except Exception:
             response = None
-        self.requests.append(SentRequest(began, self.now() - began, response, key))
+        self.requests.append(SentRequest(started_at, self.now() - started_at, response, key))
 
     async def send_at_rate(
         self, per_s: float, seconds: float, entries: list[int] | None = None, key: str = "key-1"
     ) -> float:
         """Send `per_s` requests per second to random entries; return the start time."""
         chosen = entries if entries is not None else list(range(len(self.entries)))
-        began = self.now()
+        started_at = self.now()
         for number in range(round(per_s * seconds)):
-            await asyncio.sleep(began + number / per_s - self.now())
+            await asyncio.sleep(started_at + number / per_s - self.now())
             task = asyncio.create_task(self.send_one(self.rng.choice(chosen), key))
             self.pending.add(task)
             task.add_done_callback(self.pending.discard)
-        return began
+        return started_at
 
     async def wait_for_responses(self) -> None:
-        """Wait until all requests have been answered."""
+        """Wait for the responses to all requests."""
         while self.pending:
             await asyncio.wait(list(self.pending))
 
@@ -88,4 +88,4 @@
 
     def sent_between(self, since: float, until: float) -> list[SentRequest]:
         """Return the requests that clients sent between two times."""
-        return [asked for asked in self.requests if since <= asked.at < until]
+        return [request for request in self.requests if since <= request.at < until]
--- a/tests/permit_net.py
+++ b/tests/permit_net.py
@@ -1,6 +1,6 @@
 """A simulated network of entries and control VMs for permit tests, with delay and loss.
 
-Only the leader's lease and the network are fakes, on the virtual time of `virtual_loop`.
+Only the leader's lease and the network are simulated, on the virtual time of `virtual_loop`.
 """
 
 import asyncio
@@ -15,7 +15,7 @@
 CONTROLS = ["c0", "c1", "c2"]
 # One-way delays within a zone, between zones and between regions.
 DELAYS_S = (0.0005, 0.003, 0.007)
-# Longest wait of a request for a permit.
+# Longest wait for a permit.
 PATIENCE_S = 0.06
 CLOCK_OFFSET_MAX_S = 1000.0
 
@@ -101,10 +101,10 @@
             self.loop.call_later(self.rng.choice(DELAYS_S), deliver, *what)
 
     def receive_query(self, entry: str, control: str, query: node_messages.LoadQuery) -> None:
-        """Let a control VM answer a query, if it is running."""
+        """Let a control VM reply to a query, if it is running."""
         if control in self.running:
-            answer = self.permit_servers[control].answer(query)
-            self.send_datagram(self.entries[entry].permits.receive, query.number, answer)
+            reply = self.permit_servers[control].answer(query)
+            self.send_datagram(self.entries[entry].permits.receive, query.number, reply)
 
     def stop_leader(self) -> None:
         """Stop the leader, leaving no leader."""
--- a/tests/single_entry_fleet.py
+++ b/tests/single_entry_fleet.py
@@ -1,4 +1,4 @@
-"""A fixture of one entry and some workers of one service, on loopback without control VMs."""
+"""Test fleet of one entry and the workers of one service, on loopback and without control VMs."""
 
 from merlinthread.transport import http_messages
 from stand_ins import fleet_worker
