--- a/tests/test_control_nodes.py
+++ b/tests/test_control_nodes.py
@@ -1,4 +1,8 @@
-"""Tests of control VMs on loopback: acknowledged changes survive crashes and lost disks."""
+"""Control VMs on loopback.
+
+Guards against losing acknowledged changes in crashes or with a disk, and against log entries and
+snapshots that a build can't read.
+"""
 
 import asyncio
 import dataclasses
@@ -37,8 +41,8 @@
 
 
 async def read_version(controls) -> int:
-    answer = await controls.until_acknowledged("GET", "/config")
-    return json.loads(answer.body)["version"]
+    response = await controls.until_acknowledged("GET", "/config")
+    return json.loads(response.body)["version"]
 
 
 def heartbeat(instance="i-1", state="ready", sequence=1, address="1.2.3.4:80") -> dict:
@@ -54,7 +58,7 @@
     }
 
 
-def test_an_acknowledged_configuration_survives_the_kill_of_the_leader(tmp_path):
+def test_configuration_survives_kill_of_leader(tmp_path):
     async def scenario(controls):
         await put_configuration(controls, 3)
         controls.kill(controls.leader())
@@ -65,7 +69,7 @@
     run(tmp_path, scenario)
 
 
-def test_all_killed_at_once_come_back_with_what_was_acknowledged(tmp_path):
+def test_configuration_survives_kill_of_all_control_vms(tmp_path):
     async def scenario(controls):
         await put_configuration(controls, 4)
         for ip in controls.ips:
@@ -77,7 +81,7 @@
     run(tmp_path, scenario)
 
 
-def test_a_member_that_starts_alone_tells_at_once_what_it_knew_to_be_committed(tmp_path):
+def test_member_without_majority_sends_watchers_committed_configuration(tmp_path):
     async def scenario(controls):
         await put_configuration(controls, 4)
         await put_configuration(controls, 7)
@@ -90,13 +94,13 @@
             lambda: controls.nodes[alone].changes_for(watch).configuration_version >= 4, 3.0
         )
         assert not controls.leader()
-        answer = await controls.call(alone, "GET", "/config")
-        assert answer.status == 503, "a member without a majority returned a configuration"
+        response = await controls.call(alone, "GET", "/config")
+        assert response.status == 503, "a member without a majority returned a configuration"
 
     run(tmp_path, scenario)
 
 
-def test_a_disk_lost_right_after_an_acknowledgement_loses_nothing(tmp_path):
+def test_configuration_survives_loss_of_leader_disk(tmp_path):
     async def scenario(controls):
         await put_configuration(controls, 5)
         lost = controls.leader()
@@ -114,13 +118,13 @@
     run(tmp_path, scenario)
 
 
-def test_a_member_replaced_at_another_address_is_removed_and_the_new_one_votes(tmp_path):
+def test_replacement_at_another_address_becomes_voter(tmp_path):
     async def scenario(controls):
         await put_configuration(controls, 2)
         for node in controls.nodes.values():
             node.settings.bounds.catch_up_s = 0.5
-        gone = next(ip for ip in controls.ips if ip != controls.leader())
-        controls.kill(gone)
+        killed = next(ip for ip in controls.ips if ip != controls.leader())
+        controls.kill(killed)
         await controls.start(f"{fleet_nodes.NETWORK}.19")
         new = controls.nodes[f"{fleet_nodes.NETWORK}.19"].member
         await fleet_nodes.until(lambda: new.name in new.raft.log.voters.voters, 15)
@@ -130,50 +134,50 @@
     run(tmp_path, scenario)
 
 
-def test_an_older_or_equal_configuration_is_acknowledged_and_changes_nothing(tmp_path):
+def test_older_or_equal_configuration_is_acknowledged_but_ignored(tmp_path):
     async def scenario(controls):
         await put_configuration(controls, 9)
         await put_configuration(controls, 8)
         other = fleet_nodes.configuration(9, ["safe", "unsafe"])
         await controls.until_acknowledged("PUT", "/config", other)
-        answer = await controls.until_acknowledged("GET", "/config")
-        found = json.loads(answer.body)
+        response = await controls.until_acknowledged("GET", "/config")
+        found = json.loads(response.body)
         assert found == fleet_nodes.configuration(9, ["safe"])
 
     run(tmp_path, scenario)
 
 
-def test_an_invalid_configuration_is_refused_by_name_also_under_an_old_version(tmp_path):
+def test_invalid_configuration_is_rejected_whatever_its_version(tmp_path):
     async def scenario(controls):
         await put_configuration(controls, 9)
         for version in (1, 9, 20):
             body = fleet_nodes.configuration(version, ["safe"])
             body["routes"][0]["service"] = "nowhere"
-            answer = await controls.call(controls.ips[0], "PUT", "/config", body)
-            assert answer.status == 400
-            assert b"nowhere" in answer.body
+            response = await controls.call(controls.ips[0], "PUT", "/config", body)
+            assert response.status == 400
+            assert b"nowhere" in response.body
         assert await read_version(controls) == 9
 
     run(tmp_path, scenario)
 
 
-def test_a_cut_off_minority_neither_acknowledges_nor_answers_reads(tmp_path):
+def test_leader_without_majority_rejects_reads_and_writes(tmp_path):
     async def scenario(controls):
         await put_configuration(controls, 1)
-        left = controls.leader()
+        remaining = controls.leader()
         for ip in controls.ips:
-            if ip != left:
+            if ip != remaining:
                 controls.kill(ip)
-        await fleet_nodes.until(lambda: not controls.nodes[left].member.holds_lease())
+        await fleet_nodes.until(lambda: not controls.nodes[remaining].member.holds_lease())
         for _ in range(2):
             body = fleet_nodes.configuration(2, ["safe"])
-            assert (await controls.call(left, "PUT", "/config", body)).status >= 500
-            assert (await controls.call(left, "GET", "/config")).status >= 500
+            assert (await controls.call(remaining, "PUT", "/config", body)).status >= 500
+            assert (await controls.call(remaining, "GET", "/config")).status >= 500
 
     run(tmp_path, scenario)
 
 
-def test_a_drain_that_was_acknowledged_is_known_after_the_loss_of_the_leader(tmp_path):
+def test_acknowledged_drain_survives_kill_of_leader(tmp_path):
     async def scenario(controls):
         await controls.until_acknowledged("PUT", "/instances/i-1", heartbeat())
         await controls.until_acknowledged(
@@ -190,7 +194,7 @@
     run(tmp_path, scenario)
 
 
-def test_a_watcher_learns_of_changes_and_goes_on_when_its_control_vm_dies(tmp_path):
+def test_watcher_receives_updates_after_kill_of_its_control_vm(tmp_path):
     async def scenario(controls):
         settings = fleet_nodes.make_settings(
             "entry", control_port=controls.port, control_ips=controls.ips
@@ -214,7 +218,7 @@
     run(tmp_path, scenario)
 
 
-def test_a_watcher_does_not_go_back_when_an_older_control_vm_answers():
+def test_watcher_keeps_newest_configuration():
     settings = fleet_nodes.make_settings("entry")
     watcher = fleet_watcher.FleetWatcher(
         settings, dialect.PlatformDialect(), None, lambda: 0.0, lambda: None
@@ -226,7 +230,7 @@
     assert watcher.version == 5
 
 
-def test_a_removed_member_joins_anew_under_another_name(tmp_path):
+def test_removed_member_rejoins_under_new_name(tmp_path):
     async def scenario(controls):
         ip = controls.ips[0]
         member = controls.nodes[ip].member
@@ -239,15 +243,15 @@
     run(tmp_path, scenario)
 
 
-def test_a_full_disk_refuses_what_is_new_and_keeps_what_was_acknowledged(tmp_path, monkeypatch):
+def test_changes_are_accepted_while_disk_of_leader_is_full(tmp_path, monkeypatch):
     async def scenario(controls):
         await put_configuration(controls, 1)
         leader = controls.nodes[controls.leader()].member
 
-        def full(hard_state, entries, commit):
+        def raise_disk_full(hard_state, entries, commit):
             raise errors.DiskFullError("no room")
 
-        monkeypatch.setattr(leader.journal, "save", full)
+        monkeypatch.setattr(leader.journal, "save", raise_disk_full)
         await put_configuration(controls, 2)
         monkeypatch.undo()
         assert await read_version(controls) == 2
@@ -257,7 +261,7 @@
 
 
 @pytest.mark.parametrize("count", [1, 5])
-def test_other_numbers_of_control_vms_work_from_three_seeds(tmp_path, count):
+def test_one_or_five_control_vms_form_a_group(tmp_path, count):
     async def scenario(controls):
         await put_configuration(controls, 3)
         for node in controls.nodes.values():
@@ -270,7 +274,7 @@
     run(tmp_path, scenario, count)
 
 
-def test_messages_that_do_not_belong_to_a_control_vm_are_refused(tmp_path):
+def test_control_vm_rejects_messages_for_other_nodes(tmp_path):
     async def scenario(controls):
         caller = node_bus.RpcClient(fleet_nodes.make_codec())
         address = f"{controls.ips[0]}:{controls.port}"
@@ -280,7 +284,7 @@
     run(tmp_path, scenario)
 
 
-def test_a_member_without_its_disk_does_not_help_a_member_that_is_behind_to_lead(tmp_path):
+def test_member_with_lost_disk_does_not_elect_outdated_member(tmp_path):
     async def scenario(controls):
         first, second, behind = controls.ips
         await put_configuration(controls, 1)
@@ -293,8 +297,8 @@
         await controls.start(behind)
         for _ in range(100):
             for ip in (second, behind):
-                answer = await controls.call(ip, "GET", "/config")
-                assert answer.status != 200, "an outdated configuration was returned"
+                response = await controls.call(ip, "GET", "/config")
+                assert response.status != 200, "an outdated configuration was returned"
             await asyncio.sleep(0.02)
         await controls.start(first)
         assert await read_version(controls) == 2
@@ -302,7 +306,7 @@
     run(tmp_path, scenario)
 
 
-def applied_version(controls, version: int) -> float:
+def version_age_after_apply(controls, version: int) -> float:
     """Apply a named version on a follower; return the age that it reports."""
     follower = next(ip for ip in controls.ips if ip != controls.leader())
     node = controls.nodes[follower]
@@ -313,22 +317,22 @@
     return next(named.age_s for named in versions if named.model == "m")
 
 
-def test_a_control_vm_that_catches_up_tells_a_version_as_old_as_it_may_be(tmp_path):
+def test_named_version_age_includes_duration_of_partition(tmp_path):
     async def scenario(controls):
         await put_configuration(controls, 1)
         follower = next(ip for ip in controls.ips if ip != controls.leader())
         await fleet_nodes.until(
             lambda: controls.nodes[follower].member.staleness_s(time.monotonic()) < 0.5
         )
-        assert applied_version(controls, 1) < 0.5
+        assert version_age_after_apply(controls, 1) < 0.5
         # A version named during a partition may be as old as the partition.
         controls.nodes[follower].member.current_at = time.monotonic() - 7.0
-        assert applied_version(controls, 2) >= 7.0
+        assert version_age_after_apply(controls, 2) >= 7.0
 
     run(tmp_path, scenario)
 
 
-def test_a_version_that_a_leader_has_just_committed_is_told_as_new(tmp_path):
+def test_leader_reports_small_age_for_version_just_committed(tmp_path):
     async def scenario(controls):
         await put_configuration(controls, 1)
         leader = controls.nodes[controls.leader()]
@@ -340,7 +344,7 @@
     run(tmp_path, scenario)
 
 
-def test_of_two_ages_told_of_a_version_the_younger_one_holds():
+def test_watcher_keeps_smallest_age_reported_for_version():
     watcher = fleet_nodes.make_watcher(fleet_nodes.make_settings("entry"))
 
     def receive(age_s: float) -> None:
@@ -358,7 +362,7 @@
     assert watcher.named_at["m"][2] == 97.0
 
 
-def test_an_instance_that_a_watcher_was_told_wrongly_to_be_replaced_comes_back():
+def test_watcher_restores_instance_wrongly_replaced():
     watcher = fleet_nodes.make_watcher(fleet_nodes.make_settings("entry"))
 
     def receive(instance: str, age_s: float, gone: list[str]) -> None:
@@ -374,7 +378,7 @@
     assert set(watcher.instances) == {"new"}
 
 
-def test_a_disk_lost_while_all_other_vms_lose_power_loses_nothing_that_was_acknowledged(tmp_path):
+def test_state_survives_power_loss_with_loss_of_leader_disk(tmp_path):
     """Guards against losing acknowledged changes if all VMs lose power as one disk fails."""
 
     async def scenario(controls):
@@ -395,7 +399,7 @@
     run(tmp_path, scenario)
 
 
-def test_a_command_that_this_build_can_not_read_is_refused_with_its_level_and_the_remedy(tmp_path):
+def test_unreadable_command_is_rejected_with_level_and_remedy(tmp_path):
     async def scenario(controls):
         await put_configuration(controls, 5)
         leader = controls.nodes[controls.leader()].member
@@ -408,20 +412,20 @@
     run(tmp_path, scenario)
 
 
-def make_older(node):
+def make_unable_to_read_versions(node):
     """Make a control VM unable to read named versions, like an older build."""
     del node.member.command_decoders["fleet.name_version"]
 
 
-def test_a_member_that_can_not_read_an_entry_neither_applies_nor_passes_it_and_the_others_go_on(
+def test_member_stops_at_unreadable_log_entry_while_others_continue(
     tmp_path,
 ):
     async def scenario(controls):
         await put_configuration(controls, 5)
-        lead = controls.leader()
-        old_ip, other = [ip for ip in controls.ips if ip != lead]
+        leader = controls.leader()
+        old_ip, other = [ip for ip in controls.ips if ip != leader]
         old = controls.nodes[old_ip].member
-        make_older(controls.nodes[old_ip])
+        make_unable_to_read_versions(controls.nodes[old_ip])
         await controls.until_acknowledged("POST", "/version-put", {"model": "m", "version": 2})
         await fleet_nodes.until(lambda: old.blocked_at)
         # It still votes: the leader commits with its vote after the other follower is killed.
@@ -435,7 +439,7 @@
         assert not old.is_due_for_compaction()
         await controls.start(other)
         await fleet_nodes.until(lambda: controls.nodes[other].member.state.version == 7)
-        controls.kill(lead)
+        controls.kill(leader)
         await fleet_nodes.until(lambda: controls.leader() == other)
         await put_configuration(controls, 9)
         # A newer build started on the same data folder applies the rest of the log.
@@ -448,7 +452,7 @@
     run(tmp_path, scenario)
 
 
-def test_a_snapshot_of_a_higher_level_is_not_taken_over(tmp_path):
+def test_snapshot_of_higher_level_is_not_restored(tmp_path):
     async def scenario(controls):
         await put_configuration(controls, 5)
         member = controls.nodes[controls.leader()].member
@@ -459,7 +463,7 @@
     run(tmp_path, scenario)
 
 
-def test_a_request_is_held_back_in_the_log_only_once_all_members_are_known_to_read_that(tmp_path):
+def test_hold_is_committed_only_once_all_members_can_read_it(tmp_path):
     async def scenario(controls):
         await put_configuration(controls, 5)
         node = controls.nodes[controls.leader()]
@@ -480,7 +484,7 @@
     run(tmp_path, scenario)
 
 
-def test_a_joiner_that_reads_less_than_the_log_holds_is_told_so(tmp_path):
+def test_join_with_level_below_log_is_rejected(tmp_path):
     async def scenario(controls):
         await put_configuration(controls, 5)
         node = controls.nodes[controls.leader()]
@@ -495,7 +499,7 @@
     run(tmp_path, scenario)
 
 
-def test_a_refusal_of_a_kind_that_only_newer_builds_have_is_an_error_as_any_other():
+def test_unknown_error_kind_is_raised_as_internal_error():
     async def scenario():
         codec = fleet_nodes.make_codec()
 
@@ -515,7 +519,7 @@
     asyncio.run(scenario())
 
 
-def test_what_an_older_build_can_not_read_is_written_once_going_back_has_had_its_time():
+def test_new_level_is_writable_after_rollback_window():
     level, others = levels.FormatLevel.HELD_REQUESTS, ["10.0.0.2:1", "10.0.0.3:1"]
     members = levels.MemberLevels()
     gate = levels.WriteGate(members, first_level=0)
@@ -539,7 +543,7 @@
     assert not reason(30.0 + levels.ROLLBACK_WINDOW_S)
 
 
-def test_nobody_waits_where_no_build_that_reads_less_was_there():
+def test_new_level_is_writable_at_once_without_older_builds():
     level, others = levels.FormatLevel.HELD_REQUESTS, ["10.0.0.2:1"]
     members = levels.MemberLevels()
     members.record_reported(others[0], level)
@@ -559,7 +563,7 @@
     assert not gate.reason_not_writable(level, others, levels.LOWEST, 1.0)
 
 
-def test_what_a_silent_member_has_shown_counts_no_more():
+def test_inferred_level_is_dropped_for_unreachable_member():
     level, other = levels.FormatLevel.HELD_REQUESTS, "10.0.0.2:1"
     members = levels.MemberLevels()
     assert members.below([other], level) == [other], "a member that never replied"
@@ -577,7 +581,7 @@
     ), "a reported level stays until another one is reported"
 
 
-def test_a_group_that_this_build_has_begun_need_not_wait(tmp_path):
+def test_group_founded_by_this_build_has_no_rollback_window(tmp_path):
     async def scenario(controls):
         await put_configuration(controls, 5)
         for ip in controls.ips:
--- a/tests/test_entry_node.py
+++ b/tests/test_entry_node.py
@@ -1,4 +1,7 @@
-"""Behaviour of an entry towards clients and workers when workers fail."""
+"""An entry with workers that fail, stall or are full.
+
+Guards against repeated runs, broken streams and wrong reports that a request was not run.
+"""
 
 import asyncio
 
@@ -30,13 +33,13 @@
     return sum(len(worker.runs) for worker in workers)
 
 
-def test_a_request_reaches_a_worker_unchanged_but_for_what_the_system_sets():
+def test_request_is_forwarded_with_headers_set_by_entry():
     async def scenario():
         entry, (worker,), _ = await make_entry("safe", 1)
-        answer = await entry.request(
+        response = await entry.request(
             "/safe/x?q=1", "id-1", X_Other="kept", X_Merlinthread_Tenant="me"
         )
-        assert (answer.status, answer.body) == (200, b"answer of i-0 to id-1")
+        assert (response.status, response.body) == (200, b"answer of i-0 to id-1")
         run = worker.runs[0]
         assert (run.target, run.headers["x-other"]) == ("/safe/x?q=1", "kept")
         assert run.headers["x-merlinthread-tenant"] == "account-1"
@@ -47,18 +50,18 @@
     asyncio.run(scenario())
 
 
-def test_a_request_that_may_run_once_is_not_sent_again_after_a_lost_answer():
+def test_unsafe_request_is_not_retried_after_lost_response():
     async def scenario():
         entry, workers, _ = await make_entry("unsafe", 2)
         for worker in workers:
             worker.behaviour.closes_without_answer = True
-        answer = await entry.request("/unsafe/", "id-1")
-        assert (answer.status, count_runs(workers)) == (502, 1)
+        response = await entry.request("/unsafe/", "id-1")
+        assert (response.status, count_runs(workers)) == (502, 1)
 
     asyncio.run(scenario())
 
 
-def test_a_repeatable_request_is_sent_to_another_worker_after_a_lost_answer():
+def test_safe_request_is_retried_at_another_worker_after_lost_response():
     async def scenario():
         entry, workers, _ = await make_entry("safe", 2)
         workers[0].behaviour.closes_without_answer = True
@@ -69,29 +72,29 @@
 
 
 @pytest.mark.parametrize("service", ["safe", "unsafe"])
-def test_what_no_worker_ran_is_refused_at_once_with_when_to_come_back(service):
+def test_request_gets_503_with_retry_after_when_all_workers_are_full(service):
     async def scenario():
         entry, workers, _ = await make_entry(service, 2)
         for worker in workers:
             worker.behaviour.is_full = True
-        answer = await entry.request(f"/{service}/", "id-1")
-        assert (answer.status, count_runs(workers)) == (503, 0)
-        assert float(http_messages.get_header(answer.headers, b"retry-after")) > 0
+        response = await entry.request(f"/{service}/", "id-1")
+        assert (response.status, count_runs(workers)) == (503, 0)
+        assert float(http_messages.get_header(response.headers, b"retry-after")) > 0
 
     asyncio.run(scenario())
 
 
-def test_a_refusal_is_no_promise_once_an_attempt_may_have_run():
+def test_unsafe_request_that_may_have_run_is_not_reported_as_not_run():
     async def scenario():
         entry, workers, _ = await make_entry("unsafe", 1)
         workers[0].behaviour.closes_without_answer = True
-        answer = await entry.request("/unsafe/", "id-1")
-        assert answer.status not in (408, 421, 429, 503)
+        response = await entry.request("/unsafe/", "id-1")
+        assert response.status not in (408, 421, 429, 503)
 
     asyncio.run(scenario())
 
 
-def test_an_answer_to_another_request_or_without_a_signature_is_not_given_on():
+def test_response_with_wrong_request_id_or_no_stamp_is_not_relayed():
     async def scenario():
         for field in ("wrong_request_id", "is_unsigned"):
             entry, workers, _ = await make_entry("unsafe", 1)
@@ -101,18 +104,18 @@
     asyncio.run(scenario())
 
 
-def test_a_workers_failure_is_given_on_with_its_signature():
+def test_worker_error_is_relayed_with_its_stamp():
     async def scenario():
         entry, workers, _ = await make_entry("unsafe", 1)
         workers[0].behaviour.status = 500
-        answer = await entry.request("/unsafe/", "id-1")
-        assert answer.status == 500
-        assert http_messages.get_header(answer.headers, b"x-merlinthread-response-stamp")
+        response = await entry.request("/unsafe/", "id-1")
+        assert response.status == 500
+        assert http_messages.get_header(response.headers, b"x-merlinthread-response-stamp")
 
     asyncio.run(scenario())
 
 
-def test_an_overloaded_service_tells_clients_to_come_back_apart_and_admits_second_tries_first():
+def test_overload_refusals_spread_retry_times_and_retries_are_admitted():
     async def scenario():
         entry, (worker,), _ = await make_entry("model", 1, "m")
         backend = entry.node.pool.backends[worker.instance]
@@ -123,9 +126,9 @@
         for number in range(8):
             backend.apply_report(report, entry.node.clock())
             backend.unread_tokens = unread
-            answer = await entry.request("/model/", f"id-{number}", **STREAM)
-            assert (answer.status, count_runs([worker])) == (503, 0)
-            waits.append(float(http_messages.get_header(answer.headers, b"retry-after")))
+            response = await entry.request("/model/", f"id-{number}", **STREAM)
+            assert (response.status, count_runs([worker])) == (503, 0)
+            waits.append(float(http_messages.get_header(response.headers, b"retry-after")))
         assert min(waits) >= 0.4 and max(waits) <= 2.5 / 3 and len(set(waits)) > 1
         backend.apply_report(report, entry.node.clock())
         late = STREAM | {"X_Merlinthread_Deadline_Ms": "2000"}
@@ -134,7 +137,7 @@
     asyncio.run(scenario())
 
 
-def test_the_log_line_of_a_request_tells_how_many_attempts_left(monkeypatch):
+def test_request_log_event_counts_attempts_sent(monkeypatch):
     async def scenario():
         lines = []
         monkeypatch.setattr(logs, "event", lambda name, **fields: lines.append((name, fields)))
@@ -143,31 +146,31 @@
         workers[0].behaviour.closes_without_answer = True
         workers[1].behaviour.is_full = True
         await entry.request("/safe/", "id-2")
-        told = [fields["sent"] for name, fields in lines if name == "request"]
-        assert told[0] == 1 and told[1] == 2
+        sent_counts = [fields["sent"] for name, fields in lines if name == "request"]
+        assert sent_counts[0] == 1 and sent_counts[1] == 2
 
     asyncio.run(scenario())
 
 
-def test_an_entry_that_is_not_sure_of_the_newest_configuration_says_not_run_in_place_of_unknown():
+def test_unknown_route_or_key_gets_503_while_configuration_may_be_outdated():
     async def scenario():
         entry = fleet_nodes.Entry()
         await entry.start()
         body = fleet_nodes.configuration(1, ["safe"])
         entry.apply_update(body, {}, leader_age_s=100.0)
         for path, key in (("/nowhere/", "key-1"), ("/safe/", "wrong")):
-            answer = await entry.request(path, "id-1", Api_Key=key)
-            assert answer.status == 503
-            assert float(http_messages.get_header(answer.headers, b"retry-after")) > 0
+            response = await entry.request(path, "id-1", Api_Key=key)
+            assert response.status == 503
+            assert float(http_messages.get_header(response.headers, b"retry-after")) > 0
         entry.apply_update(body, {})
         assert (await entry.request("/nowhere/", "id-2")).status == 404
-        entry.node.watcher.disconnect("its control VM is silent")
+        entry.node.watcher.disconnect("its control VM does not reply")
         assert (await entry.request("/nowhere/", "id-3")).status == 503
 
     asyncio.run(scenario())
 
 
-def test_unknown_keys_and_routes_are_refused():
+def test_unknown_key_gets_401_and_unknown_route_404():
     async def scenario():
         entry, workers, _ = await make_entry("safe", 1)
         assert (await entry.request("/safe/", "id-1", Api_Key="wrong")).status == 401
@@ -177,14 +180,16 @@
     asyncio.run(scenario())
 
 
-def test_an_entry_that_knows_no_configuration_answers_503():
+def test_entry_without_configuration_responds_503():
     async def scenario():
         entry = fleet_nodes.Entry()
         await entry.start()
-        answer = await entry.request("/safe/", "id-1")
-        assert answer.status == 503
-        told = float(http_messages.get_header(answer.headers, b"retry-after"))
-        assert told > entry.node.settings.heartbeat_s, "back ends are known by their heartbeats"
+        response = await entry.request("/safe/", "id-1")
+        assert response.status == 503
+        retry_after_s = float(http_messages.get_header(response.headers, b"retry-after"))
+        assert (
+            retry_after_s > entry.node.settings.heartbeat_s
+        ), "back ends are known by their heartbeats"
 
     asyncio.run(scenario())
 
@@ -193,7 +198,7 @@
     return [int(line[4:]) for line in body.split(b"\n") if line.startswith(b"id: ")]
 
 
-def test_a_stream_that_breaks_off_goes_on_elsewhere_without_a_gap_or_a_double():
+def test_broken_stream_is_resumed_at_another_worker_without_gap():
     async def scenario():
         entry, workers, _ = await make_entry("model", 2, "m")
         for worker in workers:
@@ -205,16 +210,18 @@
         for worker in workers:
             if not worker.runs:
                 worker.behaviour.cut_after_events = None
-        answer = await connection.receive()
-        assert event_ids(answer.body) == list(range(1, 9))
+        response = await connection.receive()
+        assert event_ids(response.body) == list(range(1, 9))
         assert count_runs(workers) == 2
-        told = [run.headers.get("last-event-id") for worker in workers for run in worker.runs]
-        assert sorted(told, key=str) == ["3", None]
+        last_event_ids = [
+            run.headers.get("last-event-id") for worker in workers for run in worker.runs
+        ]
+        assert sorted(last_event_ids, key=str) == ["3", None]
 
     asyncio.run(scenario())
 
 
-def test_a_stream_that_can_not_go_on_does_not_look_complete():
+def test_stream_that_cannot_be_resumed_ends_with_error():
     async def scenario():
         entry, workers, _ = await make_entry("model", 1, "m")
         workers[0].behaviour.cut_after_events = 2
@@ -224,7 +231,7 @@
     asyncio.run(scenario())
 
 
-def test_a_client_that_leaves_is_left_by_the_worker_too():
+def test_client_disconnect_cancels_request_at_worker():
     async def scenario():
         entry, workers, _ = await make_entry("safe", 1)
         workers[0].behaviour.never_responds = True
@@ -236,7 +243,7 @@
     asyncio.run(scenario())
 
 
-def test_a_silent_worker_is_left_for_another_where_the_request_may_be_repeated():
+def test_stream_is_retried_when_worker_does_not_respond():
     async def scenario():
         entry, workers, _ = await make_entry("model", 2, "m")
         workers[0].behaviour.never_responds = True
@@ -245,13 +252,13 @@
         await fleet_nodes.until(lambda: count_runs(workers) == 1)
         for worker in workers:
             worker.behaviour.never_responds = False
-        answer = await connection.receive()
-        assert answer.status == 200 and len(event_ids(answer.body)) == 5
+        response = await connection.receive()
+        assert response.status == 200 and len(event_ids(response.body)) == 5
 
     asyncio.run(scenario())
 
 
-def test_a_draining_worker_gets_nothing_new():
+def test_departed_worker_gets_no_requests():
     async def scenario():
         entry, workers, body = await make_entry("safe", 2)
         entry.apply_update(body, {}, gone=["i-0"])
@@ -262,24 +269,24 @@
     asyncio.run(scenario())
 
 
-def test_another_process_at_a_workers_address_does_not_run_its_requests():
+def test_other_instance_at_worker_address_does_not_run_request():
     async def scenario():
         entry, (worker,), _ = await make_entry("unsafe", 1)
         worker.instance = "i-other"
-        answer = await entry.request("/unsafe/", "id-1")
-        assert (answer.status, count_runs([worker])) == (503, 0)
+        response = await entry.request("/unsafe/", "id-1")
+        assert (response.status, count_runs([worker])) == (503, 0)
 
     asyncio.run(scenario())
 
 
-def test_each_version_of_weights_is_due_by_its_own_naming():
+def test_each_weights_version_is_due_by_its_own_naming_time():
     entry = fleet_nodes.Entry()
     watcher = entry.node.watcher
     watcher.named_at = {"m": {2: 100.0, 3: 102.0}}
     assert [watcher.version_due("m", now, 7.0) for now in (106.0, 107.5, 109.5)] == [0, 2, 3]
 
 
-def test_an_attempt_that_has_not_begun_at_the_bound_of_its_old_version_goes_elsewhere(monkeypatch):
+def test_attempt_without_response_at_version_expiry_is_retried_elsewhere(monkeypatch):
     # The attempt must not time out before the version expires.
     monkeypatch.setattr(attempts, "FIRST_EVENT_MIN_S", 5.0)
 
@@ -290,11 +297,11 @@
         entry.node.settings.bounds.version_s = bound_s
         entry.node.settings.agent_port = 1
 
-        async def answer_at_once(agents, wait_s):
+        async def reply_at_once(agents, wait_s):
             nothing = load_tracker.EngineLoad(load_tracker.Outstanding())
             return {agent: nothing for agent in agents}
 
-        entry.node.prober.ask = answer_at_once
+        entry.node.prober.ask = reply_at_once
         old.behaviour.never_responds = True
         new.version = 2
         watcher, pool = entry.node.watcher, entry.node.pool
@@ -316,7 +323,7 @@
     asyncio.run(scenario())
 
 
-def test_an_engine_that_is_ahead_of_the_version_due_serves_too():
+def test_engine_ahead_of_required_version_serves():
     async def scenario():
         entry, (engine,), _ = await make_entry("model", 1, "m")
         engine.version = 3
@@ -326,13 +333,13 @@
         pool.backends[engine.instance].apply_report(report, now)
         watcher.named, watcher.named_at = {"m": 3}, {"m": {2: now - 60.0, 3: now}}
         assert pool.required_version("m", now) == 2
-        answer = await entry.request("/model/", "id-1", **STREAM)
-        assert (answer.status, count_runs([engine])) == (200, 1)
+        response = await entry.request("/model/", "id-1", **STREAM)
+        assert (response.status, count_runs([engine])) == (200, 1)
 
     asyncio.run(scenario())
 
 
-def test_events_that_the_client_has_are_not_given_twice():
+def test_resumed_stream_skips_events_already_sent():
     async def scenario():
         entry, workers, _ = await make_entry("model", 2, "m")
         for worker in workers:
@@ -350,27 +357,27 @@
     asyncio.run(scenario())
 
 
-def test_a_repeatable_request_that_may_have_run_is_not_told_that_it_has_not():
+def test_safe_request_that_may_have_run_is_not_reported_as_not_run():
     async def scenario():
         entry, (lost, full), _ = await make_entry("safe", 2)
         lost.behaviour.closes_without_answer = True
         full.behaviour.is_full = True
-        orders = set()
+        run_counts = set()
         for number in range(20):
-            answer = await entry.request("/safe/", f"id-{number}")
+            response = await entry.request("/safe/", f"id-{number}")
             if count_runs([lost]):
-                assert answer.status not in (408, 421, 429, 503)
-            orders.add(count_runs([lost]))
+                assert response.status not in (408, 421, 429, 503)
+            run_counts.add(count_runs([lost]))
             lost.runs.clear()
             for backend in entry.node.pool.backends.values():
                 backend.ejected_until = backend.full_until = 0.0
                 backend.failures = 0
-        assert 1 in orders
+        assert 1 in run_counts
 
     asyncio.run(scenario())
 
 
-def test_one_failed_connection_does_not_refuse_what_the_only_worker_could_run():
+def test_only_worker_is_used_after_one_failure():
     async def scenario():
         entry, (worker,), _ = await make_entry("safe", 1)
         backend = next(iter(entry.node.pool.backends.values()))
@@ -381,7 +388,7 @@
     asyncio.run(scenario())
 
 
-def test_a_kept_connection_that_fell_silent_takes_the_others_to_its_back_end_with_it(monkeypatch):
+def test_timeout_on_pooled_connection_closes_others_to_back_end(monkeypatch):
     async def scenario():
         entry, workers, _ = await make_entry("model", 1, "m")
         await asyncio.gather(*(entry.request("/model/", f"id-{n}", **STREAM) for n in range(3)))
@@ -398,7 +405,7 @@
     asyncio.run(scenario())
 
 
-def test_a_request_that_has_lost_its_time_here_is_served_late_by_an_engine_that_has_room(
+def test_request_past_admission_time_is_served_by_engine_with_free_slots(
     monkeypatch,
 ):
     async def scenario():
@@ -412,56 +419,58 @@
         # Without room, a late request would also delay the queued ones.
         report.running = backend.slots
         backend.apply_report(report, entry.node.clock())
-        answer = await entry.request("/model/", "id-2", **STREAM)
-        assert (answer.status, count_runs([worker])) == (503, 1)
+        response = await entry.request("/model/", "id-2", **STREAM)
+        assert (response.status, count_runs([worker])) == (503, 1)
 
     asyncio.run(scenario())
 
 
-def test_an_engine_that_is_not_heard_and_does_not_answer_is_chosen_only_if_there_is_no_other():
+def test_engine_without_load_data_is_chosen_last():
     async def scenario():
         entry, workers, _ = await make_entry("model", 2, "m")
         pool = entry.node.pool
         entry.node.settings.agent_port = 1
-        heard, silent = (pool.backends[worker.instance] for worker in workers)
+        subscribed, unsubscribed = (pool.backends[worker.instance] for worker in workers)
         pool.agent_of = lambda backend: backend.instance
-        pool.subscribed = {"model": [heard]}
+        pool.subscribed = {"model": [subscribed]}
         report = fleet.EngineReport(running=8, queued=4, weights=[fleet.Weights("m", 1, 16)])
-        heard.apply_report(report, pool.clock())
+        subscribed.apply_report(report, pool.clock())
 
-        async def answers_of_the_heard_one(agents, wait_s):
+        async def reply_for_subscribed_engine(agents, wait_s):
             others = load_tracker.Outstanding(12, 4, 100_000.0)
             known = load_tracker.EngineLoad(others)
-            return {agent: known if agent == heard.instance else None for agent in agents}
+            return {agent: known if agent == subscribed.instance else None for agent in agents}
 
-        entry.node.prober.ask = answers_of_the_heard_one
+        entry.node.prober.ask = reply_for_subscribed_engine
         choice = await pool.choose(dispatch.Demand("model", "m", 1), 0.2)
-        assert choice.backend is heard, "nothing is known of the other one"
+        assert choice.backend is subscribed, "the load of the other engine is unknown"
         pool.subscribed = {"model": []}
-        choice = await pool.choose(dispatch.Demand("model", "m", 1, tried={heard.instance}), 0.2)
-        assert choice.backend is silent
+        choice = await pool.choose(
+            dispatch.Demand("model", "m", 1, tried={subscribed.instance}), 0.2
+        )
+        assert choice.backend is unsubscribed
 
     asyncio.run(scenario())
 
 
-def test_engines_that_are_not_heard_do_not_hide_when_the_others_will_serve():
+def test_ready_forecast_ignores_engines_without_subscription():
     # In a large fleet, an entry subscribes to fewer than half of the engines.
     async def scenario():
         entry, workers, _ = await make_entry("model", 5, "m")
         pool = entry.node.pool
-        heard = [pool.backends[worker.instance] for worker in workers[:2]]
-        pool.subscribed = {"model": heard}
-        for engine in heard:
+        subscribed = [pool.backends[worker.instance] for worker in workers[:2]]
+        pool.subscribed = {"model": subscribed}
+        for engine in subscribed:
             engine.apply_report(fleet.EngineReport(ready_in_s=3.0), pool.clock())
         assert pool.ready_in_s("model") == pytest.approx(3.0, abs=0.2)
-        heard[0].stop_reports()
-        assert heard[0].ready_at is None
+        subscribed[0].stop_reports()
+        assert subscribed[0].ready_at is None
         assert pool.ready_in_s("no such service") is None
 
     asyncio.run(scenario())
 
 
-def test_where_no_agent_answers_short_streams_do_not_all_go_to_one_engine():
+def test_streams_are_spread_when_no_agent_replies():
     # Engines on one VM share its agent, so probes that time out don't distinguish them.
     async def scenario():
         settings = fleet_nodes.make_settings("entry", agent_port=fleet_nodes.free_port())
@@ -474,8 +483,8 @@
         body = fleet_nodes.configuration(1, [], "model")
         entry.apply_update(body, {worker: "model" for worker in workers})
         for number in range(64):
-            answer = await entry.request("/model/x", f"id-{number}", **STREAM)
-            assert answer.status == 200
+            response = await entry.request("/model/x", f"id-{number}", **STREAM)
+            assert response.status == 200
         assert max(len(worker.runs) for worker in workers) <= 24
 
     asyncio.run(scenario())
