--- a/tests/test_permit_handover.py
+++ b/tests/test_permit_handover.py
@@ -1,4 +1,4 @@
-"""Tests for permits during a change of leader and with lost messages.
+"""Permits during a change of leader and with lost messages.
 
 Guards against entries that keep using their time slots after a new leader grants permits, which
 exceeds the limit, and against permits left unused after the change.
@@ -47,19 +47,19 @@
 
 @pytest.mark.parametrize("entries", [2, 4, 7])
 @pytest.mark.parametrize("loss", [0.0, 0.02])
-def test_no_window_exceeds_the_limit_while_the_vm_that_counts_changes(entries, loss):
+def test_limit_is_kept_during_leader_change(entries, loss):
     async def scenario(seed):
         net = random_net(seed, entries, loss)
-        changing = asyncio.create_task(change_leader(net))
+        leader_change = asyncio.create_task(change_leader(net))
         await net.send_requests(OVERLOAD * net.limit_per_s, UNTIL_S)
-        await changing
+        await leader_change
         check_limit(net)
 
     for seed in range(SEEDS):
         virtual_loop.run(scenario(seed))
 
 
-def test_no_window_exceeds_the_limit_while_answers_are_lost():
+def test_limit_is_kept_when_datagrams_are_lost():
     async def scenario(seed):
         net = random_net(seed, 4, loss=0.1)
         await net.send_requests(OVERLOAD * net.limit_per_s, UNTIL_S)
@@ -70,13 +70,13 @@
 
 
 @pytest.mark.parametrize("entries", [2, 4, 7])
-def test_what_is_allowed_is_used_again_once_another_vm_counts(entries):
+def test_limit_is_used_up_after_leader_change(entries):
     async def scenario(seed):
         net = random_net(seed, entries)
-        changing = asyncio.create_task(change_leader(net))
+        leader_change = asyncio.create_task(change_leader(net))
         await net.send_requests(HEAVY_OVERLOAD * net.limit_per_s, UNTIL_S)
         # Entries need up to a second to find it; the first permit falls due an interval later.
-        since = await changing + 1.0 + 1.0 / net.limit_per_s
+        since = await leader_change + 1.0 + 1.0 / net.limit_per_s
         used = net.count_used(since, UNTIL_S)
         return used, net.limit_per_s * (UNTIL_S - since)
 
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -1,4 +1,8 @@
-"""Tests for granting permits and for entries without a leader."""
+"""Permit servers and clients.
+
+Guards against permits that are granted twice or by a member that may not be the leader, and against
+clients that wait for a leader that does not reply.
+"""
 
 import asyncio
 import math
@@ -34,7 +38,7 @@
     current = "here:1"
 
 
-def make_office():
+def make_server():
     member, times = Member(), [100.0]
     return permit_server.PermitServer(member, lambda: times[0]), member, times
 
@@ -48,52 +52,52 @@
 @pytest.mark.parametrize(
     ("per_s", "age_s"), [(0.0, 0.0), (-1.0, 0.0), (math.nan, 0.0), (2.0, -9.0)]
 )
-def test_a_question_with_no_limit_in_it_does_not_come_in(per_s, age_s):
-    asked = query(1)
-    limit = asked.permit.limits[0]
+def test_query_with_invalid_limit_is_rejected(per_s, age_s):
+    sent_query = query(1)
+    limit = sent_query.permit.limits[0]
     limit.per_s, limit.heard_age_s = per_s, age_s
     codec = codecs.Codec([node_messages.MESSAGES], [])
     with pytest.raises(errors.ProtocolError, match="per_s|heard_age_s"):
-        codec.decode(codec.encode(asked))
+        codec.decode(codec.encode(sent_query))
 
 
-def test_a_question_that_comes_twice_takes_one_permit():
-    office, _, times = make_office()
-    office.answer(query(1))
+def test_repeated_query_takes_one_permit():
+    server, _, times = make_server()
+    server.answer(query(1))
     times[0] += 1.0
-    first, again = office.answer(query(2)), office.answer(query(2))
+    first, again = server.answer(query(2)), server.answer(query(2))
     assert first.decision.instance == "i" and again is first
     times[0] += 0.3
-    assert office.answer(query(3)).decision.instance == "i"
+    assert server.answer(query(3)).decision.instance == "i"
 
 
-def test_a_member_that_does_not_surely_lead_gives_nothing_out_and_names_the_leader():
-    office, member, _ = make_office()
+def test_member_without_lease_grants_nothing_and_names_leader():
+    server, member, _ = make_server()
     member.leads, member.leader = False, "there:1"
-    assert office.answer(query(1)) == node_messages.PermitReply(None, "there:1")
+    assert server.answer(query(1)) == node_messages.PermitReply(None, "there:1")
     member.leader = member.address
-    assert office.answer(query(2)) == node_messages.PermitReply(None, "")
+    assert server.answer(query(2)) == node_messages.PermitReply(None, "")
 
 
-def test_who_leads_again_begins_with_nothing():
-    office, member, times = make_office()
-    office.answer(query(1))
+def test_member_that_leads_again_starts_without_permits():
+    server, member, times = make_server()
+    server.answer(query(1))
     times[0] += 5.0
     member.leads = False
-    office.answer(query(2))
+    server.answer(query(2))
     member.leads = True
-    assert not office.answer(query(3)).decision.instance
+    assert not server.answer(query(3)).decision.instance
 
 
-def test_entries_are_told_their_turns_and_those_that_asked_long_ago_have_none():
-    office, _, times = make_office()
+def test_reply_ranks_entries_with_recent_queries():
+    server, _, times = make_server()
     for number, name in enumerate(("c", "a", "b")):
-        office.answer(query(number, name))
-    answer = office.answer(query(9, "b"))
-    assert (answer.entries, answer.rank, answer.at) == (3, 1, times[0])
+        server.answer(query(number, name))
+    reply = server.answer(query(9, "b"))
+    assert (reply.entries, reply.rank, reply.at) == (3, 1, times[0])
     times[0] += 2 * permit_server.ENTRY_EXPIRY_S
-    answer = office.answer(query(10, "b"))
-    assert (answer.entries, answer.rank) == (1, 0)
+    reply = server.answer(query(10, "b"))
+    assert (reply.entries, reply.rank) == (1, 0)
 
 
 def limited_backend(per_s: float) -> backend_record.Backend:
@@ -102,7 +106,7 @@
 
 
 def make_permits() -> tuple[permits.PermitClient, list]:
-    """Return a permit client that gets no answers, and the list of its sent messages."""
+    """Return a permit client that gets no replies, and the list of its sent messages."""
     sent: list = []
     clock = asyncio.get_running_loop().time
 
@@ -112,13 +116,13 @@
     return permits.PermitClient("e:1", Watcher(), send, clock, random.Random(1)), sent
 
 
-def test_while_nobody_answers_one_question_is_open_at_a_time_and_turns_decide():
+def test_client_without_replies_sends_one_query_and_uses_time_slots():
     async def scenario():
         client, sent = make_permits()
         backend = limited_backend(50.0)
-        began = client.clock()
+        started_at = client.clock()
         found = await asyncio.gather(*[client.acquire("s", "a", 0.0, [backend]) for _ in range(20)])
-        assert client.clock() - began < 10 * permits.ANSWER_TIMEOUT_S
+        assert client.clock() - started_at < 10 * permits.ANSWER_TIMEOUT_S
         assert len({message.number for _, message in sent}) == 1
         assert sum(isinstance(each, permits.Permit) for each in found) <= 1
         assert backend.availability.lacks_permit(client.clock())
@@ -126,7 +130,7 @@
     asyncio.run(scenario())
 
 
-def test_a_client_that_leaves_while_it_looks_for_the_leader_sends_no_other_to_its_turn():
+def test_cancelled_leader_search_is_taken_over_by_waiting_request():
     async def scenario():
         client, sent = make_permits()
         backend = limited_backend(50.0)
@@ -145,7 +149,7 @@
     asyncio.run(scenario())
 
 
-def test_an_answer_that_comes_too_late_is_dropped_with_its_permit():
+def test_late_reply_is_dropped():
     async def scenario():
         client, sent = make_permits()
         await client.acquire("s", "a", 0.0, [limited_backend(0.01)])
--- a/tests/test_limits.py
+++ b/tests/test_rate_limited_back_ends.py
@@ -41,36 +41,34 @@
     assert most <= allowance(limit, WINDOW_S), (worker.instance, most, allowance(limit, WINDOW_S))
 
 
-def p95_duration_s(asked: list[limited_fleet.SentRequest]) -> float:
+def p95_duration_s(requests: list[limited_fleet.SentRequest]) -> float:
     """Return the 95th percentile of the response times, in seconds."""
-    took = sorted(each.duration_s for each in asked)
-    return took[int(0.95 * len(took))]
+    durations = sorted(each.duration_s for each in requests)
+    return durations[int(0.95 * len(durations))]
 
 
 def check_utilisation(fleet, limit: float, since: float, until: float) -> None:
     for worker in fleet.workers:
         check_limit(fleet, worker, limit, since, until)
-    begun = sum(fleet.count_started(worker, since, until) for worker in fleet.workers)
-    named = limit * len(fleet.workers) * (until - since)
-    assert begun >= UTILISATION_MIN * named, (begun, named)
+    started = sum(fleet.count_started(worker, since, until) for worker in fleet.workers)
+    allowed = limit * len(fleet.workers) * (until - since)
+    assert started >= UTILISATION_MIN * allowed, (started, allowed)
 
 
 # Tests that count requests in time windows are marked, since a stalled process sends bursts.
 @pytest.mark.timed
 @pytest.mark.parametrize("service", ["safe", "unsafe", "model"])
-def test_all_entries_together_keep_to_the_limit_of_one_and_the_others_serve_the_rest(
-    service, tmp_path
-):
+def test_entries_together_keep_limit_of_one_worker(service, tmp_path):
     async def scenario():
         fleet = await start_fleet(tmp_path, service)
         limited = fleet.workers[0]
         limited.behaviour.limit = "4"
-        began = await fleet.send_at_rate(100, 5.0)
+        started_at = await fleet.send_at_rate(100, 5.0)
         await fleet.wait_for_responses()
-        since, until = began + PROPAGATION_S, began + 5.0
+        since, until = started_at + PROPAGATION_S, started_at + 5.0
         check_limit(fleet, limited, 4, since, until)
-        asked = fleet.sent_between(since, until)
-        assert sum(each.is_served() for each in asked) >= 0.99 * len(asked)
+        requests = fleet.sent_between(since, until)
+        assert sum(each.is_served() for each in requests) >= 0.99 * len(requests)
         # The limited worker must still be used up to its limit.
         assert (
             fleet.count_started(limited, since, until) >= UTILISATION_MIN * 4 * (until - since) - 1
@@ -82,18 +80,16 @@
 
 @pytest.mark.timed
 @pytest.mark.parametrize("entries", [[0, 1, 2, 3], [0]], ids=["all entries", "one entry"])
-def test_where_all_are_limited_the_allowance_is_used_and_the_rest_refused_at_once(
-    entries, tmp_path
-):
+def test_limits_are_used_up_and_excess_requests_refused_at_once(entries, tmp_path):
     async def scenario():
         fleet = await start_fleet(tmp_path)
         for worker in fleet.workers:
             worker.behaviour.limit = "6"
         unknown = asyncio.create_task(fleet.send_at_rate(20, 5.0, entries, UNKNOWN_KEY))
-        began = await fleet.send_at_rate(60, 5.0, entries)
+        started_at = await fleet.send_at_rate(60, 5.0, entries)
         await unknown
         await fleet.wait_for_responses()
-        since, until = began + PROPAGATION_S, began + 5.0
+        since, until = started_at + PROPAGATION_S, started_at + 5.0
         check_utilisation(fleet, 6, since, until)
         not_served = [each for each in fleet.sent_between(since, until) if not each.is_served()]
         refused = [each for each in not_served if each.key != UNKNOWN_KEY]
@@ -110,7 +106,7 @@
 
 
 @pytest.mark.timed
-def test_what_entries_that_end_leave_is_used_by_the_others_and_by_one_that_joins(tmp_path):
+def test_limits_are_used_up_after_entries_end_and_join(tmp_path):
     async def scenario():
         fleet = await start_fleet(tmp_path)
         for worker in fleet.workers:
@@ -118,11 +114,11 @@
         await fleet.send_at_rate(60, 2.0)
         for entry in fleet.entries[2:]:
             crashing_fleet.kill_entry(entry)
-        began = await fleet.send_at_rate(60, 3.0, [0, 1])
-        check_utilisation(fleet, 6, began + 1.0, fleet.now())
+        started_at = await fleet.send_at_rate(60, 3.0, [0, 1])
+        check_utilisation(fleet, 6, started_at + 1.0, fleet.now())
         await fleet.add_entry(f"{fleet_nodes.NETWORK}.39")
-        began = await fleet.send_at_rate(60, 3.0, [0, 1, 4])
-        check_utilisation(fleet, 6, began + 1.0, fleet.now())
+        started_at = await fleet.send_at_rate(60, 3.0, [0, 1, 4])
+        check_utilisation(fleet, 6, started_at + 1.0, fleet.now())
         await fleet.wait_for_responses()
         await fleet.stop()
 
@@ -130,20 +126,20 @@
 
 
 @pytest.mark.timed
-def test_no_more_is_sent_while_the_control_vm_that_counts_is_lost(tmp_path):
+def test_limits_are_kept_while_leader_is_lost(tmp_path):
     async def scenario():
         fleet = await start_fleet(tmp_path)
         for worker in fleet.workers:
             worker.behaviour.limit = "6"
         await fleet.send_at_rate(60, 2.0)
-        began = fleet.now()
+        started_at = fleet.now()
         fleet.controls.kill(fleet.controls.leader())
         await fleet.send_at_rate(60, 4.0)
         for worker in fleet.workers:
-            check_limit(fleet, worker, 6, began, fleet.now())
+            check_limit(fleet, worker, 6, started_at, fleet.now())
         await fleet_nodes.until(fleet.controls.leader)
-        began = await fleet.send_at_rate(60, 3.0)
-        check_utilisation(fleet, 6, began + 1.0, fleet.now())
+        started_at = await fleet.send_at_rate(60, 3.0)
+        check_utilisation(fleet, 6, started_at + 1.0, fleet.now())
         await fleet.wait_for_responses()
         await fleet.stop()
 
@@ -151,26 +147,28 @@
 
 
 @pytest.mark.timed
-def test_an_account_that_asks_seldom_is_served_beside_one_that_presses(tmp_path):
+def test_account_with_few_requests_is_served_beside_busy_account(tmp_path):
     async def scenario():
         fleet = await start_fleet(tmp_path)
         for worker in fleet.workers:
             worker.behaviour.limit = "6"
         await fleet.send_at_rate(60, 1.0)
-        began = fleet.now()
-        seldom = asyncio.create_task(fleet.send_at_rate(4, 4.0, key="key-2"))
+        started_at = fleet.now()
+        second_account = asyncio.create_task(fleet.send_at_rate(4, 4.0, key="key-2"))
         await fleet.send_at_rate(60, 4.0)
-        await seldom
+        await second_account
         await fleet.wait_for_responses()
-        asked = [each for each in fleet.sent_between(began, fleet.now()) if each.key == "key-2"]
-        assert sum(each.is_served() for each in asked) >= 0.8 * len(asked)
+        requests = [
+            each for each in fleet.sent_between(started_at, fleet.now()) if each.key == "key-2"
+        ]
+        assert sum(each.is_served() for each in requests) >= 0.8 * len(requests)
         await fleet.stop()
 
     asyncio.run(scenario())
 
 
 @pytest.mark.timed
-def test_what_one_entry_heard_binds_the_others_before_their_first_request(tmp_path):
+def test_limit_received_by_one_entry_applies_at_all_entries(tmp_path):
     async def scenario():
         fleet = await start_fleet(tmp_path, workers=2)
         limited = fleet.workers[0]
@@ -178,8 +176,8 @@
         await fleet.send_at_rate(40, 1.0, [0])
         signals = [entry.node.pool.signals for entry in fleet.entries]
         await fleet_nodes.until(lambda: all(known.count_limited() == 1 for known in signals))
-        began = await fleet.send_at_rate(100, 3.0, [1, 2, 3])
-        check_limit(fleet, limited, 3, began, fleet.now())
+        started_at = await fleet.send_at_rate(100, 3.0, [1, 2, 3])
+        check_limit(fleet, limited, 3, started_at, fleet.now())
         limited.behaviour.limit = None
         await fleet.send_at_rate(40, 1.5, [0])
         await fleet_nodes.until(lambda: not any(known.count_limited() for known in signals))
@@ -190,7 +188,7 @@
 
 
 @pytest.mark.timed
-def test_a_limit_holds_for_as_long_as_it_is_named_and_in_the_height_named_last(tmp_path):
+def test_latest_limit_applies_until_it_is_no_longer_advertised(tmp_path):
     async def scenario():
         fleet = await start_fleet(tmp_path)
         limited = fleet.workers[0]
@@ -199,8 +197,8 @@
             since = await fleet.send_at_rate(100, 4.0) + PROPAGATION_S
             check_limit(fleet, limited, limit, since, fleet.now())
         limited.behaviour.limit = None
-        opened = await fleet.send_at_rate(100, 4.0) + 2.0
-        assert fleet.count_started(limited, opened, fleet.now()) >= 20
+        unlimited_since = await fleet.send_at_rate(100, 4.0) + 2.0
+        assert fleet.count_started(limited, unlimited_since, fleet.now()) >= 20
         await fleet.wait_for_responses()
         await fleet.stop()
 
@@ -208,7 +206,7 @@
 
 
 @pytest.mark.parametrize("text", ["nan", "-5", "1e400", "0", "", "3, 4", "1" * 21, "x"])
-def test_what_names_no_limit_keeps_no_back_end_from_work(text, tmp_path):
+def test_invalid_limit_header_is_ignored(text, tmp_path):
     async def scenario():
         fleet = await start_fleet(tmp_path, workers=1, entries=1)
         fleet.workers[0].behaviour.limit = text
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -1,4 +1,7 @@
-"""Tests for permits: the limit in any window, fairness between accounts, and retry times."""
+"""Permit allocation, time slots and the table of limits.
+
+Guards against more requests than a limit allows in any window, and against unfair shares.
+"""
 
 import itertools
 import random
@@ -21,17 +24,19 @@
     return rate_limits.PermitRequest("s", account, patience_s, list(limits))
 
 
-def named(
+def advertised_limit(
     per_s: float, instance: str = "i", heard_age_s: float = 0.0
 ) -> rate_limits.AdvertisedLimit:
     return rate_limits.AdvertisedLimit(instance, per_s, heard_age_s)
 
 
-def starts_of(counter, per_s: float, gaps: list[float], patience_s: float) -> list[float]:
+def starts_of(allocator, per_s: float, gaps: list[float], patience_s: float) -> list[float]:
     now, starts = 0.0, []
     for gap in gaps:
         now += gap
-        decision = counter.decide(permit_request(named(per_s), patience_s=patience_s), now)
+        decision = allocator.decide(
+            permit_request(advertised_limit(per_s), patience_s=patience_s), now
+        )
         if decision.instance:
             starts.append(now + decision.start_in_s)
     return starts
@@ -73,67 +78,71 @@
     assert most_in_a_window(sorted(starts)) <= (per_s * 1.01) * WINDOW_S + SPARE
 
 
-def test_a_turn_is_not_lost_when_the_limit_falls():
-    turns = permit_slots.PermitSlots(0)
-    turns.update(1, 0, 1000.0)
-    assert turns.decide(permit_request(named(8.0)), 1.0).instance
-    decision = turns.decide(permit_request(named(0.5)), 1.0)
+def test_next_slot_after_limit_falls_is_within_two_intervals():
+    slots = permit_slots.PermitSlots(0)
+    slots.update(1, 0, 1000.0)
+    assert slots.decide(permit_request(advertised_limit(8.0)), 1.0).instance
+    decision = slots.decide(permit_request(advertised_limit(0.5)), 1.0)
     assert max(decision.free_in_s) <= 2 / 0.5
 
 
-def test_whoever_counts_anew_begins_with_nothing():
-    counter = rate_limits.PermitAllocator()
-    decision = counter.decide(permit_request(named(1.0)), 100.0)
+def test_new_allocator_grants_no_permit_at_once():
+    allocator = rate_limits.PermitAllocator()
+    decision = allocator.decide(permit_request(advertised_limit(1.0)), 100.0)
     assert not decision.instance
     assert 1.0 <= decision.free_in_s[0] <= 1.1
 
 
-def test_the_newest_limit_holds_whoever_tells_it():
-    counter = rate_limits.PermitAllocator()
-    counter.decide(permit_request(named(8.0)), 0.0)
-    counter.decide(permit_request(named(0.5)), 1.0)
-    counter.decide(permit_request(named(8.0, heard_age_s=3.0)), 2.0)
-    assert counter.allowances["i"].per_s == 0.5
-    counter.decide(permit_request(named(6.0)), 3.0)
-    assert counter.allowances["i"].per_s == 6.0
-    assert counter.decide(permit_request(named(6.0)), 3.2).instance, "the low limit is over"
+def test_most_recently_received_limit_applies():
+    allocator = rate_limits.PermitAllocator()
+    allocator.decide(permit_request(advertised_limit(8.0)), 0.0)
+    allocator.decide(permit_request(advertised_limit(0.5)), 1.0)
+    allocator.decide(permit_request(advertised_limit(8.0, heard_age_s=3.0)), 2.0)
+    assert allocator.allowances["i"].per_s == 0.5
+    allocator.decide(permit_request(advertised_limit(6.0)), 3.0)
+    assert allocator.allowances["i"].per_s == 6.0
+    assert allocator.decide(
+        permit_request(advertised_limit(6.0)), 3.2
+    ).instance, "the low limit was replaced"
 
 
-def test_a_back_end_that_names_next_to_nothing_is_asked_now_and_then():
+def test_tiny_limit_still_grants_occasional_permits():
     gaps = [0.1] * 600
     starts = starts_of(rate_limits.PermitAllocator(), 0.0001, gaps, 0.0)
     assert 5 <= len(starts) <= 6
 
 
-def test_who_can_wait_gets_a_permit_ahead_of_time_and_who_can_not_is_told_when():
-    counter = rate_limits.PermitAllocator()
-    counter.decide(permit_request(named(10.0)), 0.0)
-    first = counter.decide(permit_request(named(10.0)), 1.0)
+def test_request_that_can_wait_gets_later_permit_and_others_retry_delay():
+    allocator = rate_limits.PermitAllocator()
+    allocator.decide(permit_request(advertised_limit(10.0)), 0.0)
+    first = allocator.decide(permit_request(advertised_limit(10.0)), 1.0)
     assert first.instance and first.start_in_s == 0.0
-    later = counter.decide(permit_request(named(10.0), patience_s=0.2), 1.0)
+    later = allocator.decide(permit_request(advertised_limit(10.0), patience_s=0.2), 1.0)
     assert later.instance and 0.0 < later.start_in_s <= 0.2
-    refused = counter.decide(permit_request(named(10.0)), 1.0)
+    refused = allocator.decide(permit_request(advertised_limit(10.0)), 1.0)
     assert not refused.instance
     assert refused.back_in_s >= later.start_in_s
 
 
-def test_those_who_are_refused_together_are_told_different_times():
-    counter = rate_limits.PermitAllocator()
-    told = [counter.decide(permit_request(named(10.0)), 0.0).back_in_s for _ in range(10)]
-    assert len({round(at, 3) for at in told}) == len(told)
-    assert max(told) <= rate_limits.RETRY_SPREAD_S + 0.1
+def test_simultaneous_refusals_get_different_retry_delays():
+    allocator = rate_limits.PermitAllocator()
+    delays = [
+        allocator.decide(permit_request(advertised_limit(10.0)), 0.0).back_in_s for _ in range(10)
+    ]
+    assert len({round(at, 3) for at in delays}) == len(delays)
+    assert max(delays) <= rate_limits.RETRY_SPREAD_S + 0.1
 
 
-def test_of_several_back_ends_the_first_free_one_is_taken():
-    counter = rate_limits.PermitAllocator()
-    limits = [named(0.1, "slow"), named(10.0, "quick")]
-    counter.decide(permit_request(*limits), 0.0)
-    assert counter.decide(permit_request(*limits), 1.0).instance == "quick"
-    assert counter.decide(permit_request(*limits, patience_s=60.0), 1.0).instance == "quick"
+def test_back_end_with_earliest_permit_is_chosen():
+    allocator = rate_limits.PermitAllocator()
+    limits = [advertised_limit(0.1, "slow"), advertised_limit(10.0, "quick")]
+    allocator.decide(permit_request(*limits), 0.0)
+    assert allocator.decide(permit_request(*limits), 1.0).instance == "quick"
+    assert allocator.decide(permit_request(*limits, patience_s=60.0), 1.0).instance == "quick"
 
 
-def test_an_account_that_asks_seldom_is_served_though_another_asks_always():
-    counter = rate_limits.PermitAllocator()
+def test_account_with_few_requests_is_served_beside_busy_account():
+    allocator = rate_limits.PermitAllocator()
     rng = random.Random(3)
     asked = {"often": 0, "seldom": 0}
     served = {"often": 0, "seldom": 0}
@@ -142,46 +151,46 @@
         now += rng.expovariate(50.0)
         account = "seldom" if rng.random() < 0.08 else "often"
         asked[account] += 1
-        request = permit_request(named(20.0), account=account, patience_s=0.05)
-        served[account] += bool(counter.decide(request, now).instance)
+        request = permit_request(advertised_limit(20.0), account=account, patience_s=0.05)
+        served[account] += bool(allocator.decide(request, now).instance)
     assert served["seldom"] >= 0.9 * asked["seldom"]
     assert sum(served.values()) >= 0.9 * 20.0 * 60.0
 
 
-def test_nothing_is_kept_of_back_ends_that_nobody_asks_for():
-    counter = rate_limits.PermitAllocator()
+def test_allowances_of_unused_back_ends_expire():
+    allocator = rate_limits.PermitAllocator()
     for number in range(50):
-        counter.decide(permit_request(named(1.0, f"i-{number}")), 0.0)
-    counter.decide(permit_request(named(1.0, "present")), 200.0)
-    assert set(counter.allowances) == {"present"}
+        allocator.decide(permit_request(advertised_limit(1.0, f"i-{number}")), 0.0)
+    allocator.decide(permit_request(advertised_limit(1.0, "present")), 200.0)
+    assert set(allocator.allowances) == {"present"}
 
 
-def test_of_limits_that_nodes_tell_each_other_the_one_heard_last_holds():
-    told = [
+def test_merge_keeps_latest_limit_in_any_order():
+    reports = [
         limit_table.LimitReport("i", 8.0, 3.0),
         limit_table.LimitReport("i", 0.5, 2.0),
         limit_table.LimitReport("i", None, 1.0),
     ]
-    for order in itertools.permutations(told):
-        ledger = limit_table.LimitTable()
+    for order in itertools.permutations(reports):
+        table = limit_table.LimitTable()
         for each in [*order, *order]:
-            ledger.merge(each, 10.0)
-        assert ledger.records["i"].per_s is None, order
+            table.merge(each, 10.0)
+        assert table.records["i"].per_s is None, order
 
 
-def test_what_is_remembered_of_limits_is_bounded():
-    ledger = limit_table.LimitTable()
+def test_limit_table_is_bounded():
+    table = limit_table.LimitTable()
     for number in range(limit_table.RECORDS_MAX + 50):
-        ledger.merge(limit_table.LimitReport(f"i-{number}", 1.0, 0.0), number)
-    assert len(ledger.records) == limit_table.RECORDS_MAX
-    assert len(ledger.since(ledger.revision - 3, 0.0)) == 3
-    ledger.merge(limit_table.LimitReport("over", None, 0.0), 10_000.0)
-    ledger.merge(limit_table.LimitReport("i-4000", None, 0.0), 10_000.0)
-    ledger.merge(limit_table.LimitReport("i-4001", 2.0, 0.0), 10_100.0)
-    assert "i-4000" not in ledger.records
+        table.merge(limit_table.LimitReport(f"i-{number}", 1.0, 0.0), number)
+    assert len(table.records) == limit_table.RECORDS_MAX
+    assert len(table.since(table.revision - 3, 0.0)) == 3
+    table.merge(limit_table.LimitReport("over", None, 0.0), 10_000.0)
+    table.merge(limit_table.LimitReport("i-4000", None, 0.0), 10_000.0)
+    table.merge(limit_table.LimitReport("i-4001", 2.0, 0.0), 10_100.0)
+    assert "i-4000" not in table.records
 
 
-def test_a_limit_that_another_vm_heard_before_does_not_undo_what_was_heard_since():
+def test_older_limit_from_another_vm_is_ignored():
     availability = backend_availability.Availability()
     availability.record_limit(2.0, sent_at=0.0, now=5.0)
     availability.merge_limit(None, heard_at=4.0)
@@ -190,7 +199,7 @@
     assert not availability.is_limited()
 
 
-def test_an_answer_that_was_overtaken_does_not_lift_a_limit():
+def test_response_to_earlier_request_does_not_raise_limit():
     availability = backend_availability.Availability()
     availability.record_limit(8.0, sent_at=0.0, now=1.0)
     assert availability.record_limit(0.5, sent_at=0.5, now=2.0)
