--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -18,7 +18,7 @@
     "test_backend_signals.py",
     "test_change_over.py",
     "test_chunk_announcements.py",
-    "test_crash_ledger.py",
+    "test_crash_tracker.py",
     "test_deciders.py",
     "test_fleet_deciders.py",
     "test_incarnations.py",
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -16,7 +16,7 @@
 
 
 def run(tmp_path, scenario, service="safe", model="", entries=2, workers=8, **behaviour):
-    async def whole():
+    async def run_scenario():
         fleet = crashing_fleet.CrashingFleet(tmp_path, service, model)
         try:
             await fleet.start(entries, workers, **behaviour)
@@ -24,7 +24,7 @@
         finally:
             await fleet.stop()
 
-    asyncio.run(whole())
+    asyncio.run(run_scenario())
 
 
 @pytest.mark.parametrize(
@@ -36,30 +36,30 @@
         ("model", "m", True, True),
     ],
 )
-def test_a_request_that_ended_three_workers_goes_to_no_more_of_them_from_any_entry(
+def test_request_that_crashed_three_workers_is_held_at_all_entries(
     tmp_path, service, model, keeps_id, sends_born_ms
 ):
     async def scenario(fleet):
         await fleet.send_crashing_requests(crashing_fleet.CONTACT_S, repeats=16)
         late = fleet.count_late_requests()
-        assert late <= LATE_MAX, f"{late} later ones; {len(fleet.crash_times())} workers ended"
+        assert late <= LATE_MAX, f"{late} late requests; {len(fleet.crash_times())} crashes"
 
     run(tmp_path, scenario, service, model, keeps_id=keeps_id, sends_born_ms=sends_born_ms)
 
 
-def test_a_request_that_is_held_back_is_refused_at_once_as_not_run_and_not_asked_back_soon(
+def test_held_request_gets_503_with_long_retry_after(
     tmp_path,
 ):
     async def scenario(fleet):
         await fleet.until_held()
-        ends = len(fleet.crash_times())
+        crash_count = len(fleet.crash_times())
         for entry in range(2):
             held = fleet.entries[entry].node.crashes.ledger.held
             await fleet_nodes.until(held)
-            answer = await fleet.request(entry, crashing_fleet.CRASH_BODY)
-            assert answer.status == 503
-            assert float(http_messages.get_header(answer.headers, b"retry-after")) >= 60
-        assert len(fleet.crash_times()) == ends
+            response = await fleet.request(entry, crashing_fleet.CRASH_BODY)
+            assert response.status == 503
+            assert float(http_messages.get_header(response.headers, b"retry-after")) >= 60
+        assert len(fleet.crash_times()) == crash_count
         await fleet.until_known()
         # Requests with another body or path are served.
         assert (await fleet.request(0, b"other")).status == 200
@@ -68,31 +68,31 @@
     run(tmp_path, scenario)
 
 
-def test_the_answer_to_an_attempt_that_ended_a_worker_does_not_say_that_it_was_not_run(tmp_path):
+def test_crashing_request_gets_502_even_if_second_attempt_is_held(tmp_path):
     async def scenario(fleet):
-        answer = await fleet.request(0, crashing_fleet.CRASH_BODY)
-        assert (answer.status, len(fleet.crash_times())) == (502, 2)
+        response = await fleet.request(0, crashing_fleet.CRASH_BODY)
+        assert (response.status, len(fleet.crash_times())) == (502, 2)
         await fleet_nodes.until(lambda: fleet.entries[1].node.crashes.ledger.records)
         # The third crash is known before a second attempt, which is therefore not made.
-        answer = await fleet.request(1, crashing_fleet.CRASH_BODY)
-        assert (answer.status, len(fleet.crash_times())) == (502, 3)
+        response = await fleet.request(1, crashing_fleet.CRASH_BODY)
+        assert (response.status, len(fleet.crash_times())) == (502, 3)
 
     run(tmp_path, scenario)
 
 
-def test_what_is_held_back_stays_so_when_all_vms_lose_power(tmp_path):
+def test_hold_survives_power_loss_of_all_vms(tmp_path):
     async def scenario(fleet):
         await fleet.until_held()
-        ends = len(fleet.crash_times())
+        crash_count = len(fleet.crash_times())
         await fleet.simulate_power_loss()
         for _ in range(4):
             assert (await fleet.request(0, crashing_fleet.CRASH_BODY)).status == 503
-        assert len(fleet.crash_times()) == ends
+        assert len(fleet.crash_times()) == crash_count
 
     run(tmp_path, scenario)
 
 
-def test_control_vms_that_all_start_again_learn_from_entries_what_was_not_decided_yet(tmp_path):
+def test_restarted_control_vms_get_crash_records_from_entries(tmp_path):
     async def scenario(fleet):
         await fleet.request(0, crashing_fleet.CRASH_BODY)
         assert len(fleet.crash_times()) == 2
@@ -101,31 +101,31 @@
             await fleet.controls.start(ip)
         nodes = fleet.controls.nodes.values()
         await fleet_nodes.until(lambda: any(node.crashes.ledger.records for node in nodes))
-        other = fleet.entries[1].node.crashes.ledger
-        await fleet_nodes.until(lambda: other.records)
+        other_tracker = fleet.entries[1].node.crashes.ledger
+        await fleet_nodes.until(lambda: other_tracker.records)
         await fleet.request(1, crashing_fleet.CRASH_BODY)
         assert len(fleet.crash_times()) == 3
 
     run(tmp_path, scenario)
 
 
-def test_what_a_control_vm_could_not_be_told_it_is_told_once_it_is_there(tmp_path):
+def test_undelivered_crash_records_are_sent_once_control_vm_is_back(tmp_path):
     async def scenario(fleet):
-        away = next(ip for ip in fleet.controls.ips if ip != fleet.controls.leader())
-        fleet.controls.kill(away)
+        stopped = next(ip for ip in fleet.controls.ips if ip != fleet.controls.leader())
+        fleet.controls.kill(stopped)
         await fleet.request(0, crashing_fleet.CRASH_BODY)
         nodes = list(fleet.controls.nodes.values())
         await fleet_nodes.until(lambda: any(node.crashes.undelivered for node in nodes))
         for node in nodes:
             node.member.propose = None  # no decision reaches the VM through the log
-        await fleet.controls.start(away)
-        ledger = fleet.controls.nodes[away].crashes.ledger
-        await fleet_nodes.until(lambda: ledger.records)
+        await fleet.controls.start(stopped)
+        tracker = fleet.controls.nodes[stopped].crashes.ledger
+        await fleet_nodes.until(lambda: tracker.records)
 
     run(tmp_path, scenario)
 
 
-def test_an_entry_without_control_vms_holds_back_what_it_saw_itself(tmp_path):
+def test_entry_without_control_vms_holds_requests_by_its_own_records(tmp_path):
     async def scenario(fleet):
         for ip in fleet.controls.ips:
             fleet.controls.kill(ip)
@@ -139,7 +139,7 @@
     run(tmp_path, scenario, entries=1)
 
 
-def test_a_reset_connection_is_not_an_end(tmp_path):
+def test_reset_connection_is_not_recorded_as_crash(tmp_path):
     async def scenario(fleet):
         for worker in fleet.workers:
             worker.behaviour.closes_without_answer = True
@@ -155,7 +155,7 @@
     run(tmp_path, scenario)
 
 
-def test_an_end_shows_late_where_only_the_next_instance_at_the_address_proves_it(tmp_path):
+def test_crash_is_recorded_when_new_instance_appears_after_timeout(tmp_path):
     async def scenario(fleet):
         crashes = fleet.entries[0].node.crashes
         worker = fleet.workers[0]
@@ -164,7 +164,7 @@
         worker.behaviour.never_responds = True
         task = asyncio.get_running_loop().create_task(fleet.request_or_none(0, b"silent"))
         await fleet_nodes.until(lambda: worker.runs)
-        # The VM fails: nothing answers, and the attempt times out.
+        # The VM fails: nothing responds, and the attempt times out.
         worker.is_down = True
         await task
         assert crashes.unconfirmed and not crashes.ledger.records
@@ -177,7 +177,7 @@
     run(tmp_path, scenario, entries=1, workers=2)
 
 
-def test_an_end_shows_where_the_next_instance_is_heard_before_the_silence_is_noticed(tmp_path):
+def test_crash_is_recorded_when_new_instance_appears_before_timeout(tmp_path):
     async def scenario(fleet):
         crashes = fleet.entries[0].node.crashes
         (worker,) = fleet.workers
@@ -191,13 +191,13 @@
         assert not crashes.ledger.records
         await task
         assert [
-            end.instance for record in crashes.ledger.records.values() for end in record.crashes
+            crash.instance for record in crashes.ledger.records.values() for crash in record.crashes
         ]
 
     run(tmp_path, scenario, entries=1, workers=1)
 
 
-def test_a_request_that_others_get_whole_answers_to_is_not_held_back_for_being_there(tmp_path):
+def test_popular_request_running_beside_crashes_is_not_held(tmp_path):
     async def scenario(fleet):
         for worker in fleet.workers:
             worker.behaviour.work_s = 0.1
@@ -206,8 +206,8 @@
 
         async def ask_popular(entry: int) -> None:
             while not is_over.is_set():
-                answer = await fleet.request_or_none(entry, b"popular")
-                statuses.append(answer.status if answer is not None else 0)
+                response = await fleet.request_or_none(entry, b"popular")
+                statuses.append(response.status if response is not None else 0)
 
         loop = asyncio.get_running_loop()
         tasks = [loop.create_task(ask_popular(number % 2)) for number in range(24)]
@@ -218,13 +218,13 @@
         is_over.set()
         await asyncio.gather(*tasks)
         held = {label for node in fleet.controls.nodes.values() for label in node.member.state.held}
-        assert len(held) == 1, "only the deadly one"
+        assert len(held) == 1, "only the crashing request may be held"
         assert all(status == 200 for status in statuses[before + 24 :])
 
     run(tmp_path, scenario)
 
 
-def test_many_different_deadly_requests_of_one_account_end_one_worker_each_in_the_end(tmp_path):
+def test_further_crashing_requests_of_account_crash_one_worker_each(tmp_path):
     async def scenario(fleet):
         for worker in fleet.workers:
             worker.crash_body = b"same for all: the paths differ"
@@ -237,24 +237,24 @@
             if number == crash_tracker.ACCOUNT_HELD_THRESHOLD - 1:
                 before = len(fleet.crash_times())
                 for entry in fleet.entries:
-                    ledger = entry.node.crashes.ledger
-                    await fleet_nodes.until(lambda ledger=ledger: ledger.is_strict("account-1"))
+                    tracker = entry.node.crashes.ledger
+                    await fleet_nodes.until(lambda tracker=tracker: tracker.is_strict("account-1"))
         assert len(fleet.crash_times()) - before == 4
 
     run(tmp_path, scenario, downtime_s=0.15)
 
 
-def test_an_end_that_is_seen_while_an_earlier_one_is_being_told_is_told_too():
+def test_crash_recorded_during_report_is_reported_too():
     class Caller:
-        """Replaces the RPC client: records reports, and returns once it is allowed to."""
+        """Replaces the RPC client: records reports, and returns once `may_reply` is set."""
 
         def __init__(self):
             self.reports = []
-            self.may_answer = asyncio.Event()
+            self.may_reply = asyncio.Event()
 
         async def call(self, address, report, timeout_s):
             self.reports.append(report)
-            await self.may_answer.wait()
+            await self.may_reply.wait()
 
     async def scenario():
         entry = fleet_nodes.Entry()
@@ -262,18 +262,18 @@
         crashes.caller, watcher.current = Caller(), "control"
         task = asyncio.get_running_loop().create_task(crashes.run())
 
-        def see(instance):
-            end = crash_tracker.Crash(crashes.clock(), instance, crashes.clock())
-            crashes.ledger.record_crash("f", "", end)
+        def record_crash(instance):
+            crash = crash_tracker.Crash(crashes.clock(), instance, crashes.clock())
+            crashes.ledger.record_crash("f", "", crash)
             crashes.queue_report("f")
 
-        see("i-1")
+        record_crash("i-1")
         await fleet_nodes.until(lambda: crashes.caller.reports)
-        see("i-2")
-        crashes.caller.may_answer.set()
+        record_crash("i-2")
+        crashes.caller.may_reply.set()
         await fleet_nodes.until(lambda: len(crashes.caller.reports) == 2, 2.0)
-        (told,) = crashes.caller.reports[1].suspicions
-        assert [end.instance for end in told.ends] == ["i-1", "i-2"]
+        (suspicion,) = crashes.caller.reports[1].suspicions
+        assert [end.instance for end in suspicion.ends] == ["i-1", "i-2"]
         task.cancel()
 
     asyncio.run(scenario())
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -1,4 +1,7 @@
-"""Back ends that restart under the same id: no state of the earlier incarnation applies."""
+"""Back ends that restart under the same id.
+
+Guards against applying state of an earlier incarnation to a later one.
+"""
 
 import asyncio
 import json
@@ -23,40 +26,40 @@
     return fleet.Heartbeat(name, "s", address, "z", 4, state, sequence)
 
 
-def registry_with(*beats) -> instances.InstanceRegistry:
+def registry_with(*heartbeats) -> instances.InstanceRegistry:
     registry = instances.InstanceRegistry(HEARTBEAT_INTERVAL_S)
-    for number, heartbeat in enumerate(beats):
+    for number, heartbeat in enumerate(heartbeats):
         registry.record_heartbeat(heartbeat, 0.1 * number)
     return registry
 
 
-def names(registry) -> list[str]:
+def known_names(registry) -> list[str]:
     return list(registry.known)
 
 
-def test_a_later_life_is_taken_at_once_whatever_its_sequence():
+def test_later_incarnation_replaces_earlier_whatever_its_sequence():
     registry = registry_with(
         make_heartbeat(sequence=50), make_heartbeat(STARTED_MS + 5000, sequence=1)
     )
-    assert names(registry) == [make_heartbeat(STARTED_MS + 5000).instance]
+    assert known_names(registry) == [make_heartbeat(STARTED_MS + 5000).instance]
     registry = registry_with(
         make_heartbeat(sequence=50), make_heartbeat(STARTED_MS + 5000, sequence=9)
     )
-    assert names(registry) == [make_heartbeat(STARTED_MS + 5000).instance]
+    assert known_names(registry) == [make_heartbeat(STARTED_MS + 5000).instance]
 
 
-def test_a_late_heartbeat_of_the_former_life_changes_nothing():
+def test_late_heartbeat_of_earlier_incarnation_is_ignored():
     registry = registry_with(
         make_heartbeat(sequence=50), make_heartbeat(STARTED_MS + 5000), make_heartbeat(sequence=51)
     )
-    assert names(registry) == [make_heartbeat(STARTED_MS + 5000).instance]
+    assert known_names(registry) == [make_heartbeat(STARTED_MS + 5000).instance]
     # The same at a control VM that did not know the earlier incarnation.
     registry = registry_with(make_heartbeat(STARTED_MS + 5000), make_heartbeat(sequence=2))
-    assert names(registry) == [make_heartbeat(STARTED_MS + 5000).instance]
+    assert known_names(registry) == [make_heartbeat(STARTED_MS + 5000).instance]
 
 
 @pytest.mark.parametrize("sequence", [1, 2])
-def test_a_back_end_that_was_leaving_or_had_left_is_ready_in_its_next_life(sequence):
+def test_next_incarnation_of_draining_or_gone_back_end_is_ready(sequence):
     registry = registry_with(
         make_heartbeat(sequence=5, state=fleet.DRAINING), make_heartbeat(STARTED_MS + 1, sequence)
     )
@@ -67,61 +70,61 @@
     assert registry.record_heartbeat(make_heartbeat(STARTED_MS + 1, sequence), 1.1)
 
 
-def test_a_back_end_that_left_before_its_start_was_told_comes_back_only_as_a_new_life():
+def test_back_end_gone_before_first_heartbeat_returns_as_new_incarnation():
     registry = instances.InstanceRegistry(HEARTBEAT_INTERVAL_S)
     registry.mark_gone(registry.latest("i"))
     assert not registry.record_heartbeat(make_heartbeat(sequence=40), 0.0)
     assert registry.record_heartbeat(make_heartbeat(sequence=1), 0.1)
 
 
-def test_a_life_that_a_clock_that_stepped_back_makes_look_older_is_taken_once_the_other_is_silent():
+def test_incarnation_with_earlier_start_is_accepted_once_other_is_silent():
     registry = registry_with(make_heartbeat(sequence=50))
     assert not registry.record_heartbeat(make_heartbeat(STARTED_MS - 60_000, sequence=1), 0.5)
     assert registry.record_heartbeat(make_heartbeat(STARTED_MS - 60_000, sequence=3), 2.4)
-    assert names(registry) == [make_heartbeat(STARTED_MS - 60_000).instance]
+    assert known_names(registry) == [make_heartbeat(STARTED_MS - 60_000).instance]
     # If that was a late heartbeat after all, the other incarnation is accepted again.
     assert registry.record_heartbeat(make_heartbeat(sequence=51), 4.6)
 
 
-def test_words_without_a_start_keep_the_former_rules():
+def test_heartbeats_without_start_time_are_ordered_by_sequence():
     registry = registry_with(make_heartbeat(0, sequence=5))
     assert not registry.record_heartbeat(make_heartbeat(0, sequence=4), 0.2)
-    assert names(registry) == ["i"]
+    assert known_names(registry) == ["i"]
 
 
-def test_an_entry_that_hears_of_a_new_life_keeps_nothing_of_the_former_one():
+def test_watcher_replaces_state_of_earlier_incarnation():
     async def scenario():
         watcher = fleet_nodes.make_watcher(fleet_nodes.make_settings("entry"))
-        told = [instances.Instance(make_heartbeat(sequence=50, state=fleet.DRAINING))]
-        watcher.apply(node_messages.WatchReply("f", 1, False, told, [], [], 0, b"", [], 0.0))
-        told = [instances.Instance(make_heartbeat(STARTED_MS + 1, address="2.2.2.2:2"))]
-        watcher.apply(node_messages.WatchReply("f", 2, False, told, [], [], 0, b"", [], 0.0))
+        reported = [instances.Instance(make_heartbeat(sequence=50, state=fleet.DRAINING))]
+        watcher.apply(node_messages.WatchReply("f", 1, False, reported, [], [], 0, b"", [], 0.0))
+        reported = [instances.Instance(make_heartbeat(STARTED_MS + 1, address="2.2.2.2:2"))]
+        watcher.apply(node_messages.WatchReply("f", 2, False, reported, [], [], 0, b"", [], 0.0))
         assert [known.state for known in watcher.instances.values()] == [fleet.READY]
 
     asyncio.run(scenario())
 
 
-def test_a_request_on_its_way_when_its_back_end_is_reborn_goes_to_the_new_life_under_its_id(
+def test_requests_go_to_new_incarnation_after_restart_under_same_id(
     tmp_path,
 ):
     async def scenario(fleet_):
         worker = fleet_.workers[0]
         pool = fleet_.entries[0].node.pool
-        (before,) = pool.backends
+        (earlier,) = pool.backends
         worker.behaviour.work_s = 0.3
-        under_way = asyncio.get_running_loop().create_task(fleet_.request_or_none(0, b"slow"))
+        pending = asyncio.get_running_loop().create_task(fleet_.request_or_none(0, b"slow"))
         await fleet_nodes.until(lambda: worker.running)
         worker.crash_now()
         await worker.restart()
-        await fleet_nodes.until(lambda: before not in pool.backends and pool.backends)
-        (after,) = pool.backends.values()
-        assert after.in_flight == 0 and after.failures == 0
+        await fleet_nodes.until(lambda: earlier not in pool.backends and pool.backends)
+        (later,) = pool.backends.values()
+        assert later.in_flight == 0 and later.failures == 0
         worker.behaviour.work_s = 0.0
         assert (await fleet_.request(0, b"next")).status == 200
         assert worker.runs[-1].headers["x-merlinthread-expect-instance"] == worker.name
-        await under_way
+        await pending
 
-    async def whole():
+    async def run_scenario():
         fleet_ = crashing_fleet.CrashingFleet(tmp_path)
         try:
             await fleet_.start(1, 1, keeps_id=True, sends_born_ms=True)
@@ -129,10 +132,10 @@
         finally:
             await fleet_.stop()
 
-    asyncio.run(whole())
+    asyncio.run(run_scenario())
 
 
-def test_a_departure_taken_where_the_back_end_is_not_known_holds_where_it_is(tmp_path):
+def test_departure_received_by_restarted_control_vm_applies_everywhere(tmp_path):
     async def scenario():
         controls = fleet_nodes.Controls(tmp_path)
         await controls.start_all()
@@ -144,9 +147,9 @@
         # A control VM that has just restarted and knows no heartbeat receives the departure.
         ip = next(ip for ip in controls.ips if ip != controls.leader())
         controls.nodes[ip].registry = instances.InstanceRegistry(HEARTBEAT_INTERVAL_S)
-        answer = None
-        while answer is None or answer.status != 200:
-            answer = await controls.call(ip, "DELETE", "/instances/i")
+        response = None
+        while response is None or response.status != 200:
+            response = await controls.call(ip, "DELETE", "/instances/i")
         await fleet_nodes.until(lambda: not any(node.registry.known for node in nodes))
         # A delayed heartbeat is ignored everywhere; the next incarnation is accepted everywhere.
         await controls.call(ip, "PUT", "/instances/i", body | {"sequence": 8})
@@ -159,7 +162,7 @@
     asyncio.run(scenario())
 
 
-def test_a_report_from_the_former_life_of_an_engine_is_not_taken():
+def test_load_report_of_earlier_incarnation_is_ignored():
     async def scenario():
         entry = fleet_nodes.Entry()
         pool = entry.node.pool
@@ -175,8 +178,8 @@
     asyncio.run(scenario())
 
 
-def test_an_agent_that_did_not_notice_the_end_of_its_engine_notices_its_new_life():
-    class Weights:
+def test_agent_detects_engine_restart_by_start_time():
+    class FakeWeights:
         def __init__(self):
             self.reports = []
 
@@ -184,7 +187,7 @@
             self.reports.append(report)
 
     agent = agent_node.AgentNode.__new__(agent_node.AgentNode)
-    agent.born_ms, agent.last_report, agent.weights = 0, fleet.EngineReport(), Weights()
+    agent.born_ms, agent.last_report, agent.weights = 0, fleet.EngineReport(), FakeWeights()
     agent.detect_restart(fleet.EngineReport(born_ms=STARTED_MS))
     agent.detect_restart(fleet.EngineReport(born_ms=STARTED_MS))
     assert agent.weights.reports == []
@@ -203,7 +206,7 @@
 
 
 @pytest.mark.parametrize("born", [-5, 0, 1.5, "1767000000000", True, 10**16, [1]])
-def test_a_start_that_is_no_moment_is_logged_with_field_and_value_and_not_used(born, monkeypatch):
+def test_invalid_start_time_is_logged_and_ignored(born, monkeypatch):
     lines = []
     monkeypatch.setattr(logs, "event", lambda name, **fields: lines.append(fields))
     heartbeat = bodies.parse_heartbeat("i", json.dumps(BODY | {"born": born}).encode())
@@ -211,12 +214,12 @@
     assert [(line["field"], line["value"]) for line in lines] == [("born", repr(born))]
 
 
-def test_a_heartbeat_in_a_state_that_is_not_known_names_no_back_end():
+def test_heartbeat_with_unknown_state_is_rejected():
     with pytest.raises(errors.ProtocolError, match="state"):
         bodies.parse_heartbeat("i", json.dumps(BODY | {"state": "resting"}).encode())
 
 
-def test_one_entry_that_can_not_be_read_does_not_void_its_neighbours():
+def test_unreadable_models_in_heartbeat_or_report_are_skipped():
     models = [{"name": "a", "version": 1}, {"name": 7}, "x", None, {"name": "b", "version": 2}]
     body = json.dumps(BODY | {"models": models}).encode()
     assert [held.model for held in bodies.parse_heartbeat("i", body).weights] == ["a", "b"]
