--- a/tests/test_rivals.py
+++ b/tests/test_conflict_index.py
@@ -1,4 +1,7 @@
-"""Conflicting incarnations are found by an index, not by a scan of all back ends."""
+"""The index of incarnations with the same id or address.
+
+Guards against scans of all back ends for each heartbeat or update.
+"""
 
 import hypothesis
 from hypothesis import strategies as st
@@ -53,22 +56,22 @@
 def count_parsed(monkeypatch) -> list[str]:
     parsed, parse = [], incarnations.parse
 
-    def counted(name):
+    def counting_parse(name):
         parsed.append(name)
         return parse(name)
 
-    monkeypatch.setattr(incarnations, "parse", counted)
+    monkeypatch.setattr(incarnations, "parse", counting_parse)
     return parsed
 
 
-def test_a_control_vm_does_not_look_at_all_back_ends_when_one_registers(monkeypatch):
+def test_registry_does_not_scan_all_back_ends_for_a_heartbeat(monkeypatch):
     registry, parsed = instances.InstanceRegistry(0.5), count_parsed(monkeypatch)
     for number in range(BACKENDS):
         assert registry.record_heartbeat(beat(f"i-{number}@1", f"h:{number}"), 0.0)
     assert len(parsed) <= PARSED_MAX * BACKENDS
 
 
-def test_a_node_does_not_look_at_all_back_ends_when_it_is_told_of_one(monkeypatch):
+def test_watcher_does_not_scan_all_back_ends_for_an_update(monkeypatch):
     watcher = fleet_nodes.make_watcher(fleet_nodes.make_settings("entry"))
     parsed = count_parsed(monkeypatch)
     for number in range(BACKENDS):
@@ -77,7 +80,7 @@
     assert len(parsed) <= PARSED_MAX * BACKENDS
 
 
-def test_a_node_that_is_told_an_older_heartbeat_keeps_the_newer_one_but_for_a_departure():
+def test_watcher_ignores_older_heartbeat_except_for_draining():
     watcher = fleet_nodes.make_watcher(fleet_nodes.make_settings("entry"))
     reported = [beat("i-1", "h:2", sequence=5), beat("i-1", "h:1", sequence=4)]
     for heartbeat in reported:
--- a/tests/test_leaving_answers.py
+++ b/tests/test_leaving_signals.py
@@ -17,16 +17,16 @@
 class LeavingFleet(single_entry_fleet.SingleEntryFleet):
     """A fleet in which one worker signals that it is leaving."""
 
-    async def hear_that_it_leaves(self) -> fleet_worker.Worker:
+    async def receive_leaving_signal(self) -> fleet_worker.Worker:
         """Send requests until the first worker has signalled that it is leaving; return it."""
-        leaver = self.workers[0]
-        leaver.behaviour.is_leaving = True
+        leaving = self.workers[0]
+        leaving.behaviour.is_leaving = True
         async with asyncio.timeout(5.0):
-            while not leaver.runs:
+            while not leaving.runs:
                 assert (await self.request()).status == 200
-        return leaver
+        return leaving
 
-    async def arrivals(self, worker: fleet_worker.Worker, count: int = REQUESTS) -> int:
+    async def count_arrivals(self, worker: fleet_worker.Worker, count: int = REQUESTS) -> int:
         """Return how many of `count` more requests reach a worker; all must be served."""
         before = len(worker.runs)
         for _ in range(count):
@@ -37,98 +37,98 @@
         """Return whether a worker serves all requests while the others refuse them."""
         for other in self.workers:
             other.behaviour.is_full = other is not worker
-        return await self.arrivals(worker) == REQUESTS
+        return await self.count_arrivals(worker) == REQUESTS
 
 
-def test_a_back_end_that_says_in_an_answer_that_it_leaves_gets_nothing_more():
+def test_leaving_back_end_gets_no_more_requests():
     async def scenario(service):
         fleet_ = await LeavingFleet(service).start()
-        leaver = await fleet_.hear_that_it_leaves()
-        assert await fleet_.arrivals(leaver) == 0, service
+        leaving = await fleet_.receive_leaving_signal()
+        assert await fleet_.count_arrivals(leaving) == 0, service
 
     for service in ("safe", "unsafe", "model"):
         asyncio.run(scenario(service))
 
 
-def test_what_an_answer_said_outlives_heartbeats_and_the_loss_of_the_record():
+def test_leaving_signal_outlives_heartbeats_and_loss_of_record():
     async def scenario():
         fleet_ = await LeavingFleet().start()
-        leaver = await fleet_.hear_that_it_leaves()
+        leaving = await fleet_.receive_leaving_signal()
         # Its heartbeats still say that it is ready.
         fleet_.announce(fleet_.workers)
-        assert await fleet_.arrivals(leaver) == 0
+        assert await fleet_.count_arrivals(leaving) == 0
         # It disappears from the fleet state for a moment.
-        del fleet_.entry.node.watcher.instances[leaver.instance]
+        del fleet_.entry.node.watcher.instances[leaving.instance]
         fleet_.announce(fleet_.workers[1:])
-        assert leaver.instance not in fleet_.entry.node.pool.backends
+        assert leaving.instance not in fleet_.entry.node.pool.backends
         fleet_.announce(fleet_.workers)
-        assert leaver.instance in fleet_.entry.node.pool.backends
-        assert await fleet_.arrivals(leaver) == 0
+        assert leaving.instance in fleet_.entry.node.pool.backends
+        assert await fleet_.count_arrivals(leaving) == 0
 
     asyncio.run(scenario())
 
 
-def test_an_answer_that_comes_after_the_record_was_dropped_and_told_again_counts():
+def test_leaving_signal_received_after_loss_of_record_counts():
     async def scenario():
         fleet_ = await LeavingFleet(count=1).start()
-        leaver = fleet_.workers[0]
-        leaver.behaviour.is_leaving, leaver.behaviour.work_s = True, 0.1
-        asked = asyncio.create_task(fleet_.request())
-        await fleet_nodes.until(lambda: leaver.runs)
-        del fleet_.entry.node.watcher.instances[leaver.instance]
+        leaving = fleet_.workers[0]
+        leaving.behaviour.is_leaving, leaving.behaviour.work_s = True, 0.1
+        pending = asyncio.create_task(fleet_.request())
+        await fleet_nodes.until(lambda: leaving.runs)
+        del fleet_.entry.node.watcher.instances[leaving.instance]
         fleet_.entry.node.on_update()
         fleet_.announce(fleet_.workers)
-        assert (await asked).status == 200
+        assert (await pending).status == 200
         assert (await fleet_.request()).status == 503
-        assert len(leaver.runs) == 1
+        assert len(leaving.runs) == 1
 
     asyncio.run(scenario())
 
 
-def test_another_back_end_at_the_address_of_one_that_left_is_used():
+def test_other_instance_at_address_of_leaving_back_end_is_used():
     async def scenario():
         fleet_ = await LeavingFleet().start()
-        leaver = await fleet_.hear_that_it_leaves()
-        leaver.instance, leaver.behaviour.is_leaving = "i-9", False
+        leaving = await fleet_.receive_leaving_signal()
+        leaving.instance, leaving.behaviour.is_leaving = "i-9", False
         fleet_.announce(fleet_.workers)
-        assert await fleet_.is_used(leaver)
+        assert await fleet_.is_used(leaving)
 
     asyncio.run(scenario())
 
 
-def test_the_next_life_of_a_back_end_that_left_is_used():
+def test_next_incarnation_of_leaving_back_end_is_used():
     async def scenario():
         fleet_ = await LeavingFleet().start()
-        leaver = await fleet_.hear_that_it_leaves()
-        leaver.behaviour.is_leaving = False
+        leaving = await fleet_.receive_leaving_signal()
+        leaving.behaviour.is_leaving = False
         watcher = fleet_.entry.node.watcher
-        later = dataclasses.replace(
-            watcher.instances[leaver.instance], instance=f"{leaver.instance}@1767000000001"
+        next_incarnation = dataclasses.replace(
+            watcher.instances[leaving.instance], instance=f"{leaving.instance}@1767000000001"
         )
-        watcher.apply_instance(instances.Instance(later), watcher.clock())
+        watcher.apply_instance(instances.Instance(next_incarnation), watcher.clock())
         watcher.on_update()
-        assert await fleet_.is_used(leaver)
+        assert await fleet_.is_used(leaving)
 
     asyncio.run(scenario())
 
 
-def test_an_answer_to_another_request_takes_no_back_end_out_of_use():
+def test_leaving_signal_with_wrong_request_id_is_ignored():
     async def scenario():
         fleet_ = await LeavingFleet().start()
-        liar = fleet_.workers[0]
-        liar.behaviour.is_leaving = liar.behaviour.wrong_request_id = True
+        sender = fleet_.workers[0]
+        sender.behaviour.is_leaving = sender.behaviour.wrong_request_id = True
         async with asyncio.timeout(5.0):
-            while not liar.runs:
+            while not sender.runs:
                 await fleet_.request()
-        liar.behaviour.is_leaving = liar.behaviour.wrong_request_id = False
+        sender.behaviour.is_leaving = sender.behaviour.wrong_request_id = False
         pool = fleet_.entry.node.pool
-        await fleet_nodes.until(lambda: not pool.backends[liar.instance].is_ejected(pool.clock()))
-        assert await fleet_.is_used(liar)
+        await fleet_nodes.until(lambda: not pool.backends[sender.instance].is_ejected(pool.clock()))
+        assert await fleet_.is_used(sender)
 
     asyncio.run(scenario())
 
 
-def test_once_all_have_said_that_they_leave_requests_are_refused_at_once():
+def test_requests_are_refused_once_all_back_ends_are_leaving():
     async def scenario():
         fleet_ = await LeavingFleet().start()
         for worker in fleet_.workers:
@@ -144,41 +144,41 @@
     asyncio.run(scenario())
 
 
-def test_what_was_chosen_before_the_answer_came_is_not_sent_after_it():
+def test_back_end_chosen_before_leaving_signal_gets_no_request():
     async def scenario():
         fleet_ = await LeavingFleet().start()
-        leaver = await fleet_.hear_that_it_leaves()
+        leaving = await fleet_.receive_leaving_signal()
         # As if it had been chosen before its signal arrived.
         pool = fleet_.entry.node.pool
-        backend = pool.backends[leaver.instance]
-        chosen = pool.choose
-        left = [backend]
+        backend = pool.backends[leaving.instance]
+        original_choose = pool.choose
+        pending = [backend]
 
         async def choose(demand, wait_s_max):
-            choice = await chosen(demand, wait_s_max)
-            if left and choice is not None:
-                choice.backend = left.pop()
+            choice = await original_choose(demand, wait_s_max)
+            if pending and choice is not None:
+                choice.backend = pending.pop()
             return choice
 
         pool.choose = choose
-        assert await fleet_.arrivals(leaver) == 0
-        assert not left
+        assert await fleet_.count_arrivals(leaving) == 0
+        assert not pending
 
     asyncio.run(scenario())
 
 
-def test_news_in_full_tell_who_has_left():
+def test_full_update_lists_departed_back_ends():
     registry = instances.InstanceRegistry(1.0)
     for instance in ("i-1", "i-2"):
         address = f"10.0.0.{instance[-1]}:1"
-        beat = fleet.Heartbeat(instance, "safe", address, "z", 1, fleet.READY, 1)
-        registry.record_heartbeat(beat, 10.0)
+        heartbeat = fleet.Heartbeat(instance, "safe", address, "z", 1, fleet.READY, 1)
+        registry.record_heartbeat(heartbeat, 10.0)
     registry.mark_gone("i-1")
-    is_full, told, gone = registry.changes_since(0, 11.0)
-    assert (is_full, [one.heartbeat.instance for one in told], gone) == (True, ["i-2"], ["i-1"])
+    is_full, reported, gone = registry.changes_since(0, 11.0)
+    assert (is_full, [one.heartbeat.instance for one in reported], gone) == (True, ["i-2"], ["i-1"])
 
 
-def test_an_entry_that_turns_to_another_control_vm_hears_who_left_meanwhile(tmp_path):
+def test_entry_learns_of_departure_missed_during_control_vm_switch(tmp_path):
     async def scenario():
         fleet_ = crashing_fleet.CrashingFleet(tmp_path)
         try:
@@ -189,26 +189,26 @@
 
     async def check_missed_departure(fleet_):
         watcher = fleet_.entries[0].node.watcher
-        leaver = fleet_.workers[0]
+        leaving = fleet_.workers[0]
         await fleet_nodes.until(lambda: watcher.current)
         # The departure is acknowledged between the loss of the entry's control VM and the search.
         former = watcher.current.partition(":")[0]
-        asked, may_ask = watcher.ask, asyncio.Event()
+        original_ask, may_ask = watcher.ask, asyncio.Event()
 
-        async def ask(*of):
+        async def ask(*args):
             await may_ask.wait()
-            return await asked(*of)
+            return await original_ask(*args)
 
         watcher.ask = ask
-        leaver.is_down = True
+        leaving.is_down = True
         fleet_.controls.kill(former)
-        await fleet_.controls.until_acknowledged("DELETE", f"/instances/{leaver.instance}")
+        await fleet_.controls.until_acknowledged("DELETE", f"/instances/{leaving.instance}")
         may_ask.set()
         await fleet_nodes.until(lambda: watcher.current and not watcher.current.startswith(former))
-        before = len(leaver.runs)
+        before = len(leaving.runs)
         for _ in range(REQUESTS):
             assert (await fleet_.request(0, b"")).status == 200
-        assert len(leaver.runs) == before
-        assert leaver.instance in watcher.gone
+        assert len(leaving.runs) == before
+        assert leaving.instance in watcher.gone
 
     asyncio.run(scenario())
--- a/tests/test_rest.py
+++ b/tests/test_resting_back_ends.py
@@ -1,6 +1,6 @@
-"""Tests for back ends that refuse requests and ask for a rest.
+"""Back ends that reject requests and ask for a rest.
 
-Guards against sending requests to a resting back end, which looks idle because it refuses all.
+Guards against sending requests to a resting back end, which looks idle because it rejects all.
 """
 
 import asyncio
@@ -15,26 +15,28 @@
 from tests import fleet_nodes, single_entry_fleet
 
 REST_S = 0.6
-# The platform allows two requests between half a second after a refusal and the end of the rest.
-ALLOWED = 2
-MANY = 12
+# The platform allows two requests between half a second after a rejection and the end of the rest.
+REQUESTS_IN_REST_MAX = 2
+REQUESTS = 12
 
 
-class Fleet(single_entry_fleet.SingleEntryFleet):
-    """A fleet whose workers can refuse requests."""
+class RestingFleet(single_entry_fleet.SingleEntryFleet):
+    """A fleet whose workers can reject requests."""
 
     def __init__(self, service: str, count: int) -> None:
         super().__init__(service, count, work_s=0.05)
 
-    def let_rest(self, workers: list[fleet_worker.Worker], rest: str = f"{REST_S}") -> None:
+    def reject_requests(
+        self, workers: list[fleet_worker.Worker], retry_after: str = f"{REST_S}"
+    ) -> None:
         for worker in workers:
             worker.behaviour.is_full = True
-            worker.behaviour.retry_after = rest
+            worker.behaviour.retry_after = retry_after
 
-    async def until_refused(self, workers: list[fleet_worker.Worker]) -> float:
-        """Send requests until each worker has refused one; return the time of the first refusal.
+    async def until_rejected(self, workers: list[fleet_worker.Worker]) -> float:
+        """Send requests until each worker has rejected one; return when the first was rejected.
 
-        Requests are sent in parallel, so that all workers refuse within the same rest.
+        Requests are sent in parallel, so that all workers reject one within the same rest.
         """
         first = 0.0
         async with asyncio.timeout(5.0):
@@ -45,25 +47,25 @@
         return first
 
 
-def refused(workers) -> int:
+def count_rejections(workers) -> int:
     return sum(worker.rejection_count for worker in workers)
 
 
-def test_back_ends_that_ask_for_a_rest_get_nothing_until_it_is_over():
+def test_resting_back_ends_get_no_requests():
     async def scenario(service):
-        fleet = await Fleet(service, 6).start()
+        fleet = await RestingFleet(service, 6).start()
         resting = fleet.workers[:2]
-        fleet.let_rest(resting)
-        first = await fleet.until_refused(resting)
-        so_far = refused(resting)
+        fleet.reject_requests(resting)
+        first = await fleet.until_rejected(resting)
+        rejected_before = count_rejections(resting)
         tasks = []
         while fleet.now() < first + 0.8 * REST_S:
             tasks.append(asyncio.create_task(fleet.request()))
             await asyncio.sleep(0.01)
         # The other workers have capacity and serve all requests during the rest.
-        answers = await asyncio.gather(*tasks)
-        assert {answer.status for answer in answers} == {200}, service
-        assert refused(resting) - so_far <= ALLOWED, service
+        responses = await asyncio.gather(*tasks)
+        assert {response.status for response in responses} == {200}, service
+        assert count_rejections(resting) - rejected_before <= REQUESTS_IN_REST_MAX, service
 
     for service in ("safe", "unsafe", "model"):
         asyncio.run(scenario(service))
@@ -71,11 +73,11 @@
 
 # Requests must be sent within one rest, so a stalled process would fail this test.
 @pytest.mark.timed
-def test_a_back_end_is_used_again_once_its_rest_is_over_and_left_alone_again_if_it_asks():
+def test_back_end_is_used_after_its_rest_and_can_rest_again():
     async def scenario():
-        fleet = await Fleet("safe", 1).start()
+        fleet = await RestingFleet("safe", 1).start()
         (worker,) = fleet.workers
-        fleet.let_rest([worker])
+        fleet.reject_requests([worker])
         availability = fleet.entry.node.pool.signals.availability_of(worker.instance)
         for _ in range(2):
             before = worker.rejection_count
@@ -83,46 +85,46 @@
                 while worker.rejection_count == before:
                     await fleet.request()
             assert availability.is_resting(fleet.now())
-            for _ in range(MANY):
+            for _ in range(REQUESTS):
                 assert (await fleet.request()).status == 503
             assert worker.rejection_count == before + 1
             await fleet_nodes.until(lambda: not availability.is_resting(fleet.now()))
         worker.behaviour.is_full = False
-        answers = await asyncio.gather(*[fleet.request() for _ in range(MANY)])
-        assert {answer.status for answer in answers} == {200}
+        responses = await asyncio.gather(*[fleet.request() for _ in range(REQUESTS)])
+        assert {response.status for response in responses} == {200}
 
     asyncio.run(scenario())
 
 
 # Measures refusals within 40 ms, so other tests must not delay the process.
 @pytest.mark.timed
-def test_when_all_are_at_rest_clients_are_refused_at_once_and_told_when_the_first_is_not():
+def test_requests_are_refused_at_once_while_all_back_ends_rest():
     async def scenario():
-        fleet = await Fleet("model", 3).start()
+        fleet = await RestingFleet("model", 3).start()
         rest_s = 2.0
-        fleet.let_rest(fleet.workers, str(rest_s))
-        first = await fleet.until_refused(fleet.workers)
-        before = refused(fleet.workers)
-        for _ in range(MANY):
-            asked_at = fleet.now()
-            answer = await fleet.request()
-            assert answer.status == 503
+        fleet.reject_requests(fleet.workers, str(rest_s))
+        first = await fleet.until_rejected(fleet.workers)
+        before = count_rejections(fleet.workers)
+        for _ in range(REQUESTS):
+            sent_at = fleet.now()
+            response = await fleet.request()
+            assert response.status == 503
             # A request that queued would wait up to 0.05 s for capacity.
-            assert fleet.now() - asked_at < 0.04
-            told_s = float(http_messages.get_header(answer.headers, b"retry-after"))
-            back_at = fleet.now() + told_s
+            assert fleet.now() - sent_at < 0.04
+            retry_after_s = float(http_messages.get_header(response.headers, b"retry-after"))
+            back_at = fleet.now() + retry_after_s
             assert first + rest_s - 0.1 <= back_at <= first + rest_s + 1.0
-        assert refused(fleet.workers) == before
+        assert count_rejections(fleet.workers) == before
 
     asyncio.run(scenario())
 
 
-def test_what_can_not_be_meant_keeps_no_back_end_from_work():
+def test_invalid_retry_after_causes_no_rest():
     async def scenario(value):
-        fleet = await Fleet("safe", 1).start()
+        fleet = await RestingFleet("safe", 1).start()
         (worker,) = fleet.workers
-        fleet.let_rest([worker], value)
-        await fleet.until_refused([worker])
+        fleet.reject_requests([worker], value)
+        await fleet.until_rejected([worker])
         worker.behaviour.is_full = False
         await asyncio.sleep(dispatch.FULL_BACKOFF_S)
         assert (await fleet.request()).status == 200, value
@@ -131,12 +133,12 @@
         asyncio.run(scenario(value))
 
 
-def test_a_rest_outlives_the_record_of_a_back_end_but_not_its_life():
+def test_rest_survives_loss_of_record_but_not_restart():
     async def scenario():
-        fleet = await Fleet("safe", 1).start()
+        fleet = await RestingFleet("safe", 1).start()
         (worker,) = fleet.workers
-        fleet.let_rest([worker], "60")
-        await fleet.until_refused([worker])
+        fleet.reject_requests([worker], "60")
+        await fleet.until_rejected([worker])
         before = worker.rejection_count
         watcher = fleet.entry.node.watcher
         known = watcher.instances.pop(worker.instance)
@@ -145,8 +147,8 @@
         fleet.announce(fleet.workers)
         assert (await fleet.request()).status == 503
         assert worker.rejection_count == before
-        later = dataclasses.replace(known, instance=f"{worker.instance}@1767000000001")
-        watcher.apply_instance(instances.Instance(later), watcher.clock())
+        next_incarnation = dataclasses.replace(known, instance=f"{worker.instance}@1767000000001")
+        watcher.apply_instance(instances.Instance(next_incarnation), watcher.clock())
         watcher.on_update()
         worker.behaviour.is_full = False
         assert (await fleet.request()).status == 200
@@ -154,20 +156,20 @@
     asyncio.run(scenario())
 
 
-def test_what_a_request_was_refused_for_stands_in_the_log(monkeypatch):
+def test_rest_is_logged_with_request(monkeypatch):
     lines = []
     monkeypatch.setattr(logs, "event", lambda name, **fields: lines.append((name, fields)))
 
     async def scenario():
-        fleet = await Fleet("safe", 1).start()
-        fleet.let_rest(fleet.workers, "30")
-        await fleet.until_refused(fleet.workers)
+        fleet = await RestingFleet("safe", 1).start()
+        fleet.reject_requests(fleet.workers, "30")
+        await fleet.until_rejected(fleet.workers)
         await fleet.request()
 
     asyncio.run(scenario())
     rests = [fields for name, fields in lines if name == "backend_rests"]
     assert [(line["instance"], line["rest_s"]) for line in rests] == [("i-0", 30.0)]
-    told = [fields for name, fields in lines if name == "request"]
-    assert any("asks for 30 s of rest" in text for text in told[0]["attempts"])
-    assert told[0]["request"] == rests[0]["request"]
-    assert any("at rest for" in text for text in told[-1]["attempts"])
+    request_events = [fields for name, fields in lines if name == "request"]
+    assert any("asks for 30 s of rest" in text for text in request_events[0]["attempts"])
+    assert request_events[0]["request"] == rests[0]["request"]
+    assert any("at rest for" in text for text in request_events[-1]["attempts"])
--- a/tests/test_unread_words.py
+++ b/tests/test_unread_headers.py
@@ -17,7 +17,7 @@
     return dialect.PlatformDialect().response_head(200, headers).unread
 
 
-def test_a_header_without_a_reader_is_found_and_those_of_http_are_none():
+def test_unknown_header_is_reported_and_http_headers_are_not():
     headers = [(b"Server-Mood", b"3"), (b"Content-Length", b"0"), (b"Date", b"x")]
     assert unread_headers(headers) == {"server-mood"}
 
@@ -25,11 +25,11 @@
 @pytest.mark.parametrize(
     "name", sorted(names.READ_RESPONSE_HEADERS | names.IGNORED_RESPONSE_HEADERS)
 )
-def test_what_is_read_or_known_is_not_told(name):
+def test_read_or_ignored_header_is_not_reported(name):
     assert unread_headers([(name, b"1")]) == frozenset()
 
 
-def test_each_new_word_of_answers_is_told_once_with_who_said_it(monkeypatch):
+def test_unknown_header_is_logged_once_with_its_instance(monkeypatch):
     events = []
     monkeypatch.setattr(logs, "event", lambda name, **fields: events.append((name, fields)))
 
@@ -46,7 +46,7 @@
     assert logged[0]["instance"] in ("i-0", "i-1") and logged[0]["request"]
 
 
-def test_a_back_end_that_makes_up_names_fills_neither_memory_nor_log(monkeypatch):
+def test_number_of_logged_header_names_is_bounded(monkeypatch):
     events = []
     monkeypatch.setattr(logs, "event", lambda name, **fields: events.append(name))
     recorder = signal_recorder.SignalRecorder(None, None, lambda: 0.0)  # type: ignore[arg-type]
