--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -26,7 +26,7 @@
     "test_load_feed.py",
     "test_rate_limits.py",
     "test_permit_handover.py",
-    "test_return_times.py",
+    "test_retry_delays.py",
     "test_state.py",
 }
 # Modules with tests that run for ten seconds or more; started first to shorten a parallel run.
--- a/tests/test_backend_signals.py
+++ b/tests/test_backend_signals.py
@@ -1,4 +1,7 @@
-"""Tests for back ends' availability signals: parsing, precedence and expiry."""
+"""Availability signals of back ends: parsing, precedence and expiry.
+
+Guards against signals that are misread, forgotten too early or undone by older ones.
+"""
 
 import datetime
 import email.utils
@@ -24,7 +27,7 @@
     ("value", "seconds"),
     [(b"3", 3.0), (b" 0.25 ", 0.25), (b"0", 0.0), (b"86400", 86400.0), (b"007", 7.0)],
 )
-def test_a_number_of_seconds_is_obeyed_with_fractions(value, seconds):
+def test_retry_after_accepts_decimal_seconds(value, seconds):
     assert retry_after.parse(value) == retry_after.RetryAfter(seconds)
 
 
@@ -32,7 +35,7 @@
     ("value", "per_s"),
     [(b"1", 1.0), (b" 1.8 ", 1.8), (b"0.01", 0.01), (b"007", 7.0), (b"1000000000", 1e9)],
 )
-def test_a_limit_is_a_decimal_number_of_requests_a_second(value, per_s):
+def test_rate_limit_accepts_decimal_number(value, per_s):
     assert rate_limit.parse(value) == rate_limit.RateLimit(per_s)
 
 
@@ -41,12 +44,12 @@
     [b"nan", b"inf", b"-5", b"+5", b"1e400", b"1e3", b"", b"3, 4", b"3 a second", b"x", b"0"]
     + [b"0.0", b".5", b"5.", b"123456789012345678901", "٣".encode(), b"\xff"],
 )
-def test_what_is_no_limit_says_why(value):
+def test_invalid_rate_limit_is_reported(value):
     found = rate_limit.parse(value)
     assert found.per_s is None and found.problem
 
 
-def test_an_answer_without_the_field_names_no_limit():
+def test_missing_rate_limit_is_no_limit():
     assert rate_limit.parse(None) == rate_limit.RateLimit()
 
 
@@ -55,19 +58,19 @@
     [b"nan", b"inf", b"-5", b"+5", b"1e400", b"1e3", b"", b"3, 4", b"3 s", b"x", b"0x10", b".5"]
     + [b"5.", b"86401", b"123456789012345678901", b"9" * 400, "٣".encode(), b"\xff"],
 )
-def test_what_can_not_be_obeyed_says_why(value):
+def test_invalid_retry_after_is_reported(value):
     found = retry_after.parse(value)
     assert found.seconds is None and found.problem
 
 
-def test_no_field_is_no_problem():
+def test_missing_retry_after_is_accepted():
     assert retry_after.parse(None) == retry_after.RetryAfter()
 
 
-def test_a_date_is_measured_from_the_answers_own_date():
+def test_retry_after_date_is_relative_to_date_header():
     later = http_date(DATE + datetime.timedelta(seconds=90))
     assert retry_after.parse(later, http_date(DATE)) == retry_after.RetryAfter(90.0)
-    # A date before the server's own date means no rest.
+    # A date before that of the response means no rest.
     assert retry_after.parse(http_date(DATE), later) == retry_after.RetryAfter(0.0)
     assert retry_after.parse(later).problem
     assert retry_after.parse(later, b"yesterday").problem
@@ -129,7 +132,7 @@
 TestSignals = Signals.TestCase
 
 
-def test_what_is_remembered_is_bounded_and_the_oldest_goes_first():
+def test_availability_table_is_bounded_and_drops_oldest_records():
     signals = backend_availability.AvailabilityTable()
     count = backend_availability.RECORDS_MAX + 100
     for number in range(count):
@@ -138,7 +141,7 @@
         )
     signals.prune({"i-0"}, count)
     assert len(signals.availabilities) == backend_availability.RECORDS_MAX + 1
-    assert signals.availability_of("i-0").is_leaving, "it is still there"
+    assert signals.availability_of("i-0").is_leaving, "its back end is still present"
     assert signals.availability_of(f"i-{count - 1}").is_leaving
     assert "i-1" not in signals.availabilities
 
@@ -149,16 +152,18 @@
     return found
 
 
-def test_when_the_first_opens_is_known_only_if_all_are_closed():
+def test_available_at_is_known_only_if_all_back_ends_are_unavailable():
     one, other, leaving = backend("1", 12.0), backend("2", 11.0), backend("3")
     leaving.is_draining = True
     assert dispatch.available_at([one, other, leaving], 10.0) == 11.0
     assert dispatch.available_at([one, other, leaving], 11.5) is None
     assert dispatch.available_at([leaving], 10.0) == math.inf
-    assert dispatch.available_at([], 10.0) is None, "none is known yet: one may be told any moment"
+    assert (
+        dispatch.available_at([], 10.0) is None
+    ), "no back end is known yet; one may register at any time"
 
 
-def test_who_is_refused_for_a_rest_comes_back_after_it_and_not_all_at_once():
+def test_retry_delays_after_rest_are_spread():
     rng = random.Random(1)
     times = [retry_delays.delay_after_rest(3.0, rng) for _ in range(200)]
     assert min(times) >= 3.0
--- a/tests/test_new_back_ends.py
+++ b/tests/test_new_back_ends.py
@@ -1,4 +1,4 @@
-"""A back end that has just started gets its share of the requests.
+"""Requests to a back end that has just started.
 
 Guards against an initial estimate of the service time so high that the back end is never chosen,
 and the estimate therefore never corrected.
@@ -24,10 +24,10 @@
     for number in range(round(RATE_PER_S * seconds)):
         await asyncio.sleep(started_at + number / RATE_PER_S - fleet.now())
         tasks.append(asyncio.create_task(fleet.request()))
-    assert {answer.status for answer in await asyncio.gather(*tasks)} == {200}
+    assert {response.status for response in await asyncio.gather(*tasks)} == {200}
 
 
-def test_a_back_end_that_has_just_started_takes_its_part():
+def test_new_back_end_gets_its_share_of_requests():
     async def scenario():
         fleet = await single_entry_fleet.SingleEntryFleet("safe", 8, WORK_S).start()
         await send_requests(fleet, 2.0)
@@ -47,11 +47,13 @@
     asyncio.run(scenario())
 
 
-def test_one_slow_answer_after_the_start_does_not_keep_a_back_end_from_work():
-    usual = backend_record.ResponseTime()
+def test_one_slow_response_does_not_exclude_new_back_end():
+    service_response_time = backend_record.ResponseTime()
     for _ in range(50):
-        usual.note(WORK_S)
-    backend = backend_record.Backend("i", "safe", "a:1", "zone", 0, 8, service_response_time=usual)
+        service_response_time.note(WORK_S)
+    backend = backend_record.Backend(
+        "i", "safe", "a:1", "zone", 0, 8, service_response_time=service_response_time
+    )
     assert backend.expected_response_s() == pytest.approx(WORK_S)
     dispatch.record_success(backend, 10 * WORK_S)
     assert backend.expected_response_s() < 4 * WORK_S
@@ -60,11 +62,11 @@
     assert backend.expected_response_s() == pytest.approx(2 * WORK_S, rel=0.2)
 
 
-def test_a_guess_without_grounds_gives_way_to_the_first_answers_of_the_service():
-    usual = backend_record.ResponseTime()
+def test_initial_estimate_follows_responses_of_the_service():
+    service_response_time = backend_record.ResponseTime()
     backends = [
         backend_record.Backend(
-            f"i-{number}", "safe", "a:1", "zone", 0, 8, service_response_time=usual
+            f"i-{number}", "safe", "a:1", "zone", 0, 8, service_response_time=service_response_time
         )
         for number in range(2)
     ]
@@ -72,7 +74,7 @@
     assert backends[1].expected_response_s() == pytest.approx(WORK_S)
 
 
-def test_two_back_ends_that_need_nearly_the_same_share_the_requests():
+def test_back_ends_with_similar_response_times_share_requests():
     rng = random.Random(5)
     quicker = backend_record.Backend("quicker", "safe", "a:1", "zone", 0, 8)
     slower = backend_record.Backend("slower", "safe", "a:2", "zone", 0, 8)
--- a/tests/test_return_times.py
+++ b/tests/test_retry_delays.py
@@ -1,4 +1,4 @@
-"""Tests for retry delays while no engine can serve; no network is needed.
+"""Retry delays while no engine can serve.
 
 Guards against clients whose only retry comes before the engines serve again.
 """
@@ -34,7 +34,7 @@
     return failed / count, sum(waits) / len(waits)
 
 
-def test_by_forecast_few_meet_the_same_again_though_it_is_wrong_by_some_tenths():
+def test_few_retries_fail_with_inexact_forecast():
     failed, _ = second_attempts("share", 0.0)
     assert failed >= 0.55
     for error_s in (-0.3, 0.0, 0.3):
@@ -42,13 +42,13 @@
         assert failed <= 0.25, f"off by {error_s} s"
 
 
-def test_who_could_be_served_soon_is_not_sent_away_for_long():
+def test_retry_delay_is_short_if_engines_are_ready_soon():
     refusal = retry_delays.Refusal(DEADLINE_S, True, 0.25)
     rng = random.Random(1)
     assert max(retry_delays.by_forecast(refusal, rng) for _ in range(100)) <= 1.5
 
 
-def test_a_second_try_has_the_time_that_it_needs():
+def test_retry_delay_leaves_time_for_second_attempt():
     rng = random.Random(1)
     for ready_in_s in (1.0, 4.0, 9.0):
         refusal = retry_delays.Refusal(5.0, True, ready_in_s)
@@ -57,17 +57,19 @@
 
 
 @pytest.mark.parametrize("is_none_free", [True, False])
-def test_without_a_forecast_it_is_a_share_of_the_time_left(is_none_free):
+def test_retry_delay_without_forecast_is_share_of_time_left(is_none_free):
     refusal = retry_delays.Refusal(DEADLINE_S, is_none_free)
-    shares = retry_delays.by_share(refusal, random.Random(1))
-    assert retry_delays.by_forecast(refusal, random.Random(1)) == shares
+    delay_s = retry_delays.by_share(refusal, random.Random(1))
+    assert retry_delays.by_forecast(refusal, random.Random(1)) == delay_s
 
 
-def test_an_engine_forecasts_when_it_serves_from_what_it_lacks_and_how_fast_that_comes():
+def test_ready_forecast_depends_on_missing_pieces_and_rate():
     assert reload_schedule.ready_in_s(45, 15.0, False) == 4.25
     assert reload_schedule.ready_in_s(0, 0.0, False) == reload_schedule.RELOAD_S
     assert reload_schedule.ready_in_s(45, 15.0, True) == reload_schedule.RELOAD_S
-    assert reload_schedule.ready_in_s(45, 0.0, False) is None, "the origin is away: nobody knows"
+    assert (
+        reload_schedule.ready_in_s(45, 0.0, False) is None
+    ), "without pieces from the origin there is no forecast"
 
 
 def engines(ready_in_s: list[float | None]) -> list[backend_record.Backend]:
@@ -79,7 +81,7 @@
     return found
 
 
-def test_half_of_the_engines_make_a_forecast():
+def test_forecast_needs_reports_of_half_of_the_engines():
     assert dispatch.half_ready_in_s(engines([1.0, 2.0, 3.0, None]), 10.5) == 1.5
     assert dispatch.half_ready_in_s(engines([1.0, None, None, None]), 10.0) is None
     assert dispatch.half_ready_in_s([], 10.0) is None
@@ -88,14 +90,14 @@
     assert dispatch.half_ready_in_s(leaving, 10.0) == 1.0
 
 
-def write(folder: pathlib.Path, text: str) -> pathlib.Path:
+def write_policy(folder: pathlib.Path, text: str) -> pathlib.Path:
     path = folder / "policy.json"
     path.write_text(text)
     return path
 
 
-def test_a_policy_file_names_the_ways_and_may_leave_some_out(tmp_path):
-    policy = node_policy.load(write(tmp_path, '{"returns": "share"}'))
+def test_policy_file_may_omit_fields(tmp_path):
+    policy = node_policy.load(write_policy(tmp_path, '{"returns": "share"}'))
     assert policy == node_policy.NodePolicy(returns="share")
     assert node_policy.load(pathlib.Path("deploy/policy.json")) == node_policy.NodePolicy()
 
@@ -109,15 +111,13 @@
         ("{", ["policy.json"]),
     ],
 )
-def test_a_policy_that_there_is_not_is_refused_with_field_value_and_what_there_is(
-    tmp_path, text, words
-):
+def test_invalid_policy_is_rejected_with_field_and_choices(tmp_path, text, words):
     with pytest.raises(errors.SettingsError) as caught:
-        node_policy.load(write(tmp_path, text))
+        node_policy.load(write_policy(tmp_path, text))
     for word in words:
         assert word in caught.value.message
 
 
-def test_a_policy_file_that_can_not_be_read_is_named(tmp_path):
+def test_unreadable_policy_file_is_named_in_error(tmp_path):
     with pytest.raises(errors.SettingsError, match="none.json"):
         node_policy.load(tmp_path / "none.json")
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -1,4 +1,7 @@
-"""Suspended VMs: the clock advances during the suspension, timers don't."""
+"""Suspended VMs, whose clock advances while timers don't.
+
+Guards against acting on leases, deadlines and reports that expired during a suspension.
+"""
 
 import asyncio
 import pathlib
@@ -16,17 +19,17 @@
 ROOT = pathlib.Path(__file__).parent.parent
 
 
-def test_the_clock_goes_on_while_the_vm_is_suspended():
+def test_clock_includes_suspension():
     assert clocks.now() == pytest.approx(time.clock_gettime(time.CLOCK_BOOTTIME), abs=1.0)
 
 
-def test_a_platform_without_that_clock_is_refused_at_the_start(monkeypatch):
+def test_platform_without_boottime_clock_is_rejected(monkeypatch):
     monkeypatch.delattr(time, "CLOCK_BOOTTIME")
     with pytest.raises(errors.SettingsError, match="CLOCK_BOOTTIME"):
         clocks.check_platform()
 
 
-def test_no_decider_imports_another_clock(tmp_path):
+def test_other_clocks_are_not_imported(tmp_path):
     (tmp_path / "nodes").mkdir()
     (tmp_path / "nodes" / "module.py").write_text("import time\n")
     (tmp_path / "coordination").mkdir()
@@ -35,7 +38,7 @@
     assert layers.find_problems(ROOT / "src" / "merlinthread") == []
 
 
-def test_a_leader_that_wakes_up_does_not_answer_from_its_old_lease(tmp_path):
+def test_resumed_leader_does_not_read_under_expired_lease(tmp_path):
     async def scenario():
         clock = fleet_nodes.SuspendableClock()
         controls = fleet_nodes.Controls(tmp_path, clock=clock)
@@ -66,7 +69,7 @@
     return entry, worker
 
 
-def test_an_entry_that_wakes_up_does_not_take_its_configuration_as_the_newest():
+def test_resumed_entry_treats_configuration_as_outdated():
     async def scenario():
         clock = fleet_nodes.SuspendableClock()
         entry, _ = await start_entry(clock)
@@ -77,25 +80,25 @@
     asyncio.run(scenario())
 
 
-def test_a_request_whose_time_ran_out_during_the_suspension_is_not_sent():
+def test_request_expired_during_suspension_is_not_sent():
     async def scenario():
         clock = fleet_nodes.SuspendableClock()
         entry, worker = await start_entry(clock)
         pool = entry.node.pool
-        choose = pool.choose
+        original_choose = pool.choose
 
-        async def choose_over_a_suspension(demand, left_s):
+        async def choose_during_suspension(demand, left_s):
             clock.suspended_s = 5.0
-            return await choose(demand, left_s)
+            return await original_choose(demand, left_s)
 
-        pool.choose = choose_over_a_suspension
-        answer = await entry.request("/safe/", "id-1")
-        assert (answer.status, worker.runs) == (504, [])
+        pool.choose = choose_during_suspension
+        response = await entry.request("/safe/", "id-1")
+        assert (response.status, worker.runs) == (504, [])
 
     asyncio.run(scenario())
 
 
-def test_weights_fall_due_budgets_refill_and_reports_grow_old_over_a_suspension():
+def test_versions_budgets_and_load_reports_age_during_suspension():
     async def scenario():
         clock = fleet_nodes.SuspendableClock()
         entry, _ = await start_entry(clock)
@@ -116,7 +119,7 @@
     asyncio.run(scenario())
 
 
-def test_heartbeats_and_suspicions_grow_old_over_a_suspension(tmp_path):
+def test_heartbeats_and_crash_records_expire_during_suspension(tmp_path):
     clock = fleet_nodes.SuspendableClock()
     registry = instances.InstanceRegistry(1.2)
     heartbeat = fleet_nodes.dialect.bodies.parse_heartbeat(
@@ -124,9 +127,9 @@
         b'{"service":"s","address":"1.1.1.1:1","zone":"z","slots":1,"state":"ready","sequence":1}',
     )
     registry.record_heartbeat(heartbeat, clock())
-    ledger = crash_tracker.CrashTracker()
-    ledger.record_crash("f", "", crash_tracker.Crash(clock(), "i", clock()))
+    tracker = crash_tracker.CrashTracker()
+    tracker.record_crash("f", "", crash_tracker.Crash(clock(), "i", clock()))
     clock.suspended_s = 2 * crash_tracker.RECORD_EXPIRY_S
     assert registry.expire(clock(), 9.6) == ["i"]
-    ledger.expire(clock())
-    assert not ledger.records
+    tracker.expire(clock())
+    assert not tracker.records
--- a/tests/test_news_in_full.py
+++ b/tests/test_watcher_full_updates.py
@@ -1,4 +1,4 @@
-"""A full update from a control VM that lacks some back ends must not remove them for good.
+"""Full updates from a control VM that lacks some back ends.
 
 Guards against losing live back ends after switching between control VMs that send only changes.
 """
@@ -33,17 +33,19 @@
     return node_messages.WatchReply(feed, position, is_full, entries, [], [], 0, b"", [], 0.0)
 
 
-def test_a_back_end_that_one_control_vm_does_not_know_is_asked_for_at_the_others():
+def test_back_end_missing_from_full_update_is_requested_elsewhere():
     watcher = fleet_nodes.make_watcher(fleet_nodes.make_settings("entry"))
     watcher.apply(make_reply("feed-a", 5, True, ["a", "b"]), INFORMED)
     assert watcher.positions[INFORMED].position == 5
     watcher.apply(make_reply("feed-b", 1, True, []), NEWLY_STARTED)
-    assert INFORMED not in watcher.positions, "it would send only changes"
+    assert (
+        INFORMED not in watcher.positions
+    ), "a control VM sends only changes after a known position"
     watcher.apply(make_reply("feed-a", 5, True, ["a", "b"]), INFORMED)
     assert not watcher.missing and set(watcher.instances) == {"a", "b"}
 
 
-def test_once_a_back_end_was_dropped_all_is_asked_for_anew():
+def test_full_update_is_requested_after_back_end_is_dropped():
     watcher = fleet_nodes.make_watcher(fleet_nodes.make_settings("entry"))
     times = [100.0]
     watcher.clock = lambda: times[0]
@@ -55,7 +57,7 @@
     assert not watcher.positions, "with a position, a control VM would send only changes"
 
 
-def test_a_search_that_ends_with_a_back_end_dropped_asks_for_all_anew(monkeypatch):
+def test_full_update_is_requested_after_search_drops_back_end(monkeypatch):
     async def scenario():
         watcher = fleet_nodes.make_watcher(fleet_nodes.make_settings("entry"))
         times = [100.0]
--- a/tests/test_return_of_all.py
+++ b/tests/test_watcher_restart.py
@@ -1,4 +1,4 @@
-"""Fleet watchers after a restart of all nodes, while the control VMs have no leader yet.
+"""Fleet watchers after a restart of all nodes, before the control VMs elect a leader.
 
 Guards against repeated requests for the full state, which would delay the election of a leader.
 """
@@ -15,7 +15,7 @@
 
 
 class FakeCaller:
-    """Replaces the RPC client: control VMs that are up answer, the one at `near` first.
+    """Replaces the RPC client: control VMs that are up reply, the one at `near` first.
 
     They last had contact with a leader `leader_age_s` ago.
     """
@@ -24,10 +24,10 @@
         self.up = up
         self.leader_age_s = leader_age_s
         self.near = near
-        self.asked: list[tuple[str, node_messages.WatchRequest]] = []
+        self.requests: list[tuple[str, node_messages.WatchRequest]] = []
 
     async def call(self, address, watch, timeout_s):
-        self.asked.append((address, watch))
+        self.requests.append((address, watch))
         await asyncio.sleep(0.0 if address == self.near else 0.005)
         if address not in self.up:
             raise errors.UnreachableError("refused")
@@ -47,7 +47,7 @@
     return [f"{ip}:1" for ip in CONTROLS]
 
 
-def test_the_first_that_answers_is_turned_to_so_that_it_is_a_near_one():
+def test_watcher_selects_first_control_vm_to_reply():
     async def scenario():
         near = addresses()[3]
         caller = FakeCaller(addresses(), 0.0, near)
@@ -57,21 +57,23 @@
     asyncio.run(scenario())
 
 
-def test_while_there_is_no_leader_each_control_vm_tells_all_only_once():
+def test_full_update_is_requested_once_per_control_vm_without_leader():
     async def scenario():
         caller = FakeCaller(addresses(), 1e6)
         watcher = make_watcher(1, caller)
         task = asyncio.get_running_loop().create_task(watcher.run())
-        await fleet_nodes.until(lambda: len(caller.asked) >= 14)
+        await fleet_nodes.until(lambda: len(caller.requests) >= 14)
         task.cancel()
-        told_all = collections.Counter(a for a, watch in caller.asked if not watch.feed)
-        assert max(told_all.values()) == 1
+        full_requests = collections.Counter(
+            address for address, watch in caller.requests if not watch.feed
+        )
+        assert max(full_requests.values()) == 1
         assert not watcher.is_fresh
 
     asyncio.run(scenario())
 
 
-def test_a_control_vm_that_hears_a_leader_again_is_found_within_two_searches():
+def test_control_vm_with_leader_is_found_within_two_searches():
     async def scenario():
         caller = FakeCaller(addresses(), 1e6)
         watcher = make_watcher(1, caller)
@@ -85,14 +87,14 @@
     asyncio.run(scenario())
 
 
-def test_who_is_left_for_its_silence_tells_all_when_it_is_turned_to_again():
+def test_full_update_is_requested_after_disconnect():
     async def scenario():
         caller = FakeCaller(addresses(), 0.0)
         watcher = make_watcher(1, caller)
         watcher.current = await watcher.find_control_vm()
-        watcher.disconnect("no answer")
-        caller.asked.clear()
+        watcher.disconnect("no reply")
+        caller.requests.clear()
         await watcher.find_control_vm()
-        assert {watch.feed for _, watch in caller.asked} == {""}
+        assert {watch.feed for _, watch in caller.requests} == {""}
 
     asyncio.run(scenario())
