--- a/tests/test_entry_node.py
+++ b/tests/test_entry_node.py
@@ -315,7 +315,9 @@
         await fleet_nodes.until(lambda: count_runs([old]) == 1)
         pool.backends[new.instance].is_draining = False
         await fleet_nodes.until(lambda: count_runs([new]) == 1)
-        assert pool.clock() - now < bound_s, "the old engine might have begun after the bound"
+        assert (
+            pool.clock() - now < bound_s
+        ), "the old engine might have started after the version expired"
         await fleet_nodes.until(lambda: old.cancelled == ["id-1"])
         assert (await connection.receive()).status == 200
         assert pool.backends[old.instance].failures == 0
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -144,17 +144,17 @@
 def test_account_with_few_requests_is_served_beside_busy_account():
     allocator = rate_limits.PermitAllocator()
     rng = random.Random(3)
-    asked = {"often": 0, "seldom": 0}
-    served = {"often": 0, "seldom": 0}
+    sent_counts = {"often": 0, "seldom": 0}
+    served_counts = {"often": 0, "seldom": 0}
     now = 0.0
     while now < 60.0:
         now += rng.expovariate(50.0)
         account = "seldom" if rng.random() < 0.08 else "often"
-        asked[account] += 1
+        sent_counts[account] += 1
         request = permit_request(advertised_limit(20.0), account=account, patience_s=0.05)
-        served[account] += bool(allocator.decide(request, now).instance)
-    assert served["seldom"] >= 0.9 * asked["seldom"]
-    assert sum(served.values()) >= 0.9 * 20.0 * 60.0
+        served_counts[account] += bool(allocator.decide(request, now).instance)
+    assert served_counts["seldom"] >= 0.9 * sent_counts["seldom"]
+    assert sum(served_counts.values()) >= 0.9 * 20.0 * 60.0
 
 
 def test_allowances_of_unused_back_ends_expire():
