--- a/tests/crashing_fleet.py
+++ b/tests/crashing_fleet.py
@@ -139,7 +139,7 @@
             return await self.request(entry, body)
         return None
 
-    async def until_held(self) -> None:
+    async def request_until_held(self) -> None:
         """Send the crashing request repeatedly until the control VMs have committed a hold."""
         async with asyncio.timeout(10.0):
             while not any(node.member.state.held for node in self.controls.nodes.values()):
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -51,7 +51,7 @@
     tmp_path,
 ):
     async def scenario(fleet):
-        await fleet.until_held()
+        await fleet.request_until_held()
         crash_count = len(fleet.crash_times())
         for entry in range(2):
             held = fleet.entries[entry].node.crashes.ledger.held
@@ -82,7 +82,7 @@
 
 def test_hold_survives_power_loss_of_all_vms(tmp_path):
     async def scenario(fleet):
-        await fleet.until_held()
+        await fleet.request_until_held()
         crash_count = len(fleet.crash_times())
         await fleet.simulate_power_loss()
         for _ in range(4):
@@ -211,7 +211,7 @@
 
         loop = asyncio.get_running_loop()
         tasks = [loop.create_task(ask_popular(number % 2)) for number in range(24)]
-        await fleet.until_held()
+        await fleet.request_until_held()
         await fleet_nodes.until(lambda: len(fleet.crash_times()) >= 3)
         before = len(statuses)
         await fleet_nodes.until(lambda: len(statuses) >= before + 100)
