--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -12,7 +12,7 @@
 from merlinthread.transport import http_messages
 from tests import crashing_fleet, fleet_nodes
 
-LATE_MAX = 3
+LATE_REQUESTS_MAX = 3
 
 
 def run(tmp_path, scenario, service="safe", model="", entries=2, workers=8, **behaviour):
@@ -41,8 +41,10 @@
 ):
     async def scenario(fleet):
         await fleet.send_crashing_requests(crashing_fleet.CONTACT_S, repeats=16)
-        late = fleet.count_late_requests()
-        assert late <= LATE_MAX, f"{late} late requests; {len(fleet.crash_times())} crashes"
+        late_requests = fleet.count_late_requests()
+        assert (
+            late_requests <= LATE_REQUESTS_MAX
+        ), f"{late_requests} late requests; {len(fleet.crash_times())} crashes"
 
     run(tmp_path, scenario, service, model, keeps_id=keeps_id, sends_born_ms=sends_born_ms)
 
--- a/tests/test_resting_back_ends.py
+++ b/tests/test_resting_back_ends.py
@@ -33,7 +33,7 @@
             worker.behaviour.is_full = True
             worker.behaviour.retry_after = retry_after
 
-    async def until_rejected(self, workers: list[fleet_worker.Worker]) -> float:
+    async def request_until_rejected(self, workers: list[fleet_worker.Worker]) -> float:
         """Send requests until each worker has rejected one; return when the first was rejected.
 
         Requests are sent in parallel, so that all workers reject one within the same rest.
@@ -56,7 +56,7 @@
         fleet = await RestingFleet(service, 6).start()
         resting = fleet.workers[:2]
         fleet.reject_requests(resting)
-        first = await fleet.until_rejected(resting)
+        first = await fleet.request_until_rejected(resting)
         rejected_before = count_rejections(resting)
         tasks = []
         while fleet.now() < first + 0.8 * REST_S:
@@ -103,7 +103,7 @@
         fleet = await RestingFleet("model", 3).start()
         rest_s = 2.0
         fleet.reject_requests(fleet.workers, str(rest_s))
-        first = await fleet.until_rejected(fleet.workers)
+        first = await fleet.request_until_rejected(fleet.workers)
         before = count_rejections(fleet.workers)
         for _ in range(REQUESTS):
             sent_at = fleet.now()
@@ -124,7 +124,7 @@
         fleet = await RestingFleet("safe", 1).start()
         (worker,) = fleet.workers
         fleet.reject_requests([worker], value)
-        await fleet.until_rejected([worker])
+        await fleet.request_until_rejected([worker])
         worker.behaviour.is_full = False
         await asyncio.sleep(dispatch.FULL_BACKOFF_S)
         assert (await fleet.request()).status == 200, value
@@ -138,7 +138,7 @@
         fleet = await RestingFleet("safe", 1).start()
         (worker,) = fleet.workers
         fleet.reject_requests([worker], "60")
-        await fleet.until_rejected([worker])
+        await fleet.request_until_rejected([worker])
         before = worker.rejection_count
         watcher = fleet.entry.node.watcher
         known = watcher.instances.pop(worker.instance)
@@ -163,7 +163,7 @@
     async def scenario():
         fleet = await RestingFleet("safe", 1).start()
         fleet.reject_requests(fleet.workers, "30")
-        await fleet.until_rejected(fleet.workers)
+        await fleet.request_until_rejected(fleet.workers)
         await fleet.request()
 
     asyncio.run(scenario())
