--- a/tests/test_request_failures.py
+++ b/tests/test_request_failures.py
@@ -192,7 +192,7 @@
     )
     entry = fleet.entries()[0]
     with concurrent.futures.ThreadPoolExecutor(1) as pool:
-        first = pool.submit(calls.call, entry.http, "/draft", body, Idempotency_Key=key)
+        first = pool.submit(calls.call_service, entry.http, "/draft", body, Idempotency_Key=key)
         processes.wait_for("the run", lambda: service_runs(fleet, body.decode()) == 1)
         fleet.processes["slow-target"].kill()
         answer = first.result()
@@ -239,7 +239,7 @@
     body = b'{"lamp": "entry dies"}'
     first, second = fleet.entries()
     with concurrent.futures.ThreadPoolExecutor(1) as pool:
-        waiting = pool.submit(calls.call, first.http, "/draft", body, Idempotency_Key=key)
+        waiting = pool.submit(calls.call_service, first.http, "/draft", body, Idempotency_Key=key)
         processes.wait_for("the run", lambda: service_runs(fleet, body.decode()) == 1)
         first.process.kill()
         waiting.exception(10)
