--- a/src/merlinthread/coordination/raft.py
+++ b/src/merlinthread/coordination/raft.py
@@ -24,7 +24,7 @@
     """One member of a Raft group.
 
     `first_voters` is the initial configuration, used while neither the log nor the snapshot names
-    members. `identity` identifies the data folder: messages of a member that returns with another
+    members. `identity` identifies the data folder: messages from a member that returns with another
     identity are rejected, since it has lost its votes and entries. Outdated and unexpected messages
     are ignored.
     """
@@ -66,8 +66,8 @@
         self.progress: dict[str, raft_messages.Progress] = {}
         self.outbox: list[tuple[str, raft_messages.Message]] = []
         self.hard_state_changed = False
-        self.installed: journal.Snapshot | None = None
-        self.term_start = 0
+        self.installed_snapshot: journal.Snapshot | None = None
+        self.term_start_index = 0
         self.heartbeat_at = now
         self.election_at = now
         self.reset_election(now)
@@ -76,7 +76,7 @@
 
     def is_voter(self) -> bool:
         """Return whether this member is a voter."""
-        return self.name in self.log.voters.voters
+        return self.name in self.log.membership.voters
 
     def is_leader(self) -> bool:
         """Return whether this member is leader in its term; a later term may have another leader.
@@ -89,17 +89,23 @@
         """Return the time until which no other member can be elected, -inf without a lease."""
         if self.role != LEADER:
             return float("-inf")
-        acks = [self.progress[name].acked_at for name in self.without_self(self.log.voters.voters)]
+        acks = [
+            self.progress[name].acked_at for name in self.without_self(self.log.membership.voters)
+        ]
         acks.append(float("inf"))
         acks.sort(reverse=True)
-        if not self.is_voter() or len(acks) < self.log.voters.majority():
+        if not self.is_voter() or len(acks) < self.log.membership.majority():
             return float("-inf")
         lease_s = self.timing.election_min_s * self.timing.lease_fraction
-        return acks[self.log.voters.majority() - 1] + lease_s
+        return acks[self.log.membership.majority() - 1] + lease_s
 
     def holds_lease(self, now: float) -> bool:
         """Return whether this member holds the lease and has committed an entry of its term."""
-        return self.role == LEADER and self.commit >= self.term_start and now < self.lease_until()
+        return (
+            self.role == LEADER
+            and self.commit >= self.term_start_index
+            and now < self.lease_until()
+        )
 
     def without_self(self, names: list[str]) -> list[str]:
         """Return `names` without this member."""
@@ -109,8 +115,8 @@
 
     def reset_election(self, now: float) -> None:
         """Restart the election timer with a random timeout."""
-        wait = self.rng.uniform(self.timing.election_min_s, self.timing.election_max_s)
-        self.election_at = now + wait
+        timeout_s = self.rng.uniform(self.timing.election_min_s, self.timing.election_max_s)
+        self.election_at = now + timeout_s
 
     def next_tick_at(self) -> float:
         """Return the time at which `tick` should be called next."""
@@ -132,13 +138,13 @@
         self.heartbeat_at = now + self.timing.heartbeat_s
         reachable = [
             name
-            for name in self.without_self(self.log.voters.voters)
+            for name in self.without_self(self.log.membership.voters)
             if now - self.progress[name].heard_at < self.timing.election_max_s
         ]
-        if len(reachable) + 1 < self.log.voters.majority():
+        if len(reachable) + 1 < self.log.membership.majority():
             self.become_follower(self.hard_state.term, "", now)
             return
-        for name in self.without_self(self.log.voters.members()):
+        for name in self.without_self(self.log.membership.members()):
             self.send_append(name, now)
 
     def resign(self, now: float) -> None:
@@ -158,10 +164,10 @@
         term = self.hard_state.term + 1
         if not is_pre_vote:
             self.set_hard_state(term, self.name)
-        if len(self.votes) >= self.log.voters.majority():
+        if len(self.votes) >= self.log.membership.majority():
             self.on_vote_quorum(now, is_pre_vote)
             return
-        for name in self.without_self(self.log.voters.voters):
+        for name in self.without_self(self.log.membership.voters):
             request = raft_messages.VoteRequest(
                 self.name,
                 term,
@@ -182,13 +188,13 @@
         first = self.log.last_index() + 1
         self.progress = {
             name: raft_messages.Progress(next=first, heard_at=now)
-            for name in self.without_self(self.log.voters.members())
+            for name in self.without_self(self.log.membership.members())
         }
         if self.last_known_leader in self.progress:
             self.progress[self.last_known_leader].heard_at = self.heard_leader_at
         self.heartbeat_at = now
         self.append_entry("empty", b"")
-        self.term_start = self.log.last_index()
+        self.term_start_index = self.log.last_index()
         self.tick(now)
 
     def set_hard_state(self, term: int, voted_for: str) -> None:
@@ -211,9 +217,9 @@
         handler = {
             raft_messages.VoteRequest: self.on_vote_request,
             raft_messages.VoteReply: self.on_vote_reply,
-            raft_messages.AppendEntries: self.on_append,
+            raft_messages.AppendEntries: self.on_append_entries,
             raft_messages.AppendReply: self.on_append_reply,
-            raft_messages.InstallSnapshot: self.on_install,
+            raft_messages.InstallSnapshot: self.on_install_snapshot,
             raft_messages.IdentityMismatch: self.on_identity_mismatch,
         }[type(message)]
         handler(message, now)  # type: ignore[operator]
@@ -262,24 +268,24 @@
             return
         if self.role != CANDIDATE or reply.is_trial != self.is_pre_vote:
             return
-        wanted_term = self.hard_state.term + 1 if self.is_pre_vote else self.hard_state.term
-        if reply.term != wanted_term or not reply.is_granted:
+        expected_term = self.hard_state.term + 1 if self.is_pre_vote else self.hard_state.term
+        if reply.term != expected_term or not reply.is_granted:
             return
-        if reply.sender in self.log.voters.voters:
+        if reply.sender in self.log.membership.voters:
             self.votes.add(reply.sender)
-        if len(self.votes) >= self.log.voters.majority():
+        if len(self.votes) >= self.log.membership.majority():
             self.on_vote_quorum(now, self.is_pre_vote)
 
-    def on_append(self, append: raft_messages.AppendEntries, now: float) -> None:
+    def on_append_entries(self, append: raft_messages.AppendEntries, now: float) -> None:
         """Store the leader's entries if the entry before them matches the one in this log."""
         if not self.follow_leader(append.sender, append.term, now):
             self.reply_append(append.sender, False, self.log.last_index(), append.sent_at)
             return
         self.leader_commit = max(self.leader_commit, append.commit)
-        first = append.previous_index
-        local_term = self.log.term_at(first)
-        if first > self.log.snapshot.index and local_term != append.previous_term:
-            hint = min(first - 1, self.log.last_index())
+        previous = append.previous_index
+        local_term = self.log.term_at(previous)
+        if previous > self.log.snapshot.index and local_term != append.previous_term:
+            hint = min(previous - 1, self.log.last_index())
             self.reply_append(append.sender, False, hint, append.sent_at)
             return
         for entry in append.entries:
@@ -328,7 +334,7 @@
         progress.next = max(progress.next, progress.match + 1)
         self.advance_commit()
 
-    def on_install(self, install: raft_messages.InstallSnapshot, now: float) -> None:
+    def on_install_snapshot(self, install: raft_messages.InstallSnapshot, now: float) -> None:
         """Install the leader's snapshot if it is ahead of the commit index."""
         if not self.follow_leader(install.sender, install.term, now):
             self.reply_append(install.sender, False, self.log.last_index(), install.sent_at)
@@ -337,7 +343,7 @@
         self.leader_commit = max(self.leader_commit, snapshot.index)
         if snapshot.index > self.commit:
             self.log.install(snapshot)
-            self.installed = snapshot
+            self.installed_snapshot = snapshot
             self.commit = snapshot.index
             self.delivered_index = snapshot.index
         self.reply_append(install.sender, True, snapshot.index, install.sent_at)
@@ -349,14 +355,14 @@
 
     def reported_identities(self) -> dict[str, str]:
         """Return the data folder identities of this leader and of members that replied to it."""
-        heard = {name: p.identity for name, p in self.progress.items() if p.identity}
-        return heard | {self.name: self.identity}
+        replied = {name: known.identity for name, known in self.progress.items() if known.identity}
+        return replied | {self.name: self.identity}
 
     def rejects_identity(self, name: str, identity: str) -> bool:
         """Return whether `identity` is not the one registered for `name`, and reply if so."""
-        if not self.log.voters.has_other_identity(name, identity):
+        if not self.log.membership.has_other_identity(name, identity):
             return False
-        registered = self.log.voters.identities[name]
+        registered = self.log.membership.identities[name]
         self.outbox.append((name, raft_messages.IdentityMismatch(self.name, name, registered)))
         return True
 
@@ -366,7 +372,7 @@
         previous = progress.next - 1
         previous_term = self.log.term_at(previous)
         if previous_term is None:
-            self.send_install(name, progress, now)
+            self.send_snapshot(name, progress, now)
             return
         entries = self.log.entries_from(progress.next, self.limits)
         append = raft_messages.AppendEntries(
@@ -382,9 +388,9 @@
         progress.sent_at = now
         self.outbox.append((name, append))
 
-    def send_install(self, name: str, progress: raft_messages.Progress, now: float) -> None:
-        """Send the snapshot at most every `resend_s`, and a heartbeat otherwise."""
-        if now - progress.sent_at < self.timing.resend_s:
+    def send_snapshot(self, name: str, progress: raft_messages.Progress, now: float) -> None:
+        """Send the snapshot at most every `snapshot_resend_s`, and a heartbeat otherwise."""
+        if now - progress.sent_at < self.timing.snapshot_resend_s:
             self.outbox.append(
                 (
                     name,
@@ -421,7 +427,7 @@
         """Send the entries proposed since the last call, batched so that they share one sync."""
         if self.role != LEADER:
             return
-        for name in self.without_self(self.log.voters.members()):
+        for name in self.without_self(self.log.membership.members()):
             next_index = self.progress[name].next
             is_in_log = self.log.term_at(next_index - 1) is not None
             if is_in_log and next_index <= self.log.last_index():
@@ -439,7 +445,7 @@
         another one is uncommitted.
         """
         self.require_leader()
-        if self.commit < self.term_start:
+        if self.commit < self.term_start_index:
             raise raft_members.change_refused(
                 "the leader has not committed an entry of its term yet; try again in a second"
             )
@@ -449,7 +455,9 @@
             )
         matches = {name: progress.match for name, progress in self.progress.items()}
         members = raft_members.apply_change(
-            self.log.voters, change, raft_members.ReplicationStatus(self.name, self.commit, matches)
+            self.log.membership,
+            change,
+            raft_members.ReplicationStatus(self.name, self.commit, matches),
         )
         if change.add:
             first = self.log.last_index() + 1
@@ -458,25 +466,27 @@
 
     def advance_commit(self) -> None:
         """Commit up to the highest entry of this term that a majority has saved."""
-        matches = [self.progress[name].match for name in self.without_self(self.log.voters.voters)]
+        matches = [
+            self.progress[name].match for name in self.without_self(self.log.membership.voters)
+        ]
         if self.is_voter():
             matches.append(self.log.saved_index)
         matches.sort(reverse=True)
-        index = matches[self.log.voters.majority() - 1]
+        index = matches[self.log.membership.majority() - 1]
         if index > self.commit and self.log.term_at(index) == self.hard_state.term:
             self.commit = index
 
     # Calls of the owner
 
     def ready(self) -> raft_messages.Ready:
-        """Return the pending work of the owner, who calls `mark_saved` once it is durable."""
+        """Return the pending work of the owner, which calls `mark_saved` once it is durable."""
         hard_state = self.hard_state if self.hard_state_changed else None
         committed = self.log.entries_between(
             self.delivered_index, min(self.commit, self.log.saved_index)
         )
         ready = raft_messages.Ready(
             hard_state,
-            self.installed,
+            self.installed_snapshot,
             list(self.log.unsaved_entries()),
             self.outbox,
             list(committed),
@@ -489,7 +499,7 @@
         if ready.hard_state is not None and ready.hard_state == self.hard_state:
             self.hard_state_changed = False
         if ready.snapshot is not None:
-            self.installed = None
+            self.installed_snapshot = None
         if ready.entries:
             self.log.saved_index = max(self.log.saved_index, ready.entries[-1].index)
         if ready.committed:
--- a/src/merlinthread/coordination/rate_limits.py
+++ b/src/merlinthread/coordination/rate_limits.py
@@ -17,7 +17,7 @@
 # Any window then holds at most its share of the limit plus two requests.
 TOLERANCE_SHARE = 0.85
 # Longest interval between two permits: a back end can lift its limit only in a response.
-INTERVAL_S_MAX = 10.0
+INTERVAL_MAX_S = 10.0
 # State not used for this long is dropped.
 IDLE_EXPIRY_S = 60.0
 # Time within which all entries discover a new leader; until then some use their time slots.
@@ -74,7 +74,7 @@
 
 def interval_s(per_s: float) -> float:
     """Return the interval between permits for a limit of `per_s`, in seconds."""
-    return min(INTERVAL_S_MAX, 1.0 / (GRANTED_SHARE * per_s))
+    return min(INTERVAL_MAX_S, 1.0 / (GRANTED_SHARE * per_s))
 
 
 @dataclasses.dataclass(slots=True)
@@ -82,7 +82,7 @@
     """The rate algorithm's state for one back end; the next permit falls due at `due_at`."""
 
     per_s: float
-    heard_at: float
+    received_at: float
     due_at: float = 0.0
     last_requested_at: float = 0.0
 
@@ -90,12 +90,12 @@
         """Return the interval between permits, in seconds."""
         return interval_s(self.per_s)
 
-    def update_limit(self, per_s: float, heard_at: float, now: float) -> None:
+    def update_limit(self, per_s: float, received_at: float, now: float) -> None:
         """Apply a limit that an entry received, unless a newer one is known."""
-        if heard_at < self.heard_at:
+        if received_at < self.received_at:
             return
         is_higher = per_s > self.per_s
-        self.per_s, self.heard_at = per_s, heard_at
+        self.per_s, self.received_at = per_s, received_at
         if is_higher:
             # Permits granted under the lower limit delay the next one by at most one interval.
             self.due_at = min(self.due_at, now + self.interval_s())
@@ -161,15 +161,15 @@
         """Grant the earliest permit of the requested back ends, or refuse with a time to retry."""
         self.prune(now)
         allowances = [self.allowance(advertised, now) for advertised in request.limits]
-        use = self.usage.setdefault(request.service, AccountUsage())
-        use.record_request(request.account, now)
-        is_over = use.is_over_share(request.account)
+        usage = self.usage.setdefault(request.service, AccountUsage())
+        usage.record_request(request.account, now)
+        is_over = usage.is_over_share(request.account)
         decision = Decision()
         starts = [permit_start_at(known, request.patience_s, is_over, now) for known in allowances]
         best = min(range(len(starts)), key=lambda index: starts[index], default=None)
         if best is not None and starts[best] < math.inf:
             allowances[best].consume(starts[best])
-            use.record_grant(request.account)
+            usage.record_grant(request.account)
             decision.instance = request.limits[best].instance
             decision.start_in_s = starts[best] - now
         elif allowances:
@@ -183,20 +183,20 @@
     def allowance(self, advertised: AdvertisedLimit, now: float) -> Allowance:
         """Return a back end's allowance, updated with an advertised limit."""
         known = self.allowances.get(advertised.instance)
-        heard_at = now - advertised.heard_age_s
+        received_at = now - advertised.heard_age_s
         if known is None:
-            known = Allowance(advertised.per_s, heard_at)
+            known = Allowance(advertised.per_s, received_at)
             known.due_at = max(now + known.interval_s(), self.first_permit_at) + known.tolerance_s()
             self.allowances[advertised.instance] = known
-        known.update_limit(advertised.per_s, heard_at, now)
+        known.update_limit(advertised.per_s, received_at, now)
         known.last_requested_at = now
         return known
 
     def retry_at(self, service: str, allowances: list[Allowance], now: float) -> float:
         """Return when a client refused now should retry; retries are spaced out."""
         earliest = max(now, min(known.free_at() for known in allowances))
-        step_s = 1.0 / sum(1.0 / known.interval_s() for known in allowances)
-        at = max(earliest, self.last_retries.get(service, -math.inf) + step_s)
+        spacing_s = 1.0 / sum(1.0 / known.interval_s() for known in allowances)
+        at = max(earliest, self.last_retries.get(service, -math.inf) + spacing_s)
         if at > earliest + RETRY_SPREAD_S:
             at = earliest
         self.last_retries[service] = at
@@ -213,9 +213,9 @@
             if now - known.last_requested_at < IDLE_EXPIRY_S
         }
         self.usage = {
-            service: use
-            for service, use in self.usage.items()
-            if now - use.period_started_at < IDLE_EXPIRY_S
+            service: usage
+            for service, usage in self.usage.items()
+            if now - usage.period_started_at < IDLE_EXPIRY_S
         }
         self.last_retries = {
             service: at for service, at in self.last_retries.items() if now - at < IDLE_EXPIRY_S
--- a/tests/test_control_nodes.py
+++ b/tests/test_control_nodes.py
@@ -108,8 +108,8 @@
         await controls.start(lost, folder=f"{lost}-empty")
         assert await read_version(controls) == 5
         new = controls.nodes[lost].member
-        await fleet_nodes.until(lambda: new.name in new.raft.log.voters.voters, 15)
-        assert len(new.raft.log.voters.voters) == 3
+        await fleet_nodes.until(lambda: new.name in new.raft.log.membership.voters, 15)
+        assert len(new.raft.log.membership.voters) == 3
         # Another member fails right after the repair.
         other = next(ip for ip in controls.ips if ip != lost)
         controls.kill(other)
@@ -127,8 +127,8 @@
         controls.kill(killed)
         await controls.start(f"{fleet_nodes.NETWORK}.19")
         new = controls.nodes[f"{fleet_nodes.NETWORK}.19"].member
-        await fleet_nodes.until(lambda: new.name in new.raft.log.voters.voters, 15)
-        await fleet_nodes.until(lambda: len(new.raft.log.voters.voters) == 3, 15)
+        await fleet_nodes.until(lambda: new.name in new.raft.log.membership.voters, 15)
+        await fleet_nodes.until(lambda: len(new.raft.log.membership.voters) == 3, 15)
         assert await read_version(controls) == 2
 
     run(tmp_path, scenario)
@@ -237,8 +237,8 @@
         old = member.name
         member.rejoin_as_new_member()
         assert member.name != old
-        await fleet_nodes.until(lambda: member.name in member.raft.log.voters.voters, 15)
-        await fleet_nodes.until(lambda: old not in member.raft.log.voters.voters, 15)
+        await fleet_nodes.until(lambda: member.name in member.raft.log.membership.voters, 15)
+        await fleet_nodes.until(lambda: old not in member.raft.log.membership.voters, 15)
 
     run(tmp_path, scenario)
 
@@ -265,10 +265,10 @@
     async def scenario(controls):
         await put_configuration(controls, 3)
         for node in controls.nodes.values():
-            voters = node.member.raft.log.voters
-            await fleet_nodes.until(lambda voters=voters, n=node: n.member.applied > 0, 15)
+            membership = node.member.raft.log.membership
+            await fleet_nodes.until(lambda membership=membership, n=node: n.member.applied > 0, 15)
         leader = controls.nodes[controls.leader()].member
-        await fleet_nodes.until(lambda: len(leader.raft.log.voters.voters) == count, 15)
+        await fleet_nodes.until(lambda: len(leader.raft.log.membership.voters) == count, 15)
         assert await read_version(controls) == 3
 
     run(tmp_path, scenario, count)
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -56,7 +56,7 @@
         await fleet.request_until_held()
         crash_count = len(fleet.crash_times())
         for entry in range(2):
-            held = fleet.entries[entry].node.crashes.ledger.held
+            held = fleet.entries[entry].node.crashes.tracker.held
             await fleet_nodes.until(held)
             response = await fleet.request(entry, crashing_fleet.CRASH_BODY)
             assert response.status == 503
@@ -74,7 +74,7 @@
     async def scenario(fleet):
         response = await fleet.request(0, crashing_fleet.CRASH_BODY)
         assert (response.status, len(fleet.crash_times())) == (502, 2)
-        await fleet_nodes.until(lambda: fleet.entries[1].node.crashes.ledger.records)
+        await fleet_nodes.until(lambda: fleet.entries[1].node.crashes.tracker.records)
         # The third crash is known before a second attempt, which is therefore not made.
         response = await fleet.request(1, crashing_fleet.CRASH_BODY)
         assert (response.status, len(fleet.crash_times())) == (502, 3)
@@ -102,8 +102,8 @@
             fleet.controls.kill(ip)
             await fleet.controls.start(ip)
         nodes = fleet.controls.nodes.values()
-        await fleet_nodes.until(lambda: any(node.crashes.ledger.records for node in nodes))
-        other_tracker = fleet.entries[1].node.crashes.ledger
+        await fleet_nodes.until(lambda: any(node.crashes.tracker.records for node in nodes))
+        other_tracker = fleet.entries[1].node.crashes.tracker
         await fleet_nodes.until(lambda: other_tracker.records)
         await fleet.request(1, crashing_fleet.CRASH_BODY)
         assert len(fleet.crash_times()) == 3
@@ -121,7 +121,7 @@
         for node in nodes:
             node.member.propose = None  # no decision reaches the VM through the log
         await fleet.controls.start(stopped)
-        tracker = fleet.controls.nodes[stopped].crashes.ledger
+        tracker = fleet.controls.nodes[stopped].crashes.tracker
         await fleet_nodes.until(lambda: tracker.records)
 
     run(tmp_path, scenario)
@@ -151,7 +151,7 @@
             worker.behaviour.closes_without_answer = False
         crashes = fleet.entries[0].node.crashes
         await fleet_nodes.until(lambda: not crashes.checks)
-        assert not crashes.ledger.records
+        assert not crashes.tracker.records
         assert (await fleet.request(0, b"same")).status == 200
 
     run(tmp_path, scenario)
@@ -169,11 +169,11 @@
         # The VM fails: nothing responds, and the attempt times out.
         worker.is_down = True
         await task
-        assert crashes.unconfirmed and not crashes.ledger.records
+        assert crashes.unconfirmed and not crashes.tracker.records
         worker.behaviour.never_responds = False
         worker.crash_now()
         await worker.restart()
-        await fleet_nodes.until(lambda: crashes.ledger.records)
+        await fleet_nodes.until(lambda: crashes.tracker.records)
         assert not crashes.unconfirmed
 
     run(tmp_path, scenario, entries=1, workers=2)
@@ -190,10 +190,12 @@
         worker.instance = "i-next"
         worker.sequence = 0
         await fleet_nodes.until(lambda: set(fleet.entries[0].node.pool.backends) == {"i-next"})
-        assert not crashes.ledger.records
+        assert not crashes.tracker.records
         await task
         assert [
-            crash.instance for record in crashes.ledger.records.values() for crash in record.crashes
+            crash.instance
+            for record in crashes.tracker.records.values()
+            for crash in record.crashes
         ]
 
     run(tmp_path, scenario, entries=1, workers=1)
@@ -239,7 +241,7 @@
             if number == crash_tracker.ACCOUNT_HELD_THRESHOLD - 1:
                 before = len(fleet.crash_times())
                 for entry in fleet.entries:
-                    tracker = entry.node.crashes.ledger
+                    tracker = entry.node.crashes.tracker
                     await fleet_nodes.until(lambda tracker=tracker: tracker.is_strict("account-1"))
         assert len(fleet.crash_times()) - before == 4
 
@@ -266,7 +268,7 @@
 
         def record_crash(instance):
             crash = crash_tracker.Crash(crashes.clock(), instance, crashes.clock())
-            crashes.ledger.record_crash("f", "", crash)
+            crashes.tracker.record_crash("f", "", crash)
             crashes.queue_report("f")
 
         record_crash("i-1")
--- a/tests/test_entry_node.py
+++ b/tests/test_entry_node.py
@@ -444,11 +444,11 @@
             return {agent: known if agent == subscribed.instance else None for agent in agents}
 
         entry.node.prober.ask = reply_for_subscribed_engine
-        choice = await pool.choose(dispatch.Demand("model", "m", 1), 0.2)
+        choice = await pool.choose(dispatch.Requirements("model", "m", 1), 0.2)
         assert choice.backend is subscribed, "the load of the other engine is unknown"
         pool.subscribed = {"model": []}
         choice = await pool.choose(
-            dispatch.Demand("model", "m", 1, tried={subscribed.instance}), 0.2
+            dispatch.Requirements("model", "m", 1, tried={subscribed.instance}), 0.2
         )
         assert choice.backend is unsubscribed
 
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -192,7 +192,7 @@
     agent.detect_restart(fleet.EngineReport(born_ms=STARTED_MS))
     assert agent.weights.reports == []
     agent.detect_restart(fleet.EngineReport(born_ms=STARTED_MS + 1))
-    assert (agent.weights.reports, agent.last_report, agent.ledger.open) == ([None], None, {})
+    assert (agent.weights.reports, agent.last_report, agent.load_tracker.open) == ([None], None, {})
 
 
 BODY = {
--- a/tests/test_load_feed.py
+++ b/tests/test_load_feed.py
@@ -99,7 +99,7 @@
     engine.apply_probe_reply(
         load_tracker.EngineLoad(load_tracker.Outstanding(), is_busy=True), 10.0
     )
-    demand = dispatch.Demand("s")
+    demand = dispatch.Requirements("s")
     assert not dispatch.is_eligible(engine, demand, None, 10.5)
     later = 10.1 + backend_record.REPORT_FRESH_S
     assert dispatch.is_eligible(engine, demand, None, later)
@@ -111,5 +111,7 @@
     assert engine.has_stale_reports(20.0)
     engine.stop_reports()
     assert not engine.has_stale_reports(20.0)
-    choices = dispatch.shortlist([engine], dispatch.Demand("s"), None, 20.0, random.Random(1), 2)
+    choices = dispatch.shortlist(
+        [engine], dispatch.Requirements("s"), None, 20.0, random.Random(1), 2
+    )
     assert choices == [engine]
--- a/tests/test_new_back_ends.py
+++ b/tests/test_new_back_ends.py
@@ -50,7 +50,7 @@
 def test_one_slow_response_does_not_exclude_new_back_end():
     service_response_time = backend_record.ResponseTime()
     for _ in range(50):
-        service_response_time.note(WORK_S)
+        service_response_time.record(WORK_S)
     backend = backend_record.Backend(
         "i", "safe", "a:1", "zone", 0, 8, service_response_time=service_response_time
     )
@@ -81,7 +81,7 @@
     for backend, work_s in ((quicker, 0.0213), (slower, 0.0214)):
         backend.response_time = backend_record.ResponseTime(work_s, responses=1000)
     chosen = [
-        dispatch.choose([quicker, slower], dispatch.Demand("safe"), None, 0.0, rng).backend
+        dispatch.choose([quicker, slower], dispatch.Requirements("safe"), None, 0.0, rng).backend
         for _ in range(100)
     ]
     assert 30 <= chosen.count(slower) <= 70
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -101,7 +101,7 @@
 
 
 def limited_backend(per_s: float) -> backend_record.Backend:
-    availability = backend_availability.Availability(limit_per_s=per_s, limit_heard_at=0.0)
+    availability = backend_availability.Availability(limit_per_s=per_s, limit_received_at=0.0)
     return backend_record.Backend("i", "s", "a:1", "zone", 0, 8, availability=availability)
 
 
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -183,7 +183,7 @@
     for number in range(limit_table.RECORDS_MAX + 50):
         table.merge(limit_table.LimitReport(f"i-{number}", 1.0, 0.0), number)
     assert len(table.records) == limit_table.RECORDS_MAX
-    assert len(table.since(table.revision - 3, 0.0)) == 3
+    assert len(table.changes_since(table.revision - 3, 0.0)) == 3
     table.merge(limit_table.LimitReport("over", None, 0.0), 10_000.0)
     table.merge(limit_table.LimitReport("i-4000", None, 0.0), 10_000.0)
     table.merge(limit_table.LimitReport("i-4001", 2.0, 0.0), 10_100.0)
@@ -193,9 +193,9 @@
 def test_older_limit_from_another_vm_is_ignored():
     availability = backend_availability.Availability()
     availability.record_limit(2.0, sent_at=0.0, now=5.0)
-    availability.merge_limit(None, heard_at=4.0)
+    availability.merge_limit(None, received_at=4.0)
     assert availability.limit_per_s == 2.0
-    availability.merge_limit(None, heard_at=6.0)
+    availability.merge_limit(None, received_at=6.0)
     assert not availability.is_limited()
 
 
--- a/tests/test_unread_headers.py
+++ b/tests/test_unread_headers.py
@@ -14,7 +14,7 @@
 
 
 def unread_headers(headers) -> frozenset[str]:
-    return dialect.PlatformDialect().response_head(200, headers).unread
+    return dialect.PlatformDialect().response_head(200, headers).unknown_headers
 
 
 def test_unknown_header_is_reported_and_http_headers_are_not():
