--- a/tests/test_leaving_signals.py
+++ b/tests/test_leaving_signals.py
@@ -154,8 +154,8 @@
         original_choose = pool.choose
         pending = [backend]
 
-        async def choose(demand, wait_s_max):
-            choice = await original_choose(demand, wait_s_max)
+        async def choose(requirements, wait_s_max):
+            choice = await original_choose(requirements, wait_s_max)
             if pending and choice is not None:
                 choice.backend = pending.pop()
             return choice
--- a/tests/test_load_feed.py
+++ b/tests/test_load_feed.py
@@ -99,10 +99,10 @@
     engine.apply_probe_reply(
         load_tracker.EngineLoad(load_tracker.Outstanding(), is_busy=True), 10.0
     )
-    demand = dispatch.Requirements("s")
-    assert not dispatch.is_eligible(engine, demand, None, 10.5)
+    requirements = dispatch.Requirements("s")
+    assert not dispatch.is_eligible(engine, requirements, None, 10.5)
     later = 10.1 + backend_record.REPORT_FRESH_S
-    assert dispatch.is_eligible(engine, demand, None, later)
+    assert dispatch.is_eligible(engine, requirements, None, later)
 
 
 def test_unsubscribed_engine_is_not_excluded_for_stale_reports():
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -87,9 +87,9 @@
         pool = entry.node.pool
         original_choose = pool.choose
 
-        async def choose_during_suspension(demand, left_s):
+        async def choose_during_suspension(requirements, left_s):
             clock.suspended_s = 5.0
-            return await original_choose(demand, left_s)
+            return await original_choose(requirements, left_s)
 
         pool.choose = choose_during_suspension
         response = await entry.request("/safe/", "id-1")
