--- a/src/merlinthread/nodes/backend_pool.py
+++ b/src/merlinthread/nodes/backend_pool.py
@@ -31,7 +31,7 @@
 )
 from merlinthread.protocol import node_messages
 
-WAKE_COUNT = 4
+REQUESTS_WOKEN = 4
 # Agents probed for one choice, and the timeout for their replies.
 PROBE_AGENTS = 2
 PROBE_TIMEOUT_S = 0.015
@@ -40,9 +40,9 @@
 FREE_RETRIES = 3
 # Margin before an old version expires at which attempts that have not begun are cancelled.
 START_MARGIN_S = 0.2
-# A node that has just started knows all back ends after their next heartbeat, plus a margin.
+# A node that has just started has heard from all back ends after this many heartbeat intervals.
 STARTUP_HEARTBEATS = 1.5
-# Time before an old version expires from which only responsive back ends still get requests for it.
+# From this long before an old version expires, only responsive back ends get requests for it.
 VERSION_SOON_MARGIN_S = 2.5
 
 
@@ -56,7 +56,7 @@
 
     backend: backend_record.Backend
     tokens: float
-    started: float
+    started_at: float
     number: int = 0
     agent: str = ""
     is_read: bool = False
@@ -115,7 +115,7 @@
             self.backends_by_address[backend.address] = backend
         self.update_subscriptions()
         for queue in self.queues.values():
-            queue.wake(WAKE_COUNT)
+            queue.wake(REQUESTS_WOKEN)
 
     def update_subscriptions(self) -> None:
         """Choose the engines of each service whose load reports this entry subscribes to."""
@@ -162,9 +162,9 @@
             backend.weights = heartbeat.weights
 
     def record_leaving(self, backend: backend_record.Backend, request_id: str) -> None:
-        """Record that a back end's response says that it is leaving."""
+        """Record that a back end announced in a response that it is leaving."""
         backend.is_draining = True
-        # The record is another one if the back end was removed and added again meanwhile.
+        # The record differs if the back end was removed and added again meanwhile.
         known = self.backends.get(backend.instance)
         if known is not None:
             known.is_draining = True
@@ -193,10 +193,10 @@
         backend.apply_report(load.report, self.clock(), load.others)
         queue = self.queues.get(backend.service)
         if queue is not None and len(queue):
-            queue.wake(WAKE_COUNT)
+            queue.wake(REQUESTS_WOKEN)
 
     def startup_wait_s(self) -> float:
-        """Return the time after its start in which a node learns of all back ends, in seconds."""
+        """Return how long a node needs after its start to learn of all back ends."""
         return STARTUP_HEARTBEATS * self.settings.heartbeat_s
 
     def required_version(self, model: str, now: float) -> int:
@@ -206,11 +206,11 @@
         queued at the back end.
         """
         bound_s = self.settings.bounds.version_s - reload_schedule.EXPIRY_MARGIN_S
-        return self.watcher.version_due(model, now, bound_s)
+        return self.watcher.newest_version_with_age(model, now, bound_s)
 
     def version_soon(self, model: str, now: float) -> int:
         """Return the newest version of a model's weights that is required soon, or 0."""
-        return self.watcher.version_due(
+        return self.watcher.newest_version_with_age(
             model, now, self.settings.bounds.version_s - VERSION_SOON_MARGIN_S
         )
 
@@ -261,14 +261,14 @@
         )
         await self.probe(probed)
         known = [*subscribed, *(backend for backend in probed if not backend.probe_unanswered)]
-        # Unsubscribed engines that did not answer the probe are the last resort.
+        # Unsubscribed engines that did not reply to the probe are the last resort.
         choice = dispatch.choose_best(known, requirements, engine, self.clock())
         return choice or dispatch.choose_best(probed, requirements, engine, self.clock())
 
     def evaluate(
         self, backend: backend_record.Backend, requirements: dispatch.Requirements
     ) -> dispatch.Choice:
-        """Return the choice of one given back end, with its expected wait."""
+        """Return the choice of a given back end, with its expected wait."""
         engine = self.engine_of(requirements.service)
         return dispatch.evaluate(backend, requirements, engine, self.clock())
 
@@ -284,16 +284,16 @@
     async def probe(self, probed: list[backend_record.Backend]) -> None:
         """Probe engines for their load through their agents."""
         agents = list({self.agent_of(backend): None for backend in probed})
-        replies = await self.prober.ask(agents, PROBE_TIMEOUT_S)
-        # Engines on one VM share an agent. Its timeout must count against all of them, or the only
-        # one without the penalty would get all requests.
+        replies = await self.prober.query(agents, PROBE_TIMEOUT_S)
+        # Engines on one VM share an agent. Its timeout must count against all of them; otherwise
+        # an engine without the penalty would get all requests.
         for backend in probed:
             backend.apply_probe_reply(replies[self.agent_of(backend)], self.clock())
 
     def ready_in_s(self, service: str) -> float | None:
-        """Return when half of a service's engines are expected to serve, or None if not known.
+        """Return the seconds until half of a service's engines are expected to serve, or None.
 
-        Only subscribed engines count, since the others report no forecast.
+        Only subscribed engines count, since this entry has no forecast of the others.
         """
         return dispatch.half_ready_in_s(self.subscribed.get(service, []), self.clock())
 
@@ -333,7 +333,7 @@
         reservation.is_read = True
         self.notify_agent(reservation, node_messages.AttemptStage.READ)
         now = self.clock()
-        reservation.backend.record_first_byte_delay(now - reservation.started, now)
+        reservation.backend.record_first_byte_delay(now - reservation.started_at, now)
         reservation.backend.unread -= 1
         reservation.backend.unread_tokens -= reservation.tokens
 
--- a/src/merlinthread/nodes/member_changes.py
+++ b/src/merlinthread/nodes/member_changes.py
@@ -21,12 +21,13 @@
 REQUEST_TIMEOUT_S = 0.6
 # How long a request to join or leave stays in effect after it was last received.
 REQUEST_EXPIRY_S = 2.0
-# Fractions of `Bounds.catch_up_s`, the time after which another failure may follow. A surplus voter
-# must be removed within it, including the time of an election; other members may stay longer.
-SURPLUS_SILENCE_FRACTION = 0.35
-SILENCE_FRACTION = 2.0
-# The fraction of `Bounds.grace_s` for the group to remove a member that shuts down: enough for an
-# election and two membership changes.
+# Silence after which a member is removed, as a multiple of `Bounds.catch_up_s`, the minimum time
+# between two failures. The removal of a surplus voter, which may include an election, must be
+# complete before the next failure; other members may stay longer.
+SURPLUS_SILENCE_FACTOR = 0.35
+SILENCE_FACTOR = 2.0
+# The fraction of `Bounds.grace_s` in which the group must remove a member that shuts down; enough
+# for an election and two membership changes.
 RESIGN_FRACTION = 0.375
 RESIGN_POLL_INTERVAL_S = 0.1
 
@@ -57,28 +58,28 @@
         self.on_removed = on_removed
         self.written_level = written_level
         self.address = f"{settings.ip}:{settings.control_port}"
-        self.joiners: dict[str, float] = {}
-        self.leaving: dict[str, float] = {}
+        self.join_requested_at: dict[str, float] = {}
+        self.leave_requested_at: dict[str, float] = {}
         self.next_join_at = clock()
 
-    def policy(self) -> membership_repair.RepairPolicy:
+    def repair_policy(self) -> membership_repair.RepairPolicy:
         """Return the repair policy for the bounds of the deployment."""
         catch_up_s = self.settings.bounds.catch_up_s
         return membership_repair.RepairPolicy(
             self.settings.members_lost_max,
-            SURPLUS_SILENCE_FRACTION * catch_up_s,
-            SILENCE_FRACTION * catch_up_s,
+            SURPLUS_SILENCE_FACTOR * catch_up_s,
+            SILENCE_FACTOR * catch_up_s,
         )
 
     def clear_requests(self) -> None:
         """Discard the received requests to join or leave, after a change of leadership."""
-        self.joiners.clear()
-        self.leaving.clear()
+        self.join_requested_at.clear()
+        self.leave_requested_at.clear()
 
     # Joining
 
     def request_join(self, now: float) -> None:
-        """Request to join, if this member is no voter or has not heard from a leader for long."""
+        """Request to join, if this member is not a voter or has heard from no leader for long."""
         if now < self.next_join_at:
             return
         self.next_join_at = now + JOIN_INTERVAL_S
@@ -109,7 +110,7 @@
         if reply.is_removed and join.name == self.get_raft().name:
             self.on_removed()
 
-    async def on_join(self, join: node_messages.JoinRequest) -> node_messages.JoinReply:
+    async def reply_to_join(self, join: node_messages.JoinRequest) -> node_messages.JoinReply:
         """Record a request to join if this member leads; otherwise forward it to the leader."""
         member = self.get_raft()
         now = self.clock()
@@ -117,7 +118,7 @@
             if join.name in member.log.membership.retired:
                 return node_messages.JoinReply(True)
             self.check_level(join)
-            self.joiners[join.name] = now
+            self.join_requested_at[join.name] = now
             return node_messages.JoinReply(False)
         leader = raft_members.address_of(member.leader)
         if leader and leader != self.address:
@@ -164,7 +165,7 @@
         return True
 
     async def has_no_pending_change(self) -> bool:
-        """Return whether no membership change of this leader is uncommitted; True on a follower."""
+        """Return whether this leader's membership changes are all committed; True on a follower."""
         member = self.get_raft()
         return not (member.is_leader() and member.log.has_membership_change_after(member.commit))
 
@@ -189,10 +190,10 @@
         """Return whether removing `member` lets the group tolerate more failures than losing it."""
         voter_count = len(member.log.membership.voters)
         return member.is_voter() and membership_repair.removal_improves_tolerance(
-            voter_count, 1, self.policy()
+            voter_count, 1, self.repair_policy()
         )
 
-    async def on_leave(self, leave: node_messages.LeaveRequest) -> node_messages.LeaveReply:
+    async def reply_to_leave(self, leave: node_messages.LeaveRequest) -> node_messages.LeaveReply:
         """Record that a member is shutting down; raise NotLeaderError unless this member leads."""
         member = self.get_raft()
         now = self.clock()
@@ -203,7 +204,7 @@
         if leave.name not in member.log.membership.voters:
             is_committed = not member.log.has_membership_change_after(member.commit)
             return node_messages.LeaveReply(is_committed)
-        self.leaving[leave.name] = now
+        self.leave_requested_at[leave.name] = now
         return node_messages.LeaveReply(False)
 
     # Repairs by the leader
@@ -213,7 +214,9 @@
         member = self.get_raft()
         if not member.holds_lease(now):
             return
-        change = membership_repair.next_change(self.group_status(member, now), self.policy(), now)
+        change = membership_repair.next_change(
+            self.group_status(member, now), self.repair_policy(), now
+        )
         if change is None:
             return
         try:
@@ -226,7 +229,7 @@
 
     def group_status(self, member: raft.Raft, now: float) -> membership_repair.GroupStatus:
         """Return this leader's view of the group; drop expired requests first."""
-        for requests in (self.joiners, self.leaving):
+        for requests in (self.join_requested_at, self.leave_requested_at):
             for name, requested_at in list(requests.items()):
                 if now - requested_at > REQUEST_EXPIRY_S:
                     del requests[name]
@@ -236,8 +239,8 @@
             member.commit,
             {name: progress.match for name, progress in member.progress.items()},
             {name: progress.heard_at for name, progress in member.progress.items()},
-            list(self.joiners),
-            list(self.leaving),
+            list(self.join_requested_at),
+            list(self.leave_requested_at),
         )
 
     def log_change(
--- a/src/merlinthread/nodes/request_task.py
+++ b/src/merlinthread/nodes/request_task.py
@@ -26,8 +26,8 @@
 # Share of the objective within which the first byte must be expected. The time to read the
 # request's own prompt is not counted, so that long prompts are not refused more often.
 ADMISSION_SHARE = 0.7
-# The same for a client that has probably been refused before: less than RETRY_TIME_SHARE of its
-# time is left.
+# The same for a client that has probably been refused before, because less than RETRY_TIME_SHARE of
+# the route's timeout remains until its deadline.
 RETRY_ADMISSION_SHARE = 0.85
 RETRY_TIME_SHARE = 0.8
 CONNECT_FAILURES_MAX = 4
@@ -43,18 +43,20 @@
         dialect: dialects.Dialect,
         pool: backend_pool.BackendPool,
         table: route_table.RouteTable | None,
-        arrived: float,
+        arrived_at: float,
     ) -> None:
         self.exchange = exchange
         self.dialect = dialect
         self.pool = pool
         self.table = table
         self.clock = pool.clock
-        self.arrived = arrived
+        self.arrived_at = arrived_at
         self.call: fleet.RequestHead | None = None
         self.context: request_context.RequestContext | None = None
         self.service = ""
-        self.relay = response_relay.ResponseRelay(exchange, pool.clock, arrived, self.on_response)
+        self.relay = response_relay.ResponseRelay(
+            exchange, pool.clock, arrived_at, self.log_response
+        )
         self.tried: set[str] = set()
         self.attempts: list[attempts.Attempt] = []
         # The permit for the next attempt, if its back end has a rate limit.
@@ -75,20 +77,20 @@
 
     def prepare(self) -> None:
         """Parse the request and find its route and service; raise RequestError if it is refused."""
-        self.call = self.dialect.client_call(self.exchange.request)
+        self.call = self.dialect.parse_request_head(self.exchange.request)
         retry_delay_s = self.pool.startup_wait_s()
         is_current = self.pool.watcher.is_current()
         route, account = route_finder.find_route(self.table, self.call, is_current, retry_delay_s)
         self.service = route_table.choose_service(route, self.pool.rng)
         self.relay.last_event_id = self.call.last_event_id
-        limit = route.timeout_s
+        timeout_s = route.timeout_s
         if self.call.deadline_s is not None:
-            limit = min(limit, self.call.deadline_s - DEADLINE_MARGIN_S)
-        deadline = self.arrived + max(0.0, limit)
+            timeout_s = min(timeout_s, self.call.deadline_s - DEADLINE_MARGIN_S)
+        deadline = self.arrived_at + max(0.0, timeout_s)
         body = self.exchange.request.body
         self.context = request_context.RequestContext(self.call, route, account, deadline, body)
         self.check_hold()
-        self.pool.budget(self.service).record_first_attempt(self.arrived)
+        self.pool.budget(self.service).record_first_attempt(self.arrived_at)
 
     def check_hold(self) -> None:
         """Raise RequestError if this request is held because back ends crashed while running it.
@@ -107,7 +109,7 @@
     # Attempts
 
     async def serve(self) -> None:
-        """Make attempts until there is a final response."""
+        """Make attempts until the request has a final response."""
         failures = 0
         while True:
             choice = await self.acquire_backend()
@@ -115,7 +117,7 @@
             self.check_hold()
             backend = choice.backend
             self.reasons.append(self.describe_choice(choice))
-            outcome = await self.attempt(backend)
+            outcome = await self.make_attempt(backend)
             self.reasons[-1] += f": {outcome.reason}"
             self.append_signals()
             if outcome.state is attempts.State.DONE:
@@ -146,7 +148,9 @@
 
     def describe_choice(self, choice: dispatch.Choice) -> str:
         """Describe the known state of a chosen back end for the log."""
-        return attempt_descriptions.describe_choice(choice, self.permit, self.arrived, self.clock())
+        return attempt_descriptions.describe_choice(
+            choice, self.permit, self.arrived_at, self.clock()
+        )
 
     def may_retry(self, outcome: attempts.Outcome) -> bool:
         """Return whether another attempt is allowed, charging it to the retry budget."""
@@ -213,7 +217,7 @@
         Raises RequestError if none is available before the queue time is over.
         """
         assert self.context is not None
-        queue_deadline = self.arrived + QUEUE_TIME_SHARE * self.context.route.objective_s
+        queue_deadline = self.arrived_at + QUEUE_TIME_SHARE * self.context.route.objective_s
         queue = self.pool.queue(self.service)
         while True:
             now = self.clock()
@@ -235,13 +239,13 @@
                 if is_expired:
                     raise self.unavailable("no back end is free", self.retry_after_s(True))
             timeout_s = min(queue_deadline - now, 0.05)
-            await queue.wait(self.context.urgency(), self.arrived, timeout_s)
+            await queue.wait(self.context.urgency(), self.arrived_at, timeout_s)
 
     async def choose(self, remaining_s: float) -> dispatch.Choice | None:
         """Return the best back end, or None if there is none.
 
-        Clear the tried back ends if only those are left and the request may run more than once.
-        Raises RequestError after the deadline.
+        If all of them have been tried and the request may run more than once, they may be tried
+        again. Raises RequestError after the deadline.
         """
         assert self.context is not None
         choice = await self.pool.choose(self.requirements(), remaining_s)
@@ -305,7 +309,7 @@
     def is_admissible(self, choice: dispatch.Choice, remaining_s: float) -> bool:
         """Return whether the first byte is expected in time, or the engine has room.
 
-        If it has room, the time was lost elsewhere, and a refusal would only delay the request.
+        If it has room, the engine is not the cause of the delay, and a refusal would add to it.
         """
         return choice.wait_s <= remaining_s or choice.backend.has_room(self.clock())
 
@@ -315,7 +319,7 @@
         if self.exchange.is_started:
             return self.context.deadline
         share = RETRY_ADMISSION_SHARE if self.is_client_retry() else ADMISSION_SHARE
-        return self.arrived + share * self.context.route.objective_s
+        return self.arrived_at + share * self.context.route.objective_s
 
     def is_client_retry(self) -> bool:
         """Return whether the client has so little time left that it was probably refused before.
@@ -348,14 +352,15 @@
     def retry_after_s(self, is_unavailable: bool) -> float:
         """Return the retry delay for a refusal, in seconds.
 
-        `is_unavailable` is set if no back end could take the request at all."""
+        `is_unavailable` is set if no back end could take the request at all.
+        """
         assert self.context is not None
         remaining_s = self.context.deadline - self.clock()
         ready_in_s = self.pool.ready_in_s(self.service) if is_unavailable else None
         refusal = retry_delays.Refusal(remaining_s, is_unavailable, ready_in_s)
         return self.pool.retry_delay_policy(refusal, self.pool.rng)
 
-    async def attempt(self, backend: backend_record.Backend) -> attempts.Outcome:
+    async def make_attempt(self, backend: backend_record.Backend) -> attempts.Outcome:
         """Make one attempt on a back end and return its outcome."""
         assert self.context is not None
         self.tried.add(backend.instance)
@@ -373,23 +378,23 @@
 
     async def send_error(self, error: errors.MerlinthreadError) -> None:
         """Send an error response, or abort the response if it has already started."""
-        entry = error_responses.RESPONSES[error.kind]
+        error_response = error_responses.RESPONSES[error.kind]
         if self.exchange.is_started:
             self.log_outcome("broken_off", 0)
             self.exchange.abort()
             return
         headers = self.dialect.error_headers(self.call)
         retry_delay_s = (
-            error.retry_after_s if error.retry_after_s is not None else entry.retry_after_s
+            error.retry_after_s if error.retry_after_s is not None else error_response.retry_after_s
         )
         if retry_delay_s is not None:
             headers.append((b"retry-after", b"%g" % retry_delay_s))
         self.reasons.append(error.message)
         metrics.refusals_total.labels(str(error.kind)).inc()
-        self.log_outcome(str(error.kind), entry.status)
-        await self.exchange.respond(http_messages.Response(entry.status, headers))
+        self.log_outcome(str(error.kind), error_response.status)
+        await self.exchange.respond(http_messages.Response(error_response.status, headers))
 
-    def on_response(self, status: int) -> None:
+    def log_response(self, status: int) -> None:
         """Log that a complete response of a back end is sent to the client."""
         self.append_signals()
         self.log_outcome("answered", status)
@@ -414,9 +419,9 @@
             configuration=self.table.version if self.table else 0,
             service=self.service,
             sent=self.sent_count(),
-            ms=round(1000 * (self.clock() - self.arrived)),
+            ms=round(1000 * (self.clock() - self.arrived_at)),
             first_ms=(
-                round(1000 * (self.relay.first_event_at - self.arrived))
+                round(1000 * (self.relay.first_event_at - self.arrived_at))
                 if self.relay.first_event_at
                 else None
             ),
--- a/tests/permit_net.py
+++ b/tests/permit_net.py
@@ -41,7 +41,7 @@
     """The control VMs known to an entry."""
 
     controls: list[str]
-    current: str
+    current_control_vm: str
 
 
 @dataclasses.dataclass
@@ -103,7 +103,7 @@
     def receive_query(self, entry: str, control: str, query: node_messages.LoadQuery) -> None:
         """Let a control VM reply to a query, if it is running."""
         if control in self.running:
-            reply = self.permit_servers[control].answer(query)
+            reply = self.permit_servers[control].reply_to(query)
             self.send_datagram(self.entries[entry].permits.receive, query.number, reply)
 
     def stop_leader(self) -> None:
--- a/tests/test_bus.py
+++ b/tests/test_bus.py
@@ -1,4 +1,4 @@
-"""Tests of the pynng transport, including connections that stall while they are established."""
+"""The pynng transport, including connections that stall while they are established."""
 
 import socket
 import threading
@@ -26,7 +26,7 @@
         self.listener.close()
 
 
-def test_a_sender_whose_connection_stalled_at_its_start_gets_through_later():
+def test_sender_recovers_from_a_connection_stalled_at_its_start():
     """Guards against members that never connect and so can't elect a leader."""
     listener = StallingListener()
     sender = bus.Sender(listener.address, CODEC)
@@ -45,7 +45,7 @@
     receiver.stop()
 
 
-def test_a_caller_whose_connection_stalled_at_its_start_gets_through_later():
+def test_rpc_client_recovers_from_a_connection_stalled_at_its_start():
     listener = StallingListener()
     client = bus.RpcClient(listener.address, CODEC)
     listener.accept_one()
@@ -58,12 +58,12 @@
         except bus.errors.UnreachableError:
             return False
 
-    processes.wait_for("an answer", call, 5)
+    processes.wait_for("a reply", call, 5)
     client.close()
     server.stop()
 
 
-def test_a_responder_that_is_stopped_still_gives_the_answer_that_it_works_on():
+def test_stopped_rpc_server_still_sends_its_pending_reply():
     """pynng aborts the process if a socket is closed while a thread is sending."""
     address = f"127.0.0.1:{processes.Ports().take()}"
     started, release = threading.Event(), threading.Event()
@@ -77,11 +77,11 @@
     server.start()
     client = bus.RpcClient(address, CODEC)
     with futures.ThreadPoolExecutor(2) as pool:
-        answer = pool.submit(client.call, MESSAGE, 5.0)
+        reply = pool.submit(client.call, MESSAGE, 5.0)
         assert started.wait(5)
         stopped = pool.submit(server.stop)
         processes.wait_for("the stop to begin", server.stopping.is_set, 5)
         release.set()
-        assert answer.result(5) == MESSAGE
+        assert reply.result(5) == MESSAGE
         stopped.result(5)
     client.close()
--- a/tests/test_crash_tracker.py
+++ b/tests/test_crash_tracker.py
@@ -99,7 +99,7 @@
     since: dict[str, float] = {}
 
     def commit_due_commands(now: float) -> list:
-        commands = crash_registry.due_commands(tracker, since, now, 0.0)
+        commands = crash_registry.commands_to_propose(tracker, since, now, 0.0)
         for command in commands:
             assert state.apply(command)
             held = state.held["f"]
@@ -127,7 +127,7 @@
     tracker.set_hold("f", "", crash_tracker.Hold(1, HELD), 3.1)
     tracker.clear("f", 4.0)
     assert tracker.is_held("f")
-    commands = crash_registry.due_commands(tracker, {"f": 3.1}, 4.0, 0.0)
+    commands = crash_registry.commands_to_propose(tracker, {"f": 3.1}, 4.0, 0.0)
     assert commands == [fleet_state.ReleaseHold("f", 1, CLEARED)]
 
 
@@ -135,7 +135,7 @@
     tracker = crash_tracker.CrashTracker()
     tracker.set_hold("f", "", crash_tracker.Hold(1, HELD), 100.0)
     tracker.merge(crash_tracker.SuspectReport("f", "", [], 50.0), 100.1)
-    assert crash_registry.due_commands(tracker, {"f": 100.0}, 100.2, 0.0) == []
+    assert crash_registry.commands_to_propose(tracker, {"f": 100.0}, 100.2, 0.0) == []
 
 
 def test_repeated_or_older_hold_commands_are_ignored():
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -132,7 +132,7 @@
         for ip in fleet.controls.ips:
             fleet.controls.kill(ip)
         watcher = fleet.entries[0].node.watcher
-        await fleet_nodes.until(lambda: not watcher.current)
+        await fleet_nodes.until(lambda: not watcher.current_control_vm)
         for _ in range(4):
             await fleet.request_or_none(0, crashing_fleet.CRASH_BODY)
         assert len(fleet.crash_times()) == 3
@@ -263,7 +263,7 @@
     async def scenario():
         entry = fleet_nodes.Entry()
         crashes, watcher = entry.node.crashes, entry.node.watcher
-        crashes.caller, watcher.current = Caller(), "control"
+        crashes.rpc_client, watcher.current_control_vm = Caller(), "control"
         task = asyncio.get_running_loop().create_task(crashes.run())
 
         def record_crash(instance):
@@ -272,11 +272,11 @@
             crashes.queue_report("f")
 
         record_crash("i-1")
-        await fleet_nodes.until(lambda: crashes.caller.reports)
+        await fleet_nodes.until(lambda: crashes.rpc_client.reports)
         record_crash("i-2")
-        crashes.caller.may_reply.set()
-        await fleet_nodes.until(lambda: len(crashes.caller.reports) == 2, 2.0)
-        (suspicion,) = crashes.caller.reports[1].suspicions
+        crashes.rpc_client.may_reply.set()
+        await fleet_nodes.until(lambda: len(crashes.rpc_client.reports) == 2, 2.0)
+        (suspicion,) = crashes.rpc_client.reports[1].suspicions
         assert [end.instance for end in suspicion.ends] == ["i-1", "i-2"]
         task.cancel()
 
--- a/tests/test_entry_node.py
+++ b/tests/test_entry_node.py
@@ -283,7 +283,11 @@
     entry = fleet_nodes.Entry()
     watcher = entry.node.watcher
     watcher.named_at = {"m": {2: 100.0, 3: 102.0}}
-    assert [watcher.version_due("m", now, 7.0) for now in (106.0, 107.5, 109.5)] == [0, 2, 3]
+    assert [watcher.newest_version_with_age("m", now, 7.0) for now in (106.0, 107.5, 109.5)] == [
+        0,
+        2,
+        3,
+    ]
 
 
 def test_attempt_without_response_at_version_expiry_is_retried_elsewhere(monkeypatch):
@@ -301,7 +305,7 @@
             nothing = load_tracker.EngineLoad(load_tracker.Outstanding())
             return {agent: nothing for agent in agents}
 
-        entry.node.prober.ask = reply_at_once
+        entry.node.prober.query = reply_at_once
         old.behaviour.never_responds = True
         new.version = 2
         watcher, pool = entry.node.watcher, entry.node.pool
@@ -443,7 +447,7 @@
             known = load_tracker.EngineLoad(others)
             return {agent: known if agent == subscribed.instance else None for agent in agents}
 
-        entry.node.prober.ask = reply_for_subscribed_engine
+        entry.node.prober.query = reply_for_subscribed_engine
         choice = await pool.choose(dispatch.Requirements("model", "m", 1), 0.2)
         assert choice.backend is subscribed, "the load of the other engine is unknown"
         pool.subscribed = {"model": []}
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -183,7 +183,7 @@
         def __init__(self):
             self.reports = []
 
-        def on_engine_report(self, report):
+        def record_engine_report(self, report):
             self.reports.append(report)
 
     agent = agent_node.AgentNode.__new__(agent_node.AgentNode)
--- a/tests/test_leaving_signals.py
+++ b/tests/test_leaving_signals.py
@@ -76,7 +76,7 @@
         pending = asyncio.create_task(fleet_.request())
         await fleet_nodes.until(lambda: leaving.runs)
         del fleet_.entry.node.watcher.instances[leaving.instance]
-        fleet_.entry.node.on_update()
+        fleet_.entry.node.apply_fleet_update()
         fleet_.announce(fleet_.workers)
         assert (await pending).status == 200
         assert (await fleet_.request()).status == 503
@@ -190,21 +190,23 @@
     async def check_missed_departure(fleet_):
         watcher = fleet_.entries[0].node.watcher
         leaving = fleet_.workers[0]
-        await fleet_nodes.until(lambda: watcher.current)
+        await fleet_nodes.until(lambda: watcher.current_control_vm)
         # The departure is acknowledged between the loss of the entry's control VM and the search.
-        former = watcher.current.partition(":")[0]
-        original_ask, may_ask = watcher.ask, asyncio.Event()
+        former = watcher.current_control_vm.partition(":")[0]
+        original_request_changes, may_request = watcher.request_changes, asyncio.Event()
 
-        async def ask(*args):
-            await may_ask.wait()
-            return await original_ask(*args)
+        async def request_changes(*args):
+            await may_request.wait()
+            return await original_request_changes(*args)
 
-        watcher.ask = ask
+        watcher.request_changes = request_changes
         leaving.is_down = True
         fleet_.controls.kill(former)
         await fleet_.controls.until_acknowledged("DELETE", f"/instances/{leaving.instance}")
-        may_ask.set()
-        await fleet_nodes.until(lambda: watcher.current and not watcher.current.startswith(former))
+        may_request.set()
+        await fleet_nodes.until(
+            lambda: watcher.current_control_vm and not watcher.current_control_vm.startswith(former)
+        )
         before = len(leaving.runs)
         for _ in range(REQUESTS):
             assert (await fleet_.request(0, b"")).status == 200
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -35,7 +35,7 @@
 
 class Watcher:
     controls = ["here:1"]
-    current = "here:1"
+    current_control_vm = "here:1"
 
 
 def make_server():
@@ -63,40 +63,40 @@
 
 def test_repeated_query_takes_one_permit():
     server, _, times = make_server()
-    server.answer(query(1))
+    server.reply_to(query(1))
     times[0] += 1.0
-    first, again = server.answer(query(2)), server.answer(query(2))
+    first, again = server.reply_to(query(2)), server.reply_to(query(2))
     assert first.decision.instance == "i" and again is first
     times[0] += 0.3
-    assert server.answer(query(3)).decision.instance == "i"
+    assert server.reply_to(query(3)).decision.instance == "i"
 
 
 def test_member_without_lease_grants_nothing_and_names_leader():
     server, member, _ = make_server()
     member.leads, member.leader = False, "there:1"
-    assert server.answer(query(1)) == node_messages.PermitReply(None, "there:1")
+    assert server.reply_to(query(1)) == node_messages.PermitReply(None, "there:1")
     member.leader = member.address
-    assert server.answer(query(2)) == node_messages.PermitReply(None, "")
+    assert server.reply_to(query(2)) == node_messages.PermitReply(None, "")
 
 
 def test_member_that_leads_again_starts_without_permits():
     server, member, times = make_server()
-    server.answer(query(1))
+    server.reply_to(query(1))
     times[0] += 5.0
     member.leads = False
-    server.answer(query(2))
+    server.reply_to(query(2))
     member.leads = True
-    assert not server.answer(query(3)).decision.instance
+    assert not server.reply_to(query(3)).decision.instance
 
 
 def test_reply_ranks_entries_with_recent_queries():
     server, _, times = make_server()
     for number, name in enumerate(("c", "a", "b")):
-        server.answer(query(number, name))
-    reply = server.answer(query(9, "b"))
+        server.reply_to(query(number, name))
+    reply = server.reply_to(query(9, "b"))
     assert (reply.entries, reply.rank, reply.at) == (3, 1, times[0])
     times[0] += 2 * permit_server.ENTRY_EXPIRY_S
-    reply = server.answer(query(10, "b"))
+    reply = server.reply_to(query(10, "b"))
     assert (reply.entries, reply.rank) == (1, 0)
 
 
@@ -122,7 +122,7 @@
         backend = limited_backend(50.0)
         started_at = client.clock()
         found = await asyncio.gather(*[client.acquire("s", "a", 0.0, [backend]) for _ in range(20)])
-        assert client.clock() - started_at < 10 * permits.ANSWER_TIMEOUT_S
+        assert client.clock() - started_at < 10 * permits.REPLY_TIMEOUT_S
         assert len({message.number for _, message in sent}) == 1
         assert sum(isinstance(each, permits.Permit) for each in found) <= 1
         assert backend.availability.lacks_permit(client.clock())
@@ -142,7 +142,7 @@
         while len({message.number for _, message in sent}) < 2:
             await asyncio.sleep(0.001)
         # Another task takes over the search, and the rest wait for it.
-        assert client.waiting and not any(task.done() for task in others)
+        assert client.pending_queries and not any(task.done() for task in others)
         await asyncio.gather(*others)
         assert len({message.number for _, message in sent}) == 2
 
@@ -155,6 +155,6 @@
         await client.acquire("s", "a", 0.0, [limited_backend(0.01)])
         decision = rate_limits.Decision("i", 0.0, [1.0])
         client.receive(sent[0][1].number, node_messages.PermitReply(decision, "", 3, 1, 0.0))
-        assert not client.leader and not client.waiting
+        assert not client.leader and not client.pending_queries
 
     asyncio.run(scenario())
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -15,27 +15,27 @@
 from tests import fleet_nodes
 
 SOURCES = pathlib.Path(names.__file__).parent.parent
-PLATFORM_WORDS = (
+PLATFORM_NAMES = (
     [value for value in vars(names).values() if isinstance(value, bytes) and len(value) > 8]
     + [b"path_prefix", b"api_keys", b"traffic_split", b"target_latency_ms", b"sample_count"]
     + [b"cold_remaining_ms", b"heartbeat_url", b"MERLINTHREAD_CONFIG", b"port_range"]
 )
 # Names that other packages use with the same spelling, independently of the platform.
-COMMON = {b"last-event-id", b"content-encoding", b"/instances/"}
+SHARED_NAMES = {b"last-event-id", b"content-encoding", b"/instances/"}
 
 
-def test_nothing_outside_the_folder_knows_the_platforms_names():
+def test_platform_names_are_used_only_in_the_platform_package():
     for path in SOURCES.rglob("*.py"):
         if "platform" in path.parts[len(SOURCES.parts) :]:
             continue
         text = path.read_bytes()
         # Header names are case-insensitive; other names are not.
-        for word in PLATFORM_WORDS:
-            found = word in (text.lower() if word.startswith(b"x-") else text)
-            assert word in COMMON or not found, f"{path} contains {word!r}"
+        for name in PLATFORM_NAMES:
+            found = name in (text.lower() if name.startswith(b"x-") else text)
+            assert name in SHARED_NAMES or not found, f"{path} contains {name!r}"
 
 
-def test_the_folder_is_imported_by_nothing_of_the_product():
+def test_platform_package_is_not_imported_by_other_packages():
     for path in SOURCES.rglob("*.py"):
         if "platform" in path.parts[len(SOURCES.parts) :]:
             continue
@@ -81,7 +81,7 @@
 
 
 @pytest.mark.parametrize("change", [{"ip": None}, {"seeds": "x"}, {"port_range": [1]}])
-def test_settings_that_can_not_be_used_are_refused_by_field(tmp_path, change):
+def test_invalid_settings_are_refused_with_their_field(tmp_path, change):
     path = tmp_path / "node.json"
     path.write_text(json.dumps(SETTINGS | change))
     with pytest.raises(errors.SettingsError) as raised:
@@ -89,7 +89,7 @@
     assert next(iter(change)) in raised.value.message
 
 
-def test_a_configuration_keeps_what_decides():
+def test_configuration_fields_are_parsed():
     body = fleet_nodes.configuration(7, ["safe"], "model", "10.0.0.1:90")
     configuration = bodies.parse_configuration(json.dumps(body).encode())
     route = configuration.routes[-1]
@@ -119,15 +119,15 @@
     [
         ("GET", "/config", dialects.GetConfiguration),
         ("POST", "/version-put", dialects.NameVersion),
-        ("DELETE", "/instances/i-1", dialects.Leave),
+        ("DELETE", "/instances/i-1", dialects.RemoveInstance),
     ],
 )
-def test_calls_of_operators_and_workers_are_told_apart(method, path, kind):
+def test_control_calls_are_recognized_by_method_and_path(method, path, kind):
     body = b'{"model":"m","version":2}'
     request = http_messages.Request(method.encode(), path.encode(), [], body)
-    assert isinstance(dialect.PlatformDialect().control_call(request), kind)
+    assert isinstance(dialect.PlatformDialect().parse_control_call(request), kind)
 
 
 def test_an_unknown_call_is_refused():
     with pytest.raises(errors.RequestError):
-        dialect.PlatformDialect().control_call(http_messages.Request(b"GET", b"/x", [], b""))
+        dialect.PlatformDialect().parse_control_call(http_messages.Request(b"GET", b"/x", [], b""))
--- a/tests/test_watcher_full_updates.py
+++ b/tests/test_watcher_full_updates.py
@@ -72,6 +72,9 @@
 
         monkeypatch.setattr(watcher, "find_control_vm", find_control_vm)
         await watcher.select_control_vm()
-        assert watcher.current == NEWLY_STARTED and watcher.positions[NEWLY_STARTED].position == 0
+        assert (
+            watcher.current_control_vm == NEWLY_STARTED
+            and watcher.positions[NEWLY_STARTED].position == 0
+        )
 
     asyncio.run(scenario())
--- a/tests/test_watcher_restart.py
+++ b/tests/test_watcher_restart.py
@@ -36,10 +36,10 @@
         )
 
 
-def make_watcher(number: int, caller: FakeCaller) -> fleet_watcher.FleetWatcher:
+def make_watcher(number: int, rpc_client: FakeCaller) -> fleet_watcher.FleetWatcher:
     settings = fleet_nodes.make_settings(f"entry-{number}", control_port=1, control_ips=CONTROLS)
     watcher = fleet_nodes.make_watcher(settings)
-    watcher.caller = caller
+    watcher.rpc_client = rpc_client
     return watcher
 
 
@@ -50,8 +50,8 @@
 def test_watcher_selects_first_control_vm_to_reply():
     async def scenario():
         near = addresses()[3]
-        caller = FakeCaller(addresses(), 0.0, near)
-        watcher = make_watcher(1, caller)
+        rpc_client = FakeCaller(addresses(), 0.0, near)
+        watcher = make_watcher(1, rpc_client)
         assert await watcher.find_control_vm() == near
 
     asyncio.run(scenario())
@@ -59,13 +59,13 @@
 
 def test_full_update_is_requested_once_per_control_vm_without_leader():
     async def scenario():
-        caller = FakeCaller(addresses(), 1e6)
-        watcher = make_watcher(1, caller)
+        rpc_client = FakeCaller(addresses(), 1e6)
+        watcher = make_watcher(1, rpc_client)
         task = asyncio.get_running_loop().create_task(watcher.run())
-        await fleet_nodes.until(lambda: len(caller.requests) >= 14)
+        await fleet_nodes.until(lambda: len(rpc_client.requests) >= 14)
         task.cancel()
         full_requests = collections.Counter(
-            address for address, watch in caller.requests if not watch.feed
+            address for address, watch in rpc_client.requests if not watch.feed
         )
         assert max(full_requests.values()) == 1
         assert not watcher.is_fresh
@@ -75,11 +75,11 @@
 
 def test_control_vm_with_leader_is_found_within_two_searches():
     async def scenario():
-        caller = FakeCaller(addresses(), 1e6)
-        watcher = make_watcher(1, caller)
+        rpc_client = FakeCaller(addresses(), 1e6)
+        watcher = make_watcher(1, rpc_client)
         task = asyncio.get_running_loop().create_task(watcher.run())
-        await fleet_nodes.until(lambda: watcher.current)
-        caller.leader_age_s = 0.0
+        await fleet_nodes.until(lambda: watcher.current_control_vm)
+        rpc_client.leader_age_s = 0.0
         async with asyncio.timeout(2 * fleet_watcher.SEARCH_INTERVAL_S):
             await fleet_nodes.until(lambda: watcher.is_fresh)
         task.cancel()
@@ -89,12 +89,12 @@
 
 def test_full_update_is_requested_after_disconnect():
     async def scenario():
-        caller = FakeCaller(addresses(), 0.0)
-        watcher = make_watcher(1, caller)
-        watcher.current = await watcher.find_control_vm()
+        rpc_client = FakeCaller(addresses(), 0.0)
+        watcher = make_watcher(1, rpc_client)
+        watcher.current_control_vm = await watcher.find_control_vm()
         watcher.disconnect("no reply")
-        caller.requests.clear()
+        rpc_client.requests.clear()
         await watcher.find_control_vm()
-        assert {watch.feed for _, watch in caller.requests} == {""}
+        assert {watch.feed for _, watch in rpc_client.requests} == {""}
 
     asyncio.run(scenario())
--- a/tests/test_weights_failures.py
+++ b/tests/test_weights_failures.py
@@ -29,8 +29,8 @@
     found = set()
     for name, url in fleet.target_urls.items():
         if name.startswith("engine"):
-            shown = fleet.get(url, "/v1/runs") or {"runs": []}
-            found |= {(run["digest"], run["content"]) for run in shown["runs"]}
+            reply = fleet.get(url, "/v1/runs") or {"runs": []}
+            found |= {(run["digest"], run["content"]) for run in reply["runs"]}
     return found
 
 
@@ -48,7 +48,7 @@
     fleet: fleets.Fleet, digest: str, count: int, timeout_s: float = 30.0
 ) -> None:
     processes.wait_for(
-        f"{count} engines with {digest[:8]}",
+        f"{count} engines to serve {digest[:8]}",
         lambda: fleet.serving("hint").get(digest, 0) >= count,
         timeout_s,
     )
@@ -78,14 +78,14 @@
 
     def run(self, address: str) -> None:
         while not self.stopping.is_set():
-            answer = calls.request_completion(address)
-            if answer.status != 200 or not answer.is_complete():
-                self.failures.append(f"{answer.status} {answer.body[:300]!r}")
+            response = calls.request_completion(address)
+            if response.status != 200 or not response.is_complete():
+                self.failures.append(f"{response.status} {response.body[:300]!r}")
             else:
                 self.succeeded += 1
 
 
-def test_versions_never_mix_while_a_roll_and_a_rollback_pass_under_load(make_fleet):
+def test_versions_never_mix_during_a_roll_and_a_rollback_under_load(make_fleet):
     fleet = make_fleet(SHAPE)
     first_digest = fleet.publish("hint-1", OBJECT_BYTES, CHUNK_BYTES)
     second_digest = fleet.publish("hint-2", OBJECT_BYTES, CHUNK_BYTES)
@@ -93,7 +93,7 @@
     operator.bring_in(fleets.simple_bundle(1, {"hint": (first_digest, 100)}))
     wait_until_serving(fleet, first_digest, 6)
     processes.wait_for(
-        "entries", lambda: all(fleet.get(v.http, "/readyz") for v in fleet.entries())
+        "ready entries", lambda: all(fleet.get(v.http, "/readyz") for v in fleet.entries())
     )
     with RequestLoad(fleet) as load:
         operator.bring_in(fleets.simple_bundle(2, {"hint": (second_digest, 100)}))
@@ -113,7 +113,7 @@
     assert origin_read_ratio(fleet, "hint-2") == pytest.approx(1.0, abs=0.05)
 
 
-def test_corruption_on_the_origin_s_and_the_peers_links_is_found_and_read_again(make_fleet):
+def test_corrupt_chunks_are_detected_and_read_again(make_fleet):
     fleet = make_fleet(SHAPE)
     digest = fleet.publish("hint-1", OBJECT_BYTES, CHUNK_BYTES)
     inject_fault(fleet, fleet.origin_url, corrupt_next=5)
@@ -124,7 +124,7 @@
     assert served_versions(fleet) <= {(digest, object_hash(fleet, "hint-1"))}
 
 
-def test_an_object_that_changes_mid_transfer_pauses_the_roll_and_the_old_version_serves(make_fleet):
+def test_object_changed_mid_transfer_pauses_the_roll(make_fleet):
     fleet = make_fleet(SHAPE)
     first_digest = fleet.publish("hint-1", OBJECT_BYTES, CHUNK_BYTES)
     second_digest = fleet.publish("hint-2", OBJECT_BYTES, CHUNK_BYTES)
@@ -133,21 +133,21 @@
     wait_until_serving(fleet, first_digest, 6)
     inject_fault(fleet, fleet.origin_url, bytes_per_s=OBJECT_BYTES / 2)
     operator.bring_in(fleets.simple_bundle(2, {"hint": (second_digest, 100)}))
-    processes.wait_for("a first part", lambda: origin_read_ratio(fleet, "hint-2") > 0.2)
+    processes.wait_for("the first chunks", lambda: origin_read_ratio(fleet, "hint-2") > 0.2)
     path = fleet.folder / "origin" / "objects" / "hint-2"
     path.write_bytes(bytes(OBJECT_BYTES))
     inject_fault(fleet, fleet.origin_url, bytes_per_s=1e9)
     paused = processes.wait_for("a pause", lambda: fleet.status().get("paused"), 20)
     assert "origin_changed" in paused
     assert fleet.serving("hint") == {first_digest: 6}
-    answer = calls.request_completion(fleet.entries()[0].http)
-    assert answer.is_complete() and answer.digest == first_digest
+    response = calls.request_completion(fleet.entries()[0].http)
+    assert response.is_complete() and response.digest == first_digest
     done = fleet.command("bundle", "rollback", "1", "-o", "ana", "--wait")
     assert done.returncode == 0, done.stderr
     assert not fleet.status()["paused"]
 
 
-def test_an_engine_that_refuses_a_load_pauses_the_roll_with_its_reason(make_fleet):
+def test_refused_load_pauses_the_roll_with_its_reason(make_fleet):
     fleet = make_fleet(SHAPE)
     first_digest = fleet.publish("hint-1", OBJECT_BYTES, CHUNK_BYTES)
     second_digest = fleet.publish("hint-2", OBJECT_BYTES, CHUNK_BYTES)
@@ -169,7 +169,7 @@
     inject_fault(fleet, fleet.origin_url, bytes_per_s=OBJECT_BYTES / 3)
     names = [name for name in fleet.target_urls if name.startswith("engine")]
     operators.Operator(fleet).bring_in(fleets.simple_bundle(1, {"hint": (digest, 100)}))
-    processes.wait_for("a first part", lambda: origin_read_ratio(fleet, "hint-1") > 0.1)
+    processes.wait_for("the first chunks", lambda: origin_read_ratio(fleet, "hint-1") > 0.1)
     fleet.processes[names[0]].kill()
     fleet.processes[names[3]].freeze()
     joined = fleet.add_engine("zone-a", 3)
@@ -182,7 +182,7 @@
     wait_until_serving(fleet, digest, 7, 60)
 
 
-def test_a_restarted_agent_with_a_folder_reads_nothing_again(make_fleet):
+def test_restarted_agent_with_a_store_folder_reads_nothing_again(make_fleet):
     shape = fleets.dataclasses.replace(SHAPE, with_store_folder=True, engines_per_zone=1)
     fleet = make_fleet(shape)
     digest = fleet.publish("hint-1", OBJECT_BYTES, CHUNK_BYTES)
@@ -197,7 +197,7 @@
     assert origin_read_ratio(fleet, "hint-1") == pytest.approx(1.0, abs=0.05)
 
 
-def test_a_restarted_agent_does_not_order_below_what_its_engine_obeyed(make_fleet):
+def test_directive_older_than_the_fence_of_the_engine_is_refused(make_fleet):
     shape = fleets.dataclasses.replace(SHAPE, engines_per_zone=1, zones=("zone-a",))
     fleet = make_fleet(shape)
     digest = fleet.publish("hint-1", OBJECT_BYTES, CHUNK_BYTES)
