--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -249,7 +249,7 @@
 
 
 def test_crash_recorded_during_report_is_reported_too():
-    class Caller:
+    class FakeRpcClient:
         """Replaces the RPC client: records reports, and returns once `may_reply` is set."""
 
         def __init__(self):
@@ -263,7 +263,7 @@
     async def scenario():
         entry = fleet_nodes.Entry()
         crashes, watcher = entry.node.crashes, entry.node.watcher
-        crashes.rpc_client, watcher.current_control_vm = Caller(), "control"
+        crashes.rpc_client, watcher.current_control_vm = FakeRpcClient(), "control"
         task = asyncio.get_running_loop().create_task(crashes.run())
 
         def record_crash(instance):
--- a/tests/test_watcher_restart.py
+++ b/tests/test_watcher_restart.py
@@ -14,7 +14,7 @@
 CONTROLS = [f"10.{zone}.0.{number}" for zone in (1, 2, 3) for number in (1, 2)]
 
 
-class FakeCaller:
+class FakeRpcClient:
     """Replaces the RPC client: control VMs that are up reply, the one at `near` first.
 
     They last had contact with a leader `leader_age_s` ago.
@@ -36,7 +36,7 @@
         )
 
 
-def make_watcher(number: int, rpc_client: FakeCaller) -> fleet_watcher.FleetWatcher:
+def make_watcher(number: int, rpc_client: FakeRpcClient) -> fleet_watcher.FleetWatcher:
     settings = fleet_nodes.make_settings(f"entry-{number}", control_port=1, control_ips=CONTROLS)
     watcher = fleet_nodes.make_watcher(settings)
     watcher.rpc_client = rpc_client
@@ -50,7 +50,7 @@
 def test_watcher_selects_first_control_vm_to_reply():
     async def scenario():
         near = addresses()[3]
-        rpc_client = FakeCaller(addresses(), 0.0, near)
+        rpc_client = FakeRpcClient(addresses(), 0.0, near)
         watcher = make_watcher(1, rpc_client)
         assert await watcher.find_control_vm() == near
 
@@ -59,7 +59,7 @@
 
 def test_full_update_is_requested_once_per_control_vm_without_leader():
     async def scenario():
-        rpc_client = FakeCaller(addresses(), 1e6)
+        rpc_client = FakeRpcClient(addresses(), 1e6)
         watcher = make_watcher(1, rpc_client)
         task = asyncio.get_running_loop().create_task(watcher.run())
         await fleet_nodes.until(lambda: len(rpc_client.requests) >= 14)
@@ -75,7 +75,7 @@
 
 def test_control_vm_with_leader_is_found_within_two_searches():
     async def scenario():
-        rpc_client = FakeCaller(addresses(), 1e6)
+        rpc_client = FakeRpcClient(addresses(), 1e6)
         watcher = make_watcher(1, rpc_client)
         task = asyncio.get_running_loop().create_task(watcher.run())
         await fleet_nodes.until(lambda: watcher.current_control_vm)
@@ -89,7 +89,7 @@
 
 def test_full_update_is_requested_after_disconnect():
     async def scenario():
-        rpc_client = FakeCaller(addresses(), 0.0)
+        rpc_client = FakeRpcClient(addresses(), 0.0)
         watcher = make_watcher(1, rpc_client)
         watcher.current_control_vm = await watcher.find_control_vm()
         watcher.disconnect("no reply")
