--- a/src/merlinthread/roles/agent.py
+++ b/src/merlinthread/roles/agent.py
@@ -19,7 +19,7 @@
 from merlinthread.transport import bus, http_server
 
 RPC_TIMEOUT_S = 0.5
-SWITCH_INTERVAL_S = 0.1
+RECONCILE_INTERVAL_S = 0.1
 STATUS_INTERVAL_S = 0.25
 FAILED_STEP_RETRY_S = 1.0
 
@@ -46,7 +46,7 @@
         self.orders_allowed_at = float("-inf")
         self.is_replaced = False
         self.trouble = ""
-        self.last_attempt_at = float("-inf")
+        self.last_order_at = float("-inf")
         folder = pathlib.Path(config.store_folder) if config.store_folder else None
         self.weights = weights.WeightManager(
             context, config, chunks.ChunkStore(folder, config.store_bytes)
@@ -56,7 +56,7 @@
         self.rpc_server = bus.RpcServer(
             context.settings.bus,
             context.codec,
-            self.chunk_server.handle,
+            self.chunk_server.handle_message,
             workers=config.upload_slots + 2,
         )
         self.entries = self.select_entries()
@@ -66,11 +66,11 @@
         self.heartbeat_tasks = [self.make_heartbeat_task(address) for address in self.entries]
         self.tasks = [
             base.PeriodicTask("status", STATUS_INTERVAL_S, self.target.refresh_status),
-            base.PeriodicTask("switch", SWITCH_INTERVAL_S, self.run_next_step),
+            base.PeriodicTask("switch", RECONCILE_INTERVAL_S, self.run_next_step),
         ]
         context.http.routes.add("GET", "/weights/", self.serve_weights)
         for method in ("GET", "POST"):
-            context.http.routes.add(method, "/target/", self.target.on_request)
+            context.http.routes.add(method, "/target/", self.target.handle_request)
 
     def select_entries(self) -> list[str]:
         """Return the `heartbeat_entries` entries to report to, selected by rendezvous hash.
@@ -105,7 +105,7 @@
 
     # Heartbeats
 
-    def report(self) -> agents.AgentReport:
+    def make_report(self) -> agents.AgentReport:
         """Return a new report with the next counter value."""
         queue = self.target.request_queue.queue
         with self.lock:
@@ -141,7 +141,7 @@
     def send_heartbeat(self, address: str) -> None:
         """Send a heartbeat to one entry and apply its reply."""
         sent_at = self.context.clock()
-        report = self.report()
+        report = self.make_report()
         try:
             reply = self.send_report(address, report)
         except errors.MerlinthreadError as error:
@@ -202,8 +202,8 @@
     def adopt_directive(self, directive: control_state.Directive | None, source: str) -> None:
         """Apply a directive if its revision is newer.
 
-        A generation lower than that of the current directive or of the target's last order before
-        the start is rejected.
+        A directive is rejected if its generation is lower than that of the current directive, or
+        than that of the last order that the target accepted before this agent started.
         """
         with self.lock:
             if directive is None or directive.revision <= self.directive.revision:
@@ -274,7 +274,7 @@
         now = self.context.clock()
         if now < self.orders_allowed_at or now >= self.lease_expires_at or self.is_replaced:
             return
-        if self.trouble and now < self.last_attempt_at + FAILED_STEP_RETRY_S:
+        if self.trouble and now < self.last_order_at + FAILED_STEP_RETRY_S:
             return
         directive = self.directive
         wanted = reconciliation.wanted_models(directive, self.context.settings.name)
@@ -283,7 +283,7 @@
         )
         if step is None or directive.bundle is None:
             return
-        self.last_attempt_at = now
+        self.last_order_at = now
         self.execute_step(step, directive)
 
     def execute_step(self, step: reconciliation.Step, directive: control_state.Directive) -> None:
--- a/src/merlinthread/roles/chunk_server.py
+++ b/src/merlinthread/roles/chunk_server.py
@@ -1,4 +1,4 @@
-"""Uploads of weights: single chunks to other agents, whole manifests to the engine."""
+"""Uploads of weights: single chunks to other agents, all chunks of a manifest to the engine."""
 
 import typing
 from collections.abc import Iterator
@@ -20,15 +20,15 @@
         self.slots = uploads.UploadSlots(weights.config.upload_slots)
         self.upload_pacer = pacing.Pacer(weights.config.link_bytes_per_s)
 
-    def handle(self, message: object) -> object:
+    def handle_message(self, message: object) -> object:
         """Return the reply to a request of another agent."""
         if isinstance(message, messages.ManifestRequest):
             return messages.ManifestReply(self.weights.store.read(message.digest) or b"")
         if isinstance(message, messages.ChunkRequest):
-            return self.on_chunk_request(message)
+            return self.handle_chunk_request(message)
         raise errors.ProtocolError(f"agents don't handle {type(message).__name__} messages")
 
-    def on_chunk_request(self, request: messages.ChunkRequest) -> messages.ChunkReply:
+    def handle_chunk_request(self, request: messages.ChunkRequest) -> messages.ChunkReply:
         """Return one of the requested chunks, if any is stored here and an upload slot is free.
 
         Blocks until the transfer conforms to the link rate.
@@ -91,6 +91,6 @@
             data = self.weights.store.read(chunk)
             if data is None:
                 raise errors.WeightsError(
-                    f"chunk {chunk} is no longer stored; it was there when the engine began to read"
+                    f"chunk {chunk} was removed from the store while the engine read the weights"
                 )
             yield data
--- a/src/merlinthread/roles/forwarding.py
+++ b/src/merlinthread/roles/forwarding.py
@@ -14,16 +14,16 @@
 if typing.TYPE_CHECKING:
     from merlinthread.roles import request_handler
 
-PREFIX = "/target/"
+PATH_PREFIX = "/target/"
 
 
 class Forwarder:
-    """Handles attempts of other entries with the API of an agent, and forwards them to an agent."""
+    """Serves the API of an agent to other entries, and forwards their attempts to agents."""
 
     def __init__(self, handler: "request_handler.RequestHandler") -> None:
         self.handler = handler
 
-    def on_request(self, request: http_server.Request) -> http_server.Response:
+    def handle_request(self, request: http_server.Request) -> http_server.Response:
         """Verify an attempt, forward it and return the streamed response."""
         attempt = attempts.parse_attempt(request.headers)
         attempts.verify_tag(
@@ -31,7 +31,7 @@
         )
         self.handler.context.in_flight.enter()
         try:
-            report = self.choose(request, attempt)
+            report = self.choose_target(request, attempt)
             stream = self.open_at_target(report, request, attempt)
         except BaseException:
             self.handler.context.in_flight.leave()
@@ -39,10 +39,14 @@
         headers = {
             name: stream.headers[name] for name in FORWARDED_HEADERS if name in stream.headers
         }
-        kind = stream.headers.get("content-type", "application/json")
-        return http_server.Response(stream.status, self.relay(stream, report), headers, kind)
+        content_type = stream.headers.get("content-type", "application/json")
+        return http_server.Response(
+            stream.status, self.relay(stream, report), headers, content_type
+        )
 
-    def choose(self, request: http_server.Request, attempt: attempts.Attempt) -> agents.AgentReport:
+    def choose_target(
+        self, request: http_server.Request, attempt: attempts.Attempt
+    ) -> agents.AgentReport:
         """Choose a target among those that report to this entry."""
         if request.subpath == "v1/completions":
             body = msgspec.json.decode(request.body, type=completion.CompletionBody)
@@ -50,7 +54,7 @@
         else:
             service = request.headers.get(attempts.SERVICE, "")
             requirements = routing.Requirements(bundles.SERVICE, service)
-        return self.handler.choose(attempt.id, requirements, frozenset(), is_local=True)
+        return self.handler.choose_target(attempt.id, requirements, frozenset(), is_local=True)
 
     def open_at_target(
         self, report: agents.AgentReport, request: http_server.Request, attempt: attempts.Attempt
--- a/src/merlinthread/roles/request_handler.py
+++ b/src/merlinthread/roles/request_handler.py
@@ -75,9 +75,9 @@
 
     def add_routes(self, routes: http_server.Routes) -> None:
         """Add the routes of the clients' API."""
-        routes.add("POST", "/v1/completions", self.on_completion)
+        routes.add("POST", "/v1/completions", self.handle_completion)
         for method in ("GET", "POST"):
-            routes.add(method, "/v1/services/", self.on_service)
+            routes.add(method, "/v1/services/", self.handle_service_call)
 
     # Common to all requests
 
@@ -122,7 +122,7 @@
             )
         return bundle
 
-    def choose(
+    def choose_target(
         self,
         request_id: str,
         requirements: routing.Requirements,
@@ -137,7 +137,7 @@
         requirements = dataclasses.replace(requirements, excluded=snapshot.leaving | tried)
         reports = list(snapshot.live)
         if not is_local:
-            reports += self.entries_as_targets(snapshot.others, requirements)
+            reports += self.entries_as_targets(snapshot.other_summaries, requirements)
         candidates = [
             routing.Candidate(report, self.in_flight_by_target.get(report.name))
             for report in reports
@@ -163,12 +163,12 @@
         return choice.report
 
     def entries_as_targets(
-        self, others: list[summaries.Summary], requirements: routing.Requirements
+        self, other_summaries: list[summaries.Summary], requirements: routing.Requirements
     ) -> list[agents.AgentReport]:
         """Return reports for the entries that reach a suitable target."""
         reports = [
-            summaries.as_target(other, requirements.kind, requirements.name, requirements.adapter)
-            for other in others
+            summaries.as_target(summary, requirements.kind, requirements.name, requirements.adapter)
+            for summary in other_summaries
         ]
         return [report for report in reports if report is not None]
 
@@ -227,21 +227,21 @@
 
     # Completions
 
-    def on_completion(self, request: http_server.Request) -> http_server.Response:
+    def handle_completion(self, request: http_server.Request) -> http_server.Response:
         """Handle a completion request."""
         self.context.in_flight.enter()
         try:
-            answer = completion.Completion(self, request).run()
+            response = completion.Completion(self, request).run()
         except BaseException as error:
             self.context.in_flight.leave()
             kind = error.kind if isinstance(error, errors.MerlinthreadError) else "internal"
             metrics.requests_total.labels("generate", str(kind)).inc()
             raise
-        return answer
+        return response
 
     # Services
 
-    def on_service(self, request: http_server.Request) -> http_server.Response:
+    def handle_service_call(self, request: http_server.Request) -> http_server.Response:
         """Handle a call of a plain service."""
         self.context.in_flight.enter()
         outcome = "internal"
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -144,11 +144,11 @@
 def test_reset_connection_is_not_recorded_as_crash(tmp_path):
     async def scenario(fleet):
         for worker in fleet.workers:
-            worker.behaviour.closes_without_answer = True
+            worker.behaviour.closes_without_response = True
         for _ in range(6):
             await fleet.request(0, b"same")
         for worker in fleet.workers:
-            worker.behaviour.closes_without_answer = False
+            worker.behaviour.closes_without_response = False
         crashes = fleet.entries[0].node.crashes
         await fleet_nodes.until(lambda: not crashes.checks)
         assert not crashes.tracker.records
--- a/tests/test_entry_node.py
+++ b/tests/test_entry_node.py
@@ -54,7 +54,7 @@
     async def scenario():
         entry, workers, _ = await make_entry("unsafe", 2)
         for worker in workers:
-            worker.behaviour.closes_without_answer = True
+            worker.behaviour.closes_without_response = True
         response = await entry.request("/unsafe/", "id-1")
         assert (response.status, count_runs(workers)) == (502, 1)
 
@@ -64,7 +64,7 @@
 def test_safe_request_is_retried_at_another_worker_after_lost_response():
     async def scenario():
         entry, workers, _ = await make_entry("safe", 2)
-        workers[0].behaviour.closes_without_answer = True
+        workers[0].behaviour.closes_without_response = True
         for number in range(4):
             assert (await entry.request("/safe/", f"id-{number}")).status == 200
 
@@ -87,7 +87,7 @@
 def test_unsafe_request_that_may_have_run_is_not_reported_as_not_run():
     async def scenario():
         entry, workers, _ = await make_entry("unsafe", 1)
-        workers[0].behaviour.closes_without_answer = True
+        workers[0].behaviour.closes_without_response = True
         response = await entry.request("/unsafe/", "id-1")
         assert response.status not in (408, 421, 429, 503)
 
@@ -143,7 +143,7 @@
         monkeypatch.setattr(logs, "event", lambda name, **fields: lines.append((name, fields)))
         entry, workers, _ = await make_entry("safe", 2)
         assert (await entry.request("/safe/", "id-1")).status == 200
-        workers[0].behaviour.closes_without_answer = True
+        workers[0].behaviour.closes_without_response = True
         workers[1].behaviour.is_full = True
         await entry.request("/safe/", "id-2")
         sent_counts = [fields["sent"] for name, fields in lines if name == "request"]
@@ -366,7 +366,7 @@
 def test_safe_request_that_may_have_run_is_not_reported_as_not_run():
     async def scenario():
         entry, (lost, full), _ = await make_entry("safe", 2)
-        lost.behaviour.closes_without_answer = True
+        lost.behaviour.closes_without_response = True
         full.behaviour.is_full = True
         run_counts = set()
         for number in range(20):
