--- a/tests/fleet_nodes.py
+++ b/tests/fleet_nodes.py
@@ -1,4 +1,4 @@
-"""Fixtures that run control VMs and entries on loopback, in the event loop of the test."""
+"""Helpers that run control VMs and entries on loopback, in the event loop of the test."""
 
 import asyncio
 import json
@@ -23,7 +23,7 @@
 NETWORK = soak_nodes.NETWORK
 
 
-class JumpingClock:
+class SuspendableClock:
     """The clock of a VM that was suspended for `suspended_s` while its timers were stopped."""
 
     def __init__(self) -> None:
@@ -41,7 +41,7 @@
         return sock.getsockname()[1]
 
 
-def is_free(ip: str, port: int) -> bool:
+def is_udp_port_free(ip: str, port: int) -> bool:
     """Return whether a UDP socket can be bound to an address."""
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
         try:
@@ -120,7 +120,7 @@
     def kill(self, ip: str) -> None:
         """Stop a control VM abruptly, like a killed process; its files stay."""
         node = self.nodes.pop(ip)
-        end_tasks(node)
+        abort_control_node(node)
         node.member.close()
 
     def leader(self) -> str:
@@ -147,16 +147,16 @@
         for attempt in range(400):
             ips = list(self.nodes)
             try:
-                answer = await self.call(ips[attempt % len(ips)], method, path, body)
+                response = await self.call(ips[attempt % len(ips)], method, path, body)
             except Exception:
-                answer = None
-            if answer is not None and answer.status == 200:
-                return answer
+                response = None
+            if response is not None and response.status == 200:
+                return response
             await asyncio.sleep(0.02)
         raise AssertionError(f"{method} {path} was never acknowledged")
 
 
-def end_tasks(node: control_node.ControlNode) -> None:
+def abort_control_node(node: control_node.ControlNode) -> None:
     """Cancel the tasks and abort the connections of a control VM, as if its process ended."""
     for task in node.tasks + node.member.sender.tasks():
         task.cancel()
@@ -243,7 +243,7 @@
         port = self.node.server.listener.sockets[0].getsockname()[1]
         self.address = f"127.0.0.1:{port}"
 
-    def feed(
+    def apply_update(
         self, body: dict, workers: dict[fleet_worker.Worker, str], gone=(), leader_age_s=0.0
     ) -> None:
         """Send the entry a configuration and its workers, as a control VM would."""
@@ -267,7 +267,7 @@
             )
             for worker, service in workers.items()
         ]
-        news = node_messages.WatchReply(
+        reply = node_messages.WatchReply(
             "feed",
             self.sequence,
             False,
@@ -279,9 +279,9 @@
             [],
             leader_age_s,
         )
-        self.node.watcher.apply(news)
+        self.node.watcher.apply(reply)
 
-    async def ask(
+    async def request(
         self, path: str, request_id: str, body: bytes = b"", **headers
     ) -> http_messages.Response:
         """Send a client request and return its response."""
@@ -295,14 +295,14 @@
         self, path: str, request_id: str, body: bytes = b"", **headers
     ) -> stream_client.ClientConnection:
         """Send a client request and return its connection."""
-        sent = {
+        fields = {
             "Host": "h.example",
             "X-Merlinthread-Request-Id": request_id,
             "X-Merlinthread-Deadline-Ms": "2500",
             "Api-Key": "key-1",
         } | {name.replace("_", "-"): value for name, value in headers.items()}
-        raw = [(key.encode(), value.encode()) for key, value in sent.items()]
+        raw_headers = [(key.encode(), value.encode()) for key, value in fields.items()]
         connection = await stream_client.connect(self.address, 1.0, 2.0)
-        raw.append((b"content-length", b"%d" % len(body)))
-        connection.send(http_messages.Request(b"POST", path.encode(), raw, body))
+        raw_headers.append((b"content-length", b"%d" % len(body)))
+        connection.send(http_messages.Request(b"POST", path.encode(), raw_headers, body))
         return connection
--- a/tests/fed_fleet.py
+++ b/tests/single_entry_fleet.py
@@ -1,4 +1,4 @@
-"""A fixture of one entry and some workers of one service, on loopback without control VMs."""
+"""Test fleet of one entry and the workers of one service, on loopback and without control VMs."""
 
 from merlinthread.transport import http_messages
 from stand_ins import fleet_worker
@@ -7,7 +7,7 @@
 STREAM = {"X_Merlinthread_Model": "m", "X_Merlinthread_Token_Usage": "100,20"}
 
 
-class FedFleet:
+class SingleEntryFleet:
     """An entry and its workers; the service "model" streams its responses, others do not."""
 
     def __init__(self, service: str = "safe", count: int = 2, work_s: float = 0.0) -> None:
@@ -19,25 +19,25 @@
             worker.behaviour.work_s = work_s
         self.request_count = 0
 
-    async def start(self) -> "FedFleet":
+    async def start(self) -> "SingleEntryFleet":
         """Start the entry and the workers, and announce all workers to the entry."""
         await self.entry.start()
         for worker in self.workers:
             await worker.start()
-        self.feed(self.workers)
+        self.announce(self.workers)
         return self
 
-    def feed(self, workers: list[fleet_worker.Worker]) -> None:
+    def announce(self, workers: list[fleet_worker.Worker]) -> None:
         """Announce to the entry that some workers are ready."""
         services = [] if self.model else [self.service]
         body = fleet_nodes.configuration(1, services, self.service if self.model else "")
-        self.entry.feed(body, {worker: self.service for worker in workers})
+        self.entry.apply_update(body, {worker: self.service for worker in workers})
 
-    async def ask(self) -> http_messages.Response:
+    async def request(self) -> http_messages.Response:
         """Send a client request; return its response."""
         self.request_count += 1
         headers = STREAM if self.model else {}
-        return await self.entry.ask(f"/{self.service}/x", f"id-{self.request_count}", **headers)
+        return await self.entry.request(f"/{self.service}/x", f"id-{self.request_count}", **headers)
 
     def now(self) -> float:
         """Return the time on the entry's clock."""
--- a/tests/test_request_failures.py
+++ b/tests/test_request_failures.py
@@ -32,7 +32,9 @@
 
 def entry_sees(fleet: fleets.Fleet, vm: fleets.Vm, engines: int) -> bool:
     """Return whether an entry is ready and serves a request."""
-    return calls.ask(vm.http, tokens=1).status == 200 and bool(fleet.get(vm.http, "/readyz"))
+    return calls.request_completion(vm.http, tokens=1).status == 200 and bool(
+        fleet.get(vm.http, "/readyz")
+    )
 
 
 def engine_runs(fleet: fleets.Fleet) -> dict[str, dict]:
@@ -59,14 +61,16 @@
     def __init__(self, address: str, request_id: str, tokens: int = TOKENS) -> None:
         self.request_id = request_id
         self.tokens = tokens
-        self.response: calls.Answer | None = None
+        self.response: calls.Response | None = None
         self.thread = threading.Thread(target=self.run, args=(address,))
         self.thread.start()
 
     def run(self, address: str) -> None:
-        self.response = calls.ask(address, tokens=self.tokens, **{"X-Request-Id": self.request_id})
+        self.response = calls.request_completion(
+            address, tokens=self.tokens, **{"X-Request-Id": self.request_id}
+        )
 
-    def wait(self) -> calls.Answer:
+    def wait(self) -> calls.Response:
         self.thread.join(40)
         assert self.response is not None
         return self.response
@@ -94,7 +98,7 @@
     fleet.processes[engine + suffix].kill()
     response = request.wait()
     assert response.status == 200
-    assert response.is_whole(), response.text
+    assert response.is_complete(), response.text
     entry = fleet.entries()[0].process
     assert [e["relayed"] > 0 for e in entry.events("stream_broken")] == [True]
 
@@ -130,11 +134,13 @@
     # Enough concurrent requests that even a busy engine would get some.
     addresses = [vm.http for vm in fleet.entries()] * 12
     with concurrent.futures.ThreadPoolExecutor(len(addresses)) as pool:
-        found = list(pool.map(lambda address: calls.ask(address, tokens=30), addresses))
+        found = list(
+            pool.map(lambda address: calls.request_completion(address, tokens=30), addresses)
+        )
     assert {response.status for response in found} == {200}
     new = {attempt: run for attempt, run in engine_runs(fleet).items() if attempt not in before}
     assert new and all(run["engine"] != engine for run in new.values())
-    assert request.wait().is_whole()
+    assert request.wait().is_complete()
 
 
 @pytest.mark.parametrize("role", ["agent", "entry"])
@@ -145,10 +151,10 @@
     engine = request.engine(fleet)
     process = entry.process if role == "entry" else fleet.processes[engine]
     process.stop()
-    assert request.wait().is_whole()
+    assert request.wait().is_complete()
     assert process.wait(20) == 0
     others = [vm for vm in fleet.entries() if vm.process is not process]
-    assert all(calls.ask(vm.http).is_whole() for vm in others)
+    assert all(calls.request_completion(vm.http).is_complete() for vm in others)
     broken = [e for vm in fleet.entries() for e in vm.process.events("stream_broken")]
     assert broken == [], "a graceful stop must not break streams"
 
@@ -157,9 +163,11 @@
     key = calls.new_key()
     body = b'{"lamp": "race"}'
 
-    def draft(number: int) -> calls.Answer:
+    def draft(number: int) -> calls.Response:
         entries = fleet.entries()
-        return calls.call(entries[number % len(entries)].http, "/draft", body, Idempotency_Key=key)
+        return calls.call_service(
+            entries[number % len(entries)].http, "/draft", body, Idempotency_Key=key
+        )
 
     with concurrent.futures.ThreadPoolExecutor(12) as pool:
         responses = list(pool.map(draft, range(12)))
@@ -186,13 +194,13 @@
     )
     entry = fleet.entries()[0]
     with concurrent.futures.ThreadPoolExecutor(1) as pool:
-        first = pool.submit(calls.call, entry.http, "/draft", body, Idempotency_Key=key)
+        first = pool.submit(calls.call_service, entry.http, "/draft", body, Idempotency_Key=key)
         processes.wait_for("the run", lambda: service_runs(fleet, body.decode()) == 1)
         fleet.processes["slow-target"].kill()
         response = first.result()
     assert response.error()["error"] == "outcome_unknown"
     assert response.error()["ran"] == "unknown"
-    second = calls.call(fleet.entries()[1].http, "/draft", body, Idempotency_Key=key)
+    second = calls.call_service(fleet.entries()[1].http, "/draft", body, Idempotency_Key=key)
     assert second.error()["error"] == "outcome_unknown"
 
 
@@ -206,20 +214,21 @@
     key = calls.new_key()
     entry = fleet.entries()[0]
     started = time.monotonic()
-    response = calls.call(entry.http, "/draft", body, Idempotency_Key=key)
+    response = calls.call_service(entry.http, "/draft", body, Idempotency_Key=key)
     assert time.monotonic() - started < 6
     assert response.error()["error"] == "not_run"
     assert response.error()["ran"] == "no"
     assert int(response.headers["retry-after"]) >= 1
     assert service_runs(fleet, body.decode()) == 0
-    assert calls.call(entry.http, "/lookup").status == 200
-    assert calls.ask(entry.http).is_whole()
+    assert calls.call_service(entry.http, "/lookup").status == 200
+    assert calls.request_completion(entry.http).is_complete()
     for vm in others:
         fleet.restart(vm.name)
     processes.wait_for("a leader", lambda: fleet.leader())
     again = processes.wait_for(
         "the key to be free again",
-        lambda: (got := calls.call(entry.http, "/draft", body, Idempotency_Key=key)).status == 200
+        lambda: (got := calls.call_service(entry.http, "/draft", body, Idempotency_Key=key)).status
+        == 200
         and got,
         20,
     )
@@ -232,11 +241,13 @@
     body = b'{"lamp": "entry dies"}'
     first, second = fleet.entries()
     with concurrent.futures.ThreadPoolExecutor(1) as pool:
-        waiting = pool.submit(calls.call, first.http, "/draft", body, Idempotency_Key=key)
+        waiting = pool.submit(calls.call_service, first.http, "/draft", body, Idempotency_Key=key)
         processes.wait_for("the run", lambda: service_runs(fleet, body.decode()) == 1)
         first.process.kill()
         waiting.exception(10)
-    response = calls.call(second.http, "/draft", body, Idempotency_Key=key, X_Deadline_Ms="1500")
+    response = calls.call_service(
+        second.http, "/draft", body, Idempotency_Key=key, X_Deadline_Ms="1500"
+    )
     assert response.status == 200 or response.error()["error"] == "outcome_unknown"
     assert service_runs(fleet, body.decode()) == 1
 
@@ -246,10 +257,10 @@
         fleet.processes[f"{name}-target"].kill()
         fleet.processes[name].kill()
     entry = next(vm for vm in fleet.entries() if vm.settings["availability_zone"] == "zone-a")
-    processes.wait_for("a response", lambda: calls.ask(entry.http).status == 200, 10)
+    processes.wait_for("a response", lambda: calls.request_completion(entry.http).status == 200, 10)
     for is_streamed in (True, False):
-        response = calls.ask(entry.http, is_streamed=is_streamed)
-        assert response.is_whole()
+        response = calls.request_completion(entry.http, is_streamed=is_streamed)
+        assert response.is_complete()
     assert any(e["target"].startswith("entry-zone-b") for e in entry.process.events("routed"))
 
 
@@ -259,10 +270,10 @@
     entry = next(vm for vm in fleet.entries() if vm.settings["availability_zone"] == "zone-a")
     processes.wait_for(
         "responses from the other zone",
-        lambda: calls.ask(entry.http, **{"X-Deadline-Ms": "1000"}).status == 200,
+        lambda: calls.request_completion(entry.http, **{"X-Deadline-Ms": "1000"}).status == 200,
         20,
     )
-    assert calls.ask(entry.http).is_whole()
+    assert calls.request_completion(entry.http).is_complete()
     for name in ("engine-zone-a-0", "engine-zone-a-1"):
         fleet.processes[f"{name}-target"].thaw()
 
--- a/tests/test_weights_failures.py
+++ b/tests/test_weights_failures.py
@@ -78,8 +78,8 @@
 
     def run(self, address: str) -> None:
         while not self.stopping.is_set():
-            response = calls.ask(address)
-            if response.status != 200 or not response.is_whole():
+            response = calls.request_completion(address)
+            if response.status != 200 or not response.is_complete():
                 self.failures.append(f"{response.status} {response.body[:300]!r}")
             else:
                 self.succeeded += 1
@@ -120,7 +120,7 @@
     operators.Operator(fleet).bring_in(fleets.simple_bundle(1, {"hint": (digest, 100)}))
     wait_until_serving(fleet, digest, 6)
     assert 1.0 < origin_read_ratio(fleet, "hint-1") <= 1.0 + 6 * CHUNK_BYTES / OBJECT_BYTES
-    calls.ask(fleet.entries()[0].http)
+    calls.request_completion(fleet.entries()[0].http)
     assert served_versions(fleet) <= {(digest, object_hash(fleet, "hint-1"))}
 
 
@@ -140,8 +140,8 @@
     paused = processes.wait_for("a pause", lambda: fleet.status().get("paused"), 20)
     assert "origin_changed" in paused
     assert fleet.serving("hint") == {first_digest: 6}
-    response = calls.ask(fleet.entries()[0].http)
-    assert response.is_whole() and response.digest == first_digest
+    response = calls.request_completion(fleet.entries()[0].http)
+    assert response.is_complete() and response.digest == first_digest
     done = fleet.command("bundle", "rollback", "1", "-o", "ana", "--wait")
     assert done.returncode == 0, done.stderr
     assert not fleet.status()["paused"]
