--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -18,7 +18,7 @@
     "test_backend_signals.py",
     "test_reload_schedule.py",
     "test_chunk_announcements.py",
-    "test_crash_ledger.py",
+    "test_crash_tracker.py",
     "test_coordination.py",
     "test_fleet_coordination.py",
     "test_incarnations.py",
@@ -26,7 +26,7 @@
     "test_load_feed.py",
     "test_rate_limits.py",
     "test_permit_handover.py",
-    "test_return_times.py",
+    "test_retry_delays.py",
     "test_state.py",
 }
 # Modules with tests that run for ten seconds or more; started first to shorten a parallel run.
--- a/tests/limited_fleet.py
+++ b/tests/limited_fleet.py
@@ -12,22 +12,22 @@
 
 @dataclasses.dataclass
 class SentRequest:
-    """A client request that was sent at `at`; `answer` is None if the connection broke."""
+    """A client request that was sent at `at`; `response` is None if the connection broke."""
 
     at: float
     duration_s: float
-    answer: http_messages.Response | None
+    response: http_messages.Response | None
     key: str = ""
 
     def is_served(self) -> bool:
         """Return whether the response was a success."""
-        return self.answer is not None and self.answer.status == 200
+        return self.response is not None and self.response.status == 200
 
     def retry_after_s(self) -> float:
         """Return the retry delay in a refusal, in seconds."""
-        assert self.answer is not None
-        value = http_messages.get_header(self.answer.headers, b"retry-after")
-        assert value is not None, self.answer.status
+        assert self.response is not None
+        value = http_messages.get_header(self.response.headers, b"retry-after")
+        assert value is not None, self.response.status
         return float(value)
 
 
@@ -46,38 +46,38 @@
 
     async def send_one(self, entry: int, key: str = "key-1") -> None:
         """Send a request to one entry and record the result."""
-        began = self.now()
+        started_at = self.now()
         self.request_count += 1
         headers = {"X_Merlinthread_Model": self.model} if self.model else {}
         headers["Api_Key"] = key
         try:
             target = self.entries[entry]
-            answer = await target.ask(
+            response = await target.request(
                 f"/{self.service}/x", f"id-{self.request_count}", b"", **headers
             )
         except Exception:
-            answer = None
-        self.requests.append(SentRequest(began, self.now() - began, answer, key))
+            response = None
+        self.requests.append(SentRequest(started_at, self.now() - started_at, response, key))
 
-    async def press(
+    async def send_at_rate(
         self, per_s: float, seconds: float, entries: list[int] | None = None, key: str = "key-1"
     ) -> float:
         """Send `per_s` requests per second to random entries; return the start time."""
         chosen = entries if entries is not None else list(range(len(self.entries)))
-        began = self.now()
+        started_at = self.now()
         for number in range(round(per_s * seconds)):
-            await asyncio.sleep(began + number / per_s - self.now())
+            await asyncio.sleep(started_at + number / per_s - self.now())
             task = asyncio.create_task(self.send_one(self.rng.choice(chosen), key))
             self.pending.add(task)
             task.add_done_callback(self.pending.discard)
-        return began
+        return started_at
 
     async def wait_for_responses(self) -> None:
-        """Wait until all requests have been answered."""
+        """Wait for the responses to all requests."""
         while self.pending:
             await asyncio.wait(list(self.pending))
 
-    def most_in(self, worker, seconds: float, since: float, until: float) -> int:
+    def max_started_in(self, worker, seconds: float, since: float, until: float) -> int:
         """Return the most requests that a worker started in any `seconds` between two times."""
         times = sorted(run.at for run in worker.runs if since <= run.at <= until)
         return max((sum(at <= t < at + seconds for t in times) for at in times), default=0)
@@ -88,4 +88,4 @@
 
     def sent_between(self, since: float, until: float) -> list[SentRequest]:
         """Return the requests that clients sent between two times."""
-        return [asked for asked in self.requests if since <= asked.at < until]
+        return [request for request in self.requests if since <= request.at < until]
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -12,14 +12,14 @@
 def test_every_entry_returns_complete_responses(rolled_fleet):
     for vm in rolled_fleet.entries():
         for is_streamed in (True, False):
-            response = calls.ask(vm.http, is_streamed=is_streamed)
+            response = calls.request_completion(vm.http, is_streamed=is_streamed)
             assert response.status == 200, response.body
-            assert response.is_whole(), response.text
+            assert response.is_complete(), response.text
 
 
 def test_routing_decision_is_logged_for_each_request(rolled_fleet):
     entry = rolled_fleet.entries()[0]
-    calls.ask(entry.http, **{"X-Request-Id": "logged-1"})
+    calls.request_completion(entry.http, **{"X-Request-Id": "logged-1"})
     routed = [e for e in entry.process.events("routed") if e["request_id"] == "logged-1"]
     assert len(routed) == 1
     assert routed[0]["target"] and routed[0]["reason"] and routed[0]["candidates"] >= 1
@@ -28,7 +28,7 @@
 def test_call_repeated_with_one_key_runs_once(rolled_fleet):
     key = calls.new_key()
     responses = [
-        calls.call(vm.http, "/draft", b'{"lamp": "once"}', Idempotency_Key=key)
+        calls.call_service(vm.http, "/draft", b'{"lamp": "once"}', Idempotency_Key=key)
         for vm in rolled_fleet.entries()
     ]
     assert {response.status for response in responses} == {200}
@@ -47,7 +47,7 @@
     ],
 )
 def test_invalid_call_is_refused_with_its_error(rolled_fleet, headers, error):
-    response = calls.call(rolled_fleet.entries()[0].http, "/draft", **headers)
+    response = calls.call_service(rolled_fleet.entries()[0].http, "/draft", **headers)
     assert response.error()["error"] == error
     assert response.error()["ran"] == "no"
 
@@ -55,8 +55,8 @@
 def test_a_key_with_another_body_is_refused(rolled_fleet):
     key = calls.new_key()
     entry = rolled_fleet.entries()[0].http
-    assert calls.call(entry, "/draft", b'{"lamp": 1}', Idempotency_Key=key).status == 200
-    second = calls.call(entry, "/draft", b'{"lamp": 2}', Idempotency_Key=key)
+    assert calls.call_service(entry, "/draft", b'{"lamp": 1}', Idempotency_Key=key).status == 200
+    second = calls.call_service(entry, "/draft", b'{"lamp": 2}', Idempotency_Key=key)
     assert second.error()["error"] == "key_conflict"
 
 
--- a/tests/test_weights_task.py
+++ b/tests/test_weights_task.py
@@ -74,7 +74,7 @@
             entry = fleet_nodes.Entry()
             entry.node.watcher = agent.watcher
             entry.sequence = self.sequence
-            entry.feed(body, {})
+            entry.apply_update(body, {})
             for number, engine in enumerate(self.engines):
                 # Agents derive the addresses of their peers from those of the engines.
                 heartbeat = {
@@ -256,7 +256,7 @@
         before = dict(fleet.engines[0].staged)
         fleet.stop_agent(0)
         await fleet_nodes.until(
-            lambda: fleet_nodes.is_free(f"{fleet_nodes.NETWORK}.21", fleet.port)
+            lambda: fleet_nodes.is_udp_port_free(f"{fleet_nodes.NETWORK}.21", fleet.port)
         )
         await fleet.start_agent(0)
         fleet.publish(1)
@@ -302,7 +302,7 @@
         await fleet.wait_until_loaded(1)
         fleet.stop_agent(0)
         await fleet_nodes.until(
-            lambda: fleet_nodes.is_free(f"{fleet_nodes.NETWORK}.21", fleet.port)
+            lambda: fleet_nodes.is_udp_port_free(f"{fleet_nodes.NETWORK}.21", fleet.port)
         )
         fleet.engines[0].version = 0
         fleet.origin.stop()
@@ -327,7 +327,7 @@
         await fleet.wait_until_loaded(1)
         fleet.stop_agent(0)
         await fleet_nodes.until(
-            lambda: fleet_nodes.is_free(f"{fleet_nodes.NETWORK}.21", fleet.port)
+            lambda: fleet_nodes.is_udp_port_free(f"{fleet_nodes.NETWORK}.21", fleet.port)
         )
         fleet.engines[0].version = 0
         # Pieces that were just found must not be read again for the check before the load.
@@ -368,7 +368,7 @@
         await fleet.wait_until_loaded(1)
         fleet.stop_agent(0)
         await fleet_nodes.until(
-            lambda: fleet_nodes.is_free(f"{fleet_nodes.NETWORK}.21", fleet.port)
+            lambda: fleet_nodes.is_udp_port_free(f"{fleet_nodes.NETWORK}.21", fleet.port)
         )
         engine = fleet.engines[0]
         port = int(engine.address.rpartition(":")[2])
