--- a/bench/soak_faults.py
+++ b/bench/soak_faults.py
@@ -190,7 +190,7 @@
 
     @FAULTS.add("misbehave")
     async def misbehave(self) -> None:
-        """Let a worker violate its protocol, or reject or cut requests, for a while."""
+        """Let a worker violate its protocol, or refuse or cut requests, for a while."""
         worker = self.rng.choice(list(self.fleet.workers))
         faults = [
             {"is_full": True},
@@ -239,7 +239,7 @@
         self.fleet.links.pop(old).close()
         new = fleet_worker.Worker(f"{old.instance}x", old.model)
         new.runs = old.runs
-        new.rejections = old.rejections
+        new.refusals = old.refusals
         await self.fleet.start_worker(new)
         self.fleet.workers[new] = service
 
@@ -252,8 +252,8 @@
         await self.replace_worker(worker)
 
     @FAULTS.add("ask_for_rest")
-    async def reject_with_retry_after(self) -> None:
-        """Let some or all workers of a service reject requests with a Retry-After delay."""
+    async def refuse_with_retry_after(self) -> None:
+        """Let some or all workers of a service refuse requests with a Retry-After delay."""
         service = self.rng.choice(sorted(set(self.fleet.workers.values())))
         workers = [worker for worker, of in self.fleet.workers.items() if of == service]
         # Busiest first.
--- a/bench/soak_signals.py
+++ b/bench/soak_signals.py
@@ -77,15 +77,15 @@
         """Describe the Retry-After delays in which one entry sent too many requests."""
         found = []
         for worker in self.fleet.workers:
-            by_entry: dict[str, list[fleet_worker.Rejection]] = collections.defaultdict(list)
-            for refusal in worker.rejections:
+            by_entry: dict[str, list[fleet_worker.Refusal]] = collections.defaultdict(list)
+            for refusal in worker.refusals:
                 by_entry[self.sent[refusal.request_id].entry_ip].append(refusal)
             for entry_ip, refusals in by_entry.items():
                 found += self.violated_delays(worker.instance, entry_ip, refusals)
         return found
 
     def violated_delays(
-        self, instance: str, entry_ip: str, refusals: list[fleet_worker.Rejection]
+        self, instance: str, entry_ip: str, refusals: list[fleet_worker.Refusal]
     ) -> list[str]:
         """Describe such delays of one worker and one entry."""
         found = []
--- a/stand_ins/fleet_worker.py
+++ b/stand_ins/fleet_worker.py
@@ -56,8 +56,8 @@
 
 
 @dataclasses.dataclass
-class Rejection:
-    """One request rejected for overload at `at` in event loop time.
+class Refusal:
+    """One request refused for overload at `at` in event loop time.
 
     `rest_s` is the Retry-After delay that was sent, 0 if none.
     """
@@ -86,12 +86,12 @@
         self.server = stream_server.Server(self.serve)
         self.address = ""
         self.running = 0
-        self.rejections: list[Rejection] = []
+        self.refusals: list[Refusal] = []
 
     @property
-    def rejection_count(self) -> int:
-        """Return how many requests the worker rejected because it was full."""
-        return len(self.rejections)
+    def refusal_count(self) -> int:
+        """Return how many requests the worker refused because it was full."""
+        return len(self.refusals)
 
     async def start(self, ip: str = "127.0.0.1") -> str:
         """Listen on a free port of `ip` and return the address as host:port."""
@@ -121,22 +121,22 @@
             await self.run(exchange)
 
     async def run(self, exchange: stream_server.Exchange) -> None:
-        """Run a request, or reject it if it is for another instance or the worker is full."""
+        """Run a request, or refuse it if it is for another instance or the worker is full."""
         headers = {k.decode().lower(): v.decode() for k, v in exchange.request.headers}
         request_id = headers.get("x-merlinthread-request-id", "")
         if headers.get("x-merlinthread-expect-instance", self.instance) != self.instance:
-            await self.reject(exchange, 421)
+            await self.refuse(exchange, 421)
             return
         expected_version = headers.get("x-merlinthread-expect-version", str(self.version))
         if self.model and expected_version != str(self.version):
-            await self.reject(exchange, 421)
+            await self.refuse(exchange, 421)
             return
         if self.behaviour.is_full:
             now = asyncio.get_running_loop().time()
-            self.rejections.append(
-                Rejection(request_id, now, parse_retry_after_s(self.behaviour.retry_after))
+            self.refusals.append(
+                Refusal(request_id, now, parse_retry_after_s(self.behaviour.retry_after))
             )
-            await self.reject(exchange, 503)
+            await self.refuse(exchange, 503)
             return
         target = exchange.request.target.decode()
         now = asyncio.get_running_loop().time()
@@ -204,8 +204,8 @@
             headers.append((b"Server-Limit", self.behaviour.limit.encode()))
         return [*headers, *self.behaviour.extra_headers]
 
-    async def reject(self, exchange: stream_server.Exchange, status: int) -> None:
-        """Reject a request, marked as not run."""
+    async def refuse(self, exchange: stream_server.Exchange, status: int) -> None:
+        """Refuse a request, marked as not run."""
         headers = [(b"X-Merlinthread-Not-Run", b"1"), *self.common_headers()]
         if self.behaviour.echoes_request_id:
             request_id = http_messages.get_header(
@@ -279,10 +279,10 @@
         self.corrupt: set[int] = set()
         # Versions and indices of the pieces that get a 503 response.
         self.unavailable_pieces: set[tuple[int, int]] = set()
-        # The Retry-After value with which every request is rejected, or None to serve them.
+        # The Retry-After value with which every request is refused, or None to serve them.
         self.retry_after: str | None = None
-        # Event loop times of the rejected requests.
-        self.rejections: list[float] = []
+        # Event loop times of the refused requests.
+        self.refusals: list[float] = []
         self.server = stream_server.Server(self.serve)
         self.address = ""
 
@@ -302,9 +302,9 @@
             connection.abort()
 
     async def serve(self, exchange: stream_server.Exchange) -> None:
-        """Serve a manifest or a piece, or reject the request if `retry_after` is set."""
+        """Serve a manifest or a piece, or refuse the request if `retry_after` is set."""
         if self.retry_after is not None:
-            self.rejections.append(asyncio.get_running_loop().time())
+            self.refusals.append(asyncio.get_running_loop().time())
             headers = [(b"Retry-After", self.retry_after.encode())]
             await exchange.respond(http_messages.Response(503, headers))
             return
--- a/stand_ins/origin.py
+++ b/stand_ins/origin.py
@@ -25,13 +25,13 @@
         self.sent_bytes = 0
         self.sent_by_object: dict[str, int] = {}
         self.corrupt_next = 0
-        self.is_rejecting = False
+        self.is_refusing = False
 
     def serve_object(self, request: http_server.Request) -> http_server.Response:
         """Return the requested byte range of an object."""
-        if self.is_rejecting:
+        if self.is_refusing:
             raise errors.MerlinthreadError(
-                "origin is set to reject requests", kind=errors.ErrorKind.OVERLOADED
+                "origin is set to refuse requests", kind=errors.ErrorKind.OVERLOADED
             )
         path = self.find_file("objects", request.subpath)
         size = path.stat().st_size
@@ -79,11 +79,11 @@
         )
 
     def set_faults(self, request: http_server.Request) -> http_server.Response:
-        """Corrupt the next responses, reject requests, or change the rate."""
+        """Corrupt the next responses, refuse requests, or change the rate."""
         requested = msgspec.json.decode(request.body)
         with self.lock:
             self.corrupt_next = requested.get("corrupt_next", self.corrupt_next)
-            self.is_rejecting = requested.get("refusing", self.is_rejecting)
+            self.is_refusing = requested.get("refusing", self.is_refusing)
             self.pacer.bytes_per_s = requested.get("bytes_per_s", self.pacer.bytes_per_s)
         return http_server.json_response({"ok": True})
 
--- a/tests/test_resting_back_ends.py
+++ b/tests/test_resting_back_ends.py
@@ -1,6 +1,6 @@
-"""Back ends that reject requests and ask for a rest.
+"""Back ends that refuse requests and ask for a rest.
 
-Guards against sending requests to a resting back end, which looks idle because it rejects all.
+Guards against sending requests to a resting back end, which looks idle because it refuses all.
 """
 
 import asyncio
@@ -15,49 +15,49 @@
 from tests import fleet_nodes, single_entry_fleet
 
 REST_S = 0.6
-# The platform allows two requests between half a second after a rejection and the end of the rest.
+# The platform allows two requests between half a second after a refusal and the end of the rest.
 REQUESTS_IN_REST_MAX = 2
 REQUESTS = 12
 
 
 class RestingFleet(single_entry_fleet.SingleEntryFleet):
-    """A fleet whose workers can reject requests."""
+    """A fleet whose workers can refuse requests."""
 
     def __init__(self, service: str, count: int) -> None:
         super().__init__(service, count, work_s=0.05)
 
-    def reject_requests(
+    def refuse_requests(
         self, workers: list[fleet_worker.Worker], retry_after: str = f"{REST_S}"
     ) -> None:
         for worker in workers:
             worker.behaviour.is_full = True
             worker.behaviour.retry_after = retry_after
 
-    async def request_until_rejected(self, workers: list[fleet_worker.Worker]) -> float:
-        """Send requests until each worker has rejected one; return when the first was rejected.
+    async def request_until_refused(self, workers: list[fleet_worker.Worker]) -> float:
+        """Send requests until each worker has refused one; return when the first was refused.
 
-        Requests are sent in parallel, so that all workers reject one within the same rest.
+        Requests are sent in parallel, so that all workers refuse one within the same rest.
         """
         first = 0.0
         async with asyncio.timeout(5.0):
-            while not all(worker.rejection_count for worker in workers):
+            while not all(worker.refusal_count for worker in workers):
                 await asyncio.gather(*[self.request() for _ in self.workers])
-                if not first and any(worker.rejection_count for worker in workers):
+                if not first and any(worker.refusal_count for worker in workers):
                     first = self.now()
         return first
 
 
-def count_rejections(workers) -> int:
-    return sum(worker.rejection_count for worker in workers)
+def count_refusals(workers) -> int:
+    return sum(worker.refusal_count for worker in workers)
 
 
 def test_resting_back_ends_get_no_requests():
     async def scenario(service):
         fleet = await RestingFleet(service, 6).start()
         resting = fleet.workers[:2]
-        fleet.reject_requests(resting)
-        first = await fleet.request_until_rejected(resting)
-        rejected_before = count_rejections(resting)
+        fleet.refuse_requests(resting)
+        first = await fleet.request_until_refused(resting)
+        refused_before = count_refusals(resting)
         tasks = []
         while fleet.now() < first + 0.8 * REST_S:
             tasks.append(asyncio.create_task(fleet.request()))
@@ -65,7 +65,7 @@
         # The other workers have capacity and serve all requests during the rest.
         responses = await asyncio.gather(*tasks)
         assert {response.status for response in responses} == {200}, service
-        assert count_rejections(resting) - rejected_before <= REQUESTS_IN_REST_MAX, service
+        assert count_refusals(resting) - refused_before <= REQUESTS_IN_REST_MAX, service
 
     for service in ("safe", "unsafe", "model"):
         asyncio.run(scenario(service))
@@ -77,17 +77,17 @@
     async def scenario():
         fleet = await RestingFleet("safe", 1).start()
         (worker,) = fleet.workers
-        fleet.reject_requests([worker])
+        fleet.refuse_requests([worker])
         availability = fleet.entry.node.pool.signals.availability_of(worker.instance)
         for _ in range(2):
-            before = worker.rejection_count
+            before = worker.refusal_count
             async with asyncio.timeout(5.0):
-                while worker.rejection_count == before:
+                while worker.refusal_count == before:
                     await fleet.request()
             assert availability.is_resting(fleet.now())
             for _ in range(REQUESTS):
                 assert (await fleet.request()).status == 503
-            assert worker.rejection_count == before + 1
+            assert worker.refusal_count == before + 1
             await fleet_nodes.until(lambda: not availability.is_resting(fleet.now()))
         worker.behaviour.is_full = False
         responses = await asyncio.gather(*[fleet.request() for _ in range(REQUESTS)])
@@ -102,9 +102,9 @@
     async def scenario():
         fleet = await RestingFleet("model", 3).start()
         rest_s = 2.0
-        fleet.reject_requests(fleet.workers, str(rest_s))
-        first = await fleet.request_until_rejected(fleet.workers)
-        before = count_rejections(fleet.workers)
+        fleet.refuse_requests(fleet.workers, str(rest_s))
+        first = await fleet.request_until_refused(fleet.workers)
+        before = count_refusals(fleet.workers)
         for _ in range(REQUESTS):
             sent_at = fleet.now()
             response = await fleet.request()
@@ -114,7 +114,7 @@
             retry_after_s = float(http_messages.get_header(response.headers, b"retry-after"))
             back_at = fleet.now() + retry_after_s
             assert first + rest_s - 0.1 <= back_at <= first + rest_s + 1.0
-        assert count_rejections(fleet.workers) == before
+        assert count_refusals(fleet.workers) == before
 
     asyncio.run(scenario())
 
@@ -123,8 +123,8 @@
     async def scenario(value):
         fleet = await RestingFleet("safe", 1).start()
         (worker,) = fleet.workers
-        fleet.reject_requests([worker], value)
-        await fleet.request_until_rejected([worker])
+        fleet.refuse_requests([worker], value)
+        await fleet.request_until_refused([worker])
         worker.behaviour.is_full = False
         await asyncio.sleep(dispatch.FULL_BACKOFF_S)
         assert (await fleet.request()).status == 200, value
@@ -137,16 +137,16 @@
     async def scenario():
         fleet = await RestingFleet("safe", 1).start()
         (worker,) = fleet.workers
-        fleet.reject_requests([worker], "60")
-        await fleet.request_until_rejected([worker])
-        before = worker.rejection_count
+        fleet.refuse_requests([worker], "60")
+        await fleet.request_until_refused([worker])
+        before = worker.refusal_count
         watcher = fleet.entry.node.watcher
         known = watcher.instances.pop(worker.instance)
         watcher.on_update()
         assert (await fleet.request()).status == 503
         fleet.announce(fleet.workers)
         assert (await fleet.request()).status == 503
-        assert worker.rejection_count == before
+        assert worker.refusal_count == before
         next_incarnation = dataclasses.replace(known, instance=f"{worker.instance}@1767000000001")
         watcher.apply_instance(instances.Instance(next_incarnation), watcher.clock())
         watcher.on_update()
@@ -162,8 +162,8 @@
 
     async def scenario():
         fleet = await RestingFleet("safe", 1).start()
-        fleet.reject_requests(fleet.workers, "30")
-        await fleet.request_until_rejected(fleet.workers)
+        fleet.refuse_requests(fleet.workers, "30")
+        await fleet.request_until_refused(fleet.workers)
         await fleet.request()
 
     asyncio.run(scenario())
--- a/tests/test_weights_task.py
+++ b/tests/test_weights_task.py
@@ -517,9 +517,9 @@
             fleet.origin.unavailable_pieces = {(1, index) for index in range(1, PIECES)}
             await fleet_nodes.until(lambda: fleet.origin.served_pieces)
         fleet.origin.retry_after = str(retry_after_s)
-        await fleet_nodes.until(lambda: fleet.origin.rejections)
-        await fleet_nodes.until(lambda: len(fleet.origin.rejections) > 1)
-        first, second = fleet.origin.rejections[:2]
+        await fleet_nodes.until(lambda: fleet.origin.refusals)
+        await fleet_nodes.until(lambda: len(fleet.origin.refusals) > 1)
+        first, second = fleet.origin.refusals[:2]
         assert second - first >= 0.95 * retry_after_s
         fleet.origin.retry_after, fleet.origin.unavailable_pieces = None, set()
         await fleet.wait_until_loaded(1)
@@ -530,7 +530,7 @@
 def test_excessive_origin_retry_after_does_not_block_weights():
     async def scenario(fleet):
         fleet.origin.retry_after = "1e9"
-        await fleet_nodes.until(lambda: fleet.origin.rejections)
+        await fleet_nodes.until(lambda: fleet.origin.refusals)
         fleet.origin.retry_after = None
         await fleet.wait_until_loaded(1)
 
