--- a/bench/demo.py
+++ b/bench/demo.py
@@ -237,8 +237,8 @@
 
 def parse_completion(data: bytes) -> tuple[str, str]:
     """Return the text and digest of a response that is not streamed."""
-    answer = msgspec.json.decode(data)
-    return answer["text"], answer["digest"]
+    completion = msgspec.json.decode(data)
+    return completion["text"], completion["digest"]
 
 
 def main(arguments: list[str]) -> int:
--- a/bench/permits.py
+++ b/bench/permits.py
@@ -52,7 +52,7 @@
     leader_s: float = 0.0
     entry_s: float = 0.0
     query_bytes: int = 0
-    answer_bytes: int = 0
+    reply_bytes: int = 0
 
 
 def run_queries(entries: int, backends: int, named: int, rng: random.Random) -> Totals:
@@ -78,7 +78,7 @@
         totals.entry_s += encoded_at - started_at + time.process_time() - replied_at
         totals.leader_s += replied_at - encoded_at
         totals.query_bytes += len(frame) + HEADER_BYTES
-        totals.answer_bytes += len(reply) + HEADER_BYTES
+        totals.reply_bytes += len(reply) + HEADER_BYTES
     return totals
 
 
@@ -99,7 +99,7 @@
         round(1e6 * totals.leader_s * per_query, 1),
         round(1e6 * totals.entry_s * per_query, 1),
         round(totals.query_bytes * per_query),
-        round(totals.answer_bytes * per_query),
+        round(totals.reply_bytes * per_query),
         round(memory_kb),
     )
 
--- a/bench/requests.py
+++ b/bench/requests.py
@@ -253,7 +253,7 @@
             responses = [
                 draft_ticket(vm.http, body, headers, outcomes) for vm in fleet.entries()[:2]
             ]
-            tickets = {answer for answer in responses if answer}
+            tickets = {response for response in responses if response}
             if len(tickets) > 1:
                 outcomes.add("two_answers_for_one_key")
 
--- a/bench/transfer.py
+++ b/bench/transfer.py
@@ -61,7 +61,7 @@
     origin_down_until: float = float("inf")
     slow_agent: int = -1
     slow_rate: float = 0.0
-    dead_agent: int = -1
+    lost_agent: int = -1
     partitioned_zone: int = -1
     partitioned_until: float = 0.0
 
@@ -118,7 +118,7 @@
         self.rate = pacing.RecentRate(piece_fetcher.RATE_WINDOW_S)
         self.started_at: dict[int, float] = {}
         self.completed_at: float | None = None
-        self.is_dead = False
+        self.is_lost = False
 
 
 class Simulation:
@@ -138,7 +138,7 @@
         for number in range(shape.agents):
             rate = fault.slow_rate if number == fault.slow_agent else shape.link_rate
             agent = Agent(number, shape, rate)
-            agent.is_dead = number == fault.dead_agent
+            agent.is_lost = number == fault.lost_agent
             if number < shape.holders:
                 agent.plan.held = agent.plan.all_chunks
                 agent.completed_at = 0.0
@@ -165,7 +165,7 @@
     def run(self) -> "Simulation":
         """Run until all agents are complete, or TIME_LIMIT_S of simulated time have passed."""
         for agent in self.agents.values():
-            if not agent.is_dead:
+            if not agent.is_lost:
                 self.schedule(self.rng.uniform(0.0, STEP_S), lambda agent=agent: self.step(agent))
                 self.schedule(0.0, lambda agent=agent: self.send_request_packets(agent))
         while self.events and self.now < TIME_LIMIT_S:
@@ -177,7 +177,7 @@
 
     def is_finished(self) -> bool:
         """Return whether all live agents are complete."""
-        return all(a.completed_at is not None or a.is_dead for a in self.agents.values())
+        return all(a.completed_at is not None or a.is_lost for a in self.agents.values())
 
     def send_request_packets(self, agent: Agent) -> None:
         """Queue request packets at both links of an agent, and schedule the next ones."""
@@ -319,8 +319,8 @@
         """Request a piece from a peer."""
         peer = self.agents[action.peer]
         delay = DELAY_S[self.distance(agent, peer)]
-        if peer.is_dead or self.are_separated(agent.zone, peer.zone):
-            wait_s = 2 * delay if peer.is_dead else piece_fetcher.PEER_TIMEOUT_S
+        if peer.is_lost or self.are_separated(agent.zone, peer.zone):
+            wait_s = 2 * delay if peer.is_lost else piece_fetcher.PEER_TIMEOUT_S
             self.schedule(self.now + wait_s, lambda: self.on_peer_failed(agent, action))
             return
         held = agent.plan.held
@@ -385,7 +385,7 @@
     def figures(self) -> dict[str, float]:
         """Return completion times relative to the bound, copies sent, and queueing delays."""
         completed = [
-            a.completed_at for a in self.agents.values() if a.completed_at and not a.is_dead
+            a.completed_at for a in self.agents.values() if a.completed_at and not a.is_lost
         ]
         times = sorted(completed) + [TIME_LIMIT_S] * (not self.is_finished())
         waits = sorted(
@@ -413,7 +413,7 @@
     "none": Fault(),
     "origin down 2.5 to 8.5 s": Fault(2.5, 8.5),
     "a slow agent": Fault(slow_agent=1, slow_rate=119_000.0),
-    "a lost agent": Fault(dead_agent=1),
+    "a lost agent": Fault(lost_agent=1),
     "a zone cut off for 3 s": Fault(partitioned_zone=1, partitioned_until=3.0),
     "the origin's zone cut off for 3 s": Fault(partitioned_zone=0, partitioned_until=3.0),
 }
--- a/bench/upgrade.py
+++ b/bench/upgrade.py
@@ -154,12 +154,12 @@
             for node in self.ordered_nodes():
                 await self.upgrade_node(node, build)
                 await asyncio.sleep(SETTLE_S)
-        replaced_at = asyncio.get_running_loop().time()
+        upgraded_at = asyncio.get_running_loop().time()
         await asyncio.sleep(STEADY_S)
         if self.crashing_fleet is not None:
-            ends = self.crashing_fleet.crash_times()
-            self.result.workers_ended = len(ends)
-            self.result.ended_late = sum(at > replaced_at for at in ends)
+            crash_times = self.crashing_fleet.crash_times()
+            self.result.workers_ended = len(crash_times)
+            self.result.ended_late = sum(at > upgraded_at for at in crash_times)
         sent, answered = self.soak_result.sent, self.soak_result.answered
         if self.weights_fleet is not None:
             await upgrade_weights.check_loaded_weights(self)
@@ -325,7 +325,7 @@
             folder = pathlib.Path(stack.enter_context(tempfile.TemporaryDirectory()))
         folder = folder / f"{route}-{seed}"
         folder.mkdir(parents=True, exist_ok=True)
-        # Calm runs are the baseline, so they have no faults.
+        # Runs without an upgrade are the baseline, so they have no faults.
         troubles = () if route.startswith("calm") else tuple(options.trouble)
         plan = Plan(
             route,
--- a/tests/crashing_fleet.py
+++ b/tests/crashing_fleet.py
@@ -186,7 +186,7 @@
 
 
 def kill_entry(entry: fleet_nodes.Entry) -> None:
-    """Stop an entry abruptly, like a killed process."""
+    """Stop an entry abruptly, as if its process was killed."""
     for task in entry.node.tasks:
         task.cancel()
     for server in (entry.node.server, entry.node.ready_server):
--- a/tests/fleet_nodes.py
+++ b/tests/fleet_nodes.py
@@ -118,7 +118,7 @@
             await self.start(ip, is_first=True)
 
     def kill(self, ip: str) -> None:
-        """Stop a control VM abruptly, like a killed process; its files stay."""
+        """Stop a control VM abruptly, as if its process was killed; its files stay."""
         node = self.nodes.pop(ip)
         abort_control_node(node)
         node.member.close()
@@ -157,7 +157,7 @@
 
 
 def abort_control_node(node: control_node.ControlNode) -> None:
-    """Cancel the tasks and abort the connections of a control VM, as if its process ended."""
+    """Cancel the tasks and abort the connections of a control VM, as if its process was killed."""
     for task in node.tasks + node.member.sender.tasks():
         task.cancel()
     for server in (node.server, node.rpc_server.server):
--- a/tests/test_compare.py
+++ b/tests/test_compare.py
@@ -1,4 +1,4 @@
-"""Verdicts on paired differences, and refusal of invalid arguments, in `bench compare`."""
+"""The significance test of `bench compare`, its invalid arguments and its pairs of results."""
 
 import json
 import pathlib
@@ -73,8 +73,10 @@
 
 def test_pairs_are_formed_per_day_and_seed(tmp_path):
     path = site(tmp_path)
-    plays = [
-        compare.Simulation(path, "quiet-1", seed, way) for seed in (1, 2) for way in ("a", "b")
+    simulations = [
+        compare.Simulation(path, "quiet-1", seed, policy)
+        for seed in (1, 2)
+        for policy in ("a", "b")
     ]
-    worths = {play.key(): play.seed + (0.5 if play.policy == "b" else 0.0) for play in plays}
-    assert compare.score_differences(plays, worths, "b", "a") == [0.5, 0.5]
+    scores = {one.key(): one.seed + (0.5 if one.policy == "b" else 0.0) for one in simulations}
+    assert compare.score_differences(simulations, scores, "b", "a") == [0.5, 0.5]
--- a/tests/test_control_failures.py
+++ b/tests/test_control_failures.py
@@ -132,17 +132,17 @@
     fleet = make_fleet(SMALL)
     operator = operators.Operator(fleet)
     operator.propose_and_roll(make_bundle(1))
-    frozen = wait_for_leader(fleet)
-    frozen.process.suspend()
+    suspended = wait_for_leader(fleet)
+    suspended.process.suspend()
     processes.wait_for("a new leader", lambda: fleet.leader(), 10)
     result = operator.propose_and_roll(make_bundle(2))
     wait_for_generation(fleet, result.generation)
-    frozen.process.resume()
-    stale = fleet.get(frozen.http, "/v1/status")
+    suspended.process.resume()
+    stale = fleet.get(suspended.http, "/v1/status")
     assert stale is None or stale["generation"] >= result.generation
     processes.wait_for(
         "the resumed control VM to follow",
-        lambda: frozen.process.events("following"),
+        lambda: suspended.process.events("following"),
     )
     wait_for_generation(fleet, result.generation)
     assert operator.history().rolls[0].generation == result.generation
--- a/tests/test_control_nodes.py
+++ b/tests/test_control_nodes.py
@@ -1,7 +1,6 @@
 """Control VMs on loopback.
 
-Guards against losing acknowledged changes in crashes or with a disk, and against log entries and
-snapshots that a build can't read.
+Guards against losing acknowledged changes, and against log entries that a build can't read.
 """
 
 import asyncio
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -208,13 +208,13 @@
         is_over = asyncio.Event()
         statuses = []
 
-        async def ask_popular(entry: int) -> None:
+        async def request_popular(entry: int) -> None:
             while not is_over.is_set():
                 response = await fleet.request_or_none(entry, b"popular")
                 statuses.append(response.status if response is not None else 0)
 
         loop = asyncio.get_running_loop()
-        tasks = [loop.create_task(ask_popular(number % 2)) for number in range(24)]
+        tasks = [loop.create_task(request_popular(number % 2)) for number in range(24)]
         await fleet.request_until_held()
         await fleet_nodes.until(lambda: len(fleet.crash_times()) >= 3)
         before = len(statuses)
--- a/tests/test_fetch_claimed.py
+++ b/tests/test_fetch_claimed.py
@@ -1,7 +1,6 @@
 """Origin reads under the policy `claimed`, in a simulation without a network.
 
-Guards against duplicate reads from an origin whose link is the bottleneck, and against slow
-recovery after an outage of the origin.
+Guards against duplicate reads from the origin, and against slow recovery after its outage.
 """
 
 import random
--- a/tests/test_leaving_signals.py
+++ b/tests/test_leaving_signals.py
@@ -1,7 +1,6 @@
 """Back ends that signal in their responses that they are leaving.
 
-Guards against requests to a back end after an entry has received its leaving signal, and against
-departures that are missed when an entry moves to another control VM.
+Guards against requests to leaving back ends, and against departures that an entry misses.
 """
 
 import asyncio
--- a/tests/test_membership_repair.py
+++ b/tests/test_membership_repair.py
@@ -1,4 +1,4 @@
-"""Voters repair: single decisions, and repeated failures in a simulated cluster."""
+"""Membership repair: single decisions, and repeated failures in a simulated cluster."""
 
 import random
 
--- a/tests/test_new_back_ends.py
+++ b/tests/test_new_back_ends.py
@@ -1,7 +1,6 @@
 """Requests to a back end that has just started.
 
-Guards against an initial estimate of the service time so high that the back end is never chosen,
-and the estimate therefore never corrected.
+Guards against an initial service time estimate so high that the back end is never chosen.
 """
 
 import asyncio
--- a/tests/test_permit_handover.py
+++ b/tests/test_permit_handover.py
@@ -1,7 +1,6 @@
 """Permits during a change of leader and with lost messages.
 
-Guards against entries that keep using their time slots after a new leader grants permits, which
-exceeds the limit, and against permits left unused after the change.
+Guards against use of time slots beside a new leader's permits, and against unused permits.
 """
 
 import asyncio
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -1,7 +1,6 @@
 """Permit servers and clients.
 
-Guards against permits that are granted twice or by a member that may not be the leader, and against
-clients that wait for a leader that does not reply.
+Guards against permits granted twice or without a lease, and against waiting for a lost leader.
 """
 
 import asyncio
--- a/tests/test_stream_connections.py
+++ b/tests/test_stream_connections.py
@@ -289,7 +289,7 @@
     asyncio.run(scenario())
 
 
-class FreezableServer:
+class StallingServer:
     """A server whose open connections stop responding when `generation` changes."""
 
     def __init__(self) -> None:
@@ -311,7 +311,7 @@
 
 def test_one_timeout_discards_all_frozen_idle_connections():
     async def scenario():
-        server = FreezableServer()
+        server = StallingServer()
         address = await server.start()
         pool = stream_client.ConnectionPool(60.0, 1.0, 2.0)
         await asyncio.gather(*(pool.request(address, get(), 5.0) for _ in range(3)))
--- a/tests/test_weights_failures.py
+++ b/tests/test_weights_failures.py
@@ -154,12 +154,12 @@
     operator = operators.Operator(fleet)
     operator.propose_and_roll(fleets.simple_bundle(1, {"hint": (first_digest, 100)}))
     wait_until_serving(fleet, first_digest, 6)
-    rejecting = next(iter(fleet.target_urls))
-    inject_fault(fleet, fleet.target_urls[rejecting], refuse_loads="no memory left")
+    refusing = next(iter(fleet.target_urls))
+    inject_fault(fleet, fleet.target_urls[refusing], refuse_loads="no memory left")
     done = fleet.roll(fleets.simple_bundle(2, {"hint": (second_digest, 100)}), wait=False)
     assert done["generation"] == 2
     paused = processes.wait_for("a pause", lambda: fleet.status().get("paused"), 20)
-    assert rejecting in paused and "no memory left" in paused
+    assert refusing in paused and "no memory left" in paused
     assert fleet.serving_counts("hint").get(first_digest, 0) >= 1
 
 
--- a/tests/test_weights_task.py
+++ b/tests/test_weights_task.py
@@ -159,7 +159,7 @@
         fleet.publish(2)
         await fleet_nodes.until(lambda: all(engine.version == 2 for engine in others), 20)
         assert fleet.engines[number].version == 1
-        assert fleet.origin.manifests_served == 1, "only the next agent may ask the origin"
+        assert fleet.origin.manifests_served == 1, "only the next agent may read the origin"
 
     run(3, scenario)
 
