--- a/bench/rollout.py
+++ b/bench/rollout.py
@@ -152,7 +152,7 @@
         self.is_enabled = is_enabled
         self.killed: list[str] = []
         self.is_partitioned = False
-        self.was_cut = False
+        self.was_partitioned = False
 
     def apply(self, swarm: Swarm, manifest: str, share: float, live: set[str]) -> None:
         """Kill a tenth of the agents at 0.4, and partition a zone from 0.3 to 0.63."""
--- a/tests/test_control_replacement.py
+++ b/tests/test_control_replacement.py
@@ -198,7 +198,7 @@
     async def scenario():
         sent = []
 
-        class Recorder:
+        class FakeRpcClient:
             async def call(self, address, message, timeout_s):
                 sent.append((address, message.name))
                 return node_messages.JoinReply(False)
@@ -207,7 +207,7 @@
             "new", control_port=7000, control_ips=["127.0.0.11"], data_folder=str(tmp_path / "new")
         )
         member = log_member.LogMember(
-            settings, fleet_nodes.make_codec(), Recorder(), lambda: 50.0, None, None
+            settings, fleet_nodes.make_codec(), FakeRpcClient(), lambda: 50.0, None, None
         )
         member.member_changes.request_join(50.0)
         await fleet_nodes.until(lambda: sent)
--- a/tests/test_permit_handover.py
+++ b/tests/test_permit_handover.py
@@ -10,8 +10,8 @@
 
 from tests import permit_net, virtual_loop
 
-# Requests allowed in a window beyond the limit's share.
-SPARE = 2
+# Requests allowed in a window in addition to the limit.
+EXTRA_REQUESTS = 2
 WINDOWS_S = (2.0, 4.0)
 # Demand as a multiple of the limit; the higher one leaves no permit unused for lack of requests.
 OVERLOAD = 2.5
@@ -26,7 +26,7 @@
 
 def check_limit(net: permit_net.PermitNetwork) -> None:
     for seconds in WINDOWS_S:
-        allowed = net.limit_per_s * seconds + SPARE
+        allowed = net.limit_per_s * seconds + EXTRA_REQUESTS
         assert net.max_used_in(seconds) <= allowed, (seconds, net.max_used_in(seconds), allowed)
 
 
@@ -85,7 +85,7 @@
     used, allowed = (sum(column) for column in zip(*found, strict=True))
     assert used >= 0.9 * allowed, (used, allowed)
     # With so few requests, one or two may be missed.
-    assert all(used >= 0.9 * allowed - SPARE for used, allowed in found), found
+    assert all(used >= 0.9 * allowed - EXTRA_REQUESTS for used, allowed in found), found
 
 
 async def append_result(found: list, scenario) -> None:
--- a/tests/test_rate_limited_back_ends.py
+++ b/tests/test_rate_limited_back_ends.py
@@ -11,7 +11,7 @@
 
 WORK_S = 0.02
 # Requests allowed in a window in addition to the limit.
-SPARE_REQUESTS = 2
+EXTRA_REQUESTS = 2
 # Share of the limit that must be used under overload.
 UTILISATION_MIN = 0.9
 # Longest extra delay of a refusal, compared with that of an unknown key, which is immediate.
@@ -33,7 +33,7 @@
 
 
 def allowance(limit: float, seconds: float) -> float:
-    return limit * seconds + SPARE_REQUESTS
+    return limit * seconds + EXTRA_REQUESTS
 
 
 def check_limit(fleet, worker, limit: float, since: float, until: float) -> None:
--- a/tests/test_watcher_full_updates.py
+++ b/tests/test_watcher_full_updates.py
@@ -14,7 +14,7 @@
 INFORMED, NEWLY_STARTED = "knows:1", "new:1"
 
 
-def heartbeat(name: str) -> instances.Instance:
+def make_instance(name: str) -> instances.Instance:
     body = {
         "service": "s",
         "address": f"{name}:1",
@@ -29,7 +29,7 @@
 def make_reply(
     feed: str, position: int, is_full: bool, names: list[str]
 ) -> node_messages.WatchReply:
-    entries = [heartbeat(name) for name in names]
+    entries = [make_instance(name) for name in names]
     return node_messages.WatchReply(feed, position, is_full, entries, [], [], 0, b"", [], 0.0)
 
 
