--- a/bench/upgrade.py
+++ b/bench/upgrade.py
@@ -73,8 +73,8 @@
 
     `workers_ended` counts the workers that crashed on a request, `ended_late` those of them that
     crashed after the last VM was upgraded. `key_answers` counts the responses to a revoked key by
-    status, before and after the revocation had to be effective. `named` is the last version of
-    weights. `ended` are the processes that exited by themselves, `broken` the violations.
+    status, before and after the revocation had to be effective. `named` is the last published
+    version of weights. `ended` are the processes that exited by themselves, `broken` the violations.
     """
 
     plan: Plan
@@ -99,8 +99,8 @@
     def __init__(self, plan: Plan, old: pathlib.Path, folder: pathlib.Path) -> None:
         super().__init__(plan.seed, 0.0, folder)
         self.plan = plan
-        # The newest version of weights that was named.
-        self.named = 1
+        # The newest version of weights that was published.
+        self.published_version = 1
         # The first configuration version without the revoked key.
         self.revoked_from = math.inf
         self.key_answers: tuple[collections.Counter, ...] = (
@@ -149,7 +149,7 @@
         for kind in self.plan.troubles:
             load.append(asyncio.create_task(upgrade_faults.FAULTS.get(kind)(self)))
         if self.weights_fleet is not None:
-            load.append(asyncio.create_task(upgrade_weights.name_versions(self)))
+            load.append(asyncio.create_task(upgrade_weights.publish_versions(self)))
         for build in self.route[1:]:
             for node in self.ordered_nodes():
                 await self.upgrade_node(node, build)
@@ -251,7 +251,7 @@
     """Run a plan and return its results; logs are written to `folder`."""
     upgrade = Upgrade(plan, old, folder)
     soak_result = asyncio.run(upgrade.run())
-    upgrade.result.named = upgrade.named
+    upgrade.result.named = upgrade.published_version
     upgrade.result.acknowledged = soak_result.acknowledged
     upgrade.result.broken = soak_result.violations
     return upgrade.result
--- a/bench/upgrade_weights.py
+++ b/bench/upgrade_weights.py
@@ -1,7 +1,7 @@
 """Distribution of weights during a rolling upgrade, for `bench upgrade --weights`.
 
-Each engine of the soak test gets an agent at the same IP. Versions of weights are named one
-after another during the upgrade, and the agents are upgraded like all other VMs.
+Each engine of the soak test gets an agent at the same IP. Versions of weights are published
+one after another during the upgrade, and the agents are upgraded like all other VMs.
 """
 
 import asyncio
@@ -18,7 +18,7 @@
 VERSIONS = 4
 # Link rate of the agents' VMs, at which the download of a version takes seconds.
 LINK_MBPS = 0.4
-NAMING_INTERVAL_S = 6.0
+PUBLISH_INTERVAL_S = 6.0
 LOAD_TIMEOUT_S = 15.0
 
 
@@ -66,30 +66,30 @@
         return body | {"services": [*body["services"], origin]}
 
 
-async def name_versions(upgrade: Any) -> None:
-    """Name one version after another; repeat each request until it is acknowledged."""
+async def publish_versions(upgrade: Any) -> None:
+    """Publish one version after another; repeat each request until it is acknowledged."""
     for version in range(2, VERSIONS + 1):
         body = {"model": "m", "version": version}
         upgrade.fleet.origin.pieces[version] = make_pieces(version)
         while (await upgrade.call_control("POST", "/version-put", body))[0] != 200:
             await asyncio.sleep(0.1)
-        upgrade.named = version
-        await asyncio.sleep(NAMING_INTERVAL_S)
+        upgrade.published_version = version
+        await asyncio.sleep(PUBLISH_INTERVAL_S)
 
 
 async def check_loaded_weights(upgrade: Any) -> None:
     """Wait until every engine has loaded the last version, and check its pieces."""
     fleet = upgrade.fleet
     deadline = asyncio.get_running_loop().time() + LOAD_TIMEOUT_S
-    while any(engine.version != upgrade.named for engine in fleet.engines):
+    while any(engine.version != upgrade.published_version for engine in fleet.engines):
         if asyncio.get_running_loop().time() > deadline:
             loaded_versions = [engine.version for engine in fleet.engines]
             upgrade.record_violation(
-                f"version {upgrade.named} was named, engines have {loaded_versions}"
+                f"version {upgrade.published_version} was published, engines have {loaded_versions}"
             )
             return
         await asyncio.sleep(0.1)
-    pieces = make_pieces(upgrade.named)
+    pieces = make_pieces(upgrade.published_version)
     for engine in fleet.engines:
         if [engine.loaded_pieces.get(index) for index in range(PIECES)] != pieces:
             upgrade.record_violation(
--- a/tests/test_control_nodes.py
+++ b/tests/test_control_nodes.py
@@ -306,7 +306,7 @@
 
 
 def version_age_after_apply(controls, version: int) -> float:
-    """Apply a named version on a follower; return the age that it reports."""
+    """Apply a published version on a follower; return the age that it reports."""
     follower = next(ip for ip in controls.ips if ip != controls.leader())
     node = controls.nodes[follower]
     member = node.member
@@ -324,7 +324,7 @@
             lambda: controls.nodes[follower].member.staleness_s(time.monotonic()) < 0.5
         )
         assert version_age_after_apply(controls, 1) < 0.5
-        # A version named during a partition may be as old as the partition.
+        # A version published during a partition may be as old as the partition.
         controls.nodes[follower].member.current_at = time.monotonic() - 7.0
         assert version_age_after_apply(controls, 2) >= 7.0
 
@@ -412,7 +412,7 @@
 
 
 def make_unable_to_read_versions(node):
-    """Make a control VM unable to read named versions, like an older build."""
+    """Make a control VM unable to read published versions, like an older build."""
     del node.member.command_decoders["fleet.name_version"]
 
 
