--- a/bench/upgrade.py
+++ b/bench/upgrade.py
@@ -74,7 +74,8 @@
     `workers_ended` counts the workers that crashed on a request, `ended_late` those of them that
     crashed after the last VM was upgraded. `key_answers` counts the responses to a revoked key by
     status, before and after the revocation had to be effective. `named` is the last published
-    version of weights. `ended` are the processes that exited by themselves, `broken` the violations.
+    version of weights. `ended` are the processes that exited by themselves, `broken` the
+    violations.
     """
 
     plan: Plan
