--- a/bench/compare.py
+++ b/bench/compare.py
@@ -1,9 +1,9 @@
-"""Plays the same days with each way of a decision, and tells which way is the better one.
+"""Compare the policies of one field of the policy file on the same simulated days.
 
-`--list` prints what there is to decide. Each way has its own copy of the tree under `--folder`,
-with that way in `deploy/policy.json`; the program that plays days is the users' and is named by its
-path. Plays that were made are not made again, so a comparison that was stopped goes on. The last
-line of output is one JSON object.
+`--decision` names the field and `--ways` its policies; `--list` prints all fields and policies.
+Each policy runs in its own copy of the source tree under `--folder`, selected in its
+`deploy/policy.json`. `--program` is the path of the users' simulator. Results are stored, so an
+interrupted comparison can be resumed. The last line of output is one JSON object.
 """
 
 import argparse
@@ -17,7 +17,7 @@
 import tomllib
 from collections.abc import Sequence
 
-from bench import verdict
+from bench import significance
 from merlinthread import registry
 from merlinthread.nodes import node_policy
 
@@ -25,181 +25,200 @@
 JOURNAL = pathlib.Path("journal")
 POLICY_FILE = pathlib.Path("deploy/policy.json")
 RESULTS_FILE = "results.jsonl"
-BAD_USE = 2
+USAGE_ERROR = 2
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Play:
-    """One day played with one way; `seed` 0 is the day's own."""
+class Simulation:
+    """A simulation of one day with one policy; `seed` 0 selects the day's default seed."""
 
     site: pathlib.Path
     day: str
     seed: int
-    way: str
+    policy: str
 
     def key(self) -> str:
-        """Return a name for it that is the same in a later run."""
-        return f"{self.site.stem} {self.day} {self.seed} {self.way}"
+        """Return the key of this simulation in the results file."""
+        return f"{self.site.stem} {self.day} {self.seed} {self.policy}"
 
 
 @dataclasses.dataclass(slots=True)
-class Task:
-    """What is to be compared, and how days are played."""
+class Comparison:
+    """The field to compare, and how simulations run."""
 
     program: pathlib.Path
     folder: pathlib.Path
-    decision: str
+    field: str
     is_small: bool
 
-    def tree(self, way: str) -> pathlib.Path:
-        """Return the folder of a way's copy of the tree."""
-        return self.folder / f"{self.decision}-{way}"
+    def tree(self, policy: str) -> pathlib.Path:
+        """Return the folder of a policy's copy of the source tree."""
+        return self.folder / f"{self.field}-{policy}"
 
-    def command(self, play: Play, report: pathlib.Path) -> list[str]:
-        """Return the command that plays a day."""
-        why = f"compare {self.decision}: {play.way}"
-        command = [str(self.program), "run", str(play.site), play.day]
-        if play.seed:
-            command += ["--seed", str(play.seed)]
+    def command(self, simulation: Simulation, report: pathlib.Path) -> list[str]:
+        """Return the command line of a simulation."""
+        why = f"compare {self.field}: {simulation.policy}"
+        command = [str(self.program), "run", str(simulation.site), simulation.day]
+        if simulation.seed:
+            command += ["--seed", str(simulation.seed)]
         if self.is_small:
             command.append("--small")
         return [*command, "--report", str(report), "--why", why]
 
 
-def ways_of(decision: str) -> registry.Registry:
-    """Return the ways of a decision; raise SystemExit naming what there is."""
+def get_policies(decision: str) -> registry.Registry:
+    """Return the policies of a field; raise SystemExit if the field is unknown."""
     if decision not in node_policy.POLICY_REGISTRIES:
-        give_up(f"no decision {decision!r}; there is {', '.join(node_policy.POLICY_REGISTRIES)}")
+        exit_with_error(
+            f"unknown decision {decision!r}; known: {', '.join(node_policy.POLICY_REGISTRIES)}"
+        )
     return node_policy.POLICY_REGISTRIES[decision]
 
 
-def give_up(reason: str) -> None:
-    """End with the code for bad use and one line."""
+def exit_with_error(reason: str) -> None:
+    """Print a one-line error and exit with code 2."""
     print(f"compare: {reason}", file=sys.stderr)
-    raise SystemExit(BAD_USE)
+    raise SystemExit(USAGE_ERROR)
 
 
 def check_days(site: pathlib.Path, days: Sequence[str]) -> None:
-    """Make sure that a site file has the days; raise SystemExit otherwise."""
+    """Raise SystemExit if a site file is unreadable or lacks one of the days."""
     try:
         known = [day["name"] for day in tomllib.loads(site.read_text()).get("day", [])]
     except (OSError, tomllib.TOMLDecodeError) as error:
-        give_up(f"{site}: {error}; name a site file")
+        exit_with_error(f"{site}: {error}; a site file is required")
     for day in days:
         if day not in known:
-            give_up(f"{site}: no day {day!r}; there is {', '.join(known)}")
+            exit_with_error(f"{site}: unknown day {day!r}; known: {', '.join(known)}")
 
 
-def copy_tree(task: Task, way: str) -> None:
-    """Lay a copy of the tree as it is, with a way in force, unless there is one."""
-    tree = task.tree(way)
+def copy_tree(comparison: Comparison, policy: str) -> None:
+    """Copy the working tree and select a policy in the copy, unless the copy exists."""
+    tree = comparison.tree(policy)
     if tree.exists():
         return
     subprocess.run(["git", "clone", "--quiet", ".", str(tree)], check=True)
     for name in COPIED:
         shutil.rmtree(tree / name)
         shutil.copytree(name, tree / name, ignore=shutil.ignore_patterns("__pycache__"))
-    policy = json.loads(POLICY_FILE.read_text()) | {task.decision: way}
-    (tree / POLICY_FILE).write_text(json.dumps(policy, indent=4) + "\n")
+    selected = json.loads(POLICY_FILE.read_text()) | {comparison.field: policy}
+    (tree / POLICY_FILE).write_text(json.dumps(selected, indent=4) + "\n")
 
 
-def bring_journal(task: Task, ways: Sequence[str]) -> None:
-    """Bring the journal's entries of the plays here, to be committed with the others."""
-    for way in ways:
-        for entry in (task.tree(way) / JOURNAL).glob("*.json"):
+def copy_journal(comparison: Comparison, policies: Sequence[str]) -> None:
+    """Copy new journal entries of the simulations into this tree."""
+    for policy in policies:
+        for entry in (comparison.tree(policy) / JOURNAL).glob("*.json"):
             if not (JOURNAL / entry.name).exists():
                 shutil.copy(entry, JOURNAL / entry.name)
 
 
-def read_results(path: pathlib.Path) -> dict[str, float]:
-    """Return the worth of each play that was made, by its key."""
+def read_scores(path: pathlib.Path) -> dict[str, float]:
+    """Return the score of each stored simulation, by its key."""
     if not path.exists():
         return {}
     rows = [json.loads(line) for line in path.read_text().splitlines()]
     return {row["play"]: row["worth"] for row in rows}
 
 
-def carry_out(task: Task, play: Play) -> dict[str, object]:
-    """Play a day; return its worth and the rules that it broke."""
-    report = task.tree(play.way) / f"{play.key().replace(' ', '-')}.json"
-    done = subprocess.run(
-        task.command(play, report), cwd=task.tree(play.way), capture_output=True, text=True
+def run_simulation(comparison: Comparison, simulation: Simulation) -> dict[str, object]:
+    """Run a simulation; return its score and the rules that it broke."""
+    report = comparison.tree(simulation.policy) / f"{simulation.key().replace(' ', '-')}.json"
+    completed = subprocess.run(
+        comparison.command(simulation, report),
+        cwd=comparison.tree(simulation.policy),
+        capture_output=True,
+        text=True,
     )
     if not report.exists():
-        raise SystemExit(f"compare: {play.key()}: {done.stderr.strip() or done.stdout[-500:]}")
-    told = json.loads(report.read_text())
-    return {"play": play.key(), "worth": told["G"], "rules": told["breaks"]}
+        raise SystemExit(
+            f"compare: {simulation.key()}: {completed.stderr.strip() or completed.stdout[-500:]}"
+        )
+    result = json.loads(report.read_text())
+    return {"play": simulation.key(), "worth": result["G"], "rules": result["breaks"]}
 
 
-def pairs_of(plays: Sequence[Play], worths: dict[str, float], way: str, standing: str) -> list:
-    """Return the differences of a way against the standing one, day by day."""
+def score_differences(
+    simulations: Sequence[Simulation], scores: dict[str, float], policy: str, baseline: str
+) -> list:
+    """Return the score differences of a policy and the baseline, per site, day and seed."""
     return [
-        worths[play.key()] - worths[dataclasses.replace(play, way=standing).key()]
-        for play in plays
-        if play.way == way
+        scores[simulation.key()] - scores[dataclasses.replace(simulation, policy=baseline).key()]
+        for simulation in simulations
+        if simulation.policy == policy
     ]
 
 
 def main(argv: list[str]) -> int:
-    """Compare the ways of one decision."""
+    """Run the command."""
     parser = argparse.ArgumentParser(prog="bench compare", description=__doc__)
-    parser.add_argument("--list", action="store_true", help="print decisions and their ways")
+    parser.add_argument("--list", action="store_true", help="print all decisions and their ways")
     parser.add_argument("--decision", default="")
-    parser.add_argument("--ways", nargs="*", default=[], help="the standing one goes first")
-    parser.add_argument("--program", type=pathlib.Path, help="what plays days")
+    parser.add_argument("--ways", nargs="*", default=[], help="policies; the first is the baseline")
+    parser.add_argument("--program", type=pathlib.Path, help="path of the simulator")
     parser.add_argument("--site", type=pathlib.Path, nargs="*", default=[])
     parser.add_argument("--day", nargs="*", default=[])
     parser.add_argument("--seed", type=int, nargs="*", default=[0])
-    parser.add_argument("--small", action="store_true", help="twins of large days")
-    parser.add_argument("--folder", type=pathlib.Path, help="where copies and results lie")
+    parser.add_argument("--small", action="store_true", help="use the small variants of the days")
+    parser.add_argument("--folder", type=pathlib.Path, help="for copies and results")
     parser.add_argument("--jobs", type=int, default=2)
     options = parser.parse_args(argv)
     if options.list:
         print(
-            json.dumps({name: sorted(ways) for name, ways in node_policy.POLICY_REGISTRIES.items()})
+            json.dumps(
+                {name: sorted(policies) for name, policies in node_policy.POLICY_REGISTRIES.items()}
+            )
         )
         return 0
-    known = ways_of(options.decision)
-    ways = options.ways or sorted(known)
-    for way in ways:
-        if way not in known.entries:
-            give_up(f"{options.decision}: no way {way!r}; there is {', '.join(known)}")
+    registered = get_policies(options.decision)
+    policies = options.ways or sorted(registered)
+    for policy in policies:
+        if policy not in registered.entries:
+            exit_with_error(
+                f"{options.decision}: unknown way {policy!r}; known: {', '.join(registered)}"
+            )
     if options.program is None or options.folder is None or not options.site or not options.day:
-        give_up("--program, --folder, --site and --day are needed")
+        exit_with_error("--program, --folder, --site and --day are required")
     for site in options.site:
         check_days(site, options.day)
-    task = Task(options.program, options.folder, options.decision, options.small)
-    plays = [
-        Play(site, day, seed, way)
+    comparison = Comparison(options.program, options.folder, options.decision, options.small)
+    simulations = [
+        Simulation(site, day, seed, policy)
         for site in options.site
         for day in options.day
         for seed in options.seed
-        for way in ways
+        for policy in policies
     ]
-    return compare(task, plays, ways, options.jobs)
-
-
-def compare(task: Task, plays: Sequence[Play], ways: Sequence[str], jobs: int) -> int:
-    """Make the plays that are missing and print what they tell."""
-    for way in ways:
-        copy_tree(task, way)
-    results = task.folder / RESULTS_FILE
-    worths = read_results(results)
-    missing = [play for play in plays if play.key() not in worths]
+    return compare(comparison, simulations, policies, options.jobs)
+
+
+def compare(
+    comparison: Comparison, simulations: Sequence[Simulation], policies: Sequence[str], jobs: int
+) -> int:
+    """Run the missing simulations and print the comparison of each policy with the baseline."""
+    for policy in policies:
+        copy_tree(comparison, policy)
+    results = comparison.folder / RESULTS_FILE
+    scores = read_scores(results)
+    not_run = [simulation for simulation in simulations if simulation.key() not in scores]
     with concurrent.futures.ThreadPoolExecutor(jobs) as pool:
-        for row in pool.map(lambda play: carry_out(task, play), missing):
+        for row in pool.map(lambda simulation: run_simulation(comparison, simulation), not_run):
             with results.open("a") as file:
                 file.write(json.dumps(row) + "\n")
             print(row, flush=True)
-    bring_journal(task, ways)
-    worths = read_results(results)
-    standing, found = ways[0], {}
-    for way in ways[1:]:
-        for site in sorted({play.site for play in plays}):
-            here = [play for play in plays if play.site == site]
-            told = verdict.judge(pairs_of(here, worths, way, standing))
-            print(f"{site.stem}: {way} against {standing}: {told}")
-        told = verdict.judge(pairs_of(plays, worths, way, standing))
-        found[way] = dataclasses.asdict(told)
-    print(json.dumps({"bench": "compare", "decision": task.decision, "against": standing} | found))
+    copy_journal(comparison, policies)
+    scores = read_scores(results)
+    baseline, comparisons = policies[0], {}
+    for policy in policies[1:]:
+        for site in sorted({simulation.site for simulation in simulations}):
+            of_site = [simulation for simulation in simulations if simulation.site == site]
+            result = significance.evaluate(score_differences(of_site, scores, policy, baseline))
+            print(f"{site.stem}: {policy} against {baseline}: {result}")
+        result = significance.evaluate(score_differences(simulations, scores, policy, baseline))
+        comparisons[policy] = dataclasses.asdict(result)
+    print(
+        json.dumps(
+            {"bench": "compare", "decision": comparison.field, "against": baseline} | comparisons
+        )
+    )
     return 0
--- a/bench/operators.py
+++ b/bench/operators.py
@@ -1,4 +1,4 @@
-"""An operator in this process: the same calls as the command line, without its start-up time."""
+"""An operator's client in this process: the calls of the command line without its start-up time."""
 
 import uuid
 from typing import Any
@@ -12,12 +12,12 @@
 
 
 class Operator:
-    """Proposes, signs and rolls bundles by HTTP."""
+    """Proposes, signs and rolls bundles over HTTP."""
 
     def __init__(self, fleet: fleets.Fleet, name: str = "ana", timeout_s: float = 20.0) -> None:
         self.fleet = fleet
         self.name = name
-        self.private = (fleet.folder / "keys" / f"{name}.key").read_text()
+        self.private_key = (fleet.folder / "keys" / f"{name}.key").read_text()
         addresses = [vm.http for vm in fleet.controls()]
         self.controls = client.ControlClient(addresses, timeout_s)
 
@@ -27,7 +27,7 @@
         return msgspec.json.decode(data, type=operator_calls.CommandResult)
 
     def propose(self, bundle: dict, request_id: str = "") -> operator_calls.CommandResult:
-        """Put a bundle forward."""
+        """Propose a bundle."""
         call = operator_calls.ProposeRequest(request_id or uuid.uuid4().hex, self.name, bundle)
         return self.call("/v1/bundles", call)
 
@@ -35,7 +35,7 @@
         """Sign a bundle."""
         version = bundle["version"]
         digest = bundles.digest(bundle_file.from_data(bundle, "bundle"))
-        signature = signatures.sign(self.private, version, digest)
+        signature = signatures.sign(self.private_key, version, digest)
         return self.call(
             "/v1/signatures",
             operator_calls.SignRequest(uuid.uuid4().hex, self.name, version, digest, signature),
@@ -44,13 +44,13 @@
     def roll(
         self, version: int, is_back: bool = False, request_id: str = ""
     ) -> operator_calls.CommandResult:
-        """Put a version in force."""
+        """Roll out a signed version; with `is_back`, one that was in force before."""
         return self.call(
             "/v1/rolls",
             operator_calls.RollRequest(request_id or uuid.uuid4().hex, self.name, version, is_back),
         )
 
-    def bring_in(self, bundle: dict) -> operator_calls.CommandResult:
+    def propose_and_roll(self, bundle: dict) -> operator_calls.CommandResult:
         """Propose, sign and roll a bundle."""
         self.propose(bundle)
         self.sign(bundle)
--- a/bench/rollout.py
+++ b/bench/rollout.py
@@ -1,9 +1,8 @@
-"""Time to N replicas and origin bytes, for each fetch policy, against the links' bound.
+"""Benchmark of fetch policies: time to N replicas and bytes read from the origin.
 
-Links as the brief says: in the window T the origin carries 4 copies and a VM's link 2 each way.
-With S a version's size, Ro and Rv the rates: bound = max(S/Ro, S/Rv, N*S/(Ro + N*Rv)). The agents
-are the product's own code, several in one process, each behind its own paced link; the load time of
-engines is left out (0) on both sides.
+Times are compared with the lower bound max(S/Ro, S/Rv, N*S/(Ro + N*Rv)), where S is the size of a
+version, Ro the rate of the origin and Rv that of a VM's link. The agents run the product's code,
+several in one process, each with a paced link of its own. The load time of engines is excluded.
 """
 
 import argparse
@@ -21,11 +20,11 @@
 WORKERS = 7
 POLL_S = 0.1
 ZONES = ("zone-a", "zone-b", "zone-c")
-LIMIT_OVER_BOUND = 12.0
+TIMEOUT_OVER_BOUND = 12.0
 
 
 class Swarm:
-    """Workers with agents, and the origin."""
+    """The origin and the worker processes with the agents."""
 
     def __init__(self, folder: pathlib.Path, count: int, options: argparse.Namespace) -> None:
         self.fleet = fleets.Fleet(folder)
@@ -33,7 +32,7 @@
         self.size = options.chunks * options.chunk_bytes
         self.rate = self.size / options.link_s
         self.fleet.shape.origin_bytes_per_s = 2 * self.rate
-        self.fleet.start_outside()
+        self.fleet.start_stand_ins()
         self.handles = [
             subprocess.Popen(
                 [sys.executable, "-m", "bench.swarm"],
@@ -45,32 +44,32 @@
         ]
         self.names = [f"vm-{number:04d}" for number in range(count)]
         self.peers = [
-            (name, ZONES[i % 3], "region-1", self.fleet.address())
+            (name, ZONES[i % 3], "region-1", self.fleet.free_address())
             for i, name in enumerate(self.names)
         ]
 
-    def order(self, handle: subprocess.Popen, order: dict) -> dict:
-        """Give one worker an order and return its answer."""
+    def send_command(self, handle: subprocess.Popen, command: dict) -> dict:
+        """Send a command to a worker and return its reply."""
         assert handle.stdin is not None and handle.stdout is not None
-        handle.stdin.write(json.dumps(order) + "\n")
+        handle.stdin.write(json.dumps(command) + "\n")
         handle.stdin.flush()
         return json.loads(handle.stdout.readline())
 
-    def order_all(self, order: dict) -> list[dict]:
-        """Give all workers an order and return their answers."""
-        return [self.order(handle, order) for handle in self.handles]
+    def send_to_all(self, command: dict) -> list[dict]:
+        """Send a command to all workers and return their replies."""
+        return [self.send_command(handle, command) for handle in self.handles]
 
     def start(self, policy: str, corrupt_share: float) -> None:
         """Start the agents."""
         for number, handle in enumerate(self.handles):
             configs = [
-                {"settings": self.settings_of(peer, policy), "corrupt_share": corrupt_share}
+                {"settings": self.agent_settings(peer, policy), "corrupt_share": corrupt_share}
                 for peer in self.peers[number :: len(self.handles)]
             ]
-            self.order(handle, {"do": "start", "agents": configs})
+            self.send_command(handle, {"do": "start", "agents": configs})
 
-    def settings_of(self, peer: tuple, policy: str) -> dict:
-        """Return an agent's settings."""
+    def agent_settings(self, peer: tuple, policy: str) -> dict:
+        """Return the settings of an agent."""
         name, zone, region, address = peer
         return {
             "name": name,
@@ -91,39 +90,41 @@
             },
         }
 
-    def wait(self, manifest: str, started: float, faults: "Faults") -> dict:
-        """Wait until every live agent is complete or the limit is passed."""
-        bound = self.bound()
+    def wait_until_complete(self, manifest: str, started: float, faults: "FaultSchedule") -> dict:
+        """Wait until every live agent is complete, up to a limit, and return the results."""
+        bound = self.lower_bound()
         live = set(self.names)
         while True:
             elapsed = time.monotonic() - started
-            faults.act(self, manifest, elapsed / bound, live)
-            answers = self.order_all({"do": "poll"})
+            faults.apply(self, manifest, elapsed / bound, live)
+            replies = self.send_to_all({"do": "poll"})
             done = {
                 name: at[manifest] - started
-                for answer in answers
-                for name, at in answer["done"].items()
+                for reply in replies
+                for name, at in reply["done"].items()
                 if manifest in at
             }
-            if live <= set(done) or elapsed > LIMIT_OVER_BOUND * bound:
+            if live <= set(done) or elapsed > TIMEOUT_OVER_BOUND * bound:
                 return {
                     "times": sorted(done[name] for name in live if name in done),
                     "missing": len(live - set(done)),
-                    "cpu_s": sum(answer["cpu_s"] for answer in answers),
-                    "rss_mb": sum(answer["rss_mb"] for answer in answers),
+                    "cpu_s": sum(reply["cpu_s"] for reply in replies),
+                    "rss_mb": sum(reply["rss_mb"] for reply in replies),
                     "tally": {
-                        key: sum(answer["tally"].get(key, 0) for answer in answers)
-                        for key in answers[0]["tally"]
+                        key: sum(reply["tally"].get(key, 0) for reply in replies)
+                        for key in replies[0]["tally"]
                     },
                 }
             time.sleep(POLL_S)
 
-    def want(self, manifest: str, peers: list[tuple], cut: str = "") -> None:
-        """Let all agents fetch, with whom they reach."""
-        self.order_all({"do": "want", "manifest": manifest, "peers": peers, "cut": cut})
+    def start_fetch(self, manifest: str, peers: list[tuple], partitioned_zone: str = "") -> None:
+        """Let all agents fetch a manifest from the reachable peers."""
+        self.send_to_all(
+            {"do": "want", "manifest": manifest, "peers": peers, "cut": partitioned_zone}
+        )
 
-    def bound(self) -> float:
-        """Return the least time that the links allow, in seconds."""
+    def lower_bound(self) -> float:
+        """Return the lower bound of the time to N replicas, in seconds."""
         count = len(self.names)
         origin, link = 2 * self.rate, self.rate
         return max(
@@ -131,7 +132,7 @@
         )
 
     def close(self) -> None:
-        """End everything that was started."""
+        """Stop all processes."""
         for handle in self.handles:
             assert handle.stdin is not None
             handle.stdin.close()
@@ -144,35 +145,35 @@
         self.fleet.close()
 
 
-class Faults:
-    """What goes wrong during a run, by the share of the bound that has passed."""
+class FaultSchedule:
+    """Faults injected during a run, timed as shares of the bound."""
 
-    def __init__(self, is_on: bool) -> None:
-        self.is_on = is_on
+    def __init__(self, is_enabled: bool) -> None:
+        self.is_enabled = is_enabled
         self.killed: list[str] = []
-        self.is_cut = False
+        self.is_partitioned = False
         self.was_cut = False
 
-    def act(self, swarm: Swarm, manifest: str, share: float, live: set[str]) -> None:
-        """Kill a tenth at 0.4; cut a zone from 0.3 to 0.63."""
-        if not self.is_on:
+    def apply(self, swarm: Swarm, manifest: str, share: float, live: set[str]) -> None:
+        """Kill a tenth of the agents at 0.4, and partition a zone from 0.3 to 0.63."""
+        if not self.is_enabled:
             return
         if share >= 0.4 and not self.killed:
             self.killed = random.Random(1).sample(swarm.names, max(1, len(swarm.names) // 10))
             live -= set(self.killed)
-            swarm.order_all({"do": "kill", "names": self.killed})
-        wants_cut = 0.3 <= share < 0.63
-        if wants_cut != self.is_cut:
-            self.is_cut = wants_cut
+            swarm.send_to_all({"do": "kill", "names": self.killed})
+        is_partition_due = 0.3 <= share < 0.63
+        if is_partition_due != self.is_partitioned:
+            self.is_partitioned = is_partition_due
             peers = [peer for peer in swarm.peers if peer[0] not in self.killed]
-            cut = ZONES[2] if wants_cut else ""
-            swarm.want(manifest, peers, cut)
+            partitioned_zone = ZONES[2] if is_partition_due else ""
+            swarm.start_fetch(manifest, peers, partitioned_zone)
 
 
 def run(
     folder: pathlib.Path, count: int, policy: str, with_faults: bool, options: argparse.Namespace
 ) -> dict:
-    """Run one rollout and return its figures."""
+    """Run one rollout and return its results."""
     swarm = Swarm(folder, count, options)
     try:
         manifest = swarm.fleet.publish("model-1", swarm.size, options.chunk_bytes)
@@ -180,24 +181,24 @@
         processes.wait_for("the origin", lambda: swarm.fleet.get(swarm.fleet.origin_url, "/stats"))
         time.sleep(0.5)
         started = time.monotonic()
-        swarm.want(manifest, swarm.peers)
-        found = swarm.wait(manifest, started, Faults(with_faults))
+        swarm.start_fetch(manifest, swarm.peers)
+        results = swarm.wait_until_complete(manifest, started, FaultSchedule(with_faults))
         stats = swarm.fleet.get(swarm.fleet.origin_url, "/stats")
-        times = found["times"]
-        slowest = times[-1] if times and not found["missing"] else None
+        times = results["times"]
+        slowest = times[-1] if times and not results["missing"] else None
         return {
             "policy": policy,
             "n": count,
             "faults": with_faults,
-            "bound_s": round(swarm.bound(), 3),
+            "bound_s": round(swarm.lower_bound(), 3),
             "time_to_n_s": round(slowest, 3) if slowest else None,
             "time_to_half_s": round(times[len(times) // 2], 3) if times else None,
-            "time_to_n_over_bound": round(slowest / swarm.bound(), 3) if slowest else None,
-            "missing": found["missing"],
+            "time_to_n_over_bound": round(slowest / swarm.lower_bound(), 3) if slowest else None,
+            "missing": results["missing"],
             "origin_copies": round(stats["sent_bytes"] / swarm.size, 3),
-            "agent_cpu_s_per_gb": round(found["cpu_s"] / (count * swarm.size / 1e9), 2),
-            "rss_mb_per_agent": round(found["rss_mb"] / count, 1),
-            "tally": found["tally"],
+            "agent_cpu_s_per_gb": round(results["cpu_s"] / (count * swarm.size / 1e9), 2),
+            "rss_mb_per_agent": round(results["rss_mb"] / count, 1),
+            "tally": results["tally"],
             "times": [round(value, 3) for value in times],
         }
     finally:
@@ -205,7 +206,7 @@
 
 
 def plot(path: str, rows: list[dict]) -> None:
-    """Write a picture of replicas over time."""
+    """Write a plot of the number of replicas over time."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -218,13 +219,13 @@
         axes.step([0, *row["times"]], [0, *counts], where="post", label=label)
     axes.axvline(rows[0]["bound_s"], linestyle=":", color="grey", label="bound")
     axes.set_xlabel("seconds since the roll")
-    axes.set_ylabel("VMs with the whole version")
+    axes.set_ylabel("VMs with the complete version")
     axes.legend(fontsize=7)
     figure.savefig(path, dpi=120)
 
 
 def main(arguments: list[str]) -> int:
-    """Run the bench."""
+    """Run the benchmark."""
     parser = argparse.ArgumentParser(prog="bench rollout")
     parser.add_argument("--sizes", default="25,50,100")
     parser.add_argument("--policies", default="spread,tree,origin_only")
@@ -232,9 +233,11 @@
     parser.add_argument("--faults-at", type=int, default=50, help="N for the run with faults")
     parser.add_argument("--chunks", type=int, default=128)
     parser.add_argument("--chunk-bytes", type=int, default=65536)
-    parser.add_argument("--link-s", type=float, default=10.0, help="seconds a link takes for S")
+    parser.add_argument(
+        "--link-s", type=float, default=10.0, help="seconds to transfer S over a link"
+    )
     parser.add_argument("--plot", default="")
-    parser.add_argument("--save", default="", help="also write the closing object to this file")
+    parser.add_argument("--save", default="", help="also write the results to this file")
     options = parser.parse_args(arguments)
     root = pathlib.Path(tempfile.mkdtemp(prefix="merlinthread-rollout-"))
     first, *others = options.policies.split(",")
@@ -253,7 +256,7 @@
         del row["times"]
     largest = [row for row in rows if row["policy"] == first and not row["faults"]][-1]
     figures = {
-        "machine": measure.machine(),
+        "machine": measure.describe_machine(),
         "time_to_n_over_bound": largest["time_to_n_over_bound"],
         "origin_copies": largest["origin_copies"],
         "time_to_n_s": largest["time_to_n_s"],
@@ -261,4 +264,4 @@
         "size_bytes": options.chunks * options.chunk_bytes,
         "rows": rows,
     }
-    return measure.finish("rollout", figures, options.save)
+    return measure.print_results("rollout", figures, options.save)
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -1,9 +1,9 @@
-"""A randomized soak: the real nodes as processes, faults by signals, promises checked meanwhile.
+"""Randomized soak test: nodes as processes under load and faults, with invariants checked.
 
 `python -m bench soak --seed N --seconds S --seeds COUNT`. Control VMs and entries are processes of
-their own; clients, workers and the operator live in this one. The seed decides faults and requests,
-not the machine's timing. The faults are in `bench.soak_faults`. Not there yet: links between nodes,
-clocks, full or slow disks, agents.
+their own; clients, workers and the operator run in this process. The seed determines faults and
+requests, but not their timing. The faults are in `bench.soak_faults`; they do not cover links
+between nodes, clocks, disks or agents.
 """
 
 import argparse
@@ -16,31 +16,31 @@
 import shutil
 import tempfile
 
-from bench import measure, soak_faults, soak_fleet, soak_limits, soak_nodes, soak_words
+from bench import measure, soak_faults, soak_fleet, soak_limits, soak_nodes, soak_signals
 from merlinthread import errors
 from merlinthread.transport import http_messages
 from stand_ins import fleet_worker
 
-NOT_RUN = (408, 421, 429, 503)
-APPLY_S = 2.0
+NOT_RUN_STATUSES = (408, 421, 429, 503)
+APPLY_MAX_S = 2.0
 
 
 @dataclasses.dataclass(slots=True)
-class Tally:
-    """What was seen."""
+class SoakResult:
+    """Counts of a run, and the invariants that it violated."""
 
-    asked: int = 0
+    sent: int = 0
     answered: int = 0
     refused: int = 0
     failed: int = 0
     acknowledged: int = 0
     reads: int = 0
     faults: dict[str, int] = dataclasses.field(default_factory=dict)
-    broken: list[str] = dataclasses.field(default_factory=list)
+    violations: list[str] = dataclasses.field(default_factory=list)
 
 
 class Soak:
-    """One run with one seed."""
+    """A run with one seed."""
 
     def __init__(
         self, seed: int, seconds: float, folder: pathlib.Path, kinds: tuple[str, ...] = ()
@@ -48,102 +48,109 @@
         self.rng = random.Random(seed)
         self.seconds = seconds
         self.fleet = soak_fleet.SoakFleet(folder)
-        self.faults = soak_faults.Faults(self.fleet, self.rng, kinds)
-        self.beats: collections.Counter = collections.Counter()
-        self.tally = Tally()
+        self.fault_injector = soak_faults.FaultInjector(self.fleet, self.rng, kinds)
+        self.sequences: collections.Counter = collections.Counter()
+        self.soak_result = SoakResult()
         self.version = 0
         self.acknowledged: list[tuple[float, int]] = []
-        self.unsafe_not_run: set[str] = set()
-        self.requests = 0
-        self.words = soak_words.Words(self.fleet)
-        self.limits = soak_limits.Limits(self.words)
-        self.faults.limits = self.limits
-
-    # Load
-
-    async def heartbeats(self) -> None:
-        """Let every worker tell that it lives."""
+        self.refused_unsafe: set[str] = set()
+        self.request_count = 0
+        self.signal_checker = soak_signals.SignalChecker(self.fleet)
+        self.limit_checker = soak_limits.LimitChecker(self.signal_checker)
+        self.fault_injector.limit_checker = self.limit_checker
+
+    async def send_heartbeats(self) -> None:
+        """Send heartbeats of all workers until cancelled."""
         while True:
-            await asyncio.gather(*(self.beat(worker) for worker in list(self.fleet.workers)))
+            await asyncio.gather(
+                *(self.send_heartbeat(worker) for worker in list(self.fleet.workers))
+            )
             await asyncio.sleep(0.3)
 
-    async def beat(self, worker: fleet_worker.Worker) -> None:
+    async def send_heartbeat(self, worker: fleet_worker.Worker) -> None:
         """Send one worker's heartbeat to a control VM."""
-        self.beats[worker.instance] += 1
+        self.sequences[worker.instance] += 1
         body = {
             "service": self.fleet.workers.get(worker, "safe"),
             "address": worker.address,
             "zone": "zone-a",
             "slots": 8,
             "state": "ready",
-            "sequence": self.beats[worker.instance],
+            "sequence": self.sequences[worker.instance],
             "models": [{"name": "m", "version": worker.version}] if worker.model else [],
         }
-        await self.call("PUT", f"/instances/{worker.instance}", body)
+        await self.call_control("PUT", f"/instances/{worker.instance}", body)
 
-    async def call(self, method: str, path: str, body: dict | None = None) -> tuple[int, bytes]:
-        """Call a control VM by lot; return status 0 if there is no clear answer."""
+    async def call_control(
+        self, method: str, path: str, body: dict | None = None
+    ) -> tuple[int, bytes]:
+        """Call a random control VM; return its status and body, or status 0 if the call fails."""
         data = json.dumps(body).encode() if body is not None else b""
         headers = [(b"host", b"c"), (b"content-length", b"%d" % len(data))]
         request = http_messages.Request(method.encode(), path.encode(), headers, data)
-        address = f"{self.rng.choice(self.fleet.control_ips)}:{soak_nodes.CONTROL}"
+        address = f"{self.rng.choice(self.fleet.control_ips)}:{soak_nodes.CONTROL_PORT}"
         try:
-            answer = await self.fleet.pool.request(address, request, 1.0)
+            response = await self.fleet.pool.request(address, request, 1.0)
         except errors.MerlinthreadError:
             return 0, b""
-        return answer.status, answer.body
+        return response.status, response.body
 
-    async def operator(self) -> None:
-        """Put one configuration after another in force, and read back meanwhile."""
+    async def run_operator(self) -> None:
+        """Apply one configuration after another and read it back, until cancelled."""
         loop = asyncio.get_running_loop()
         while True:
             self.version += self.rng.randrange(1, 4)
-            body = self.configuration(self.version)
+            body = self.make_configuration(self.version)
             for _ in range(self.rng.randrange(1, 12)):
-                status, _ = await self.call("PUT", "/config", body)
+                status, _ = await self.call_control("PUT", "/config", body)
                 if 400 <= status < 500:
-                    self.break_rule(f"a valid configuration was refused: {status}")
+                    self.record_violation(
+                        f"a valid configuration was rejected with status {status}"
+                    )
                 if status == 200:
                     self.acknowledged.append((loop.time(), self.version))
-                    self.tally.acknowledged += 1
+                    self.soak_result.acknowledged += 1
                     break
                 await asyncio.sleep(0.1)
-            await self.read()
+            await self.read_configuration()
             await asyncio.sleep(self.rng.uniform(0.0, 0.3))
 
-    def configuration(self, version: int) -> dict:
-        """Return what the operator sends under a version's number."""
+    def make_configuration(self, version: int) -> dict:
+        """Return the configuration that the operator sends as `version`."""
         return soak_nodes.make_configuration(version)
 
-    async def read(self) -> bool:
-        """Read the configuration; it must not be older than what was acknowledged for long."""
-        due_at = asyncio.get_running_loop().time() - APPLY_S
+    async def read_configuration(self) -> bool:
+        """Read and check the configuration; return whether the read succeeded.
+
+        It must be at least as new as any version that was acknowledged APPLY_MAX_S ago.
+        """
+        due_at = asyncio.get_running_loop().time() - APPLY_MAX_S
         due = max((version for at, version in self.acknowledged if at <= due_at), default=0)
-        status, body = await self.call("GET", "/config")
+        status, body = await self.call_control("GET", "/config")
         if status != 200:
             return False
-        self.tally.reads += 1
+        self.soak_result.reads += 1
         found = json.loads(body)
         if found["version"] < due:
-            self.break_rule(f"version {found['version']} was read, {due} was acknowledged")
-        if found != self.configuration(found["version"]):
-            self.break_rule(f"version {found['version']} is not what was sent under its number")
+            self.record_violation(f"read version {found['version']} after {due} was acknowledged")
+        if found != self.make_configuration(found["version"]):
+            self.record_violation(f"version {found['version']} differs from what was sent")
         return True
 
-    async def clients(self) -> None:
-        """Send requests all the time, a few at once."""
+    async def run_clients(self) -> None:
+        """Send concurrent client requests until cancelled."""
         while True:
             await asyncio.sleep(self.rng.uniform(0.0, 0.02))
-            asyncio.create_task(self.ask(self.rng.choice(["safe", "unsafe", "model"])))
+            asyncio.create_task(self.send_request(self.rng.choice(["safe", "unsafe", "model"])))
 
     def pick_entry(self) -> str:
-        """Return the IP of the entry that a client's connection goes to."""
+        """Return the IP of the entry for a client's next request."""
         return self.rng.choice(soak_nodes.ENTRY_IPS)
 
-    async def ask(self, service: str) -> bool:
-        """Send one request and check its answer; return whether it was served."""
-        self.requests += 1
-        request_id = f"r{self.requests}"
+    async def send_request(self, service: str) -> bool:
+        """Send a request and check its response; return whether it was served."""
+        self.request_count += 1
+        request_id = f"r{self.request_count}"
         headers = [
             (b"Host", b"h.example"),
             (b"X-Merlinthread-Request-Id", request_id.encode()),
@@ -156,136 +163,141 @@
             headers.append((b"X-Merlinthread-Token-Usage", b"100,20"))
         request = http_messages.Request(b"POST", f"/{service}/".encode(), headers)
         entry_ip = self.pick_entry()
-        address = f"{entry_ip}:{soak_nodes.FRONT}"
-        self.tally.asked += 1
-        self.words.note_sent(request_id, entry_ip)
+        address = f"{entry_ip}:{soak_nodes.FRONT_PORT}"
+        self.soak_result.sent += 1
+        self.signal_checker.record_request(request_id, entry_ip)
         try:
-            answer = await self.fleet.pool.request(address, request, 4.0)
+            response = await self.fleet.pool.request(address, request, 4.0)
         except errors.MerlinthreadError:
-            self.tally.failed += 1
+            self.soak_result.failed += 1
             return False
-        self.words.note_answer(entry_ip, answer)
-        return self.check(service, request_id, answer)
-
-    def check(self, service: str, request_id: str, answer: http_messages.Response) -> bool:
-        """Check one whole answer against what the workers ran."""
-        if answer.status in NOT_RUN:
-            self.tally.refused += 1
+        self.signal_checker.record_response(entry_ip, response)
+        return self.check_response(service, request_id, response)
+
+    def check_response(
+        self, service: str, request_id: str, response: http_messages.Response
+    ) -> bool:
+        """Record and check a response; return whether it is a success."""
+        if response.status in NOT_RUN_STATUSES:
+            self.soak_result.refused += 1
             if service == "unsafe":
-                self.unsafe_not_run.add(request_id)
+                self.refused_unsafe.add(request_id)
             return False
-        if answer.status != 200:
-            self.tally.failed += 1
+        if response.status != 200:
+            self.soak_result.failed += 1
             return False
-        self.tally.answered += 1
+        self.soak_result.answered += 1
         if service == "model":
-            ids = [int(x[4:]) for x in answer.body.split(b"\n") if x.startswith(b"id: ")]
-            if ids != list(range(1, soak_fleet.EVENTS + 1)):
-                self.break_rule(f"the stream of {request_id} has events {ids}")
-        elif not answer.body.endswith(f"to {request_id}".encode()):
-            self.break_rule(f"{request_id} got {answer.body!r}")
+            ids = [int(x[4:]) for x in response.body.split(b"\n") if x.startswith(b"id: ")]
+            if ids != list(range(1, soak_fleet.EVENT_COUNT + 1)):
+                self.record_violation(f"the stream of {request_id} has events {ids}")
+        elif not response.body.endswith(f"to {request_id}".encode()):
+            self.record_violation(f"{request_id} got {response.body!r}")
         return True
 
-    def break_rule(self, text: str) -> None:
-        """Note a broken promise."""
-        self.tally.broken.append(text)
+    def record_violation(self, text: str) -> None:
+        """Record a violation of an invariant."""
+        self.soak_result.violations.append(text)
 
-    # The run
-
-    async def run(self) -> Tally:
-        """Run the soak, heal everything, and check what must hold at the end."""
+    async def run(self) -> SoakResult:
+        """Start the fleet, run the soak, and return its results."""
         await self.fleet.start()
         try:
-            await self.run_faults()
+            await self.run_scenario()
         finally:
             self.fleet.close()
-        self.tally.faults = dict(self.faults.injected)
-        return self.tally
-
-    async def run_faults(self) -> None:
-        """Run load and faults together, then only load."""
-        load = [asyncio.create_task(self.heartbeats()), asyncio.create_task(self.operator())]
-        await self.until_served("at the start")
-        load.append(asyncio.create_task(self.clients()))
-        faults = asyncio.create_task(self.faults.run())
+        self.soak_result.faults = dict(self.fault_injector.injected)
+        return self.soak_result
+
+    async def run_scenario(self) -> None:
+        """Run load and faults for `seconds`, wait for recovery, and check the invariants."""
+        load = [
+            asyncio.create_task(self.send_heartbeats()),
+            asyncio.create_task(self.run_operator()),
+        ]
+        await self.wait_until_served("at the start")
+        load.append(asyncio.create_task(self.run_clients()))
+        faults = asyncio.create_task(self.fault_injector.run())
         await asyncio.sleep(self.seconds)
         faults.cancel()
-        await self.faults.heal()
+        await self.fault_injector.wait_until_healed()
         for node in self.fleet.nodes:
-            await self.fleet.revive(node)
-        await self.until_served("after the last fault")
+            await self.fleet.ensure_running(node)
+        await self.wait_until_served("after the last fault")
         for task in load:
             task.cancel()
-        self.check_runs()
+        self.check_invariants()
 
-    async def until_served(self, when: str) -> None:
-        """Wait until reads and requests are served again; too late is a broken promise."""
+    async def wait_until_served(self, when: str) -> None:
+        """Wait until reads and requests succeed; record a violation after RECOVERY_TIMEOUT_S."""
         loop = asyncio.get_running_loop()
-        deadline = loop.time() + soak_fleet.RECOVER_S
+        deadline = loop.time() + soak_fleet.RECOVERY_TIMEOUT_S
         wanted = {"safe", "unsafe", "model"}
         has_read = False
         while (wanted or not has_read) and loop.time() < deadline:
-            has_read = has_read or await self.read()
+            has_read = has_read or await self.read_configuration()
             for service in sorted(wanted):
-                if await self.ask(service):
+                if await self.send_request(service):
                     wanted.discard(service)
             for node in self.fleet.nodes:
-                await self.fleet.revive(node)
+                await self.fleet.ensure_running(node)
             await asyncio.sleep(0.05)
         if wanted or not has_read:
-            self.break_rule(f"{when}: not served within {soak_fleet.RECOVER_S} s: {sorted(wanted)}")
+            self.record_violation(
+                f"{when}: not served within {soak_fleet.RECOVERY_TIMEOUT_S} s: {sorted(wanted)}"
+            )
 
-    def check_runs(self) -> None:
-        """Check that nothing ran twice or after it was refused."""
+    def check_invariants(self) -> None:
+        """Check that no unsafe request ran twice or after a refusal, and the workers' signals."""
         runs: collections.Counter = collections.Counter()
         for worker, service in self.fleet.workers.items():
             if service == "unsafe":
                 runs.update(run.request_id for run in worker.runs)
         for request_id, count in runs.items():
             if count > 1:
-                self.break_rule(f"{request_id} ran {count} times")
-            if request_id in self.unsafe_not_run:
-                self.break_rule(f"{request_id} was refused and ran")
-        for text in [*self.words.broken(), *self.limits.broken()]:
-            self.break_rule(text)
+                self.record_violation(f"{request_id} ran {count} times")
+            if request_id in self.refused_unsafe:
+                self.record_violation(f"{request_id} was refused as not run, but ran")
+        for text in [*self.signal_checker.violations(), *self.limit_checker.violations()]:
+            self.record_violation(text)
 
 
 def run_seed(
     seed: int, seconds: float, keep: pathlib.Path | None = None, kinds: tuple[str, ...] = ()
-) -> Tally:
-    """Run one seed; with `keep`, the logs of a run that broke a promise go there.
+) -> SoakResult:
+    """Run one seed with faults of `kinds`, by default those in `soak_faults.DEFAULT_KINDS`.
 
-    `kinds` are the faults to choose from, by default all.
+    If the run violates an invariant, its logs are copied to `keep`.
     """
     with tempfile.TemporaryDirectory() as name:
         folder = pathlib.Path(name)
-        tally = asyncio.run(Soak(seed, seconds, folder, kinds).run())
-        if tally.broken and keep is not None:
+        result = asyncio.run(Soak(seed, seconds, folder, kinds).run())
+        if result.violations and keep is not None:
             shutil.copytree(folder, keep / f"seed-{seed}", dirs_exist_ok=True)
-    return tally
+    return result
 
 
 def main(arguments: list[str]) -> int:
-    """Run some seeds; return 1 if any broke a promise."""
+    """Run a range of seeds; return 1 if any of them violated an invariant."""
     parser = argparse.ArgumentParser(prog="python -m bench soak")
     parser.add_argument("--seed", type=int, default=random.randrange(10**6))
     parser.add_argument("--seeds", type=int, default=1)
     parser.add_argument("--seconds", type=float, default=10.0)
-    parser.add_argument("--keep", type=pathlib.Path, help="folder for logs of seeds that failed")
+    parser.add_argument("--keep", type=pathlib.Path, help="folder for the logs of failed seeds")
     parser.add_argument(
         "--faults", nargs="+", choices=list(soak_faults.FAULTS), default=(), metavar="KIND"
     )
     options = parser.parse_args(arguments)
-    broken: dict[int, list[str]] = {}
+    violations: dict[int, list[str]] = {}
     for seed in range(options.seed, options.seed + options.seeds):
-        tally = run_seed(seed, options.seconds, options.keep, tuple(options.faults))
+        result = run_seed(seed, options.seconds, options.keep, tuple(options.faults))
         print(
-            f"seed {seed}: {tally.answered} of {tally.asked} answered, {tally.refused} refused,"
-            f" {tally.failed} failed, {tally.acknowledged} configurations, {tally.reads} reads,"
-            f" faults {tally.faults}, broken {tally.broken}",
+            f"seed {seed}: {result.answered} of {result.sent} answered, {result.refused} refused,"
+            f" {result.failed} failed, {result.acknowledged} configurations, {result.reads} reads,"
+            f" faults {result.faults}, violations {result.violations}",
             flush=True,
         )
-        if tally.broken:
-            broken[seed] = tally.broken
-    figures = {"seeds": options.seeds, "first": options.seed, "broken": broken}
-    return measure.finish("soak", figures) or (1 if broken else 0)
+        if result.violations:
+            violations[seed] = result.violations
+    figures = {"seeds": options.seeds, "first": options.seed, "broken": violations}
+    return measure.print_results("soak", figures) or (1 if violations else 0)
--- a/bench/soak_faults.py
+++ b/bench/soak_faults.py
@@ -1,4 +1,4 @@
-"""The faults of a soak: each is injected from outside and heals by itself."""
+"""Faults of the soak test; each one is injected from outside and ends by itself."""
 
 import asyncio
 import collections
@@ -11,11 +11,13 @@
 from merlinthread import registry
 from stand_ins import fleet_worker, proxy
 
-FAULTS: registry.Registry[Callable[["Faults"], Awaitable[None]]] = registry.Registry("soak fault")
+FAULTS: registry.Registry[Callable[["FaultInjector"], Awaitable[None]]] = registry.Registry(
+    "soak fault"
+)
 
-# What a run chooses from unless it is told otherwise. Kinds that came later are named by runs that
-# want them: one more in this list would make other runs of the seeds that once failed.
-USUAL = (
+# The kinds that a run chooses from by default. Adding one would change the runs of the regression
+# seeds, so other kinds are only used by runs that name them.
+DEFAULT_KINDS = (
     "kill",
     "replace_control",
     "freeze",
@@ -26,123 +28,125 @@
     "harm_link",
     "leave",
 )
-# How long a worker goes on after it has begun to say that it leaves; the rest that one asks for.
-FAREWELL_S = 3.0
-REST_S = 1.5
-# How long a worker names a limit, and what it names, in requests a second.
-LIMITED_S = (7.0, 11.0)
+# How long a worker goes on after it first signals that it is leaving.
+LEAVING_S = 3.0
+# The Retry-After delay of an overloaded worker.
+RETRY_AFTER_S = 1.5
+# How long a worker advertises a rate limit.
+LIMIT_DURATION_S = (7.0, 11.0)
+# The advertised limits, in requests per second.
 LIMITS = (0.5, 1.0, 2.0, 4.0)
 
 
-class Faults:
-    """Injects faults by lot, some at the same time; `kinds` are names in `FAULTS`."""
+class FaultInjector:
+    """Injects random faults, some of them concurrently; `kinds` are names in `FAULTS`."""
 
     def __init__(
         self, fleet: soak_fleet.SoakFleet, rng: random.Random, kinds: tuple[str, ...]
     ) -> None:
         self.fleet = fleet
         self.rng = rng
-        self.kinds = kinds or USUAL
-        # A run that names kinds surely has the first of them; the lot follows the timing.
-        self.first = kinds[0] if kinds else ""
-        # Set by the run, which checks what is named.
-        self.limits: soak_limits.Limits | None = None
+        self.kinds = kinds or DEFAULT_KINDS
+        # If kinds are named, the first one is injected first, so that every run includes it.
+        self.first_kind = kinds[0] if kinds else ""
+        # Set by the run.
+        self.limit_checker: soak_limits.LimitChecker | None = None
         self.injected: collections.Counter = collections.Counter()
         self.open_faults: set[asyncio.Task] = set()
-        # How many faults disturb control VMs now, and when the last one ended on the loop's clock.
-        self.disturbing = 0
-        self.disturbed_at = 0.0
+        # Number of faults that affect control VMs now, and the loop time when the last one ended.
+        self.control_fault_count = 0
+        self.control_fault_ended_at = 0.0
 
     async def run(self) -> None:
-        """Inject one fault after another; some overlap."""
+        """Inject one fault after another, some of them overlapping, until cancelled."""
         while True:
             await asyncio.sleep(self.rng.uniform(0.3, 1.2))
             kind = self.rng.choice(self.kinds)
-            if self.first:
-                kind, self.first = self.first, ""
-            if kind == "replace_control" and not self.may_lose_control():
+            if self.first_kind:
+                kind, self.first_kind = self.first_kind, ""
+            if kind == "replace_control" and not self.may_replace_control():
                 continue
             self.injected[kind] += 1
             task = asyncio.create_task(FAULTS.get(kind)(self))
             self.open_faults.add(task)
             task.add_done_callback(self.open_faults.discard)
             if self.rng.random() < 0.7:
-                # The end of the run must not cut a fault off before it has healed.
+                # The end of the run must not interrupt a fault before it is healed.
                 await asyncio.shield(task)
 
-    async def heal(self) -> None:
-        """Wait until the faults that were begun have healed."""
+    async def wait_until_healed(self) -> None:
+        """Wait until all injected faults have ended."""
         await asyncio.gather(*self.open_faults)
 
-    def pick(self, role: str = "") -> soak_nodes.Node:
-        """Return a node by lot."""
+    def pick_node(self, role: str = "") -> soak_nodes.Node:
+        """Return a random node, of one role if given."""
         return self.rng.choice([node for node in self.fleet.nodes if role in ("", node.role)])
 
     @contextlib.contextmanager
-    def disturbance(self, node: soak_nodes.Node) -> Iterator[None]:
-        """Note that a fault disturbs a control VM until it is whole again."""
+    def control_fault(self, node: soak_nodes.Node) -> Iterator[None]:
+        """Count a fault as affecting a control VM while the context is open."""
         if node.role != "control":
             yield
             return
-        self.disturbing += 1
+        self.control_fault_count += 1
         try:
             yield
         finally:
-            self.disturbing -= 1
-            self.disturbed_at = asyncio.get_running_loop().time()
+            self.control_fault_count -= 1
+            self.control_fault_ended_at = asyncio.get_running_loop().time()
 
     @FAULTS.add("kill")
     async def kill(self) -> None:
-        """Kill one node and start it again."""
-        node = self.pick()
+        """Kill a node and restart it."""
+        node = self.pick_node()
         node.signal(signal.SIGKILL)
-        await self.again(node)
+        await self.restart(node)
 
-    def may_lose_control(self) -> bool:
-        """Return whether control VMs were whole for the time that a replacement has."""
-        calm_s = asyncio.get_running_loop().time() - self.disturbed_at
-        return not self.disturbing and calm_s >= soak_nodes.CATCH_UP_S
+    def may_replace_control(self) -> bool:
+        """Return whether no control VM was faulty for as long as a replacement takes."""
+        fault_free_s = asyncio.get_running_loop().time() - self.control_fault_ended_at
+        return not self.control_fault_count and fault_free_s >= soak_nodes.CATCH_UP_S
 
     @FAULTS.add("replace_control")
     async def replace_control(self) -> None:
-        """Lose a control VM for good; an empty one starts at another address."""
-        lost = self.pick("control")
+        """Replace a control VM by one without data at another address."""
+        lost = self.pick_node("control")
         self.fleet.nodes.remove(lost)
-        with self.disturbance(lost):
+        with self.control_fault(lost):
             await self.replace(lost)
 
     async def replace(self, lost: soak_nodes.Node) -> None:
-        """End a control VM, before or after its successor has started."""
-        is_planned = self.rng.random() < 0.3
-        if not is_planned:
-            await self.end(lost, signal.SIGKILL)
+        """Stop a control VM before or after its replacement has started."""
+        is_graceful = self.rng.random() < 0.3
+        if not is_graceful:
+            await self.stop_node(lost, signal.SIGKILL)
         await asyncio.sleep(self.rng.uniform(0.0, 1.0))
         self.fleet.replaced.append(lost)
         new = self.fleet.make_node(
             "control", f"{soak_nodes.NETWORK}.{100 + len(self.fleet.replaced)}"
         )
-        new.is_first = False
+        new.is_first_start = False
         self.fleet.control_ips[self.fleet.control_ips.index(lost.ip)] = new.ip
         self.fleet.nodes.append(new)
         new.start()
-        await self.fleet.until_up(new)
-        if is_planned:
+        await self.fleet.wait_until_responding(new)
+        if is_graceful:
             await asyncio.sleep(self.rng.uniform(0.5, 1.5))
-            await self.end(lost, signal.SIGTERM)
+            await self.stop_node(lost, signal.SIGTERM)
         for node in self.fleet.nodes:
             node.write_settings()
 
-    async def end(self, node: soak_nodes.Node, how: int) -> None:
-        """End a node for good."""
-        # One that stands still takes no signal but the kill.
+    async def stop_node(self, node: soak_nodes.Node, signal_number: int) -> None:
+        """Stop a node permanently and wait until it has exited."""
+        # A suspended process handles no signal but SIGKILL.
         node.signal(signal.SIGCONT)
-        node.signal(how)
+        node.signal(signal_number)
         if node.process is not None:
             await asyncio.to_thread(node.process.wait)
 
-    async def again(self, node: soak_nodes.Node) -> None:
-        """Start a node again once it has ended."""
-        with self.disturbance(node):
+    async def restart(self, node: soak_nodes.Node) -> None:
+        """Restart a node after it has exited, unless it was replaced."""
+        with self.control_fault(node):
             if node.process is not None:
                 await asyncio.to_thread(node.process.wait)
             await asyncio.sleep(self.rng.uniform(0.0, 0.8))
@@ -150,43 +154,43 @@
                 node.process is None or node.process.poll() is not None
             ):
                 node.start()
-                await self.fleet.until_up(node)
+                await self.fleet.wait_until_responding(node)
 
     @FAULTS.add("freeze")
-    async def freeze(self) -> None:
-        """Let one node stand still for a while."""
-        node = self.pick()
-        with self.disturbance(node):
+    async def suspend(self) -> None:
+        """Suspend a node for a while."""
+        node = self.pick_node()
+        with self.control_fault(node):
             node.signal(signal.SIGSTOP)
             await asyncio.sleep(self.rng.uniform(0.2, 2.0))
             node.signal(signal.SIGCONT)
 
     @FAULTS.add("stop")
     async def stop(self) -> None:
-        """Stop an entry as planned and start it again."""
-        node = self.pick("entry")
+        """Stop an entry gracefully and restart it."""
+        node = self.pick_node("entry")
         node.signal(signal.SIGTERM)
-        await self.again(node)
+        await self.restart(node)
 
     @FAULTS.add("stop_control")
     async def stop_control(self) -> None:
-        """Stop a control VM as planned and start it again."""
-        node = self.pick("control")
-        with self.disturbance(node):
+        """Stop a control VM gracefully and restart it."""
+        node = self.pick_node("control")
+        with self.control_fault(node):
             node.signal(signal.SIGTERM)
-            await self.again(node)
+            await self.restart(node)
 
     @FAULTS.add("kill_controls")
     async def kill_controls(self) -> None:
-        """Kill all control VMs at the same moment."""
+        """Kill all control VMs at once and restart them."""
         nodes = [node for node in self.fleet.nodes if node.role == "control"]
         for node in nodes:
             node.signal(signal.SIGKILL)
-        await asyncio.gather(*(self.again(node) for node in nodes))
+        await asyncio.gather(*(self.restart(node) for node in nodes))
 
     @FAULTS.add("misbehave")
     async def misbehave(self) -> None:
-        """Let one worker misbehave for a while."""
+        """Let a worker violate its protocol, or reject or cut requests, for a while."""
         worker = self.rng.choice(list(self.fleet.workers))
         faults = [
             {"is_full": True},
@@ -195,19 +199,19 @@
             {"wrong_request_id": True},
             {"is_unsigned": True},
             {"status": 500},
-            {"cut_after_events": self.rng.randrange(soak_fleet.EVENTS)},
+            {"cut_after_events": self.rng.randrange(soak_fleet.EVENT_COUNT)},
         ]
         worker.behaviour = fleet_worker.Behaviour(
-            events=soak_fleet.EVENTS, **self.rng.choice(faults)
+            events=soak_fleet.EVENT_COUNT, **self.rng.choice(faults)
         )
         await asyncio.sleep(self.rng.uniform(0.3, 1.5))
-        worker.behaviour = fleet_worker.Behaviour(events=soak_fleet.EVENTS)
+        worker.behaviour = fleet_worker.Behaviour(events=soak_fleet.EVENT_COUNT)
 
     @FAULTS.add("harm_link")
-    async def harm_link(self) -> None:
-        """Delay, stall, cut or refuse one worker's link for a while, or reset it."""
+    async def degrade_link(self) -> None:
+        """Delay, stall or drop the traffic of a worker's link for a while, or reset it."""
         link = self.fleet.links[self.rng.choice(list(self.fleet.workers))]
-        harms = [
+        link_faults = [
             proxy.Faults(latency_s=0.1),
             proxy.Faults(stall=True),
             proxy.Faults(drop_to_upstream=True),
@@ -215,19 +219,19 @@
             proxy.Faults(refuse=True),
             proxy.Faults(),
         ]
-        link.faults = self.rng.choice(harms)
+        link.faults = self.rng.choice(link_faults)
         await asyncio.sleep(self.rng.uniform(0.2, 2.0))
-        # Bytes that were dropped must not be followed by later ones of the same connection.
+        # A connection must not go on after bytes of it were dropped.
         link.reset_all()
         link.faults = proxy.Faults()
 
     @FAULTS.add("leave")
     async def leave(self) -> None:
-        """Replace a worker by a new instance, without a word about the old one."""
+        """Replace a worker by a new instance without notice."""
         await self.replace_worker(self.rng.choice(list(self.fleet.workers)))
 
     async def replace_worker(self, old: fleet_worker.Worker) -> None:
-        """End a worker; another instance takes its place."""
+        """Stop a worker and start a new instance in its place."""
         if old not in self.fleet.workers:
             return
         service = self.fleet.workers.pop(old)
@@ -240,35 +244,35 @@
         self.fleet.workers[new] = service
 
     @FAULTS.add("say_leaving")
-    async def say_leaving(self) -> None:
-        """Let one worker say in its answers that it leaves, and nothing else, then replace it."""
+    async def signal_leaving(self) -> None:
+        """Let a worker signal in its responses that it is leaving, then replace it."""
         worker = self.rng.choice(list(self.fleet.workers))
-        worker.behaviour = fleet_worker.Behaviour(events=soak_fleet.EVENTS, is_leaving=True)
-        await asyncio.sleep(FAREWELL_S)
+        worker.behaviour = fleet_worker.Behaviour(events=soak_fleet.EVENT_COUNT, is_leaving=True)
+        await asyncio.sleep(LEAVING_S)
         await self.replace_worker(worker)
 
     @FAULTS.add("ask_for_rest")
-    async def ask_for_rest(self) -> None:
-        """Let some or all workers of a service turn requests away and ask for a rest."""
+    async def reject_with_retry_after(self) -> None:
+        """Let some or all workers of a service reject requests with a Retry-After delay."""
         service = self.rng.choice(sorted(set(self.fleet.workers.values())))
         workers = [worker for worker, of in self.fleet.workers.items() if of == service]
-        # The one that most requests go to first.
+        # Busiest first.
         workers.sort(key=lambda worker: len(worker.runs), reverse=True)
-        resting = workers[: self.rng.randrange(1, len(workers) + 1)]
-        for worker in resting:
-            worker.behaviour.is_full, worker.behaviour.retry_after = True, str(REST_S)
+        overloaded = workers[: self.rng.randrange(1, len(workers) + 1)]
+        for worker in overloaded:
+            worker.behaviour.is_full, worker.behaviour.retry_after = True, str(RETRY_AFTER_S)
         await asyncio.sleep(self.rng.uniform(0.5, 2.5))
-        for worker in resting:
+        for worker in overloaded:
             worker.behaviour.is_full, worker.behaviour.retry_after = False, None
 
     @FAULTS.add("name_limit")
-    async def name_limit(self) -> None:
-        """Let one worker name how many requests a second it takes, for longer than a window."""
-        assert self.limits is not None
+    async def advertise_limit(self) -> None:
+        """Let a worker advertise a rate limit, for longer than the window of the check."""
+        assert self.limit_checker is not None
         worker = self.rng.choice(list(self.fleet.workers))
         if worker.behaviour.limit is not None:
             return
         now = asyncio.get_running_loop().time
-        episode = self.limits.begin(worker, self.rng.choice(LIMITS), now())
-        await asyncio.sleep(self.rng.uniform(*LIMITED_S))
-        self.limits.end(episode, now())
+        episode = self.limit_checker.begin(worker, self.rng.choice(LIMITS), now())
+        await asyncio.sleep(self.rng.uniform(*LIMIT_DURATION_S))
+        self.limit_checker.end(episode, now())
--- a/bench/soak_fleet.py
+++ b/bench/soak_fleet.py
@@ -1,4 +1,4 @@
-"""The fleet of a soak: nodes as processes, workers in this process behind links that break."""
+"""The fleet of the soak test: nodes as processes, workers in this process behind proxy links."""
 
 import asyncio
 import contextlib
@@ -10,13 +10,16 @@
 from merlinthread.transport import http_messages, stream_client
 from stand_ins import fleet_worker, proxy
 
-RECOVER_S = 12.0
-EVENTS = 6
+RECOVERY_TIMEOUT_S = 12.0
+EVENT_COUNT = 6
 SERVICES = ("safe", "safe", "unsafe", "unsafe", "model", "model")
 
 
 class SoakFleet:
-    """Control VMs, entries and workers; nodes that were replaced are kept to be ended."""
+    """Control VMs, entries and workers.
+
+    `workers` maps each worker to its service; `replaced` are former nodes, killed by `close`.
+    """
 
     def __init__(self, folder: pathlib.Path) -> None:
         self.folder = folder
@@ -32,14 +35,14 @@
         self.pool = stream_client.ConnectionPool(0.0, 0.5, 1.0)
 
     async def start(self) -> None:
-        """Start all workers and nodes."""
+        """Start all workers and nodes, without waiting for the nodes."""
         for worker in self.workers:
             await self.start_worker(worker)
         for node in self.nodes:
             node.start()
 
     def close(self) -> None:
-        """End all processes that were started here, and the links."""
+        """Kill all node processes and close the links."""
         for node in [*self.nodes, *self.replaced]:
             node.signal(signal.SIGKILL)
             if node.process is not None:
@@ -48,32 +51,32 @@
             link.close()
 
     def make_node(self, role: str, ip: str) -> soak_nodes.Node:
-        """Return a node that is not started."""
+        """Return a new node that is not started."""
         return soak_nodes.Node(self.folder, f"{role}-{ip}", role, ip, self.control_ips)
 
-    async def until_up(self, node: soak_nodes.Node) -> None:
-        """Wait until a control VM that was started answers; starting takes seconds beside load."""
+    async def wait_until_responding(self, node: soak_nodes.Node) -> None:
+        """Wait until a control VM responds, up to a timeout; return at once for other roles."""
         if node.role != "control":
             return
         loop = asyncio.get_running_loop()
-        deadline = loop.time() + RECOVER_S
+        deadline = loop.time() + RECOVERY_TIMEOUT_S
         request = http_messages.Request(b"GET", b"/config", [(b"host", b"c")])
         while loop.time() < deadline:
             with contextlib.suppress(errors.MerlinthreadError):
-                await self.pool.request(f"{node.ip}:{soak_nodes.CONTROL}", request, 1.0)
+                await self.pool.request(f"{node.ip}:{soak_nodes.CONTROL_PORT}", request, 1.0)
                 return
             await asyncio.sleep(0.05)
 
     async def start_worker(self, worker: fleet_worker.Worker) -> None:
-        """Start a worker behind a link of its own; callers know the link's address."""
-        worker.behaviour.events = EVENTS
+        """Start a worker behind a proxy link, whose address becomes the worker's address."""
+        worker.behaviour.events = EVENT_COUNT
         host, port = (await worker.start()).split(":")
         link = proxy.Link((host, 0), (host, int(port)))
         worker.address = f"{host}:{link.listener.getsockname()[1]}"
         self.links[worker] = link
 
-    async def revive(self, node: soak_nodes.Node) -> None:
-        """Start a node that is down; one that stands still goes on, one that stops ends first."""
+    async def ensure_running(self, node: soak_nodes.Node) -> None:
+        """Resume a node that is suspended, and start it if it has exited."""
         node.signal(signal.SIGCONT)
         if node.process is not None and node.process.poll() is None:
             return
--- a/bench/soak_nodes.py
+++ b/bench/soak_nodes.py
@@ -1,4 +1,4 @@
-"""The processes of a soak: control VMs and entries on loopback addresses of their own."""
+"""Node processes of the soak test, on loopback addresses of their own."""
 
 import dataclasses
 import json
@@ -9,42 +9,42 @@
 import sys
 import time
 
-# Loopback addresses of this process alone, so that several soaks may run at once.
+# Derived from the process id, so that several soak tests can run at once.
 NETWORK = f"127.{64 + os.getpid() // 250 % 128}.{os.getpid() % 250}"
 CONTROL_IPS = tuple(f"{NETWORK}.{number}" for number in (1, 2, 3))
 ENTRY_IPS = tuple(f"{NETWORK}.{number}" for number in (11, 12))
-# How long after the start of a replaced control VM the next loss may come.
+# Shortest time between the start of a replacement control VM and the next loss of one.
 CATCH_UP_S = 2.0
-CONTROL, FRONT, READY = 8000, 8005, 8002
-NODE_PORTS = (7700, 7703)
+CONTROL_PORT, FRONT_PORT, READY_PORT = 8000, 8005, 8002
+PORT_RANGE = (7700, 7703)
 STARTER = "import sys; from merlinthread.platform import main; sys.exit(main.main(sys.argv[1:]))"
 ROOT = pathlib.Path(__file__).parent.parent
 
 
 @dataclasses.dataclass(slots=True)
 class Node:
-    """One process of the system; its settings, log and data lie in `folder`.
+    """A node process, with its settings, log and data in `folder`.
 
-    `seeds` are the IPs of the control VMs, one list for all nodes. `source` is the folder of the
-    build that it runs, from its next start on.
+    `control_ips` are the IPs of the control VMs, a list shared by all nodes. `source` is the source
+    folder of the build to run, effective from the next start.
     """
 
     folder: pathlib.Path
     name: str
     role: str
     ip: str
-    seeds: list[str]
-    is_first: bool = True
+    control_ips: list[str]
+    is_first_start: bool = True
     source: pathlib.Path = ROOT / "src"
     process: subprocess.Popen | None = None
-    # Settings besides those that all nodes have.
-    more_settings: dict = dataclasses.field(default_factory=dict)
-    # When it was started or got a signal, on the monotonic clock.
-    disturbances: list[float] = dataclasses.field(default_factory=list)
+    # Additional settings of this node.
+    extra_settings: dict = dataclasses.field(default_factory=dict)
+    # Monotonic times of starts and signals.
+    interruptions: list[float] = dataclasses.field(default_factory=list)
 
     def start(self) -> None:
-        """Start the process, for the first time or again."""
-        self.disturbances.append(time.monotonic())
+        """Start or restart the process."""
+        self.interruptions.append(time.monotonic())
         path = self.write_settings()
         with open(self.folder / f"{self.name}.log", "ab") as log:
             self.process = subprocess.Popen(
@@ -54,10 +54,10 @@
                 stderr=log,
                 cwd=ROOT,
             )
-        self.is_first = False
+        self.is_first_start = False
 
     def write_settings(self) -> pathlib.Path:
-        """Write the settings of this moment; a running process takes them over by itself."""
+        """Write the current settings, which a running process reloads by itself."""
         path = self.folder / f"{self.name}.json"
         scratch = path.with_suffix(".new")
         scratch.write_text(json.dumps(self.settings()))
@@ -65,36 +65,36 @@
         return path
 
     def settings(self) -> dict:
-        """Return the settings as the platform gives them."""
+        """Return the settings in the platform's format."""
         return {
             "node_name": self.name,
             "ip": self.ip,
             "zone": "zone-a",
             "zones": {"zone-a": "region"},
-            "port_range": NODE_PORTS,
-            "seeds": [f"{ip}:{CONTROL}" for ip in self.seeds],
+            "port_range": PORT_RANGE,
+            "seeds": [f"{ip}:{CONTROL_PORT}" for ip in self.control_ips],
             "listen": {
-                "control": f"{self.ip}:{CONTROL}",
-                "front": f"{self.ip}:{FRONT}",
-                "ready": f"{self.ip}:{READY}",
+                "control": f"{self.ip}:{CONTROL_PORT}",
+                "front": f"{self.ip}:{FRONT_PORT}",
+                "ready": f"{self.ip}:{READY_PORT}",
             },
-            "bootstrap": self.is_first,
+            "bootstrap": self.is_first_start,
             "data_dir": str(self.folder / self.name),
             "heartbeat_ms": 400,
             "bounds": {"grace_s": 4, "catch_up_s": CATCH_UP_S},
-            **self.more_settings,
+            **self.extra_settings,
         }
 
-    def signal(self, how: int) -> None:
-        """Send a signal to the process if it runs."""
+    def signal(self, number: int) -> None:
+        """Send a signal to the process if it is running."""
         if self.process is not None and self.process.poll() is None:
-            if how != signal.SIGCONT:
-                self.disturbances.append(time.monotonic())
-            self.process.send_signal(how)
+            if number != signal.SIGCONT:
+                self.interruptions.append(time.monotonic())
+            self.process.send_signal(number)
 
 
 def make_configuration(version: int, keys: tuple[str, ...] = ("key-1",)) -> dict:
-    """Return the configuration of one version; client account N holds the Nth of `keys`."""
+    """Return a configuration; client account N has the Nth of `keys`."""
     routes = [
         {
             "name": f"r-{service}",
--- a/bench/swarm.py
+++ b/bench/swarm.py
@@ -1,8 +1,8 @@
-"""A worker of the rollout bench: many agents' weights in one process, without engines or HTTP.
+"""Worker process of the rollout benchmark: the weight managers of many agents.
 
-Reads its orders as JSON lines from standard input and answers on standard output. The agents are
-the product's own `Weights`, chunk store and bus; only heartbeats are replaced by the bench, which
-tells each agent its peers.
+Reads commands as JSON lines from standard input and replies on standard output. The agents use the
+product's `WeightManager`, chunk store and bus, but no engines or HTTP. They send no heartbeats: the
+benchmark passes each agent its peers.
 """
 
 import collections
@@ -20,26 +20,26 @@
 from merlinthread.state import chunks
 from merlinthread.transport import bus, http_server
 
-RESPONDERS = 6
-NOWHERE = "127.0.0.1:1"
+RPC_WORKERS = 6
+UNREACHABLE = "127.0.0.1:1"
 
 
-class CorruptingGiver(chunk_server.ChunkServer):
-    """A giver whose chunks are damaged now and then."""
+class CorruptingChunkServer(chunk_server.ChunkServer):
+    """A chunk server that corrupts a random share of its chunks."""
 
     corrupt_share = 0.0
 
     def handle_message(self, message: object) -> object:
-        """Answer another agent, sometimes with a damaged chunk."""
-        answer = super().handle_message(message)
-        if isinstance(answer, messages.ChunkReply) and answer.data:
+        """Handle a message of another agent, and corrupt the reply by chance."""
+        reply = super().handle_message(message)
+        if isinstance(reply, messages.ChunkReply) and reply.data:
             if random.random() < self.corrupt_share:
-                answer.data = bytes([answer.data[0] ^ 1]) + answer.data[1:]
-        return answer
+                reply.data = bytes([reply.data[0] ^ 1]) + reply.data[1:]
+        return reply
 
 
 class SwarmAgent:
-    """One agent of the swarm."""
+    """An agent: its weight manager and chunk server."""
 
     def __init__(self, config: dict) -> None:
         checked = settings.parse(json.dumps(config["settings"]), "bench")
@@ -53,74 +53,77 @@
         folder = pathlib.Path(config["folder"]) if config.get("folder") else None
         store = chunks.ChunkStore(folder, 1 << 34)
         self.weights = weights.WeightManager(context, checked.agent, store)
-        self.giver = CorruptingGiver(self.weights)
-        self.giver.corrupt_share = config.get("corrupt_share", 0.0)
-        self.responder = bus.RpcServer(
-            checked.bus, context.codec, self.giver.handle_message, workers=RESPONDERS
+        self.chunk_server = CorruptingChunkServer(self.weights)
+        self.chunk_server.corrupt_share = config.get("corrupt_share", 0.0)
+        self.rpc_server = bus.RpcServer(
+            checked.bus, context.codec, self.chunk_server.handle_message, workers=RPC_WORKERS
         )
-        self.responder.start()
+        self.rpc_server.start()
         self.weights.start()
-        self.done_at: dict[str, float] = {}
-        self.is_dead = False
+        self.completed_at: dict[str, float] = {}
+        self.is_killed = False
 
     def kill(self) -> None:
-        """Fall silent at once."""
-        self.is_dead = True
-        self.responder.socket.close()
+        """Stop responding and downloading at once."""
+        self.is_killed = True
+        self.rpc_server.socket.close()
         with self.weights.lock:
             self.weights.stopping = True
 
 
 class Worker:
-    """Carries out the bench's orders."""
+    """Executes commands; `on_NAME` handles the command with `NAME` in its field `do`."""
 
     def __init__(self) -> None:
         self.agents: dict[str, SwarmAgent] = {}
 
-    def on_start(self, order: dict) -> dict:
+    def on_start(self, command: dict) -> dict:
         """Start agents."""
-        for config in order["agents"]:
+        for config in command["agents"]:
             self.agents[config["settings"]["name"]] = SwarmAgent(config)
         return {"started": len(self.agents)}
 
-    def on_want(self, order: dict) -> dict:
-        """Begin to fetch, or change with whom; across a cut zone's border nobody is reached."""
-        cut = order.get("cut", "")
+    def on_want(self, command: dict) -> dict:
+        """Start to fetch a manifest, or change the peers.
+
+        Peers across the border of the zone `partitioned_zone` get an unreachable address.
+        """
+        partitioned_zone = command.get("cut", "")
         for agent in self.agents.values():
-            if agent.is_dead:
+            if agent.is_killed:
                 continue
             zone = agent.weights.context.settings.availability_zone
             peers = []
-            for name, other, _, address in order["peers"]:
+            for name, peer_zone, _, address in command["peers"]:
                 if name == agent.weights.name:
                     continue
-                is_reached = (other == cut) == (zone == cut)
-                distance = fetch.SAME_ZONE if other == zone else fetch.SAME_REGION
-                peers.append(fetch.Peer(name, address if is_reached else NOWHERE, distance))
-            agent.weights.set_wanted({order["manifest"]: peers})
+                is_reachable = (peer_zone == partitioned_zone) == (zone == partitioned_zone)
+                distance = fetch.SAME_ZONE if peer_zone == zone else fetch.SAME_REGION
+                peers.append(fetch.Peer(name, address if is_reachable else UNREACHABLE, distance))
+            agent.weights.set_wanted({command["manifest"]: peers})
         return {}
 
-    def on_kill(self, order: dict) -> dict:
+    def on_kill(self, command: dict) -> dict:
         """Kill agents."""
-        for name in order["names"]:
+        for name in command["names"]:
             if name in self.agents:
                 self.agents[name].kill()
         return {}
 
-    def on_poll(self, order: dict) -> dict:
-        """Return when each agent was complete, on the machine's monotonic clock."""
+    def on_poll(self, command: dict) -> dict:
+        """Return the monotonic times at which agents completed manifests, and resource usage."""
         for agent in self.agents.values():
             for digest in agent.weights.complete_manifests():
-                agent.done_at.setdefault(digest, time.monotonic())
+                agent.completed_at.setdefault(digest, time.monotonic())
         return {
-            "done": {name: agent.done_at for name, agent in self.agents.items()},
+            "done": {name: agent.completed_at for name, agent in self.agents.items()},
             "cpu_s": time.process_time(),
-            "tally": self.tally(),
+            "tally": self.fetch_stats(),
             "rss_mb": rss_mb(),
         }
 
-    def tally(self) -> dict[str, int]:
-        """Return what all fetches have cost so far, in chunks and questions."""
+    def fetch_stats(self) -> dict[str, int]:
+        """Return the fetch statistics, summed over all agents and downloads."""
         total: collections.Counter[str] = collections.Counter()
         for agent in self.agents.values():
             for download in agent.weights.downloads.values():
@@ -129,11 +132,11 @@
         return dict(total)
 
     def run(self) -> None:
-        """Carry out orders until the input ends."""
+        """Execute commands until the end of input."""
         for line in sys.stdin:
-            order = json.loads(line)
-            answer = getattr(self, f"on_{order['do']}")(order)
-            print(json.dumps(answer), flush=True)
+            command = json.loads(line)
+            reply = getattr(self, f"on_{command['do']}")(command)
+            print(json.dumps(reply), flush=True)
 
 
 def rss_mb() -> float:
--- a/bench/upgrade.py
+++ b/bench/upgrade.py
@@ -1,11 +1,11 @@
-"""Two builds side by side: VMs are replaced one after the other by another build, beside load.
-
-`python -m bench upgrade --from COMMIT --route forward --seed N`. The build of a commit of this
-repository's history is laid out by a git worktree and runs with the libraries that are installed.
-Control VMs and entries are processes; clients, workers and the operator live in this one. Each VM
-is stopped as planned and started again with the other build, in place. Checked, beside what the
-soak checks: no process ends by itself, the last acknowledged configuration is read back, and as
-many requests are served as in a calm run, less 0.01.
+"""Rolling upgrade test: under load, VMs are restarted one by one with another build.
+
+`python -m bench upgrade --from COMMIT --route forward --seed N`. The old build is a commit of this
+repository, checked out as a git worktree and run with the installed libraries. Control VMs and
+entries are processes; clients, workers and the operator run in this process. Each VM is stopped
+gracefully and started in place with the other build. Besides the invariants of the soak test, a run
+checks that no process exits by itself, that the last acknowledged configuration is read back, and
+that the success rate is at most SUCCESS_RATE_DROP_MAX below that of a run without an upgrade.
 """
 
 import argparse
@@ -26,17 +26,17 @@
     soak,
     soak_limits,
     soak_nodes,
-    soak_words,
+    soak_signals,
     upgrade_balancer,
     upgrade_builds,
-    upgrade_deadly,
-    upgrade_troubles,
+    upgrade_crashes,
+    upgrade_faults,
     upgrade_weights,
 )
 from stand_ins import fleet_worker
 
 NEW, OLD = "new", "old"
-# Where each route begins, and the builds that all VMs are brought to in turn.
+# The build that all VMs start with, and the builds that they are upgraded to in turn.
 ROUTES: dict[str, tuple[str, ...]] = {
     "calm": (NEW,),
     "calm-old": (OLD,),
@@ -46,18 +46,17 @@
     "forward-back-forward": (OLD, NEW, OLD, NEW),
 }
 ORDERS = ("controls", "entries", "mixed")
-# How long a VM that was replaced runs before the next one is stopped: two heartbeats of workers and
-# an election.
+# Delay between restarts; long enough for two heartbeats of workers and an election.
 SETTLE_S = 1.5
-CALM_S = 3.0
-SERVED_LESS_MAX = 0.01
-# What one worker names where limits are asked for, in requests a second.
+STEADY_S = 3.0
+SUCCESS_RATE_DROP_MAX = 0.01
+# The rate limit that a worker advertises with --limited, in requests per second.
 LIMIT_PER_S = 2.0
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Plan:
-    """What a run is to do; `troubles` are kinds of `bench.upgrade_troubles`."""
+    """Options of a run; `troubles` are names in `upgrade_faults.FAULTS`."""
 
     route: str
     order: str
@@ -69,13 +68,13 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Verdict:
-    """What one run showed.
+class UpgradeResult:
+    """Results of a run; the fields are keys of the JSON output.
 
-    `workers_ended` counts the workers that the deadly request ended, `ended_late` those of them
-    after the last VM was replaced. `key_answers` counts the answers to a key that is taken away, by
-    status: those before it surely was, and those after. `named` is the version of weights that was
-    named last.
+    `workers_ended` counts the workers that crashed on a request, `ended_late` those of them that
+    crashed after the last VM was upgraded. `key_answers` counts the responses to a revoked key by
+    status, before and after the revocation had to be effective. `named` is the last version of
+    weights. `ended` are the processes that exited by themselves, `broken` the violations.
     """
 
     plan: Plan
@@ -89,105 +88,108 @@
     ended: list[str] = dataclasses.field(default_factory=list)
     broken: list[str] = dataclasses.field(default_factory=list)
 
-    def served(self) -> float:
-        """Return the share of requests that were answered."""
+    def success_rate(self) -> float:
+        """Return the share of requests that succeeded."""
         return self.answered / max(1, self.asked)
 
 
 class Upgrade(soak.Soak):
-    """One run: load as in a soak, and VMs that change their build."""
+    """A run: the load of the soak test while VMs are upgraded."""
 
     def __init__(self, plan: Plan, old: pathlib.Path, folder: pathlib.Path) -> None:
         super().__init__(plan.seed, 0.0, folder)
         self.plan = plan
         # The newest version of weights that was named.
         self.named = 1
-        # The first version without the key that is taken away.
+        # The first configuration version without the revoked key.
         self.revoked_from = math.inf
         self.key_answers: tuple[collections.Counter, ...] = (
             collections.Counter(),
             collections.Counter(),
         )
         self.locks: dict[str, asyncio.Lock] = collections.defaultdict(asyncio.Lock)
-        self.crashing = upgrade_deadly.CrashingFleet(folder) if plan.is_deadly else None
-        if self.crashing is not None:
-            self.fleet = self.crashing
-            self.words = soak_words.Words(self.fleet)
-        self.weights = upgrade_weights.WeightsFleet(folder) if plan.has_weights else None
-        if self.weights is not None:
-            self.fleet = self.weights
-            self.words = soak_words.Words(self.fleet)
-        self.limits = soak_limits.Limits(self.words, self.runs_new_build)
-        # When each node was started with which build, by its IP.
-        self.started: dict[str, list[tuple[float, str]]] = {}
+        self.crashing_fleet = upgrade_crashes.CrashingFleet(folder) if plan.is_deadly else None
+        if self.crashing_fleet is not None:
+            self.fleet = self.crashing_fleet
+            self.signal_checker = soak_signals.SignalChecker(self.fleet)
+        self.weights_fleet = upgrade_weights.WeightsFleet(folder) if plan.has_weights else None
+        if self.weights_fleet is not None:
+            self.fleet = self.weights_fleet
+            self.signal_checker = soak_signals.SignalChecker(self.fleet)
+        self.limit_checker = soak_limits.LimitChecker(self.signal_checker, self.runs_new_build)
+        # Times of starts and their builds, by the node's IP.
+        self.starts: dict[str, list[tuple[float, str]]] = {}
         self.builds = {NEW: soak_nodes.ROOT / "src", OLD: old}
         self.route = ROUTES[plan.route]
-        self.verdict = Verdict(plan)
-        self.is_stopping: set[str] = set()
+        self.result = UpgradeResult(plan)
+        self.locked_nodes: set[str] = set()
         self.balancer = upgrade_balancer.Balancer(self.fleet.pool)
         for node in self.fleet.nodes:
             node.source = self.builds[self.route[0]]
-            self.started[node.ip] = [(float("-inf"), self.route[0])]
-
-    async def run_faults(self) -> None:
-        """Bring all VMs to each build of the route in turn, beside load."""
-        load = [asyncio.create_task(self.heartbeats()), asyncio.create_task(self.operator())]
+            self.starts[node.ip] = [(float("-inf"), self.route[0])]
+
+    async def run_scenario(self) -> None:
+        """Upgrade all VMs to each build of the route in turn, under load."""
+        load = [
+            asyncio.create_task(self.send_heartbeats()),
+            asyncio.create_task(self.run_operator()),
+        ]
         load.append(asyncio.create_task(self.balancer.run()))
-        await self.until_served("at the start")
-        await self.balancer.until_ready()
-        self.tally.asked = self.tally.answered = 0
-        load.append(asyncio.create_task(self.clients()))
-        load.append(asyncio.create_task(self.watch_ends()))
-        if self.crashing is not None:
-            load.append(asyncio.create_task(upgrade_deadly.send_deadly(self)))
+        await self.wait_until_served("at the start")
+        await self.balancer.wait_until_ready()
+        self.soak_result.sent = self.soak_result.answered = 0
+        load.append(asyncio.create_task(self.run_clients()))
+        load.append(asyncio.create_task(self.watch_exits()))
+        if self.crashing_fleet is not None:
+            load.append(asyncio.create_task(upgrade_crashes.send_crashing_requests(self)))
         if self.plan.is_limited:
             worker = next(iter(self.fleet.workers))
-            self.limits.begin(worker, LIMIT_PER_S, asyncio.get_running_loop().time())
-        await asyncio.sleep(CALM_S)
+            self.limit_checker.begin(worker, LIMIT_PER_S, asyncio.get_running_loop().time())
+        await asyncio.sleep(STEADY_S)
         for kind in self.plan.troubles:
-            load.append(asyncio.create_task(upgrade_troubles.TROUBLES.get(kind)(self)))
-        if self.weights is not None:
+            load.append(asyncio.create_task(upgrade_faults.FAULTS.get(kind)(self)))
+        if self.weights_fleet is not None:
             load.append(asyncio.create_task(upgrade_weights.name_versions(self)))
         for build in self.route[1:]:
-            for node in self.in_order():
-                await self.replace(node, build)
+            for node in self.ordered_nodes():
+                await self.upgrade_node(node, build)
                 await asyncio.sleep(SETTLE_S)
         replaced_at = asyncio.get_running_loop().time()
-        await asyncio.sleep(CALM_S)
-        if self.crashing is not None:
-            ends = self.crashing.crash_times()
-            self.verdict.workers_ended = len(ends)
-            self.verdict.ended_late = sum(at > replaced_at for at in ends)
-        asked, answered = self.tally.asked, self.tally.answered
-        if self.weights is not None:
-            await upgrade_weights.check_whole(self)
+        await asyncio.sleep(STEADY_S)
+        if self.crashing_fleet is not None:
+            ends = self.crashing_fleet.crash_times()
+            self.result.workers_ended = len(ends)
+            self.result.ended_late = sum(at > replaced_at for at in ends)
+        sent, answered = self.soak_result.sent, self.soak_result.answered
+        if self.weights_fleet is not None:
+            await upgrade_weights.check_loaded_weights(self)
         for task in load:
             task.cancel()
-        await self.until_read_back()
-        self.verdict.asked, self.verdict.answered = asked, answered
-        self.verdict.key_answers = [dict(found) for found in self.key_answers]
-        self.check_runs()
-
-    def configuration(self, version: int) -> dict:
-        """Return what the operator sends under a version's number."""
-        is_held = "revoke" in self.plan.troubles and version < self.revoked_from
-        keys = ("key-1", upgrade_troubles.REVOKED_KEY) if is_held else ("key-1",)
+        await self.wait_until_read_back()
+        self.result.asked, self.result.answered = sent, answered
+        self.result.key_answers = [dict(found) for found in self.key_answers]
+        self.check_invariants()
+
+    def make_configuration(self, version: int) -> dict:
+        """Return the configuration that the operator sends as `version`."""
+        is_valid = "revoke" in self.plan.troubles and version < self.revoked_from
+        keys = ("key-1", upgrade_faults.REVOKED_KEY) if is_valid else ("key-1",)
         body = soak_nodes.make_configuration(version, keys)
-        return self.weights.configuration(body) if self.weights is not None else body
+        return (
+            self.weights_fleet.add_weight_settings(body) if self.weights_fleet is not None else body
+        )
 
-    async def beat(self, worker: fleet_worker.Worker) -> None:
-        """Send one worker's heartbeat, unless it is away."""
+    async def send_heartbeat(self, worker: fleet_worker.Worker) -> None:
+        """Send a worker's heartbeat unless the worker is down."""
         if not getattr(worker, "is_down", False):
-            await super().beat(worker)
+            await super().send_heartbeat(worker)
 
     def pick_entry(self) -> str:
-        """Return the IP of the entry that the balancer gives a new connection to."""
+        """Return the IP of the entry that the balancer selects for a new connection."""
         return self.balancer.pick(self.rng)
 
-    # The upgrade
-
-    def in_order(self) -> list[soak_nodes.Node]:
-        """Return the nodes in the order in which they are replaced."""
+    def ordered_nodes(self) -> list[soak_nodes.Node]:
+        """Return the nodes in the order of their upgrade."""
         nodes = list(self.fleet.nodes)
         if self.plan.order == "mixed":
             self.rng.shuffle(nodes)
@@ -196,120 +198,134 @@
             nodes.sort(key=lambda node: node.role != first)
         return nodes
 
-    async def replace(self, node: soak_nodes.Node, build: str) -> None:
-        """Stop a VM as planned and start it again with another build."""
-        async with self.changing(node):
+    async def upgrade_node(self, node: soak_nodes.Node, build: str) -> None:
+        """Stop a node gracefully and start it with another build."""
+        async with self.locked(node):
             node.signal(signal.SIGTERM)
             assert node.process is not None
             await asyncio.to_thread(node.process.wait)
             node.source = self.builds[build]
-            self.started[node.ip].append((asyncio.get_running_loop().time(), build))
+            self.starts[node.ip].append((asyncio.get_running_loop().time(), build))
             node.start()
-            await self.fleet.until_up(node)
+            await self.fleet.wait_until_responding(node)
 
     @contextlib.asynccontextmanager
-    async def changing(self, node: soak_nodes.Node) -> AsyncIterator[None]:
-        """Hold a node alone while it is stopped, started or disturbed: its end is no fault then."""
+    async def locked(self, node: soak_nodes.Node) -> AsyncIterator[None]:
+        """Lock a node for a restart or a fault; its exit is not reported meanwhile."""
         async with self.locks[node.name]:
-            self.is_stopping.add(node.name)
+            self.locked_nodes.add(node.name)
             try:
                 yield
             finally:
                 node.signal(signal.SIGCONT)
-                self.is_stopping.discard(node.name)
+                self.locked_nodes.discard(node.name)
 
     def runs_new_build(self, ip: str, at: float) -> bool:
-        """Return whether a node ran today's build at a time."""
-        return [build for since, build in self.started[ip] if since <= at][-1] == NEW
+        """Return whether a node ran the new build at a time."""
+        return [build for since, build in self.starts[ip] if since <= at][-1] == NEW
 
-    async def watch_ends(self) -> None:
-        """Note processes that end by themselves, and start them again as the platform does."""
+    async def watch_exits(self) -> None:
+        """Record processes that exit by themselves, and restart them as the platform does."""
         while True:
             for node in self.fleet.nodes:
-                if node.name in self.is_stopping or node.process is None:
+                if node.name in self.locked_nodes or node.process is None:
                     continue
                 if node.process.poll() is not None:
-                    self.verdict.ended.append(f"{node.name}: code {node.process.returncode}")
+                    self.result.ended.append(f"{node.name}: code {node.process.returncode}")
                     node.start()
             await asyncio.sleep(0.05)
 
-    async def until_read_back(self) -> None:
-        """Check that the last acknowledged configuration, or a later one, is in force."""
+    async def wait_until_read_back(self) -> None:
+        """Wait until the last acknowledged configuration, or a later one, is read back."""
         last = max((version for _, version in self.acknowledged), default=0)
-        deadline = asyncio.get_running_loop().time() + soak.APPLY_S + 4.0
+        deadline = asyncio.get_running_loop().time() + soak.APPLY_MAX_S + 4.0
         while asyncio.get_running_loop().time() < deadline:
-            status, body = await self.call("GET", "/config")
+            status, body = await self.call_control("GET", "/config")
             if status == 200 and json.loads(body)["version"] >= last:
                 return
             await asyncio.sleep(0.1)
-        self.break_rule(f"version {last} was acknowledged and is not read back")
+        self.record_violation(f"version {last} was acknowledged but is not read back")
 
 
-def run(plan: Plan, old: pathlib.Path, folder: pathlib.Path) -> Verdict:
-    """Carry a plan out; return what it showed. Logs are left in `folder`."""
+def run(plan: Plan, old: pathlib.Path, folder: pathlib.Path) -> UpgradeResult:
+    """Run a plan and return its results; logs are written to `folder`."""
     upgrade = Upgrade(plan, old, folder)
-    tally = asyncio.run(upgrade.run())
-    upgrade.verdict.named = upgrade.named
-    upgrade.verdict.acknowledged = tally.acknowledged
-    upgrade.verdict.broken = tally.broken
-    return upgrade.verdict
-
-
-def problems(verdict: Verdict, calm_share: float) -> list[str]:
-    """Return what a run broke, compared with the share that a calm run serves."""
-    found = [*verdict.broken, *(f"ended by itself: {name}" for name in verdict.ended)]
-    if verdict.served() < calm_share - SERVED_LESS_MAX:
-        found.append(f"served {verdict.served():.3f}, a calm run {calm_share:.3f}")
+    soak_result = asyncio.run(upgrade.run())
+    upgrade.result.named = upgrade.named
+    upgrade.result.acknowledged = soak_result.acknowledged
+    upgrade.result.broken = soak_result.violations
+    return upgrade.result
+
+
+def find_violations(result: UpgradeResult, baseline_rate: float) -> list[str]:
+    """Return the violations of a run, given the success rate of a run without an upgrade."""
+    found = [*result.broken, *(f"exited by itself: {name}" for name in result.ended)]
+    if result.success_rate() < baseline_rate - SUCCESS_RATE_DROP_MAX:
+        found.append(
+            f"success rate {result.success_rate():.3f}, without upgrade {baseline_rate:.3f}"
+        )
     return found
 
 
 def main(arguments: list[str]) -> int:
-    """Run routes with some seeds; return 1 if any broke something, 2 for a commit not here."""
+    """Run a route with a range of seeds; return 1 for violations, 2 if the commit is missing."""
     parser = argparse.ArgumentParser(prog="python -m bench upgrade")
     parser.add_argument(
-        "--from", dest="commit", default=upgrade_builds.LANDED[0], help="the old build's commit"
+        "--from",
+        dest="commit",
+        default=upgrade_builds.RELEASED_COMMITS[0],
+        help="commit of the old build",
     )
     parser.add_argument("--route", choices=[*ROUTES], default="forward")
     parser.add_argument("--order", choices=ORDERS, default="controls")
     parser.add_argument("--seed", type=int, default=random.randrange(10**6))
     parser.add_argument("--seeds", type=int, default=1)
-    parser.add_argument("--deadly", action="store_true", help="with a request that ends workers")
-    parser.add_argument("--limited", action="store_true", help="with a worker that names a limit")
-    parser.add_argument("--weights", action="store_true", help="with weights on their way")
+    parser.add_argument("--deadly", action="store_true", help="add a request that crashes workers")
+    parser.add_argument(
+        "--limited", action="store_true", help="let a worker advertise a rate limit"
+    )
+    parser.add_argument("--weights", action="store_true", help="distribute weights meanwhile")
     parser.add_argument(
-        "--trouble", nargs="+", choices=list(upgrade_troubles.TROUBLES), default=(), metavar="KIND"
+        "--trouble", nargs="+", choices=list(upgrade_faults.FAULTS), default=(), metavar="KIND"
     )
-    parser.add_argument("--keep", type=pathlib.Path, help="folder for the nodes' logs")
+    parser.add_argument("--keep", type=pathlib.Path, help="folder for logs of the nodes")
     options = parser.parse_args(arguments)
     figures: dict[str, object] = {"from": options.commit, "runs": []}
-    is_broken = False
+    has_violations = False
     try:
-        with upgrade_builds.build_of(options.commit) as old:
+        with upgrade_builds.checkout_build(options.commit) as old:
             for seed in range(options.seed, options.seed + options.seeds):
-                # What the old build serves by itself the upgrade can't be asked to better.
+                # The upgrade need not do better than either build does alone.
                 routes = ("calm", "calm-old") if OLD in ROUTES[options.route] else ("calm",)
-                calm = min(play(route, options, seed, old).served() for route in routes)
-                verdict = play(options.route, options, seed, old)
-                found = problems(verdict, calm)
-                is_broken |= bool(found)
-                print(f"seed {seed}: served {verdict.served():.4f}, calm {calm:.4f}, {found}")
-                row = dataclasses.asdict(verdict) | {"calm": round(calm, 4), "problems": found}
+                baseline = min(
+                    run_route(route, options, seed, old).success_rate() for route in routes
+                )
+                result = run_route(options.route, options, seed, old)
+                found = find_violations(result, baseline)
+                has_violations |= bool(found)
+                print(
+                    f"seed {seed}: success rate {result.success_rate():.4f}, without upgrade"
+                    f" {baseline:.4f}, {found}"
+                )
+                row = dataclasses.asdict(result) | {"calm": round(baseline, 4), "problems": found}
                 figures["runs"].append(row)  # type: ignore[attr-defined]
     except upgrade_builds.MissingCommitError as error:
         print(f"upgrade: {error}")
         return 2
-    return measure.finish("upgrade", figures) or (1 if is_broken else 0)
+    return measure.print_results("upgrade", figures) or (1 if has_violations else 0)
 
 
-def play(route: str, options: argparse.Namespace, seed: int, old: pathlib.Path) -> Verdict:
-    """Run one route in a folder that is kept if that was asked for."""
+def run_route(
+    route: str, options: argparse.Namespace, seed: int, old: pathlib.Path
+) -> UpgradeResult:
+    """Run a route in a folder that is deleted afterwards, unless --keep is given."""
     with contextlib.ExitStack() as stack:
         folder = options.keep
         if folder is None:
             folder = pathlib.Path(stack.enter_context(tempfile.TemporaryDirectory()))
         folder = folder / f"{route}-{seed}"
         folder.mkdir(parents=True, exist_ok=True)
-        # What calm runs serve is what is compared with: nothing goes wrong in them.
+        # Calm runs are the baseline, so they have no faults.
         troubles = () if route.startswith("calm") else tuple(options.trouble)
         plan = Plan(
             route,
--- a/examples/embed_log.py
+++ b/examples/embed_log.py
@@ -1,4 +1,4 @@
-"""Three members of a replicated log in one process: a command, a lease, a lost leader."""
+"""Embed the replicated log: three members in one process commit commands and lose a leader."""
 
 import pathlib
 import tempfile
@@ -11,7 +11,7 @@
 
 
 class Member:
-    """One member: it owns a journal on disk and carries out what the log decides."""
+    """A member of the log, with a journal on disk."""
 
     def __init__(self, name: str, folder: pathlib.Path, now: float) -> None:
         folder.mkdir()
@@ -20,8 +20,11 @@
         self.raft = raft.Raft(name, NAMES, self.journal, now, identity=self.journal.identity)
         self.applied: list[bytes] = []
 
-    def work(self) -> list[tuple[str, object]]:
-        """Save, apply, and return the messages to send, in the order that the log asks for."""
+    def process_ready(self) -> list[tuple[str, object]]:
+        """Save entries, apply committed ones, and return the messages to send.
+
+        Messages must not be sent before the entries are saved.
+        """
         messages: list[tuple[str, object]] = []
         while not (ready := self.raft.ready()).is_empty():
             self.journal.save(ready.hard_state, ready.entries)
@@ -32,20 +35,20 @@
 
 
 def run(members: dict[str, Member], now: float, seconds: float) -> float:
-    """Let time pass; deliver every message at once; return the new time."""
-    stop_at = now + seconds
-    while now < stop_at:
+    """Advance the time and deliver every message at once; return the new time."""
+    end = now + seconds
+    while now < end:
         now += STEP_S
         for member in members.values():
             member.raft.tick(now)
             member.raft.flush(now)
-        messages = [m for member in members.values() for m in member.work()]
+        messages = [m for member in members.values() for m in member.process_ready()]
         while messages:
             receiver, message = messages.pop(0)
             if receiver in members:
                 members[receiver].raft.step(message, now)
                 members[receiver].raft.flush(now)
-                messages.extend(members[receiver].work())
+                messages.extend(members[receiver].process_ready())
     return now
 
 
@@ -61,11 +64,11 @@
         print(f"{leader.name} leads; all applied: {[m.applied for m in members.values()]}")
         del members[leader.name]
         now = run(members, now, 4.0)
-        follower = next(m for m in members.values() if m.raft.holds_lease(now))
-        follower.raft.propose(b"second", now)
+        new_leader = next(m for m in members.values() if m.raft.holds_lease(now))
+        new_leader.raft.propose(b"second", now)
         now = run(members, now, 0.5)
-        print(f"{follower.name} leads now; applied: {follower.applied}")
-        assert follower.applied == [b"first", b"second"]
+        print(f"{new_leader.name} leads now; applied: {new_leader.applied}")
+        assert new_leader.applied == [b"first", b"second"]
 
 
 if __name__ == "__main__":
--- a/tests/calls.py
+++ b/tests/calls.py
@@ -49,7 +49,7 @@
     data = stream.read(1 << 24)
     response = Response(stream.status, stream.headers, data)
     if stream.status == 200:
-        read = demo.read_stream if is_streamed else demo.read_whole
+        read = demo.parse_stream if is_streamed else demo.parse_completion
         response.text, response.digest = read(data)
         response.expected = engine.completion_text(response.digest, prompt, tokens)
     return response
@@ -69,4 +69,4 @@
 
 def new_key() -> str:
     """Return a new idempotency key."""
-    return str(demo.new_key())
+    return str(demo.new_idempotency_key())
--- a/tests/test_compare.py
+++ b/tests/test_compare.py
@@ -5,29 +5,29 @@
 
 import pytest
 
-from bench import compare, verdict
+from bench import compare, significance
 
 
 def test_difference_beyond_its_spread_is_better_or_worse():
-    found = verdict.judge([0.03, 0.04, 0.035, 0.03])
+    found = significance.evaluate([0.03, 0.04, 0.035, 0.03])
     assert (found.word, found.pairs, found.more) == ("better", 4, 0)
-    assert verdict.judge([-0.03, -0.04, -0.035]).word == "worse"
+    assert significance.evaluate([-0.03, -0.04, -0.035]).word == "worse"
 
 
 def test_difference_within_its_spread_gives_the_number_of_missing_pairs():
-    found = verdict.judge([0.05, -0.03, 0.02, -0.01])
+    found = significance.evaluate([0.05, -0.03, 0.02, -0.01])
     assert found.word == "not told apart"
     # Mean 0.0075, spread 0.0350: (2 x 0.0350 / 0.0075) squared is 87.1.
     assert found.more == 88 - 4
 
 
 def test_two_pairs_are_too_few_for_a_verdict():
-    assert verdict.judge([0.1, 0.1]).word == "not told apart"
-    assert verdict.judge([]).more == verdict.LEAST_PAIRS
+    assert significance.evaluate([0.1, 0.1]).word == "not told apart"
+    assert significance.evaluate([]).more == significance.PAIRS_MIN
 
 
 def test_negligible_difference_is_not_better():
-    assert verdict.judge([0.001, 0.001, 0.001]).word == "not told apart"
+    assert significance.evaluate([0.001, 0.001, 0.001]).word == "not told apart"
 
 
 def site(folder: pathlib.Path) -> pathlib.Path:
@@ -73,6 +73,8 @@
 
 def test_pairs_are_formed_per_day_and_seed(tmp_path):
     path = site(tmp_path)
-    plays = [compare.Play(path, "quiet-1", seed, way) for seed in (1, 2) for way in ("a", "b")]
-    worths = {play.key(): play.seed + (0.5 if play.way == "b" else 0.0) for play in plays}
-    assert compare.pairs_of(plays, worths, "b", "a") == [0.5, 0.5]
+    plays = [
+        compare.Simulation(path, "quiet-1", seed, way) for seed in (1, 2) for way in ("a", "b")
+    ]
+    worths = {play.key(): play.seed + (0.5 if play.policy == "b" else 0.0) for play in plays}
+    assert compare.score_differences(plays, worths, "b", "a") == [0.5, 0.5]
--- a/tests/test_request_failures.py
+++ b/tests/test_request_failures.py
@@ -22,8 +22,10 @@
     )
     fleet = make_fleet(shape)
     digest = fleet.publish("hint-1", 256 * 1024, 64 * 1024)
-    operators.Operator(fleet).bring_in(fleets.simple_bundle(1, {"hint": (digest, 100)}))
-    processes.wait_for("4 engines that serve", lambda: fleet.serving("hint").get(digest) == 4)
+    operators.Operator(fleet).propose_and_roll(fleets.simple_bundle(1, {"hint": (digest, 100)}))
+    processes.wait_for(
+        "4 engines that serve", lambda: fleet.serving_counts("hint").get(digest) == 4
+    )
     processes.wait_for(
         "ready entries", lambda: all(entry_sees(fleet, vm, 2) for vm in fleet.entries())
     )
@@ -266,7 +268,7 @@
 
 def test_frozen_engines_are_bypassed_within_the_deadline(fleet):
     for name in ("engine-zone-a-0", "engine-zone-a-1"):
-        fleet.processes[f"{name}-target"].freeze()
+        fleet.processes[f"{name}-target"].suspend()
     entry = next(vm for vm in fleet.entries() if vm.settings["availability_zone"] == "zone-a")
     processes.wait_for(
         "responses from the other zone",
@@ -275,7 +277,7 @@
     )
     assert calls.request_completion(entry.http).is_complete()
     for name in ("engine-zone-a-0", "engine-zone-a-1"):
-        fleet.processes[f"{name}-target"].thaw()
+        fleet.processes[f"{name}-target"].resume()
 
 
 def test_unauthenticated_attempt_is_not_run(fleet):
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -14,14 +14,14 @@
 @pytest.mark.parametrize("seed", [1, 2, *REGRESSION_SEEDS])
 def test_no_promise_is_broken_under_random_faults(seed, tmp_path):
     result = soak.run_seed(seed, 4.0, tmp_path)
-    assert result.broken == [], f"logs are in {tmp_path}"
+    assert result.violations == [], f"logs are in {tmp_path}"
     assert result.answered > 20 and result.acknowledged > 2 and result.reads > 2
 
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_repeated_permanent_losses_of_control_vms_lose_nothing(seed, tmp_path):
     result = soak.run_seed(seed, 9.0, tmp_path, ("replace_control",))
-    assert result.broken == [], f"logs are in {tmp_path}"
+    assert result.violations == [], f"logs are in {tmp_path}"
     assert result.faults["replace_control"] > 0
 
 
@@ -29,12 +29,12 @@
 def test_worker_signals_are_respected_under_control_and_entry_faults(seed, tmp_path):
     fault_kinds = ("say_leaving", "ask_for_rest", "kill_controls", "stop_control", "kill", "freeze")
     result = soak.run_seed(seed, 8.0, tmp_path, fault_kinds)
-    assert result.broken == [], f"logs are in {tmp_path}"
+    assert result.violations == [], f"logs are in {tmp_path}"
     assert result.faults.keys() & {"say_leaving", "ask_for_rest"}
 
 
 def test_worker_limits_are_respected_under_control_and_entry_faults(tmp_path):
     fault_kinds = ("name_limit", "name_limit", "kill", "kill_controls", "stop", "freeze")
     result = soak.run_seed(3, 12.0, tmp_path, fault_kinds)
-    assert result.broken == [], f"logs are in {tmp_path}"
+    assert result.violations == [], f"logs are in {tmp_path}"
     assert result.faults["name_limit"] > 0
--- a/tests/test_transfer_simulation.py
+++ b/tests/test_transfer_simulation.py
@@ -12,7 +12,7 @@
 
 def simulate(agents: int, fault: str, seed: int = 1) -> dict[str, float]:
     shape = transfer.Shape(agents=agents, seed=seed)
-    return transfer.Rollout(shape, transfer.FAULTS[fault]).run().figures()
+    return transfer.Simulation(shape, transfer.FAULTS[fault]).run().figures()
 
 
 def test_rollout_time_and_origin_reads_are_bounded():
@@ -24,8 +24,8 @@
 
 def test_rollout_without_announcements_takes_longer():
     shape = transfer.Shape(agents=20)
-    announced = transfer.Rollout(shape, transfer.Fault()).run().figures()
-    unannounced = transfer.Rollout(shape, transfer.Fault(), announces=False).run().figures()
+    announced = transfer.Simulation(shape, transfer.Fault()).run().figures()
+    unannounced = transfer.Simulation(shape, transfer.Fault(), announces=False).run().figures()
     assert announced["half"] < unannounced["half"] - 0.1
 
 
@@ -40,21 +40,21 @@
 def test_receiver_feedback_limits_request_delay_on_a_slow_link(monkeypatch):
     # 24 engines hold all pieces, one of them has a slow link; 16 others fetch.
     shape = transfer.Shape(agents=40, holders=24)
-    found = transfer.Rollout(shape, transfer.FAULTS["a slow agent"]).run().figures()
+    found = transfer.Simulation(shape, transfer.FAULTS["a slow agent"]).run().figures()
     assert found["request_wait_ms_worst_link"] <= 300.0
     monkeypatch.setattr(pacing.FeedbackPacer, "record", lambda self, receiver, took_s: None)
-    found = transfer.Rollout(shape, transfer.FAULTS["a slow agent"]).run().figures()
+    found = transfer.Simulation(shape, transfer.FAULTS["a slow agent"]).run().figures()
     assert found["request_wait_ms_worst_link"] >= 450.0, "the receivers' feedback has no effect"
 
 
 def test_slow_origin_readers_do_not_delay_the_other_agents():
-    rollout = transfer.Rollout(transfer.Shape(agents=40), transfer.Fault())
+    rollout = transfer.Simulation(transfer.Shape(agents=40), transfer.Fault())
     readers = [agent for agent in rollout.agents.values() if agent.plan.is_reader]
     slow = readers[: len(readers) // 4]
     for agent in slow:
         agent.link_in.rate = agent.link_out.rate = 119_000.0
     rollout.run()
-    others = [agent.whole_at for agent in rollout.agents.values() if agent not in slow]
+    others = [agent.completed_at for agent in rollout.agents.values() if agent not in slow]
     assert max(others) / rollout.bound_s() <= 2.0
 
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -14,13 +14,13 @@
 
 @pytest.mark.parametrize("path", sorted(RECORDED.glob("*.json")), ids=lambda path: path.stem)
 def test_data_written_by_earlier_builds_is_readable(path):
-    assert release_bytes.unread(path) == []
+    assert release_bytes.find_unreadable(path) == []
 
 
 def test_data_written_by_this_build_is_readable_by_the_previous_one(tmp_path):
     release_bytes.write(tmp_path / "today.json")
     try:
-        with upgrade_builds.build_of(upgrade_builds.LANDED[0]) as old:
+        with upgrade_builds.checkout_build(upgrade_builds.RELEASED_COMMITS[0]) as old:
             reader = subprocess.run(
                 [sys.executable, "-m", "bench.release_bytes", "read", tmp_path / "today.json"],
                 cwd=soak_nodes.ROOT,
@@ -39,12 +39,12 @@
 def test_rolling_upgrade_and_rollback_fail_no_request(tmp_path):
     plan = upgrade.Plan("forward-back", "controls", 1, troubles=("revoke",))
     try:
-        with upgrade_builds.build_of(upgrade_builds.LANDED[0]) as old:
+        with upgrade_builds.checkout_build(upgrade_builds.RELEASED_COMMITS[0]) as old:
             result = upgrade.run(plan, old, tmp_path)
     except upgrade_builds.MissingCommitError as error:
         print(f"not run: {error}")
         pytest.skip(str(error))
-    assert upgrade.problems(result, calm_share=1.0) == [], f"logs are in {tmp_path}"
+    assert upgrade.find_violations(result, baseline_rate=1.0) == [], f"logs are in {tmp_path}"
     assert result.asked > 500 and result.acknowledged > 20
     # A key revoked during the upgrade is accepted until then, and by neither build afterwards.
     accepted, revoked = result.key_answers
--- a/tests/test_weights_failures.py
+++ b/tests/test_weights_failures.py
@@ -49,7 +49,7 @@
 ) -> None:
     processes.wait_for(
         f"{count} engines to serve {digest[:8]}",
-        lambda: fleet.serving("hint").get(digest, 0) >= count,
+        lambda: fleet.serving_counts("hint").get(digest, 0) >= count,
         timeout_s,
     )
 
@@ -90,13 +90,13 @@
     first_digest = fleet.publish("hint-1", OBJECT_BYTES, CHUNK_BYTES)
     second_digest = fleet.publish("hint-2", OBJECT_BYTES, CHUNK_BYTES)
     operator = operators.Operator(fleet)
-    operator.bring_in(fleets.simple_bundle(1, {"hint": (first_digest, 100)}))
+    operator.propose_and_roll(fleets.simple_bundle(1, {"hint": (first_digest, 100)}))
     wait_until_serving(fleet, first_digest, 6)
     processes.wait_for(
         "ready entries", lambda: all(fleet.get(v.http, "/readyz") for v in fleet.entries())
     )
     with RequestLoad(fleet) as load:
-        operator.bring_in(fleets.simple_bundle(2, {"hint": (second_digest, 100)}))
+        operator.propose_and_roll(fleets.simple_bundle(2, {"hint": (second_digest, 100)}))
         wait_until_serving(fleet, second_digest, 6)
         operator.roll(1, is_back=True)
         wait_until_serving(fleet, first_digest, 6)
@@ -117,7 +117,7 @@
     fleet = make_fleet(SHAPE)
     digest = fleet.publish("hint-1", OBJECT_BYTES, CHUNK_BYTES)
     inject_fault(fleet, fleet.origin_url, corrupt_next=5)
-    operators.Operator(fleet).bring_in(fleets.simple_bundle(1, {"hint": (digest, 100)}))
+    operators.Operator(fleet).propose_and_roll(fleets.simple_bundle(1, {"hint": (digest, 100)}))
     wait_until_serving(fleet, digest, 6)
     assert 1.0 < origin_read_ratio(fleet, "hint-1") <= 1.0 + 6 * CHUNK_BYTES / OBJECT_BYTES
     calls.request_completion(fleet.entries()[0].http)
@@ -129,20 +129,20 @@
     first_digest = fleet.publish("hint-1", OBJECT_BYTES, CHUNK_BYTES)
     second_digest = fleet.publish("hint-2", OBJECT_BYTES, CHUNK_BYTES)
     operator = operators.Operator(fleet)
-    operator.bring_in(fleets.simple_bundle(1, {"hint": (first_digest, 100)}))
+    operator.propose_and_roll(fleets.simple_bundle(1, {"hint": (first_digest, 100)}))
     wait_until_serving(fleet, first_digest, 6)
     inject_fault(fleet, fleet.origin_url, bytes_per_s=OBJECT_BYTES / 2)
-    operator.bring_in(fleets.simple_bundle(2, {"hint": (second_digest, 100)}))
+    operator.propose_and_roll(fleets.simple_bundle(2, {"hint": (second_digest, 100)}))
     processes.wait_for("the first chunks", lambda: origin_read_ratio(fleet, "hint-2") > 0.2)
     path = fleet.folder / "origin" / "objects" / "hint-2"
     path.write_bytes(bytes(OBJECT_BYTES))
     inject_fault(fleet, fleet.origin_url, bytes_per_s=1e9)
     paused = processes.wait_for("a pause", lambda: fleet.status().get("paused"), 20)
     assert "origin_changed" in paused
-    assert fleet.serving("hint") == {first_digest: 6}
+    assert fleet.serving_counts("hint") == {first_digest: 6}
     response = calls.request_completion(fleet.entries()[0].http)
     assert response.is_complete() and response.digest == first_digest
-    done = fleet.command("bundle", "rollback", "1", "-o", "ana", "--wait")
+    done = fleet.run_command("bundle", "rollback", "1", "-o", "ana", "--wait")
     assert done.returncode == 0, done.stderr
     assert not fleet.status()["paused"]
 
@@ -152,7 +152,7 @@
     first_digest = fleet.publish("hint-1", OBJECT_BYTES, CHUNK_BYTES)
     second_digest = fleet.publish("hint-2", OBJECT_BYTES, CHUNK_BYTES)
     operator = operators.Operator(fleet)
-    operator.bring_in(fleets.simple_bundle(1, {"hint": (first_digest, 100)}))
+    operator.propose_and_roll(fleets.simple_bundle(1, {"hint": (first_digest, 100)}))
     wait_until_serving(fleet, first_digest, 6)
     rejecting = next(iter(fleet.target_urls))
     inject_fault(fleet, fleet.target_urls[rejecting], refuse_loads="no memory left")
@@ -160,7 +160,7 @@
     assert done["generation"] == 2
     paused = processes.wait_for("a pause", lambda: fleet.status().get("paused"), 20)
     assert rejecting in paused and "no memory left" in paused
-    assert fleet.serving("hint").get(first_digest, 0) >= 1
+    assert fleet.serving_counts("hint").get(first_digest, 0) >= 1
 
 
 def test_killed_frozen_and_joining_vms_do_not_stop_a_roll(make_fleet):
@@ -168,16 +168,16 @@
     digest = fleet.publish("hint-1", OBJECT_BYTES, CHUNK_BYTES)
     inject_fault(fleet, fleet.origin_url, bytes_per_s=OBJECT_BYTES / 3)
     names = [name for name in fleet.target_urls if name.startswith("engine")]
-    operators.Operator(fleet).bring_in(fleets.simple_bundle(1, {"hint": (digest, 100)}))
+    operators.Operator(fleet).propose_and_roll(fleets.simple_bundle(1, {"hint": (digest, 100)}))
     processes.wait_for("the first chunks", lambda: origin_read_ratio(fleet, "hint-1") > 0.1)
     fleet.processes[names[0]].kill()
-    fleet.processes[names[3]].freeze()
+    fleet.processes[names[3]].suspend()
     joined = fleet.add_engine("zone-a", 3)
     inject_fault(fleet, fleet.origin_url, bytes_per_s=1e9)
     wait_until_serving(fleet, digest, 5, 60)
     assert joined.name in {agent["name"] for agent in fleet.status()["agents"]}
     assert origin_read_ratio(fleet, "hint-1") <= 1.5
-    fleet.processes[names[3]].thaw()
+    fleet.processes[names[3]].resume()
     fleet.restart(names[0])
     wait_until_serving(fleet, digest, 7, 60)
 
@@ -186,7 +186,7 @@
     shape = fleets.dataclasses.replace(SHAPE, with_store_folder=True, engines_per_zone=1)
     fleet = make_fleet(shape)
     digest = fleet.publish("hint-1", OBJECT_BYTES, CHUNK_BYTES)
-    operators.Operator(fleet).bring_in(fleets.simple_bundle(1, {"hint": (digest, 100)}))
+    operators.Operator(fleet).propose_and_roll(fleets.simple_bundle(1, {"hint": (digest, 100)}))
     wait_until_serving(fleet, digest, 2)
     for name in list(fleet.target_urls):
         fleet.processes[name].kill()
@@ -201,7 +201,7 @@
     shape = fleets.dataclasses.replace(SHAPE, engines_per_zone=1, zones=("zone-a",))
     fleet = make_fleet(shape)
     digest = fleet.publish("hint-1", OBJECT_BYTES, CHUNK_BYTES)
-    operators.Operator(fleet).bring_in(fleets.simple_bundle(1, {"hint": (digest, 100)}))
+    operators.Operator(fleet).propose_and_roll(fleets.simple_bundle(1, {"hint": (digest, 100)}))
     wait_until_serving(fleet, digest, 1)
     name, url = next(iter(fleet.target_urls.items()))
     order = {"action": "unload", "name": "other", "generation": 9, "epoch": 2**60}
@@ -212,5 +212,5 @@
         "a refusal of the old directive",
         lambda: fleet.processes[name].events("directive_too_old"),
     )
-    assert fleet.serving("hint") == {digest: 1}
+    assert fleet.serving_counts("hint") == {digest: 1}
     assert fleet.get(url, "/v1/status")["fence"]["generation"] == 9
