--- a/Makefile
+++ b/Makefile
@@ -1,9 +1,8 @@
-# Two commands for a fresh machine: `make demo` and `make test`; both do their own set-up.
+# `make demo` and `make test` create the virtual environment if needed.
 PY := .venv/bin/python
 SOURCES := src stand_ins bench tests examples deploy
 
-# Tests whose subject is time under load run after the others, three at a time: together they take
-# less than one core.
+# Timing-sensitive tests run after the others, three at a time.
 BESIDE_OTHERS := -n auto --dist loadgroup -m "not timed"
 BY_THEMSELVES := -n 3 --dist loadgroup -m timed
 
@@ -24,7 +23,7 @@
 	$(PY) -m pytest $(BESIDE_OTHERS)
 	$(PY) -m pytest $(BY_THEMSELVES)
 
-# Formatter, linter, and the tests of pure deciders: for the inner loop.
+# Formatter, linter, and the tests that need no processes, sockets or waiting.
 quick: setup
 	$(PY) -m black --check --quiet $(SOURCES)
 	$(PY) -m ruff check --quiet $(SOURCES)
--- a/deploy/build.sh
+++ b/deploy/build.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Lay the pinned libraries and the compiled package under target/; nothing else is written.
+# Install the pinned libraries and the compiled package into target/; writes nothing elsewhere.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 mkdir -p target
@@ -10,7 +10,7 @@
     python3 -m compileall -q target/deps
     touch target/deps
 fi
-# Processes may be running from target/app: it is replaced only if the package has changed.
+# Replace target/app only if the package has changed, since processes may be running from it.
 if ! diff -rq --exclude=__pycache__ src/merlinthread target/app/merlinthread >/dev/null 2>&1; then
     rm -rf target/app.new target/app.old
     mkdir -p target/app.new
