--- a/src/merlinthread/transport/bus.py
+++ b/src/merlinthread/transport/bus.py
@@ -117,7 +117,7 @@
         workers: int,
     ) -> None:
         self.codec = codec
-        self.run_handlerr = handler
+        self.handler = handler
         self.stopping = threading.Event()
         self.socket = pynng.Rep0(recv_max_size=MESSAGE_BYTES_MAX, recv_timeout=STOP_POLL_MS)
         self.socket.listen(address_url(address))
@@ -161,7 +161,7 @@
         An exception of the handler is returned as `ErrorReply`.
         """
         try:
-            reply = self.run_handlerr(self.codec.decode(frame))
+            reply = self.handler(self.codec.decode(frame))
         except errors.MerlinthreadError as error:
             reply = messages.ErrorReply(str(error.kind), error.message)
         except Exception as error:
--- a/src/merlinthread/transport/node_bus.py
+++ b/src/merlinthread/transport/node_bus.py
@@ -82,7 +82,7 @@
         pacing_bytes_per_s: Callable[[], float] = lambda: math.inf,
     ) -> None:
         self.codec = codec
-        self.run_handlerr = handler
+        self.handler = handler
         self.pacing_bytes_per_s = pacing_bytes_per_s
         limits = http_messages.Limits(body_bytes=MESSAGE_BYTES_MAX, idle_timeout_s=2 * KEEP_ALIVE_S)
         self.server = stream_server.Server(self.serve, limits)
@@ -124,7 +124,7 @@
         An exception of the handler is returned as `ErrorReply`.
         """
         try:
-            return await self.run_handlerr(self.codec.decode(body))
+            return await self.handler(self.codec.decode(body))
         except errors.MerlinthreadError as error:
             return node_messages.ErrorReply(str(error.kind), error.message)
         except asyncio.CancelledError:
